--- a/cartdeal/agent/gate.py
+++ b/cartdeal/agent/admission.py
@@ -1,6 +1,6 @@
-"""Where the agent asks its fleet: turns a lookup into the fleet's question, and its word into an event.
+"""Where the agent asks its fleet: turns a request into the fleet's question, and its word into an event.
 
-Owns the fleet's host and the lookups that wait for a word. It must never decide what the fleet is to say:
+Owns the fleet's host and the requests that wait for a word. It must never decide what the fleet is to say:
 where no word comes at all it answers by the fleet's own rule for doubt. Without a fleet nobody imports it.
 """
 
@@ -11,18 +11,18 @@
 
 import gevent
 
-from cartdeal.fleet import papers as paper
+from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet import verdict
-from cartdeal.fleet.errors import WrongPapers
+from cartdeal.fleet.errors import WrongConfiguration
 from cartdeal.fleet.host import Bounds, Host
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.verdict import Question, Verdict
-from cartdeal.grant import REPEATS, seconds
+from cartdeal.settings import REPEATS, seconds
 from cartdeal.terms import Group, Repeat
 
-LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.UNREPEATABLE: "u"}
+LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.NON_IDEMPOTENT: "u"}
 STATUSES = {"limited": 429, "turn_back": 503, "terminate": 502}
-LATE = 0.3          # beyond the fleet's own bound, when a lookup without a word is in doubt
+LATE = 0.3          # beyond the fleet's own bound, when a request without a word is in doubt
 LOOK = 0.1          # seconds between looks for such
 LAST_WORDS = 0.15   # how long the last ones may take to be written
 STREAMS = 8         # one in so many descriptors is for streams to peers, and as many for those from them
@@ -31,19 +31,26 @@
 log = logging.getLogger("cartdeal.fleet")
 
 
-class Gate:
-    def __init__(self, station, papers, after):
+class AdmissionControl:
+    def __init__(self, config, fleet, after):
         """`after(event, *args)` brings an event to the reducer. Raises connection.Unbound."""
-        self.station, self.after, self.listen = station, after, papers.listen
-        streams, share = station.limits.descriptors // STREAMS, MEMORY * station.limits.memory
+        self.config, self.after, self.listen = config, after, fleet.listen
+        streams, share = config.limits.descriptors // STREAMS, MEMORY * config.limits.memory
         self.descriptors, self.memory = 2 * streams + 2, 2 * share
-        self.host = Host(papers.pact, papers.listen, Node, self.decided,
+        self.host = Host(fleet.pact, fleet.listen, Node, self.decided,
                          Bounds(streams, int(share * 1e6), int(share * 1e6)))
         self.open: dict[int, tuple[float, Question]] = {}   # until when a word has to come, in that order
-        grant = station.grant
-        self.kinds = [(LETTERS[REPEATS.get(kind.repeat, Repeat.UNREPEATABLE)], kind.group or Group.CELL.value,
-                       seconds(kind.window), kind.name) for kind in grant.workloads]
-        longest = papers.pact.longest_mark_s
+        settings = config.settings
+        self.kinds = [
+            (
+                LETTERS[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
+                kind.group or Group.CELL.value,
+                seconds(kind.window),
+                kind.name,
+            )
+            for kind in settings.request_classes
+        ]
+        longest = fleet.pact.longest_mark_s
         self.longest = tuple({"i": inf, "d": longest - window, "u": longest}[repeat]
                              for repeat, _, window, _ in self.kinds)
         self.verbs = {"admit": self.admit, "went": self.went, "settled": self.settled}
@@ -56,41 +63,55 @@
 
     # Effects
 
-    def admit(self, number: int, query, limit_at: float):
+    def admit(self, number: int, request, deadline: float):
         now = monotonic()
-        question = self.question(query, limit_at - now)
+        question = self.question(request, deadline - now)
         self.open[number] = now + self.host.pact.wait_s + LATE, question
-        self.host.feed("ask", number, question)
+        self.host.dispatch("ask", number, question)
 
     def went(self, number: int, zone: str, cell: int):
-        self.host.feed("went", number, zone, cell)
+        self.host.dispatch("went", number, zone, cell)
 
     def settled(self, number: int, ran: str):
         self.open.pop(number, None)
-        self.host.feed("ended", number, ran)
+        self.host.dispatch("ended", number, ran)
 
-    def question(self, query, left: float) -> Question:
-        repeat, group, window, workload = self.kinds[query.workload]
-        if query.strict:
+    def question(self, request, left: float) -> Question:
+        repeat, group, window, request_class = self.kinds[request.request_class]
+        if request.non_idempotent:
             repeat, window = "u", 0.0
-        key = query.mark.decode() if query.mark and repeat == "d" else digest(query) if repeat != "i" else ""
+        key = "" if repeat == "i" else digest(request)
+        if request.idempotency_key and repeat == "d":
+            key = request.idempotency_key.decode()
         return Question(
             # By name: who names none, or one that is not known, must not use up the first one's limit.
-            tenant=query.whose.decode("latin-1"),
-            session=f"{query.key:016x}" if query.key else "",
-            key=key, repeat=repeat, group=group, window_s=window, limit_s=max(0.0, left), workload=workload,
-            retried=query.repeat)
+            tenant=request.tenant_name.decode("latin-1"),
+            session=f"{request.key:016x}" if request.key else "",
+            key=key,
+            repeat=repeat,
+            group=group,
+            window_s=window,
+            limit_s=max(0.0, left),
+            workload=request_class,
+            retried=request.repeat,
+        )
 
     # The fleet's word
 
-    def decided(self, ticket: int, word: str, wait: float, heed):
+    def decided(self, ticket: int, word: str, wait: float, earlier_attempts):
         if self.open.pop(ticket, None) is None:
             return      # answered, or its client has gone, while the fleet thought about it
         if word == Verdict.PASS.value:
             node = self.host.node
             shift = node.now - node.wall    # from the fleet's time to the agent's own
-            self.after("admitted", ticket, tuple(
-                (zone, cell, group, until_ms / 1e3 + shift) for zone, cell, group, until_ms in heed))
+            self.after(
+                "admitted",
+                ticket,
+                tuple(
+                    (zone, cell, group, until_ms / 1e3 + shift)
+                    for zone, cell, group, until_ms in earlier_attempts
+                ),
+            )
         else:
             self.after("declined", ticket, STATUSES[word], wait)
 
@@ -100,7 +121,7 @@
             gevent.sleep(LOOK)
             now, pact = monotonic(), self.host.pact
             for number, question in [(each, asked) for each, (by, asked) in self.open.items() if by < now]:
-                log.warning("no word of the fleet", extra={"workload": question.workload})
+                log.warning("no word of the fleet", extra={"request_class": question.workload})
                 word = verdict.in_doubt(question, pact.on_doubt, pact.clients_mark) if question.marked \
                     else Verdict.TURN_BACK
                 self.decided(number, word.value, 0.0, ())
@@ -110,25 +131,25 @@
     def reread(self):
         """Takes over what the fleet's file changes; one that can't be used changes nothing."""
         try:
-            found = paper.read(self.station)
-        except WrongPapers as trouble:
-            return log.error("fleet file refused", extra={"words": str(trouble)})
+            found = fleet_configuration.read(self.config)
+        except WrongConfiguration as trouble:
+            return log.error("fleet file refused", extra={"reason": str(trouble)})
         host, new = self.host, found.pact
-        kept, restart = paper.taken_over(host.pact, new)
+        kept, restart = fleet_configuration.taken_over(host.pact, new)
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
         host.pact = kept
-        host.feed("reread", kept)
+        host.dispatch("reread", kept)
         log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
 
     def leave(self):
-        self.host.feed("leaving")
+        self.host.dispatch("leaving")
 
     def part(self, until: float):
         """Waits until what this agent holds is with others, but not beyond `until`; says its last words."""
         while not self.host.node.gone and monotonic() < until:
             gevent.sleep(LOOK / 5)
-        self.host.feed("parting")
+        self.host.dispatch("parting")
         self.host.flush(monotonic() + LAST_WORDS)
         log.info("out of the fleet", extra={"handed_over": self.host.node.gone, "unsent": self.host.waiting})
 
@@ -136,9 +157,9 @@
         self.host.stop()
 
 
-def digest(query) -> str:
-    """What an unrepeatable lookup is known by: its id differs with every try."""
+def digest(request) -> str:
+    """What a non-idempotent request is known by: its id differs with every try."""
     words = hashlib.blake2b(digest_size=16)
-    for part in (query.method, query.path, query.body):
+    for part in (request.method, request.path, request.body):
         words.update(len(part).to_bytes(4, "big") + part)
     return words.hexdigest()
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -10,18 +10,18 @@
 import msgspec
 from msgspec import field
 
-from cartdeal.grant import Grant
+from cartdeal.settings import Settings
 
 Address = tuple[str, int]
-TAKEN_OVER = ("list_service", "seed", "known")    # on SIGHUP; the last two matter at a start only
+TAKEN_OVER = ("discovery", "seed", "known")    # on SIGHUP; the last two matter at a start only
 
 
 class Fault(Exception):
     """A value of the configuration can't be used; the message names its key."""
 
 
-class Line(msgspec.Struct):
-    """One line of the server list, as the list service writes it."""
+class ServerEntry(msgspec.Struct):
+    """One line of the server list, as the discovery service writes it."""
 
     name: str = field(name="uid")
     address: str = field(default="", name="endpoint")
@@ -32,12 +32,12 @@
     started: float = field(default=0.0, name="boot_ms")
 
 
-class Roll(msgspec.Struct):
+class ServerList(msgspec.Struct):
     """A server list, whole or the lines that changed."""
 
     version: int = field(default=0, name="rev")
     whole: bool = field(default=False, name="all")
-    lines: tuple[Line, ...] = field(default=(), name="targets")
+    entries: tuple[ServerEntry, ...] = field(default=(), name="targets")
 
 
 class Limits(msgspec.Struct):
@@ -45,34 +45,34 @@
     descriptors: int = field(default=1024, name="sockets")
 
 
-class Papers(msgspec.Struct):
+class ConfigurationFile(msgspec.Struct):
     """The file as it is written; `Station` is what the agent goes by."""
 
     name: str | None = None
     listen: str | None = None
-    list_service: str | None = field(default=None, name="discovery")
+    discovery: str | None = field(default=None, name="discovery")
     seed: str = "0"
     limits: Limits = field(default_factory=Limits)
     tell_listen: str | None = field(default=None, name="peer_listen")
     neighbours: tuple[str, ...] = field(default=(), name="peers")
     everyone: str | None = field(default=None, name="peers_all")
-    known: Roll = field(default_factory=Roll)
-    grant: Grant | None = field(default=None, name="settings")
+    known: ServerList = field(default_factory=ServerList)
+    settings: Settings | None = field(default=None, name="settings")
 
 
-class Station(msgspec.Struct):
+class AgentConfiguration(msgspec.Struct):
     """All that an agent is told of itself."""
 
     name: str
     listen: Address
-    list_service: Address
+    discovery: Address
     seed: int
     limits: Limits
     tell_listen: Address | None
     neighbours: tuple[Address, ...]
     everyone: Address | None
-    known: Roll
-    grant: Grant
+    known: ServerList
+    settings: Settings
 
 
 def address(key: str, text: str | None) -> Address:
@@ -89,33 +89,61 @@
         raise Fault(f"{key}: found {text!r}, wanted a number in base {base}") from None
 
 
-def check(grant: Grant, limits: Limits):
+def check(settings: Settings, limits: Limits):
     # Where a word of the settings decides what the balancer does, another word is a fault and no guess.
     words = [
-        ("family", grant.family, ("mesh", "proxy")),
-        ("discovery", grant.list_comes, ("pushed", "on_request")),
-        ("weightKind", grant.weights, ("none", "nominal", "rough", "live")),
-        ("feedback.how", grant.reports.how, ("none", "probe", "answers")),
+        ("family", settings.family, ("mesh", "proxy")),
+        ("discovery", settings.discovery_mode, ("pushed", "on_request")),
+        ("weightKind", settings.weights, ("none", "nominal", "rough", "live")),
+        ("feedback.how", settings.reports.how, ("none", "probe", "answers")),
     ]
     wrong = [(f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
              for key, word, known in words]
     wrong += [
-        ("settings.feedback.how", "probe", "'answers' or 'none' where caps.probes is not true",
-         grant.reports.how == "probe" and not grant.leave.may_probe),
-        ("settings.objectiveMix.worstClass", grant.mix.worst_workload, "0 to 1",
-         not 0 <= grant.mix.worst_workload <= 1),
-        ("settings.workloads", len(grant.workloads), "at least one workload", not grant.workloads),
-        ("settings.az", grant.own_zone, f"a place in areas, under {max(1, len(grant.zones))}",
-         not 0 <= grant.own_zone < max(1, len(grant.zones))),
-        ("settings.groupSize", grant.agents, "1 or more", grant.agents < 1),
-        ("settings.caps.maxShots", grant.leave.most_shots, "1 or more", grant.leave.most_shots < 1),
+        (
+            "settings.feedback.how",
+            "probe",
+            "'answers' or 'none' where caps.probes is not true",
+            settings.reports.how == "probe" and not settings.permissions.may_probe,
+        ),
+        (
+            "settings.objectiveMix.worstClass",
+            settings.mix.worst_class,
+            "0 to 1",
+            not 0 <= settings.mix.worst_class <= 1,
+        ),
+        (
+            "settings.workloads",
+            len(settings.request_classes),
+            "at least one request class",
+            not settings.request_classes,
+        ),
+        (
+            "settings.az",
+            settings.own_zone,
+            f"a place in areas, under {max(1, len(settings.zones))}",
+            not 0 <= settings.own_zone < max(1, len(settings.zones)),
+        ),
+        ("settings.groupSize", settings.agents, "1 or more", settings.agents < 1),
+        (
+            "settings.caps.maxShots",
+            settings.permissions.most_attempts,
+            "1 or more",
+            settings.permissions.most_attempts < 1,
+        ),
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
         ("limits.memory_mb", limits.memory, "24 or more", limits.memory < 24),
     ]
-    for place, kind in enumerate(grant.workloads):
-        wrong.append((f"settings.workloads[{place}].name", kind.name, "a name of its own",
-                      not kind.name or any(other.name == kind.name for other in grant.workloads[:place])))
-        for key, micros in (("goalTimeUs", kind.goal_time), ("timeLimitUs", kind.time_limit)):
+    for place, kind in enumerate(settings.request_classes):
+        wrong.append(
+            (
+                f"settings.workloads[{place}].name",
+                kind.name,
+                "a name of its own",
+                not kind.name or any(other.name == kind.name for other in settings.request_classes[:place]),
+            )
+        )
+        for key, micros in (("goalTimeUs", kind.latency_target), ("timeLimitUs", kind.timeout_us)):
             wrong.append((f"settings.workloads[{place}].{key}", micros, "more than 0",
                           micros is not None and micros <= 0))
     for key, found, wanted, is_wrong in wrong:
@@ -123,13 +151,13 @@
             raise Fault(f"{key}: found {found!r}, wanted {wanted}")
 
 
-def needs_restart(old: Station, new: Station) -> list[str]:
+def needs_restart(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
     """The keys that differ and that a running agent can't take over."""
-    return [key.encode_name for key in msgspec.structs.fields(Papers)
+    return [key.encode_name for key in msgspec.structs.fields(ConfigurationFile)
             if key.name not in TAKEN_OVER and getattr(old, key.name) != getattr(new, key.name)]
 
 
-def read(environment=os.environ) -> Station:
+def read(environment=os.environ) -> AgentConfiguration:
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise Fault("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
@@ -137,28 +165,28 @@
         text = Path(path).read_bytes()
     except OSError as trouble:
         raise Fault(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({trouble.strerror})") from None
-    return station(text, path, environment)
+    return decode(text, path, environment)
 
 
-def station(text: bytes, path: str, environment) -> Station:
+def decode(text: bytes, path: str, environment) -> AgentConfiguration:
     try:
-        papers = msgspec.json.decode(text, type=Papers)
+        found = msgspec.json.decode(text, type=ConfigurationFile)
     except (msgspec.MsgspecError, UnicodeError) as trouble:
         raise Fault(f"PROXY_CONFIG: {path!r} can't be used: {trouble}") from None
-    if papers.grant is None:
+    if found.settings is None:
         raise Fault("settings: found nothing, wanted the settings of the deployment")
-    check(papers.grant, papers.limits)
-    for line in papers.known.lines:
+    check(found.settings, found.limits)
+    for line in found.known.entries:
         address("known.targets[].endpoint", line.address)
-    return Station(
-        name=papers.name or environment.get("PROXY_NAME", "agent"),
-        listen=address("listen", papers.listen or environment.get("PROXY_LISTEN")),
-        list_service=address("discovery", papers.list_service or environment.get("PROXY_DISCOVERY")),
-        seed=number("seed", papers.seed, 16),
-        limits=papers.limits,
-        tell_listen=address("peer_listen", papers.tell_listen) if papers.tell_listen else None,
-        neighbours=tuple(address("peers", each) for each in papers.neighbours),
-        everyone=address("peers_all", papers.everyone) if papers.everyone else None,
-        known=papers.known,
-        grant=papers.grant,
+    return AgentConfiguration(
+        name=found.name or environment.get("PROXY_NAME", "agent"),
+        listen=address("listen", found.listen or environment.get("PROXY_LISTEN")),
+        discovery=address("discovery", found.discovery or environment.get("PROXY_DISCOVERY")),
+        seed=number("seed", found.seed, 16),
+        limits=found.limits,
+        tell_listen=address("peer_listen", found.tell_listen) if found.tell_listen else None,
+        neighbours=tuple(address("peers", each) for each in found.neighbours),
+        everyone=address("peers_all", found.everyone) if found.everyone else None,
+        known=found.known,
+        settings=found.settings,
     )
--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -1,6 +1,6 @@
 """One connection: its socket, its one buffer, and the HTTP parser on it; and the room for all connections.
 
-The one place that says whether bytes are a message, for lookups and answers alike. The buffer grows as it
+The one place that says whether bytes are a message, for requests and answers alike. The buffer grows as it
 needs, and the bodies in it are moved down over the framing that they came in, so that a body stands whole in
 one place. It must never decide what a message means, read on behind bytes that are none, nor send anything by
 itself.
@@ -15,9 +15,9 @@
 from gevent import socket
 from gevent.event import Event
 
-HEAD_ROOM = 16384      # the longest head of a message, with the interim ones ahead of it
+HEAD_LIMIT = 16384      # the longest head of a message, with the interim ones ahead of it
 FRAMING = 8            # bytes round one byte of a body that a chunked message may take at most
-BODY_ROOM = 65536      # the longest body
+BODY_LIMIT = 65536      # the longest body
 READ = 4096            # room kept for one read
 HELD = 3               # times that a long body is held at most: in the buffer, by itself, with its head again
 STALLED = 10.0         # how long a peer may take to accept what is left of an answer
@@ -26,10 +26,17 @@
 class Message:
     """A request or an answer, whole."""
 
-    __slots__ = ("method", "path", "status", "headers", "body", "keep")
+    __slots__ = ("method", "path", "status", "headers", "body", "keep_alive")
 
     def __init__(self):
-        self.method, self.path, self.status, self.headers, self.body, self.keep = b"", b"", 0, {}, b"", True
+        self.method, self.path, self.status, self.headers, self.body, self.keep_alive = (
+            b"",
+            b"",
+            0,
+            {},
+            b"",
+            True,
+        )
 
 
 DEAF = bytearray(65536)     # where bytes go that nobody is to read
@@ -49,7 +56,7 @@
         self.status = status
 
 
-class Unbound(Exception):
+class BindError(Exception):
     """An address of the agent's own can't be had."""
 
 
@@ -60,11 +67,11 @@
         sock.bind(address)
     except OSError as trouble:
         sock.close()
-        raise Unbound(f"can't listen on {address[0]}:{address[1]}: {trouble.strerror}") from None
+        raise BindError(f"can't listen on {address[0]}:{address[1]}: {trouble.strerror}") from None
     return sock
 
 
-class Room:
+class ConnectionBudget:
     """How many connections there may be, and how many bytes for long bodies.
 
     Where there is no connection left, idle ones are closed to make some. `freed` is set when one is closed or
@@ -75,14 +82,14 @@
         self.most, self.used, self.closers, self.freed = most, 0, [], Event()
         self.long_bodies = long_bodies      # bytes that are left
 
-    def take(self, spare: int = 0) -> bool:
+    def acquire(self, spare: int = 0) -> bool:
         while self.used + spare >= self.most:
             if not any(close() for close in self.closers):
                 return False
         self.used += 1
         return True
 
-    def give(self):
+    def release(self):
         self.used -= 1
         self.freed.set()
 
@@ -90,10 +97,10 @@
 class Connection:
     """`on_close` is called once, when the descriptor is free again."""
 
-    def __init__(self, sock, answers: bool, on_close=lambda connection: None, body_room: int = BODY_ROOM,
-                 room: Room | None = None):
-        self.sock, self.answers, self.on_close, self.body_room = sock, answers, on_close, body_room
-        self.room, self.claimed = room, 0   # bytes of the room for long bodies ...
+    def __init__(self, sock, answers: bool, on_close=lambda connection: None, body_limit: int = BODY_LIMIT,
+                 budget: ConnectionBudget | None = None):
+        self.sock, self.answers, self.on_close, self.body_limit = sock, answers, on_close, body_limit
+        self.budget, self.claimed = budget, 0   # bytes of the room for long bodies ...
         self.claims = 0                     # ... and those for the message that is coming
         self.parser = (httptools.HttpResponseParser if answers else httptools.HttpRequestParser)(self)
         self.buffer = bytearray(READ)
@@ -138,9 +145,9 @@
         if self.midway and self.message.headers.get(FRAMES[1]):
             self.check_chunk()
         self.ahead = None
-        if self.framing > HEAD_ROOM + FRAMING * self.body_size:
+        if self.framing > HEAD_LIMIT + FRAMING * self.body_size:
             # Counted to the end of the message: trailers and chunks of nothing come without end, too.
-            raise Malformed(431, f"a head of over {HEAD_ROOM} bytes")
+            raise Malformed(431, f"a head of over {HEAD_LIMIT} bytes")
         return True
 
     def fit(self):
@@ -198,7 +205,7 @@
             raise self.fault(400, "a transfer coding other than chunked")
         if self.answers and coding is length is None and message.status not in BARE:
             raise self.fault(502, "an answer whose end can't be told")
-        self.check_room(int(length or 0))
+        self.check_size(int(length or 0))
 
     def on_body(self, part: bytes):
         end = self.kept + len(part)
@@ -206,7 +213,7 @@
         self.framing -= len(part)
         if self.chunk is not None:
             self.chunk += len(part)
-        self.check_room(end)
+        self.check_size(end)
         # Behind the place where the parser reads: what stood there is parsed already.
         self.view[self.kept:end] = part
         self.kept = end
@@ -229,27 +236,27 @@
             text = self.line + self.ahead[:len(self.ahead) - self.chunk]
             sized = SIZED.fullmatch(text, text.rfind(b"\n", 0, -1) + 1)     # no match: a trailer
             if sized:
-                self.check_room(self.kept + int(sized[1], 16) - self.chunk)
+                self.check_size(self.kept + int(sized[1], 16) - self.chunk)
         if self.chunk is None:
             text = self.line + bytes(self.view[self.kept:self.came])
             self.line = text[text.rfind(b"\n") + 1:]
         else:
             self.line, self.chunk = b"", 0
 
-    def check_room(self, size: int):
-        if size > self.body_room:
-            raise self.fault(413, f"a body of over {self.body_room} bytes")
+    def check_size(self, size: int):
+        if size > self.body_limit:
+            raise self.fault(413, f"a body of over {self.body_limit} bytes")
         more = HELD * size - self.claims
-        if self.room and size > READ and more > 0:
-            if more > self.room.long_bodies:
+        if self.budget and size > READ and more > 0:
+            if more > self.budget.long_bodies:
                 raise self.fault(503, "no memory for so long a body")
-            self.room.long_bodies -= more
+            self.budget.long_bodies -= more
             self.claims += more
             self.claimed += more
 
     def give_back(self):
         if self.claimed:
-            self.room.long_bodies += self.claimed
+            self.budget.long_bodies += self.claimed
             self.claimed = self.claims = 0
 
     def fault(self, status: int, words: str) -> Malformed:
@@ -260,7 +267,7 @@
         message, self.midway = self.message, False
         if not 100 <= message.status < 200:
             self.framing = self.body_size = 0
-        message.keep = self.parser.should_keep_alive()
+        message.keep_alive = self.parser.should_keep_alive()
         message.body = bytes(self.view[:self.kept])
         self.kept = 0
         if not (self.answers and 100 <= message.status < 200):
--- a/cartdeal/agent/roster.py
+++ b/cartdeal/agent/discovery.py
@@ -1,4 +1,4 @@
-"""The server list, as the list service tells it: one watch, and whole lists when asked for.
+"""The server list, as the discovery service tells it: one watch, and whole lists when asked for.
 
 Every call ends in news for the reducer or in a failed watch. It must never ask again by itself: when to ask
 is the balancer's to say.
@@ -11,11 +11,11 @@
 import msgspec
 from gevent import socket
 
-from cartdeal.agent.configuration import Fault, Roll, address
+from cartdeal.agent.configuration import Fault, ServerList, address
 from cartdeal.agent.connection import Connection, Malformed
 
 PATH = "/registry/instances"
-LIST_ROOM = 1 << 20     # the longest list, or line of one
+LIST_LIMIT = 1 << 20     # the longest list, or line of one
 ANSWER = 3.0        # how long a call may take to the head of its answer, a list to its end
 # TCP does not tell that a service is gone. A watch has a whole line every 2 s, and what a silent one misses
 # counts as told 6 s after it fell silent. From its last line on, two calls have to fit into these: 3.0 of
@@ -31,9 +31,9 @@
 log = logging.getLogger("cartdeal.roster")
 
 
-class Roster:
-    def __init__(self, station, feed, version):
-        self.address, self.feed, self.version = station.list_service, feed, version     # version: a call
+class DiscoveryClient:
+    def __init__(self, config, dispatch, version):
+        self.address, self.dispatch, self.version = config.discovery, dispatch, version     # version: a call
         self.watching = None
         self.former = None      # the watch at the address before, until the one at the new address stands
         self.anew = False       # whether the next watch is the first at its address
@@ -53,7 +53,7 @@
         elif on and not self.watching:
             self.watching = gevent.spawn(self.run_watch)
 
-    def fetch_list(self):
+    def fetch_servers(self):
         gevent.spawn(self.run_fetch)
 
     # Greenlets
@@ -76,8 +76,8 @@
         elif self.watching is watch:
             self.watching = None
             if words:
-                log.warning("watch failed", extra={"words": words})
-                self.feed("watch_failed")
+                log.warning("watch failed", extra={"reason": words})
+                self.dispatch("watch_failed")
 
     def run_fetch(self):
         connection, due = None, monotonic() + ANSWER
@@ -88,10 +88,10 @@
                     raise Malformed(400, "ended early")
             if connection.whole[0].status != 200:
                 raise Malformed(400, f"status {connection.whole[0].status}")
-            self.feed("listed", roll(connection.whole[0].body))
+            self.dispatch("listed", decode_list(connection.whole[0].body))
         except UNUSABLE as trouble:
-            log.warning("list not had", extra={"words": str(trouble)})
-            self.feed("watch_failed")
+            log.warning("list not had", extra={"reason": str(trouble)})
+            self.dispatch("watch_failed")
         finally:
             if connection:
                 connection.close()
@@ -115,9 +115,9 @@
                     if self.watching is gevent.getcurrent():
                         self.stands()
                     if part.strip():
-                        self.feed("listed", roll(part))
+                        self.dispatch("listed", decode_list(part))
                     elif not stood:
-                        self.feed("watch_stands")
+                        self.dispatch("watch_stands")
                     stood, part, due = True, b"", monotonic() + SILENCE
                 if connection.whole:
                     return
@@ -134,7 +134,7 @@
 
     def call(self, path: str, patience: float) -> Connection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = Connection(sock, answers=True, body_room=LIST_ROOM)
+        connection = Connection(sock, answers=True, body_limit=LIST_LIMIT)
         try:
             sock.settimeout(patience)
             sock.connect(self.address)
@@ -163,8 +163,8 @@
 
 def ended(part: bytes) -> bool:
     """Whether what came is a list to its end, or none: lists may come indented, over many lines."""
-    if len(part) > LIST_ROOM:
-        raise Malformed(413, f"a list of over {LIST_ROOM} bytes")
+    if len(part) > LIST_LIMIT:
+        raise Malformed(413, f"a list of over {LIST_LIMIT} bytes")
     if not part.rstrip().endswith(b"}"):
         return False
     try:
@@ -174,9 +174,9 @@
     return True
 
 
-def roll(text: bytes) -> Roll:
-    found = msgspec.json.decode(text, type=Roll)
-    for line in found.lines:
+def decode_list(text: bytes) -> ServerList:
+    found = msgspec.json.decode(text, type=ServerList)
+    for line in found.entries:
         if line.state != "left":
             address("endpoint", line.address)
     return found
--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -1,7 +1,7 @@
 """Carries out what the reducer asks for, and brings each result back to it as an event.
 
 Owns the timers and the datagrams between agents, and the one way into the reducer, `feed`. It must never let
-an event in while another is being handled, and keeps no state of a lookup.
+an event in while another is being handled, and keeps no state of a request.
 """
 
 import logging
@@ -15,81 +15,82 @@
 from msgspec.structs import replace
 
 from cartdeal.agent import configuration
-from cartdeal.agent.connection import Room, bound
-from cartdeal.agent.front import Front
+from cartdeal.agent.connection import ConnectionBudget, bound
+from cartdeal.agent.discovery import DiscoveryClient
+from cartdeal.agent.front import FrontServer
 from cartdeal.agent.reducer import Reducer
-from cartdeal.agent.roster import Roster
-from cartdeal.agent.shots import Shots
+from cartdeal.agent.upstream import UpstreamPool
 
 LONGEST_WORDS = 256
-RESERVED = 32       # descriptors for the list service, the agents, the log and the loop itself
+RESERVED = 32       # descriptors for the discovery service, the agents, the log and the loop itself
 AGAIN = 0.05        # pause before what died of a fault begins again
 OWN_MEMORY = 18.0   # megabytes that the agent holds before its first connection, with room to spare
-PER_CONNECTION = 0.03   # megabytes for one with its lookup or shot, but for a long body
+PER_CONNECTION = 0.03   # megabytes for one with its request or attempt, but for a long body
 LONG_BODIES = 0.4   # share of what is left of the memory that is for those
 
 log = logging.getLogger("cartdeal.agent")
 
 
 class Effects:
-    def __init__(self, station, papers=None):
-        """`papers`: what the fleet's file says; None without a fleet."""
-        self.station = station
+    def __init__(self, config, fleet=None):
+        """`fleet`: what the fleet's file says; None without a fleet."""
+        self.config = config
         self.due = []
         self.order = 0
         self.sooner = Event()
-        self.later, self.playing, self.gate = deque(), False, None
-        if papers is not None:
-            from cartdeal.agent.gate import Gate
-
-            self.gate = Gate(station, papers, self.after)
-        self.reducer = Reducer(station, monotonic(), time(), self.gate and self.gate.longest)
-        self.room = Room(*room_for(station.limits, self.gate))
-        self.front = Front(station, self.feed, lambda: self.reducer.ready, self.room)
-        self.shots = Shots(station, self.feed, self.room)
-        self.roster = Roster(station, self.feed, lambda: self.reducer.version)
-        self.words = self.open_words()
+        self.later, self.playing, self.admission = deque(), False, None
+        if fleet is not None:
+            from cartdeal.agent.admission import AdmissionControl
+
+            self.admission = AdmissionControl(config, fleet, self.after)
+        self.reducer = Reducer(config, monotonic(), time(), self.admission and self.admission.longest)
+        self.budget = ConnectionBudget(*room_for(config.limits, self.admission))
+        self.front = FrontServer(config, self.dispatch, lambda: self.reducer.ready, self.budget)
+        self.upstream = UpstreamPool(config, self.dispatch, self.budget)
+        self.discovery = DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
+        self.datagrams = self.open_datagrams()
         self.verbs = {
-            "begun": self.front.begun, "refuse": self.front.refuse_lookup, "answer": self.front.answer,
-            "shoot": self.shots.shoot, "cancel": self.shots.cancel, "probe": self.shots.probe,
-            "close_idle": self.shots.close_idle,
-            "watch": self.roster.watch, "fetch_list": self.roster.fetch_list,
+            "begun": self.front.begun, "refuse": self.front.refuse_request, "answer": self.front.answer,
+            "send_attempt": self.upstream.send_attempt, "cancel": self.upstream.cancel, "probe":
+            self.upstream.probe,
+            "close_idle": self.upstream.close_idle,
+            "watch": self.discovery.watch, "fetch_servers": self.discovery.fetch_servers,
             "wake": self.wake, "remind": self.remind, "tell": self.tell, "note": self.note,
         }
-        if self.gate:
-            self.verbs |= self.gate.verbs | {"withhold": self.withhold}
+        if self.admission:
+            self.verbs |= self.admission.verbs | {"withhold": self.withhold}
 
     def start(self):
         self.carry_out()
-        works = [self.keep_time, self.shots.sweep, self.front.sweep, self.front.accept]
-        works += [self.hear] * bool(self.words)
+        works = [self.keep_time, self.upstream.sweep, self.front.sweep, self.front.accept]
+        works += [self.hear] * bool(self.datagrams)
         self.works = [gevent.spawn(self.endure, work) for work in works]
-        if self.gate:
-            self.works += self.gate.start()
+        if self.admission:
+            self.works += self.admission.start()
 
-    def leave(self):
-        if self.gate:
-            self.gate.leave()
+    def drain(self):
+        if self.admission:
+            self.admission.leave()
 
-    def part(self, until: float):
-        if self.gate:
-            self.gate.part(until)
+    def leave_fleet(self, until: float):
+        if self.admission:
+            self.admission.part(until)
 
     def reread(self):
         """Takes over what a new configuration changes; one that can't be used changes nothing."""
-        if self.gate:
-            self.gate.reread()
+        if self.admission:
+            self.admission.reread()
         try:
-            station = configuration.read()
+            config = configuration.read()
         except configuration.Fault as fault:
-            return log.error("configuration refused", extra={"words": str(fault)})
+            return log.error("configuration refused", extra={"reason": str(fault)})
         log.info("configuration read", extra={
-            "list_service": "{}:{}".format(*station.list_service),
-            "needs_restart": " ".join(configuration.needs_restart(self.station, station))})
-        if station.list_service != self.station.list_service:
-            self.station = replace(self.station, list_service=station.list_service)
-            self.roster.move(station.list_service)
-            self.feed("list_moved")
+            "discovery": "{}:{}".format(*config.discovery),
+            "needs_restart": " ".join(configuration.needs_restart(self.config, config))})
+        if config.discovery != self.config.discovery:
+            self.config = replace(self.config, discovery=config.discovery)
+            self.discovery.move(config.discovery)
+            self.dispatch("discovery_moved")
 
     def endure(self, work):
         """What runs as long as the agent does: an agent that is deaf since a fault would look alive."""
@@ -100,7 +101,7 @@
                 log.exception("work died", extra={"work": work.__name__})
                 gevent.sleep(AGAIN)
 
-    def feed(self, event: str, *args):
+    def dispatch(self, event: str, *args):
         """One event into the reducer, after the timers that were due before it."""
         self.run_due()
         self.play(event, args)
@@ -128,7 +129,7 @@
         try:
             getattr(reducer, event)(*args)
         except Exception:
-            # A broken decision must not take the agent with it; its lookup is answered when it is overdue.
+            # A broken decision must not take the agent with it; its request is answered when it is overdue.
             log.exception("event failed", extra={"event": event})
         self.carry_out()
 
@@ -140,16 +141,16 @@
             except Exception:
                 log.exception("effect failed", extra={"effect": verb})
 
-    def withhold(self, lookup: int, server: int, shot: int, ending):
-        self.after("shot_ended", lookup, server, shot, ending)
+    def withhold(self, request: int, server: int, attempt: int, result):
+        self.after("attempt_ended", request, server, attempt, result)
 
     # Timers
 
     def wake(self, token: int, at: float):
         self.set(at, "woken", token)
 
-    def remind(self, lookup: int, at: float):
-        self.set(at, "overdue", lookup)
+    def remind(self, request: int, at: float):
+        self.set(at, "overdue", request)
 
     def set(self, at: float, event: str, about: int):
         self.order += 1
@@ -171,31 +172,31 @@
 
     # Between agents
 
-    def open_words(self):
-        if not self.station.tell_listen or not self.station.grant.leave.may_tell:
+    def open_datagrams(self):
+        if not self.config.tell_listen or not self.config.settings.permissions.may_tell:
             return None
-        return bound(socket.SOCK_DGRAM, self.station.tell_listen)
+        return bound(socket.SOCK_DGRAM, self.config.tell_listen)
 
     def hear(self):
-        senders = {address: place for place, address in enumerate(self.station.neighbours)}
+        senders = {address: place for place, address in enumerate(self.config.neighbours)}
         while True:
-            text, address = self.words.recvfrom(LONGEST_WORDS + 1)
+            text, address = self.datagrams.recvfrom(LONGEST_WORDS + 1)
             if address in senders and len(text) <= LONGEST_WORDS:
-                self.feed("told", senders[address], text)
+                self.dispatch("told", senders[address], text)
 
     def tell(self, agent: int, words: bytes):
-        neighbours = self.station.neighbours
-        to = self.station.everyone if agent < 0 else neighbours[agent] if agent < len(neighbours) else None
-        if self.words and to and len(words) <= LONGEST_WORDS:
-            self.words.sendto(words, to)
+        neighbours = self.config.neighbours
+        to = self.config.everyone if agent < 0 else neighbours[agent] if agent < len(neighbours) else None
+        if self.datagrams and to and len(words) <= LONGEST_WORDS:
+            self.datagrams.sendto(words, to)
 
     def note(self, text: str):
-        log.info("note", extra={"words": text})
+        log.info("note", extra={"text": text})
 
 
-def room_for(limits, gate=None) -> tuple[int, int]:
+def room_for(limits, admission=None) -> tuple[int, int]:
     """Connections, and bytes for long bodies; the fleet's share of both is the gate's."""
-    memory = limits.memory - OWN_MEMORY - (gate.memory if gate else 0.0)
-    descriptors = limits.descriptors - RESERVED - (gate.descriptors if gate else 0)
+    memory = limits.memory - OWN_MEMORY - (admission.memory if admission else 0.0)
+    descriptors = limits.descriptors - RESERVED - (admission.descriptors if admission else 0)
     connections = min(descriptors, (1 - LONG_BODIES) * memory / PER_CONNECTION)
     return int(connections), int(LONG_BODIES * memory * 1e6)
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -1,9 +1,9 @@
-"""All state of an agent: the lookups it owes an answer, the servers it has heard of, and the balancer whose
+"""All state of an agent: the requests it owes an answer, the servers it has heard of, and the balancer whose
 host it is.
 
 One event comes in by one method; what it leads to stands in `asked` afterwards, for effects.py to carry out.
-In a fleet (`longest` is then given) a lookup waits for the gate's word before the balancer has it, and no
-shot goes where an earlier one, at another agent, forbids it.
+In a fleet (`longest` is then given) a request waits for the gate's word before the balancer has it, and no
+attempt goes where an earlier one, at another agent, forbids it.
 It must never do I/O, wait, read a clock or yield to another greenlet, and decides nothing the balancer can.
 """
 
@@ -12,17 +12,17 @@
 from math import inf
 from typing import NamedTuple
 
-from cartdeal.agent.configuration import Roll, Station
-from cartdeal.choice import Balancer
+from cartdeal.agent.configuration import AgentConfiguration, ServerList
+from cartdeal.balancer import Balancer
 from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, State
 
 STATES = {"active": State.READY, "leaving": State.DRAINING}
-ID_MEMORY = 5.0     # seconds for which a lookup's id is known, twice that at most
-OVERDUE = 0.02      # how long after its time limit a lookup that the balancer forgot is answered all the same
+ID_MEMORY = 5.0     # seconds for which a request's id is known, twice that at most
+OVERDUE = 0.02      # how long after its deadline a request that the balancer forgot is answered all the same
 
 
 class Progress(IntEnum):
-    """How far a shot had come."""
+    """How far an attempt had come."""
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
@@ -31,21 +31,21 @@
     WHOLE = 4
 
 
-class Cause(IntEnum):
-    """What ended a shot."""
+class FailureReason(IntEnum):
+    """What ended an attempt."""
 
     ANSWERED = 0
     BROKEN = 1
     TIMED_OUT = 2
     GIVEN_UP = 3
     SPOILT = 4      # what came back can't be read, or can in two ways
-    NO_ROOM = 5     # the agent's own limits left none for it
+    NO_CONNECTION = 5     # the agent's own limits left none for it
 
 
-class Ending(NamedTuple):
-    """How a shot or a probe ended; `progress` alone tells whether it may have run."""
+class AttemptResult(NamedTuple):
+    """How an attempt or a probe ended; `progress` alone tells whether it may have run."""
 
-    cause: Cause
+    reason: FailureReason
     progress: Progress
     took: float
     status: int = 0
@@ -53,28 +53,29 @@
     kind: bytes = b""       # the body's content type
     body: bytes = b""
     report: bytes = b""     # what the server says of its load
-    words: str = ""
+    detail: str = ""
 
     def outcome(self) -> Outcome:
         written = self.progress >= Progress.WRITTEN
-        if self.cause is Cause.ANSWERED:
+        if self.reason is FailureReason.ANSWERED:
             if self.status == 200:
                 return Outcome.COMPLETED
             if 400 <= self.status < 500:
-                return Outcome.UNUSABLE     # the lookup's fault, not the server's
+                return Outcome.UNUSABLE     # the request's fault, not the server's
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
-        if self.cause in (Cause.GIVEN_UP, Cause.NO_ROOM):   # neither is the server's doing
+        # neither is the server's doing
+        if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION):
             return Outcome.CANCELLED if written else Outcome.NEVER_SENT
         if not written:
             return Outcome.NOT_CONNECTED
-        return Outcome.TIMED_OUT if self.cause is Cause.TIMED_OUT else Outcome.RESET
+        return Outcome.TIMED_OUT if self.reason is FailureReason.TIMED_OUT else Outcome.RESET
 
 
-class Query(NamedTuple):
-    """A lookup as the application asked it."""
+class Request(NamedTuple):
+    """A request as the application asked it."""
 
-    workload: int
-    strict: bool        # its form promises less than its workload: it may run once at most
+    request_class: int
+    non_idempotent: bool        # its form promises less than its request class: it may run once at most
     tenant: int
     key: int
     wait: float         # how long the client waits, from when its bytes were read
@@ -82,27 +83,27 @@
     method: bytes
     path: bytes
     id: bytes
-    mark: bytes         # by which servers know a repeat
+    idempotency_key: bytes         # by which servers know a repeat
     kind: bytes
     body: bytes
-    whose: bytes = b""  # the tenant as the client names it
+    tenant_name: bytes = b""  # the tenant as the client names it
 
 
-class Owed:
-    """A lookup that is not answered yet, or whose shots are still out."""
+class PendingRequest:
+    """A request that is not answered yet, or whose attempts are still out."""
 
     waits = False       # for the gate's word
-    heed: tuple = ()    # of Heed
-    sent = 0            # shots that were let out
+    earlier_attempts: tuple = ()    # of Heed
+    sent = 0            # attempts that were let out
     ran = served = False    # whether it may have run; whether its client had the answer
 
-    def __init__(self, asker, query: Query, limit_at: float):
-        self.asker, self.query, self.limit_at = asker, query, limit_at
-        self.shots, self.out = 0, 0
+    def __init__(self, asker, request: Request, deadline: float):
+        self.asker, self.request, self.deadline = asker, request, deadline
+        self.attempts, self.out = 0, 0
 
 
-class Heed(NamedTuple):
-    """An earlier shot, at another agent, that may have run: others go to its group, before `until`."""
+class EarlierAttempt(NamedTuple):
+    """An earlier attempt, at another agent, that may have run: others go to its group, before `until`."""
 
     zone: int
     cell: int
@@ -111,7 +112,7 @@
 
 
 class Past(NamedTuple):
-    """Where an earlier shot went, as the balancer looks at it."""
+    """Where an earlier attempt went, as the balancer looks at it."""
 
     zone: int
     cell: int
@@ -125,33 +126,41 @@
 
 
 class Reducer:
-    def __init__(self, station: Station, now: float, wall: float, longest: tuple[float, ...] | None = None):
-        """`longest`: by workload, how long a lookup may last where a gate keeps marks; None: no gate."""
-        self.station, self.now, self.longest = station, now, longest
+    def __init__(
+        self, config: AgentConfiguration, now: float, wall: float, longest: tuple[float, ...] | None = None
+    ):
+        """`longest`: by request class, how long a request may last where a gate keeps marks; None: no
+        gate."""
+        self.config, self.now, self.longest = config, now, longest
         self.boot = wall - now      # the one mapping between the list's clock and the agent's own
         self.asked = []
         self.count = 0
         self.end_at = inf           # when the agent is to have answered all
-        self.lookups: dict[int, Owed] = {}
+        self.requests: dict[int, PendingRequest] = {}
         # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
         self.ids, self.ids_before, self.ids_until = set(), set(), now
         self.version = 0
         self.named = 0      # servers so far: each gets an index of its own, which is never another's
         self.indices: dict[bytes, int] = {}     # these two hold a server until the list says that it is gone
         self.servers: dict[int, Known] = {}
-        self.zones = {name: place for place, name in enumerate(station.grant.zones)}
-        charter = station.grant.charter(station.seed)
-        # A second set, for lookups whose form promises less than their workload: these may run once at most.
-        strict = tuple(each._replace(repeat=Repeat.UNREPEATABLE) for each in charter.workloads)
-        self.balancer = Balancer(self, replace(charter, workloads=charter.workloads + strict))
-        if not charter.must_ask:
+        self.zones = {name: place for place, name in enumerate(config.settings.zones)}
+        settings = config.settings.for_balancer(config.seed)
+        # A second set, for requests whose form promises less than their request class: these may run once at
+        # most.
+        non_idempotent = tuple(
+            each._replace(repeat=Repeat.NON_IDEMPOTENT) for each in settings.request_classes
+        )
+        self.balancer = Balancer(
+            self, replace(settings, request_classes=settings.request_classes + non_idempotent)
+        )
+        if not settings.must_ask:
             # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
             self.watch()
-        self.listed(station.known, fresh=False)
+        self.listed(config.known, fresh=False)
 
     @property
     def owes(self) -> int:
-        return sum(each.asker is not None for each in self.lookups.values())
+        return sum(each.asker is not None for each in self.requests.values())
 
     @property
     def ready(self) -> bool:
@@ -159,70 +168,80 @@
 
     # Events
 
-    def taken(self, asker, query: Query):
-        if query.id in self.ids or query.id in self.ids_before:
-            # Whose it is can't be told: its answer, or its end, would be another lookup's.
+    def taken(self, asker, request: Request):
+        if request.id in self.ids or request.id in self.ids_before:
+            # Whose it is can't be told: its answer, or its end, would be another request's.
             return self.asked.append(("refuse", asker, 409, "an X-Request-ID that was used just now"))
         if self.now > self.ids_until:
             self.ids_before, self.ids = self.ids, set()
             self.ids_until = self.now + ID_MEMORY
-        self.ids.add(query.id)
+        self.ids.add(request.id)
         self.count += 1
-        # A mark that is over before its lookup is would let a repeat of it through.
-        wait = query.wait if self.longest is None else min(query.wait, self.longest[query.workload])
-        number, limit_at = self.count, min(self.now + wait, self.end_at)
-        owed = self.lookups[number] = Owed(asker, query, limit_at)
+        # A mark that is over before its request is would let a repeat of it through.
+        wait = (
+            request.wait if self.longest is None else min(request.wait, self.longest[request.request_class])
+        )
+        number, deadline = self.count, min(self.now + wait, self.end_at)
+        pending = self.requests[number] = PendingRequest(asker, request, deadline)
         self.asked.append(("begun", asker, number))
-        self.asked.append(("remind", number, limit_at + OVERDUE))
+        self.asked.append(("remind", number, deadline + OVERDUE))
         if self.longest is None:
-            return self.pass_on(number, owed)
-        owed.waits = True
-        self.asked.append(("admit", number, query, limit_at))
-
-    def pass_on(self, number: int, owed: Owed):
-        query = owed.query
-        workload = query.workload + query.strict * len(self.station.grant.workloads)
-        self.balancer.taken(number, workload, query.tenant, query.key, owed.limit_at, query.repeat)
-
-    def admitted(self, number: int, heed: tuple):
+            return self.pass_on(number, pending)
+        pending.waits = True
+        self.asked.append(("admit", number, request, deadline))
+
+    def pass_on(self, number: int, pending: PendingRequest):
+        request = pending.request
+        request_class = request.request_class + request.non_idempotent * len(
+            self.config.settings.request_classes
+        )
+        self.balancer.taken(
+            number, request_class, request.tenant, request.key, pending.deadline, request.repeat
+        )
+
+    def admitted(self, number: int, earlier_attempts: tuple):
         """The gate lets it go on. Each of `heed`: zone (by name), cell, group, until when."""
-        owed = self.lookups.get(number)
-        if owed and owed.waits:
-            owed.waits = False
-            owed.heed = tuple(Heed(self.zones.get(zone, -1), cell, Group(group), until)
-                              for zone, cell, group, until in heed)
-            self.pass_on(number, owed)
+        pending = self.requests.get(number)
+        if pending and pending.waits:
+            pending.waits = False
+            pending.earlier_attempts = tuple(
+                EarlierAttempt(self.zones.get(zone, -1), cell, Group(group), until)
+                for zone, cell, group, until in earlier_attempts
+            )
+            self.pass_on(number, pending)
 
     def declined(self, number: int, status: int, wait: float):
-        owed = self.lookups.get(number)
-        if owed and owed.waits:
+        pending = self.requests.get(number)
+        if pending and pending.waits:
             self.answer(number, status, b"", b"", wait)
 
-    def abandoned(self, number: int):
-        owed = self.lookups.get(number)
-        if owed and owed.asker is not None:
-            owed.asker = None
-            self.drop(number, owed)
-            self.balancer.abandoned(number)
-
-    def shot_ended(self, number: int, server: int, shot: int, ending: Ending, load: Load | None = None):
-        owed = self.lookups.get(number)
-        if owed is None:
+    def client_disconnected(self, number: int):
+        pending = self.requests.get(number)
+        if pending and pending.asker is not None:
+            pending.asker = None
+            self.drop(number, pending)
+            self.balancer.client_disconnected(number)
+
+    def attempt_ended(
+        self, number: int, server: int, attempt: int, result: AttemptResult, load: Load | None = None
+    ):
+        pending = self.requests.get(number)
+        if pending is None:
             return
-        owed.out -= 1
-        outcome = ending.outcome()
-        owed.ran = owed.ran or not outcome.never_ran
-        if outcome is Outcome.COMPLETED and owed.asker is not None:
-            owed.served = True
-            self.answer(number, 200, ending.kind, ending.body, 0.0)
+        pending.out -= 1
+        outcome = result.outcome()
+        pending.ran = pending.ran or not outcome.never_ran
+        if outcome is Outcome.COMPLETED and pending.asker is not None:
+            pending.served = True
+            self.answer(number, 200, result.kind, result.body, 0.0)
         elif outcome is Outcome.UNUSABLE:
             self.answer(number, 400, b"", b"", 0.0)
-        finished = owed.asker is None
-        self.drop(number, owed)
-        self.balancer.shot_ended(number, server, outcome, shot, ending.took, finished, load)
+        finished = pending.asker is None
+        self.drop(number, pending)
+        self.balancer.attempt_ended(number, server, outcome, attempt, result.took, finished, load)
 
-    def probe_ended(self, server: int, ending: Ending, load: Load | None = None):
-        self.balancer.probe_ended(server, ending.outcome(), ending.took, load)
+    def probe_ended(self, server: int, result: AttemptResult, load: Load | None = None):
+        self.balancer.probe_ended(server, result.outcome(), result.took, load)
 
     def woken(self, token: int):
         self.balancer.woken(token)
@@ -230,27 +249,29 @@
     def ending(self, end_at: float):
         """What is out by then is terminated: an agent that is killed loses what it has not answered."""
         self.end_at = end_at
-        for number, owed in self.lookups.items():
-            if owed.limit_at > end_at:
+        for number, pending in self.requests.items():
+            if pending.deadline > end_at:
                 self.asked.append(("remind", number, end_at))
 
     def overdue(self, number: int):
-        """The balancer answers every lookup; should a fault have kept it from it, this does."""
-        owed = self.lookups.get(number)
-        if owed and owed.asker is not None:
-            self.note(f"lookup {owed.query.id.decode('latin-1')} overdue")
+        """The balancer answers every request; should a fault have kept it from it, this does."""
+        pending = self.requests.get(number)
+        if pending and pending.asker is not None:
+            self.note(f"request {pending.request.id.decode('latin-1')} overdue")
             # What never went out may be asked again; to terminate it would leave its client in doubt. But an
             # earlier try of one that still waits may have run at another agent: only the fleet would know.
-            doubt = owed.sent or owed.waits and self.repeat_of(owed.query) is not Repeat.IDEMPOTENT
-            self.terminate(number) if doubt else self.turn_back(number, 0.0)
-            self.balancer.abandoned(number)
-
-    def listed(self, roll: Roll, fresh: bool = True):
-        self.version = roll.version
-        self.note(f"list {roll.version}: {len(roll.lines)} lines{' in all' * roll.whole}")
-        gone = [line.name.encode() for line in roll.lines if line.state == "left"]
-        lines = [self.listing(line) for line in roll.lines if line.state != "left"]
-        if roll.whole:
+            doubt = pending.sent or pending.waits and self.repeat_of(pending.request) is not Repeat.IDEMPOTENT
+            self.fail(number) if doubt else self.reject(number, 0.0)
+            self.balancer.client_disconnected(number)
+
+    def listed(self, server_list: ServerList, fresh: bool = True):
+        self.version = server_list.version
+        self.note(
+            f"list {server_list.version}: {len(server_list.entries)} lines{' in all' * server_list.whole}"
+        )
+        gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
+        lines = [self.listing(line) for line in server_list.entries if line.state != "left"]
+        if server_list.whole:
             here = {line.name for line in lines}
             gone += [name for name in self.indices if name not in here]
         lines += [self.let_go(name) for name in gone if name in self.indices]
@@ -263,9 +284,9 @@
     def watch_failed(self):
         self.balancer.watch_failed()
 
-    def list_moved(self):
-        """The list service has another address."""
-        self.balancer.list_moved()
+    def discovery_moved(self):
+        """The discovery service has another address."""
+        self.balancer.discovery_moved()
 
     def told(self, sender: int, words: bytes):
         """Agents need no words from each other."""
@@ -285,69 +306,88 @@
         started = line.started / 1e3 - self.boot if line.started else 0.0
         known = Known(line.address, started)
         if self.servers.setdefault(index, known) != known:
-            self.close_idle(index)      # a kept connection to what stood there before would cost a shot
+            self.close_idle(index)      # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
         state = STATES.get(line.state, State.DRAINING)
         return Listing(index, name, self.zones.get(line.zone, 0), 0, line.cell, state, line.weight, started)
 
     # What the balancer asks for
 
-    def shoot(self, lookup: int, server: int, until: float):
-        owed = self.lookups[lookup]
-        shot, owed.shots = owed.shots, owed.shots + 1
-        owed.out += 1
-        until = min(until, owed.limit_at) if until else owed.limit_at
+    def send_attempt(self, request: int, server: int, deadline: float):
+        pending = self.requests[request]
+        attempt, pending.attempts = pending.attempts, pending.attempts + 1
+        pending.out += 1
+        deadline = min(deadline, pending.deadline) if deadline else pending.deadline
         if self.longest is not None:
             where = self.balancer.servers[server]
-            if not all(self.within(each, where) for each in owed.heed):
-                return self.withhold(lookup, server, shot, owed)
-            zones = self.station.grant.zones
-            self.asked.append(("went", lookup, zones[where.zone] if zones else "", where.cell))
-        owed.sent += 1
-        self.asked.append(("shoot", lookup, shot, server, self.servers[server].address, owed.query, until))
-
-    def withhold(self, lookup: int, server: int, shot: int, owed: Owed):
-        """A shot that could cause a second effect. It ends as one never sent, and the balancer learns of the
-        earlier ones as of its own: it then looks for a server where a further one does no harm."""
-        known = self.balancer.lookups[lookup]
-        for place, each in enumerate(owed.heed):
-            known.traces[-1 - place] = Past(each.zone, each.cell), each.until - known.workload.window
-        unsent = Ending(Cause.NO_ROOM, Progress.NOT_CONNECTED, 0.0)
-        self.asked.append(("withhold", lookup, server, shot, unsent))
-
-    def within(self, heed: Heed, where) -> bool:
-        """Whether a shot there, now, meets the one that is heeded: servers of its group drop a repeat."""
-        return self.now < heed.until and (heed.group is Group.ALL or where.zone == heed.zone and (
-            heed.group is Group.ZONE or where.cell == heed.cell))
-
-    def repeat_of(self, query: Query) -> Repeat:
-        return Repeat.UNREPEATABLE if query.strict else self.balancer.charter.workloads[query.workload].repeat
-
-    def turn_back(self, lookup: int, wait: float):
-        owed = self.lookups.get(lookup)
-        if owed and not all(each.group is Group.ALL and self.now < each.until for each in owed.heed):
-            return self.terminate(lookup)   # its client would come again, to where it may run once more
-        self.answer(lookup, 503, b"", b"", wait)
-
-    def terminate(self, lookup: int):
-        self.answer(lookup, 502, b"", b"", 0.0)
+            if not all(self.within(each, where) for each in pending.earlier_attempts):
+                return self.withhold(request, server, attempt, pending)
+            zones = self.config.settings.zones
+            self.asked.append(("went", request, zones[where.zone] if zones else "", where.cell))
+        pending.sent += 1
+        self.asked.append(
+            (
+                "send_attempt",
+                request,
+                attempt,
+                server,
+                self.servers[server].address,
+                pending.request,
+                deadline,
+            )
+        )
+
+    def withhold(self, request: int, server: int, attempt: int, pending: PendingRequest):
+        """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
+        the earlier ones as of its own: it then looks for a server where a further one does no harm."""
+        known = self.balancer.requests[request]
+        for place, each in enumerate(pending.earlier_attempts):
+            known.traces[-1 - place] = Past(each.zone, each.cell), each.until - known.request_class.window
+        unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
+        self.asked.append(("withhold", request, server, attempt, unsent))
+
+    def within(self, earlier_attempts: EarlierAttempt, where) -> bool:
+        """Whether an attempt there, now, meets the one that is heeded: servers of its group drop a repeat."""
+        return self.now < earlier_attempts.until and (
+            earlier_attempts.group is Group.ALL
+            or where.zone == earlier_attempts.zone
+            and (earlier_attempts.group is Group.ZONE or where.cell == earlier_attempts.cell)
+        )
+
+    def repeat_of(self, request: Request) -> Repeat:
+        return (
+            Repeat.NON_IDEMPOTENT
+            if request.non_idempotent
+            else self.balancer.settings.request_classes[request.request_class].repeat
+        )
+
+    def reject(self, request: int, wait: float):
+        pending = self.requests.get(request)
+        if pending and not all(
+            each.group is Group.ALL and self.now < each.until for each in pending.earlier_attempts
+        ):
+            return self.fail(request)   # its client would come again, to where it may run once more
+        self.answer(request, 503, b"", b"", wait)
+
+    def fail(self, request: int):
+        self.answer(request, 502, b"", b"", 0.0)
 
     def answer(self, number: int, status: int, kind: bytes, body: bytes, wait: float):
-        """The one final answer; whatever comes for the lookup after it is passed over."""
-        owed = self.lookups.get(number)
-        if owed and owed.asker is not None:
-            self.asked.append(("answer", owed.asker, status, kind, body, wait))
-            owed.asker = None
-            self.drop(number, owed)
-
-    def drop(self, number: int, owed: Owed):
-        over = owed.asker is None and not owed.out and self.lookups.pop(number, None)
+        """The one final answer; whatever comes for the request after it is passed over."""
+        pending = self.requests.get(number)
+        if pending and pending.asker is not None:
+            self.asked.append(("answer", pending.asker, status, kind, body, wait))
+            pending.asker = None
+            self.drop(number, pending)
+
+    def drop(self, number: int, pending: PendingRequest):
+        over = pending.asker is None and not pending.out and self.requests.pop(number, None)
         if over and self.longest is not None:
-            ran = "never" if not owed.ran else "answered" if owed.served else "maybe"
+            ran = "never" if not pending.ran else "answered" if pending.served else "maybe"
             self.asked.append(("settled", number, ran))
 
-    def cancel(self, lookup: int, shot: int):
-        self.asked.append(("cancel", lookup, shot))
+    def cancel(self, request: int, attempt: int):
+        self.asked.append(("cancel", request, attempt))
 
     def probe(self, server: int):
         self.asked.append(("probe", server, self.servers[server].address))
@@ -355,8 +395,8 @@
     def watch(self, on: bool = True):
         self.asked.append(("watch", on))
 
-    def fetch_list(self):
-        self.asked.append(("fetch_list",))
+    def fetch_servers(self):
+        self.asked.append(("fetch_servers",))
 
     def close_idle(self, server: int):
         self.asked.append(("close_idle", server))
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -15,14 +15,14 @@
 from logfmter import Logfmter
 
 from cartdeal.agent import configuration
-from cartdeal.agent.connection import Unbound
+from cartdeal.agent.connection import BindError
 from cartdeal.agent.effects import Effects
 
 STILL_OPEN = 0.6    # after being told to end, how long connections are taken
-LONGEST_WAIT = 3.0  # of the longest time limit the platform waits out so much before it kills
+LONGEST_WAIT = 3.0  # of the longest deadline the platform waits out so much before it kills
 ENDS = 0.4          # after that, when it ends: one that is killed loses what it owes
 LEAVES = 0.8        # before its end, when connections begin to be closed; until then they are of use
-LAST_ONES = 0.3     # and for how long after that one may still bring a lookup
+LAST_ONES = 0.3     # and for how long after that one may still bring a request
 GOODBYE = 0.1       # before its end, when all that is still owed is terminated
 
 LINES = 20          # log lines of one kind a second
@@ -30,7 +30,7 @@
 log = logging.getLogger("cartdeal.agent")
 
 
-class Sparing(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """What a peer does at full speed must not be logged at full speed. How many were left out is told later.
 
     Kinds are the messages in the code, so there are few of them.
@@ -53,38 +53,39 @@
         return True
 
 
-def lasts(grant) -> float:
+def lasts(settings) -> float:
     """How long an agent that is told to end goes on: clients wait longer than the platform may."""
-    return min(LONGEST_WAIT, max(kind.limit for kind in grant.workloads)) + ENDS
+    return min(LONGEST_WAIT, max(kind.timeout for kind in settings.request_classes)) + ENDS
 
 
-def fleet_papers(station):
+def fleet_config(config):
     """What the fleet's file says; None without one."""
     if not os.environ.get("PROXY_FLEET"):
         return None
-    from cartdeal.fleet import errors, papers
+    from cartdeal.fleet import configuration as fleet_configuration
+    from cartdeal.fleet import errors
     try:
-        return papers.read(station)
-    except errors.WrongPapers as trouble:
+        return fleet_configuration.read(config)
+    except errors.WrongConfiguration as trouble:
         raise configuration.Fault(str(trouble)) from None
 
 
 def main() -> int:
     signal.signal(signal.SIGHUP, signal.SIG_IGN)    # until it serves; by default it would end the agent
     handler = logging.StreamHandler(sys.stderr)
-    handler.addFilter(Sparing())
+    handler.addFilter(RateLimitFilter())
     handler.setFormatter(Logfmter(keys=["at", "level", "in"],
                                   mapping={"at": "asctime", "level": "levelname", "in": "name"}))
     logging.basicConfig(handlers=[handler], level=logging.INFO)
     try:
-        station = configuration.read()
-        papers = fleet_papers(station)
+        config = configuration.read()
+        fleet = fleet_config(config)
     except configuration.Fault as fault:
         print(f"cartdeal: {fault}", file=sys.stderr)
         return 2
     try:
-        agent = Effects(station, papers)
-    except Unbound as trouble:
+        agent = Effects(config, fleet)
+    except BindError as trouble:
         print(f"cartdeal: {trouble}", file=sys.stderr)
         return 1
     told_to_end = Event()
@@ -92,20 +93,20 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, told_to_end.set)
     agent.start()
-    log.info("serving", extra={"agent": station.name, "port": agent.front.port,
-                                 "servers": len(station.known.lines)})
+    log.info("serving", extra={"agent": config.name, "port": agent.front.port,
+                                 "servers": len(config.known.entries)})
     told_to_end.wait()
-    end_at = monotonic() + lasts(station.grant)
-    log.info("ending", extra={"owed": agent.reducer.owes, "within": round(end_at - monotonic(), 3)})
-    agent.feed("ending", end_at - GOODBYE)
-    agent.leave()
+    end_at = monotonic() + lasts(config.settings)
+    log.info("ending", extra={"pending": agent.reducer.owes, "within": round(end_at - monotonic(), 3)})
+    agent.dispatch("ending", end_at - GOODBYE)
+    agent.drain()
     gevent.sleep(STILL_OPEN)
-    agent.front.shut()
+    agent.front.stop_accepting()
     agent.front.wait_empty(end_at - LEAVES)
-    agent.front.end(LAST_ONES)
+    agent.front.close(LAST_ONES)
     agent.front.wait_empty(end_at)
     gevent.sleep(0)
-    agent.part(end_at)
-    log.info("ended", extra={"owed": agent.reducer.owes})
+    agent.leave_fleet(end_at)
+    log.info("ended", extra={"pending": agent.reducer.owes})
     return 0
 
--- /dev/null
+++ b/cartdeal/agent/upstream.py
@@ -0,0 +1,265 @@
+"""The connections to servers, and the attempts and probes that go out on them.
+
+Keeps idle connections, newest used first, and closes them well before a server would. Every attempt ends in
+one Ending that tells how far it had come. It must never send anything twice, nor choose where anything goes.
+"""
+
+import logging
+from time import monotonic
+from typing import Annotated
+
+import gevent
+import msgspec
+from gevent import socket
+
+from cartdeal.agent.connection import Connection, ConnectionBudget, Malformed
+from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
+from cartdeal.settings import load_of, seconds
+from cartdeal.terms import Load
+
+SPARE = 8           # one in so many descriptors is left to the application's connections
+# a connection rests so long after an answer: what more belongs to that one shows by then
+REUSABLE_AFTER = 0.005
+POOLED_SHARE = 0.6          # share of the server's idle time after which a kept connection is closed
+CONNECT = 1.0       # bound on connecting where the deployment sets none
+PROBE = 2.0         # a probe may take this many times the bound on connecting
+SWEEP = 1.0         # seconds between looks for connections that have been idle too long
+
+Held = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+
+log = logging.getLogger("cartdeal.shots")
+
+
+class NoConnection(Exception):
+    """The agent's own limits leave no connection for an attempt."""
+
+
+class Report(msgspec.Struct):
+    """What a server says of its load; numbers it can't mean make the whole of no use."""
+
+    outstanding: Held | None = None
+    throughput: Held | None = None
+    backlog: Held | None = None
+    recent_ms: Held | None = None
+
+
+class Attempt:
+    """One attempt or probe that is out: where it is and how far it has come."""
+
+    def __init__(self):
+        self.sent = monotonic()
+        self.progress = Progress.NOT_CONNECTED
+        self.connection = None
+        self.greenlet = None
+        self.begun = self.given_up = False
+
+    def end(self, reason: FailureReason, detail: str = "") -> AttemptResult:
+        if self.given_up:
+            reason = FailureReason.GIVEN_UP
+        return AttemptResult(reason, self.progress, monotonic() - self.sent, detail=detail)
+
+
+class UpstreamPool:
+    def __init__(self, config, dispatch, budget: ConnectionBudget):
+        permissions = config.settings.permissions
+        self.dispatch, self.budget = dispatch, budget
+        self.connect_limit = seconds(permissions.connect_limit) or CONNECT
+        self.pooled_for = POOLED_SHARE * (seconds(permissions.idle_limit) or 10.0)
+        self.reports = config.settings.reports
+        self.probe_path = b"/health/live" if self.reports.how == "none" else b"/stats"
+        self.idle: dict[int, list[Connection]] = {}     # by server: another at its address inherits nothing
+        self.out: dict[tuple[int, int], Attempt] = {}
+        budget.closers.append(self.close_oldest)
+
+    # Effects
+
+    def send_attempt(
+        self, request_number: int, attempt_number: int, server: int, address: str, request, deadline: float
+    ):
+        attempt = self.out[request_number, attempt_number] = Attempt()
+        attempt.greenlet = gevent.spawn(
+            self.run_attempt, attempt, request_number, attempt_number, server, address, request, deadline
+        )
+
+    def cancel(self, request_number: int, attempt_number: int):
+        attempt = self.out.get((request_number, attempt_number))
+        if attempt:
+            attempt.given_up = True
+            if attempt.begun:  # one that is killed before it began would end without a word
+                attempt.greenlet.kill(block=False)
+
+    def probe(self, server: int, address: str):
+        gevent.spawn(self.run_probe, server, address)
+
+    def close_idle(self, server: int):
+        for connection in self.idle.pop(server, ()):
+            connection.close()
+
+    def close_oldest(self) -> bool:
+        oldest = min(self.idle, key=lambda server: self.idle[server][0].since, default=None)
+        if oldest is None:
+            return False
+        self.idle[oldest].pop(0).close()
+        self.tidy(oldest)
+        return True
+
+    # Greenlets
+
+    def run_attempt(self, attempt, request_number, attempt_number, server, address, request, deadline):
+        result = self.exchange(attempt, server, address, deadline, lambda: written(request, deadline))
+        del self.out[request_number, attempt_number]
+        if result.reason is not FailureReason.ANSWERED or result.status != 200:
+            log.info("attempt ended", extra={"request": request.id.decode("latin-1"), "address": address,
+                                          "outcome": result.outcome().value, "reason": result.detail})
+        if result.reason is FailureReason.BROKEN:
+            self.close_idle(server)  # they ended with it, or will: an attempt on one may never be repeated
+        self.dispatch(
+            "attempt_ended", request_number, server, attempt_number, result, self.load(result.report)
+        )
+
+    def run_probe(self, server, address):
+        attempt = Attempt()
+        deadline = attempt.sent + PROBE * self.connect_limit
+        text = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
+        result = self.exchange(attempt, server, address, deadline, lambda: text)
+        if result.reason in (FailureReason.BROKEN, FailureReason.TIMED_OUT):
+            self.close_idle(server)     # those to a silent machine stay silent, or break
+        self.dispatch("probe_ended", server, result, self.load(result.body))
+
+    def load(self, report: bytes) -> Load | None:
+        if self.reports.how == "none" or not report:
+            return None
+        try:
+            said = msgspec.json.decode(report, type=Report)
+        except (msgspec.MsgspecError, UnicodeError):
+            return None
+        return load_of(said.outstanding, said.throughput, said.backlog, said.recent_ms)
+
+    def exchange(self, attempt: Attempt, server: int, address: str, deadline: float, text) -> AttemptResult:
+        """Writes one request and reads its whole answer. Whatever goes wrong comes back as an Ending."""
+        answer, attempt.begun = None, True
+        try:
+            if attempt.given_up:
+                return attempt.end(FailureReason.GIVEN_UP)
+            attempt.connection = self.pooled(server, address) or self.connect(address, deadline)
+            self.write(attempt, text(), deadline)
+            answer = self.read(attempt, deadline)
+            if answer is None:
+                return attempt.end(FailureReason.BROKEN, "ended early")
+            attempt.progress = Progress.WHOLE
+            return AttemptResult(
+                FailureReason.ANSWERED,
+                attempt.progress,
+                monotonic() - attempt.sent,
+                answer.status,
+                answer.headers.get(b"x-not-processed") == b"1",
+                answer.headers.get(b"content-type", b""),
+                answer.body,
+                answer.headers.get(b"x-server-load", b""),
+                f"status {answer.status}",
+            )
+        except gevent.GreenletExit:
+            return attempt.end(FailureReason.GIVEN_UP)
+        except (TimeoutError, BlockingIOError):
+            return attempt.end(FailureReason.TIMED_OUT, "no answer in time")
+        except NoConnection:
+            return attempt.end(FailureReason.NO_CONNECTION, "no descriptor to spare")
+        except Malformed as trouble:
+            return attempt.end(FailureReason.SPOILT, str(trouble))
+        except OSError as trouble:
+            return attempt.end(FailureReason.BROKEN, str(trouble))
+        except Exception as trouble:
+            log.exception("attempt died", extra={"address": address})
+            return attempt.end(FailureReason.BROKEN, repr(trouble))
+        finally:
+            connection = attempt.connection
+            if connection and answer and answer.keep_alive and not connection.more and not attempt.given_up:
+                self.pool(server, connection)
+            elif connection:
+                connection.close()
+
+    def write(self, attempt: Attempt, text: bytes, deadline: float):
+        sock, rest = attempt.connection.sock, memoryview(text)
+        while rest:
+            sock.settimeout(left(deadline))
+            rest = rest[sock.send(rest):]
+            attempt.progress = Progress.PARTLY_WRITTEN if rest else Progress.WRITTEN
+
+    def read(self, attempt: Attempt, deadline: float):
+        connection = attempt.connection
+        while not connection.whole:
+            if not connection.receive(left(deadline)):
+                return None
+            if connection.message.status >= 200:
+                attempt.progress = Progress.HEAD
+        return connection.whole.pop(0)
+
+    # Connections
+
+    def pooled(self, server: int, address: str) -> Connection | None:
+        """The newest that has rested; one that has ended, or holds bytes that nobody asked for, is closed."""
+        idle, reusable_from = self.idle.get(server, []), monotonic() - REUSABLE_AFTER
+        for connection in [each for each in reversed(idle) if each.since <= reusable_from]:
+            idle.remove(connection)
+            self.tidy(server)
+            if connection.address == address and not connection.unread():
+                return connection
+            connection.close()
+        return None
+
+    def tidy(self, server: int):
+        if not self.idle[server]:
+            del self.idle[server]
+
+    def connect(self, address: str, deadline: float) -> Connection:
+        # No room is no crash: such an attempt never ran, and the balancer finds it another way or turns it
+        # back.
+        if not self.budget.acquire(self.budget.most // SPARE):
+            raise NoConnection
+        host, _, port = address.rpartition(":")
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        try:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.settimeout(min(self.connect_limit, left(deadline)))
+            sock.connect((host, int(port)))
+        except BaseException:
+            sock.close()
+            self.budget.release()
+            raise
+        connection = Connection(sock, True, lambda connection: self.budget.release(), budget=self.budget)
+        connection.address = address
+        return connection
+
+    def pool(self, server: int, connection: Connection):
+        connection.since = monotonic()
+        connection.give_back()
+        self.idle.setdefault(server, []).append(connection)
+        self.budget.freed.set()
+
+    def sweep(self):
+        while True:
+            gevent.sleep(SWEEP)
+            before = monotonic() - self.pooled_for
+            for server, idle in list(self.idle.items()):
+                while idle and idle[0].since < before:
+                    idle.pop(0).close()
+                self.tidy(server)
+
+
+def left(deadline: float) -> float:
+    return max(0.0, deadline - monotonic())
+
+
+def written(request, deadline: float) -> bytes:
+    wait = int(left(deadline) * 1000)
+    if not wait:
+        raise TimeoutError
+    head = b"%b %b HTTP/1.1\r\nHost: backend\r\nX-Request-ID: %b\r\nX-Timeout: %dm\r\n" % (
+        request.method, request.path, request.id, wait)
+    if request.idempotency_key:
+        head += b"Idempotency-Key: %b\r\n" % request.idempotency_key
+    if request.kind:
+        head += b"Content-Type: %b\r\n" % request.kind
+    if request.body or request.method != b"GET":
+        head += b"Content-Length: %d\r\n" % len(request.body)
+    return head + b"\r\n" + request.body
--- a/cartdeal/choice.py
+++ b/cartdeal/balancer.py
@@ -1,4 +1,4 @@
-"""All of an agent's decisions: which server a lookup's shot goes to, and when it is held or given up.
+"""All of an agent's decisions: which server a request's attempt goes to, and when it is held or given up.
 
 Each thing that happens is one method call on an agent's Balancer, with `host.now` set; it acts by host."""
 
@@ -8,17 +8,17 @@
 from cartdeal.terms import Group, Outcome, Repeat, State
 
 GLANCE, SOON = 0.05, 0.002  # how often room is looked for, a probe's answer holds; the least time to a timer
-SPARE, SHUN = 0.04, 4.0  # kept free before a time limit for the answer; longest a workload passes a server by
+SPARE, SHUN = 0.04, 4.0  # kept free before a deadline for the answer; longest a class passes a server by
 FAILBACK, MEMORY = 10.0, 6.0  # seconds between checks of zones ranked higher; over which what is seen fades
 DOUBT, FAILING = 2.0, 0.3  # failures (fading) that may open a circuit, if they are such a share of what ended
 SHARED_LIMIT, COLD_SHARE = 8.0, 0.7  # in flight at a new server, from all agents; share of a cold ramp sent
-LEAST, CUT = 0.25, 0.75  # limits under one mean pauses between single shots; what a cut leaves
-CALM, LATE, TOO_LATE = 0.15, 0.25, 0.6  # of the goal time: a limit grows, is cut, falls under one
-YIELD, HOLD = 1.5, 0.3  # times the mean in flight at which a server yields; share of the goal time to be held
+LEAST, CUT = 0.25, 0.75  # limits under one mean pauses between single attempts; what a cut leaves
+CALM, LATE, TOO_LATE = 0.15, 0.25, 0.6  # of the latency target: a limit grows, is cut, falls under one
+YIELD, HOLD = 1.5, 0.3  # times the mean in flight at which a server yields; share of the target to be held
 EVEN, BUSY = 1.2, 4.0  # times the mean over the memory, in a pool; least in flight at a server, by them all
 GROW, STALE, CROWDED = 0.125, 600.0, 0.6  # limits, by worth; seconds in which a size fades, a report holds
-TROUBLE, THIN, TARDY = 0.08, 20.0, 2.0  # missed at home: ask; lookups a server: don't; times usual: it yields
-SAVED, ENOUGH = 8.0, 0.02  # lookups missed of which a probe saves one; given up unshot, share: no repeats
+TROUBLE, THIN, TARDY = 0.08, 20.0, 2.0  # missed at home: ask; requests a server: not; times usual: yields
+SAVED, ENOUGH = 8.0, 0.02  # requests missed of which a probe saves one; given up unshot, share: no repeats
 MASK, NEVER = (1 << 64) - 1, (0, 0.0, 1.0)
 
 
@@ -38,21 +38,22 @@
         self.amount = self.read(now) + more
 
 
-class Lookup:
-    def __init__(self, number, workload, key, limit_at, now, value, tally):
-        self.number, self.workload, self.key, self.tally = number, workload, key, tally
-        self.limit_at, self.goal_at, self.value = limit_at, min(limit_at, now + workload.goal_time), value
-        self.shots, self.out = 0, {}    # shots in flight: number -> server
-        self.traces = {}    # shots that are out or may have run: number -> (server, when sent)
+class RoutedRequest:
+    def __init__(self, number, request_class, key, deadline, now, value, tally):
+        self.number, self.request_class, self.key, self.tally = number, request_class, key, tally
+        self.deadline, self.value = deadline, value
+        self.target_at = min(deadline, now + request_class.latency_target)
+        self.attempts, self.out = 0, {}    # attempts in flight: number -> server
+        self.traces = {}    # attempts that are out or may have run: number -> (server, when sent)
         self.tried, self.asked, self.ask_at, self.held_until = [], [], 0.0, 0.0
 
 
 class Server:
     def __init__(self, index, limit, now):
         self.index, self.first_limit, self.state, self.started = index, limit, State.GONE, -inf
-        self.out, self.sends = {}, Fading(MEMORY, now)  # own shots in flight: (lookup, shot) -> when sent
+        self.out, self.sends = {}, Fading(MEMORY, now)  # own attempts: (request, attempt) -> when sent
         self.weight, self.sized_at, self.crowded_until, self.summed_at = 1.0, -inf, -inf, -inf
-        self.askers, self.asked_at = {}, -inf    # lookups that wait for the answer to a probe
+        self.askers, self.asked_at = {}, -inf    # requests that wait for the answer to a probe
         self.restart(now)
 
     def restart(self, now):
@@ -60,41 +61,41 @@
         self.fails, self.wins, self.flown = (Fading(MEMORY, now) for _ in "fwo")   # flown: seconds in flight
         self.pace, self.heard = 0.0, now    # mean time to an answer; when the last one came
         self.closed, self.silent, self.trial = True, False, False
-        self.retry_at, self.backoff, self.grant, self.granted_at, self.said_at = now, 1.0, 0.0, now, 0.0
-        # When shots given up were sent; workload -> failures in a row, until when and how long it passes by.
+        self.retry_at, self.backoff, self.tokens, self.refilled_at, self.said_at = now, 1.0, 0.0, now, 0.0
+        # When attempts given up were sent; class -> failures in a row, until when and how long it passes by.
         self.left, self.shuns = [], {}
 
 
 class Balancer:
-    def __init__(self, host, charter):
-        self.host, self.charter, self.pooled, now = host, charter, charter.pooled, host.now
+    def __init__(self, host, settings):
+        self.host, self.settings, self.pooled, now = host, settings, settings.pooled, host.now
         # Agents that each begin with a whole server's room for themselves jam it together at the start.
-        self.first_limit = max(LEAST, min(4.0, SHARED_LIMIT / charter.agents))
-        self.least = min(1.0, BUSY / charter.agents)
-        # By workload: lookups asked for and those served in time, time to answers and how many these were.
-        self.tallies = [[Fading(MEMORY, now) for _ in range(4)] for _ in charter.workloads]
-        self.counter, self.servers, self.lookups, self.held, self.filled = 0, {}, {}, {}, set()
-        self.zones = [[] for _ in range(charter.zones)]
-        self.order = sorted(range(charter.zones), key=lambda zone: (
-            zone != charter.own_zone, mixed(crc32(b"%d/%d" % (charter.number, zone))), zone))
+        self.first_limit = max(LEAST, min(4.0, SHARED_LIMIT / settings.agents))
+        self.least = min(1.0, BUSY / settings.agents)
+        # By class: requests asked for and those served in time, time to answers and how many these were.
+        self.tallies = [[Fading(MEMORY, now) for _ in range(4)] for _ in settings.request_classes]
+        self.counter, self.servers, self.requests, self.held, self.filled = 0, {}, {}, {}, set()
+        self.zones = [[] for _ in range(settings.zones)]
+        self.order = sorted(range(settings.zones), key=lambda zone: (
+            zone != settings.own_zone, mixed(crc32(b"%d/%d" % (settings.number, zone))), zone))
         self.standing, self.failback_at = 0, now + FAILBACK  # standing: place in the order of zones
-        self.arrivals, self.importance = Fading(MEMORY, now), Fading(MEMORY, now)
+        self.arrivals, self.priority = Fading(MEMORY, now), Fading(MEMORY, now)
         self.tenants, self.like_rate = {}, {}  # by zone: last known sends a second to a warm one, by weight
         # Judged by first quick answers alone, a zone that is only slow at the start seems silent and fails.
-        late = LATE * max((kind.goal_time for kind in charter.workloads), default=1.0)
+        late = LATE * max((kind.latency_target for kind in settings.request_classes), default=1.0)
         self.pace, self.paced = Fading(MEMORY, now, late), Fading(MEMORY, now, 1.0)
         self.answer, self.answered = Fading(MEMORY, now), Fading(MEMORY, now)  # time to answers of probes
-        self.strain = Fading(1.0, now)  # lookups that found no room lately
-        # Held lookups, by whether room came, and those given up that never were shot.
+        self.strain = Fading(1.0, now)  # requests that found no room lately
+        # Held requests, by whether room came, and those given up that never were sent.
         self.met, self.missed, self.lacked = Fading(2.0, now), Fading(2.0, now), Fading(MEMORY, now)
-        # The share of the keys that cross; lookups that ended, all and bad, at home and away.
+        # The share of the keys that cross; requests that ended, all and bad, at home and away.
         self.spill, self.ends = 0.0, [[Fading(MEMORY, now), Fading(MEMORY, now)] for _ in "ha"]
-        self.watching, self.watch_at, self.watch_backoff, self.alarm_at = not charter.must_ask, now, 0.5, inf
+        self.watching, self.watch_at, self.watch_backoff, self.alarm_at = not settings.must_ask, now, 0.5, inf
         self.keep_watch(now)
 
     def chance(self):
         self.counter += 1
-        return (crc32(b"%d/%d" % (self.charter.seed, self.counter)) + 0.5) / 4294967296
+        return (crc32(b"%d/%d" % (self.settings.seed, self.counter)) + 0.5) / 4294967296
 
     def listed(self, lines, fresh):
         now = self.host.now
@@ -106,7 +107,8 @@
                 if line.state is State.GONE:
                     continue
                 # What a pool's agents of a lost zone begin with at the next comes on top of its own agents'.
-                first = self.least if self.pooled and line.zone != self.charter.own_zone else self.first_limit
+                away = line.zone != self.settings.own_zone
+                first = self.least if self.pooled and away else self.first_limit
                 server = self.servers[line.server] = Server(line.server, first, now)
                 server.hash = mixed(crc32(line.name))
             if line.state is not State.GONE:
@@ -115,8 +117,8 @@
             if line.started > server.started:
                 server.started = line.started
                 server.restart(now)
-                # Agents that all begin with a whole shot to grant would meet at the cold server in one burst.
-                server.grant = self.chance()
+                # Agents that all begin with a whole token would meet at the cold server in one burst.
+                server.tokens = self.chance()
             server.state = line.state
             self.let_go(server)
         for zone, members in enumerate(self.zones):
@@ -128,8 +130,8 @@
         """What the list says, or the most that it said where what a server holds lowers it."""
         if not 1e-3 <= weight <= 1e6:    # also what is no number at all
             weight = server.weight
-        elif self.charter.live_weights:
-            # Taken as they come, such weights move the shots of all agents to the same servers, and late.
+        elif self.settings.live_weights:
+            # Taken as they come, such weights move the attempts of all agents to the same servers, and late.
             weight = max(weight, server.weight * exp((server.sized_at - now) / STALE))
         server.weight, server.sized_at = weight, now
 
@@ -141,10 +143,10 @@
     def watch_failed(self):
         self.watch_at = self.host.now + self.watch_backoff * (0.5 + self.chance())
         self.alarm(self.watch_at)   # one that stood may have failed late: the pause after it is no longer yet
-        self.watch_backoff = min(self.watch_backoff * (2 - self.watching), self.charter.ask_every / 3)
+        self.watch_backoff = min(self.watch_backoff * (2 - self.watching), self.settings.ask_every / 3)
         self.watching = False
 
-    def list_moved(self):
+    def discovery_moved(self):
         self.watching, self.watch_at, self.watch_backoff = False, self.host.now, 0.5
         self.keep_watch(self.host.now)
 
@@ -153,95 +155,97 @@
         if not self.watching:
             if now >= self.watch_at:
                 self.host.watch()
-                self.watch_at = now + self.charter.ask_every / 3
+                self.watch_at = now + self.settings.ask_every / 3
             self.alarm(self.watch_at)
 
-    def taken(self, number, workload, tenant, key, limit_at, repeat):
-        now, kind = self.host.now, self.charter.workloads[workload]
+    def taken(self, number, request_class, tenant, key, deadline, repeat):
+        now, kind = self.host.now, self.settings.request_classes[request_class]
         self.arrivals.add(now)
-        self.importance.add(now, kind.importance)
-        value = self.worth(workload, kind.importance, now) if self.pooled else kind.importance
-        # A repeat has spent part of its goal time at its first try: served first, it makes new ones late too.
+        self.priority.add(now, kind.priority)
+        value = self.worth(request_class, kind.priority, now) if self.pooled else kind.priority
+        # A repeat has spent part of its time at its first try: served first, it makes new ones late too.
         value *= self.within_share(tenant, now) * (0.5 if repeat else 1.0)
-        lookup = self.lookups[number] = Lookup(
-            number, kind, key or int(self.chance() * MASK), limit_at, now, value, self.tallies[workload])
-        self.place(lookup, now)
+        request = self.requests[number] = RoutedRequest(
+            number, kind, key or int(self.chance() * MASK), deadline, now, value, self.tallies[request_class])
+        self.place(request, now)
 
-    def worth(self, workload, value, now):
-        """What a pool's lookup adds for the time that it takes; more in the workload that is served worst."""
-        asked, _, took, answers = self.tallies[workload]
+    def worth(self, request_class, value, now):
+        """What a pool's request adds for the time that it takes; more in the class that is served worst."""
+        asked, _, took, answers = self.tallies[request_class]
         asked.add(now)
         shares = [done.read(now) / max(all_.read(now), 0.1) for all_, done, _, _ in self.tallies]
-        if shares[workload] <= min(shares) + 0.02:
-            value += self.charter.worst_workload * self.importance.amount / asked.amount
+        if shares[request_class] <= min(shares) + 0.02:
+            value += self.settings.worst_class * self.priority.amount / asked.amount
         usual = took.read(now) / max(answers.read(now), 0.1)
         return value * self.pace.read(now) / max(self.paced.read(now), 0.1) / usual if usual else value
 
     def within_share(self, tenant, now):
-        if not self.charter.tenants:
+        if not self.settings.tenants:
             return 1.0
         seen = self.tenants.setdefault(tenant, Fading(MEMORY, now))
         seen.add(now)
-        all_, share = sum(each.quota for each in self.charter.tenants), self.charter.tenants[tenant].quota
+        all_, share = sum(each.quota for each in self.settings.tenants), self.settings.tenants[tenant].quota
         beyond = 1.0 - 1.1 * share / max(all_, 1e-9) * self.arrivals.amount / seen.amount
-        return self.charter.beyond_share if self.chance() < beyond else 1.0
+        return self.settings.beyond_share if self.chance() < beyond else 1.0
 
-    def place(self, lookup, now, further=False, last=False):
+    def place(self, request, now, further=False, last=False):
         """The ordinary path: the zone stood on, its top server by rendezvous; else another zone; or hold."""
-        home, first = self.order[self.standing], self.spills_to(lookup)
-        server = self.pick(self.zones[first], lookup, now)
+        home, first = self.order[self.standing], self.spills_to(request)
+        server = self.pick(self.zones[first], request, now)
         if server is None:
             self.strain.add(now)
-            crossing = self.worth_crossing(lookup, now, further or last)
+            crossing = self.worth_crossing(request, now, further or last)
             for zone in self.order:
                 if server is None and zone != first and (zone == home or crossing) and self.passes(zone):
-                    server = self.pick(self.zones[zone], lookup, now)
+                    server = self.pick(self.zones[zone], request, now)
         unasked = server is not None and self.must_ask(server, now)
-        if unasked and self.hold(lookup, now):
-            self.ask(lookup, server, now)
+        if unasked and self.hold(request, now):
+            self.ask(request, server, now)
         elif server is not None:
-            self.shoot(lookup, server, now)
-        elif lookup.number in self.held and now < lookup.held_until:
+            self.send_attempt(request, server, now)
+        elif request.number in self.held and now < request.held_until:
             # While an asked server may still answer, what others have to offer comes too late to matter.
-            lookup.ask_at = lookup.held_until if lookup.asked else now
-        elif last or not self.hold(lookup, now):
-            self.give_up(lookup, now)
+            request.ask_at = request.held_until if request.asked else now
+        elif last or not self.hold(request, now):
+            self.give_up(request, now)
 
-    def hold(self, lookup, now):
-        if lookup.number not in self.held:
+    def hold(self, request, now):
+        if request.number not in self.held:
             # A client's late try can end sooner than the hold: the timer must find it in time to answer.
-            lookup.held_until = min(now + HOLD * lookup.workload.goal_time, lookup.limit_at - SPARE)
-        if now < lookup.held_until:
-            self.held[lookup.number] = lookup
-            self.alarm(min(max(lookup.ask_at, now + GLANCE), lookup.held_until))
-        return now < lookup.held_until
-
-    def pick(self, members, lookup, now):
+            target = request.request_class.latency_target
+            request.held_until = min(now + HOLD * target, request.deadline - SPARE)
+        if now < request.held_until:
+            self.held[request.number] = request
+            self.alarm(min(max(request.ask_at, now + GLANCE), request.held_until))
+        return now < request.held_until
+
+    def pick(self, members, request, now):
         """The top server by weighted rendezvous that has room and isn't well over the mean in flight."""
         if members and members[0].zone in self.filled:
             return None  # nothing has ended since it was found full
-        safe = lookup.workload.repeat is Repeat.IDEMPOTENT     # these try open circuits first, singly
+        kind = request.request_class
+        safe = kind.repeat is Repeat.IDEMPOTENT     # these try open circuits first, singly
         usable = [s for s in members if s.closed or s.trial and not s.out and (safe or now > s.retry_at)]
         if not usable and not any(map(self.passes, self.order)) \
                 and members is self.zones[self.order[self.standing]]:
             usable = members
-        if not usable or any(s.zone == usable[0].zone for s in lookup.asked):
+        if not usable or any(s.zone == usable[0].zone for s in request.asked):
             return None
         if self.pooled and self.full(usable):
             self.filled.add(usable[0].zone)
             return None
-        key, best, top, spare, like = lookup.key, None, -1.0, None, None
+        key, best, top, spare, like = request.key, None, -1.0, None, None
         size = sum([s.weight for s in usable])
         mean = YIELD * sum([len(s.out) for s in usable]) / size
         even = EVEN * sum([self.has(s, now) for s in usable]) / size if self.pooled else inf
         for s in usable:
             busy, fills = len(s.out), len(s.out) + len(s.left)
-            if fills >= max(1.0 + self.pooled, s.limit) or now < s.rest_until or s in lookup.tried or (
-                    now < s.shuns.get(lookup.workload, NEVER)[1]) or not self.within_group(lookup, s, now):
+            if fills >= max(1.0 + self.pooled, s.limit) or now < s.rest_until or s in request.tried or (
+                    now < s.shuns.get(kind, NEVER)[1]) or not self.within_group(request, s, now):
                 continue
-            if s.started and now - s.started < self.charter.cold_for:
+            if s.started and now - s.started < self.settings.cold_for:
                 like = self.like(s.zone, now) if like is None else like  # once a pick: all may be cold
-                if not self.granted(s, now, like):
+                if not self.ramp_allows(s, now, like):
                     continue
             score, has = s.weight / -log((mixed(key ^ s.hash) + 1) / 1.8446744073709552e19), self.has(s, now)
             if busy >= 2 and busy + 1 > mean * s.weight or has > even * s.weight:
@@ -252,19 +256,19 @@
         return best or spare
 
     def full(self, servers):
-        """Whether a pool's agent has out all it may; shots given up count until a later one is answered."""
+        """Whether a pool's agent has out all it may; those given up count until a later one is answered."""
         # Limits under one are kept over the zone: pauses at each server would leave it idle. Where all that
-        # fills it was given up, one shot still goes out: a lost zone would be found out late, and left late.
+        # fills it was given up, one still goes out: a lost zone would be found out late, and left late.
         out = sum([len(s.out) for s in servers])
         return out and out + sum([len(s.left) for s in servers]) >= sum([s.limit for s in servers])
 
     def has(self, server, now):
-        """What a server has of this agent's lookups: in flight or, in a pool, seconds of that lately."""
+        """What a server has of this agent's requests: in flight or, in a pool, seconds of that lately."""
         # A pool's agent has one at most at a server at most moments, and a key that is dear to all would jam
         # its server unseen; but each meets a fair sample, and what each spreads evenly is even in all.
         if not self.pooled:
             return len(server.out)
-        if now > server.summed_at:  # once a moment: a large zone's sums would cost more than its lookups
+        if now > server.summed_at:  # once a moment: a large zone's sums would cost more than its requests
             server.sum = server.flown.read(now) + sum([now - sent for sent in server.out.values()])
             server.summed_at = now
         return server.sum
@@ -275,119 +279,120 @@
         bad, ended = bad.read(now) + 0.05, ended.read(now)
         trouble = bad > TROUBLE * ended or self.strain.read(now) > 0.1
         # A probe is work at a server: where it is dear, hundreds of agents that ask lose more than they save.
-        trouble = trouble and bad > (SAVED * self.charter.probing_fee - TROUBLE) * ended
+        trouble = trouble and bad > (SAVED * self.settings.probing_fee - TROUBLE) * ended
         few = self.arrivals.read(now) < THIN * len(self.zones[server.zone])
-        asks = trouble and few and self.charter.may_probe and self.charter.agents > len(self.servers)
+        asks = trouble and few and self.settings.may_probe and self.settings.agents > len(self.servers)
         return asks and server.closed and now > server.said_at + GLANCE
 
-    def ask(self, lookup, server, now):
-        lookup.asked.append(server)
-        server.askers[lookup.number] = lookup
+    def ask(self, request, server, now):
+        request.asked.append(server)
+        server.askers[request.number] = request
         if now > server.asked_at + 1.0:
             server.asked_at = now
             self.host.probe(server.index)
-        lookup.ask_at = now + max(0.01, TARDY * self.answer.read(now) / max(self.answered.read(now), 0.1))
-        self.alarm(min(lookup.ask_at, lookup.held_until))
+        request.ask_at = now + max(0.01, TARDY * self.answer.read(now) / max(self.answered.read(now), 0.1))
+        self.alarm(min(request.ask_at, request.held_until))
 
-    def spills_to(self, lookup):
+    def spills_to(self, request):
         """The zone stood on, but for the keys that it can't carry: all agents send such a key to one zone."""
-        home, at = self.order[self.standing], mixed(lookup.key ^ MASK) / MASK
+        home, at = self.order[self.standing], mixed(request.key ^ MASK) / MASK
         others = at < self.spill and [z for z in range(len(self.zones)) if z != home and self.passes(z)]
         return others[int(at * 1e6) % len(others)] if others else home
 
-    def judge(self, lookup, bad, now):
+    def judge(self, request, bad, now):
         """Moves the share of keys that cross by its gain: what is missed at home, less away, less the fee."""
-        away = bool(lookup.tried) and lookup.tried[-1].zone != self.order[self.standing]
+        away = bool(request.tried) and request.tried[-1].zone != self.order[self.standing]
         for each, more in zip(self.ends[away], (1.0, bad), strict=True):
             each.add(now, more)
         home, other = (bad.read(now) / max(ended.read(now), 0.5) for ended, bad in self.ends)
         # What found room nowhere counts for neither: zones that are both full would swap their keys.
-        moves = (lookup.tried or not self.pooled) and home - other > self.charter.crossing_fee + TROUBLE
+        moves = (request.tried or not self.pooled) and home - other > self.settings.crossing_fee + TROUBLE
         self.spill = min(0.9, max(0.0, self.spill + (0.05 if moves else -0.02)))
 
-    def worth_crossing(self, lookup, now, last):
-        """Whether the next zone's chance, beyond what held lookups lately had at home, is worth its fee."""
+    def worth_crossing(self, request, now, last):
+        """Whether the next zone's chance, beyond what held requests lately had at home, is worth its fee."""
         met, missed = self.met.read(now), self.missed.read(now)
-        gain = lookup.value * (1.0 if last else 1.0 - met / (met + missed + 0.1))
-        return gain * self.arrivals.amount > self.charter.crossing_fee * self.importance.amount
+        gain = request.value * (1.0 if last else 1.0 - met / (met + missed + 0.1))
+        return gain * self.arrivals.amount > self.settings.crossing_fee * self.priority.amount
 
-    def granted(self, server, now, like):
+    def ramp_allows(self, server, now, like):
         """Whether a cold server's ramp allows one more: rule 4 holds if every agent keeps to its own ramp."""
         age = now - server.started
-        ramp = self.charter.cold_from + (1 - self.charter.cold_from) * min(1.0, age / self.charter.cold_for)
+        cold_from, warmed = self.settings.cold_from, min(1.0, age / self.settings.cold_for)
+        ramp = cold_from + (1 - cold_from) * warmed
         rate = COLD_SHARE * ramp * server.weight * like
         # Counted in short spans: what was not used lately is no leave for a burst.
-        most = max(1.0, rate * self.charter.cold_span / 4)
-        server.grant, server.granted_at = min(most, server.grant + rate * (now - server.granted_at)), now
-        return server.grant >= 1.0
+        most = max(1.0, rate * self.settings.cold_span / 4)
+        server.tokens, server.refilled_at = min(most, server.tokens + rate * (now - server.refilled_at)), now
+        return server.tokens >= 1.0
 
     def like(self, zone, now):
-        warm = [s for s in self.zones[zone] if s.closed and now - s.started >= self.charter.cold_for]
+        warm = [s for s in self.zones[zone] if s.closed and now - s.started >= self.settings.cold_for]
         if warm:
             self.like_rate[zone] = sum(s.sends.read(now) for s in warm) / MEMORY / sum(s.weight for s in warm)
         elif zone not in self.like_rate:
             return self.arrivals.read(now) / MEMORY / sum(s.weight for zone in self.zones for s in zone)
         return self.like_rate[zone]
 
-    def shoot(self, lookup, server, now):
-        shot, lookup.shots = lookup.shots, lookup.shots + 1
-        lookup.out[shot], lookup.traces[shot] = server, (server, now)
-        lookup.tried.append(server)
-        lookup.asked.clear()
-        was_held = self.held.pop(lookup.number, None) is not None
+    def send_attempt(self, request, server, now):
+        attempt, request.attempts = request.attempts, request.attempts + 1
+        request.out[attempt], request.traces[attempt] = server, (server, now)
+        request.tried.append(server)
+        request.asked.clear()
+        was_held = self.held.pop(request.number, None) is not None
         self.met.add(now, was_held and self.order[self.standing] == server.zone)
         server.heard = server.heard if server.out else now
-        server.out[lookup.number, shot] = now
+        server.out[request.number, attempt] = now
         self.alarm(now + self.patience(server, now))
         server.sends.add(now)
-        if lookup.workload in server.shuns:
-            self.doubt(server, lookup, now, 0)  # one that passed it by tries it with one lookup at a time
-        server.grant -= 1.0
-        self.host.shoot(lookup.number, server.index, lookup.limit_at)
-
-    def within_group(self, lookup, server, now):
-        """Whether a shot there could not cause a second effect."""
-        kind = lookup.workload
-        if not lookup.traces or kind.repeat is Repeat.IDEMPOTENT:
+        if request.request_class in server.shuns:
+            self.doubt(server, request, now, 0)  # one that passed it by tries it with one request at a time
+        server.tokens -= 1.0
+        self.host.send_attempt(request.number, server.index, request.deadline)
+
+    def within_group(self, request, server, now):
+        """Whether an attempt there could not cause a second effect."""
+        kind = request.request_class
+        if not request.traces or kind.repeat is Repeat.IDEMPOTENT:
             return True
-        return kind.repeat is not Repeat.UNREPEATABLE and all(now <= sent + kind.window - 0.05 and (
+        return kind.repeat is not Repeat.NON_IDEMPOTENT and all(now <= sent + kind.window - 0.05 and (
             kind.group is Group.ALL or past.zone == server.zone
             and (kind.group is Group.ZONE or past.cell == server.cell))
-            for past, sent in lookup.traces.values())
+            for past, sent in request.traces.values())
 
-    def give_up(self, lookup, now):
-        kind = lookup.workload
-        safe = not lookup.traces or kind.repeat is Repeat.IDEMPOTENT or (
+    def give_up(self, request, now):
+        kind = request.request_class
+        safe = not request.traces or kind.repeat is Repeat.IDEMPOTENT or (
             kind.repeat is Repeat.DEDUPLICATED and kind.group is Group.ALL
-            and all(now < sent + kind.window for _, sent in lookup.traces.values()))
+            and all(now < sent + kind.window for _, sent in request.traces.values()))
         if safe:
-            wait = min(self.charter.advises_wait, kind.goal_time * (0.2 + 0.3 * self.chance()))
-            self.host.turn_back(lookup.number, wait)
+            wait = min(self.settings.advises_wait, kind.latency_target * (0.2 + 0.3 * self.chance()))
+            self.host.reject(request.number, wait)
         else:
-            self.host.terminate(lookup.number)
-        self.lacked.add(now, not lookup.tried)
-        self.judge(self.forget(lookup.number), True, now)
+            self.host.fail(request.number)
+        self.lacked.add(now, not request.tried)
+        self.judge(self.forget(request.number), True, now)
 
     def forget(self, number):
         self.held.pop(number, None)
-        return self.lookups.pop(number, None)
+        return self.requests.pop(number, None)
 
-    def abandoned(self, number):
-        if number in self.lookups:
+    def client_disconnected(self, number):
+        if number in self.requests:
             self.judge(self.forget(number), True, self.host.now)
 
     def release(self, now):
-        """Offers room to held lookups, the most important first."""
+        """Offers room to held requests, the most important first."""
         misses, due = 0, [each for each in self.held.values() if now >= each.ask_at]
-        for lookup in sorted(due, key=lambda each: -each.value):
+        for request in sorted(due, key=lambda each: -each.value):
             if misses < 2:
-                self.place(lookup, now)
-                misses += lookup.number in self.held
+                self.place(request, now)
+                misses += request.number in self.held
 
-    def shot_ended(self, number, index, outcome, shot, took, finished, load):
+    def attempt_ended(self, number, index, outcome, attempt, took, finished, load):
         now, server = self.host.now, self.servers.get(index)
-        # After a restart an outcome may come of a shot, at a server, that this agent knows nothing of.
-        sent = server and server.out.pop((number, shot), None)
+        # After a restart an outcome may come of an attempt, at a server, that this agent knows nothing of.
+        sent = server and server.out.pop((number, attempt), None)
         if sent is None:
             return
         self.filled.clear()
@@ -395,78 +400,80 @@
             server.left.append(sent)
         elif outcome is Outcome.COMPLETED:
             server.left = [each for each in server.left if each > sent]
-        lookup = self.lookups.get(number)
+        request = self.requests.get(number)
         server.flown.add(now, took)
         self.reported(server, load, now)
-        self.learn(server, outcome, took, lookup, now)
+        self.learn(server, outcome, took, request, now)
         self.let_go(server)
-        if lookup is not None:
-            lookup.out.pop(shot, None)
+        if request is not None:
+            request.out.pop(attempt, None)
             if outcome.never_ran:
-                lookup.traces.pop(shot, None)
+                request.traces.pop(attempt, None)
             if finished:
-                self.judge(self.forget(number), outcome is not Outcome.COMPLETED or now > lookup.goal_at, now)
-            elif not lookup.out:
-                self.follow_up(lookup, now)
+                bad = outcome is not Outcome.COMPLETED or now > request.target_at
+                self.judge(self.forget(number), bad, now)
+            elif not request.out:
+                self.follow_up(request, now)
         self.release(now)
 
-    def follow_up(self, lookup, now):
-        """A shot ended without an answer: up to two further ones, none under overload."""
-        over = lookup.traces and self.lacked.read(now) > 2 + ENOUGH * self.arrivals.amount
-        if lookup.shots < min(3, self.charter.most_shots) and now < lookup.goal_at and not over and any(
-                s not in lookup.tried and self.within_group(lookup, s, now) for s in sum(self.zones, [])):
-            self.place(lookup, now, further=True)
+    def follow_up(self, request, now):
+        """An attempt ended without an answer: up to two further ones, none under overload."""
+        over = request.traces and self.lacked.read(now) > 2 + ENOUGH * self.arrivals.amount
+        more = request.attempts < min(3, self.settings.most_attempts) and now < request.target_at
+        if more and not over and any(
+                s not in request.tried and self.within_group(request, s, now) for s in sum(self.zones, [])):
+            self.place(request, now, further=True)
         else:
-            self.give_up(lookup, now)
+            self.give_up(request, now)
 
-    def learn(self, server, outcome, took, lookup, now):
+    def learn(self, server, outcome, took, request, now):
         if outcome in (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.UNUSABLE):
             return
-        goal = lookup.workload.goal_time if lookup else took * 2
+        goal = request.request_class.latency_target if request else took * 2
         if outcome is Outcome.COMPLETED:
             server.heard = now
-            server.shuns.pop(lookup and lookup.workload, None)
+            server.shuns.pop(request and request.request_class, None)
             server.wins.add(now)
             server.pace += 0.2 * (took - server.pace) if server.pace else took
             self.pace.add(now, took)
             self.paced.add(now)
-            if lookup:
-                for each, more in zip(lookup.tally[1:], (now <= lookup.goal_at, took, 1.0), strict=True):
+            if request:
+                for each, more in zip(request.tally[1:], (now <= request.target_at, took, 1.0), strict=True):
                     each.add(now, more)
             if server.silent or server.trial and server.wins.amount > 1.5:
                 server.closed, server.silent, server.trial = True, False, False
                 server.fails = Fading(MEMORY, now)
             if server.limit < 1.0 and not self.pooled:
-                # One shot from each of many agents can be too much for a server: take turns with the others.
+                # One from each of many agents can be too much for a server: take turns with the others.
                 server.rest_until = now + server.pace * (1.0 / server.limit - 1.0)
             if took < CALM * goal and self.pooled:
-                worth = lookup.value * self.arrivals.amount / self.importance.amount  # others need room, too
+                worth = request.value * self.arrivals.amount / self.priority.amount  # others need room, too
                 if now > server.crowded_until:
                     server.limit += min(1.0 / server.limit, server.limit * GROW * min(2.0, worth))
             elif took < CALM * goal and len(server.out) + 1 > 0.7 * server.limit:
                 server.limit += min(1.0 / server.limit, server.limit / 4)
-            elif took > LATE * goal and lookup:
+            elif took > LATE * goal and request:
                 self.cut(server, now, LEAST if took > TOO_LATE * goal else 1.0)
         elif outcome is Outcome.FULL:
             self.cut(server, now, LEAST)
-            # One that refuses at once always looks idle, and would draw ever more shots.
+            # One that refuses at once always looks idle, and would draw ever more attempts.
             server.rest_until = now + max(0.1, server.pace) / min(1.0, server.limit)
         else:
             server.fails.add(now)
-            if lookup and not outcome.never_ran:
-                self.doubt(server, lookup, now)
+            if request and not outcome.never_ran:
+                self.doubt(server, request, now)
             if outcome is Outcome.TIMED_OUT:
                 self.cut(server, now)
             if server.trial or (fails := server.fails.amount) >= DOUBT * 0.95 \
                     and fails > FAILING * (fails + server.wins.read(now)):
                 self.open(server, now)
 
-    def doubt(self, server, lookup, now, failed=1):
-        """A server may fail with one workload alone, which then passes it by; the circuit is for them all."""
-        row, until, span = server.shuns.get(lookup.workload, NEVER)
+    def doubt(self, server, request, now, failed=1):
+        """A server may fail with one class alone, which then passes it by; the circuit is for them all."""
+        row, until, span = server.shuns.get(request.request_class, NEVER)
         if row + failed > 2 and now >= until:
             until, span = now + span, min(SHUN, span * 2)
-        server.shuns[lookup.workload] = row + failed, until, span
+        server.shuns[request.request_class] = row + failed, until, span
 
     def cut(self, server, now, least=1.0):
         if now >= server.cut_at:
@@ -500,18 +507,18 @@
             server.retry_at = now + 1.0
         elif not server.closed:
             self.put_off(server, now)
-        for lookup in sorted(askers.values(), key=lambda each: -each.value):
-            if lookup.number in self.held and server in lookup.asked:
-                lookup.asked.remove(server)
+        for request in sorted(askers.values(), key=lambda each: -each.value):
+            if request.number in self.held and server in request.asked:
+                request.asked.remove(server)
                 ready = answered and server.closed and server.state is State.READY
-                if ready and self.pick([server], lookup, now):
-                    self.shoot(lookup, server, now)
+                if ready and self.pick([server], request, now):
+                    self.send_attempt(request, server, now)
                 else:
-                    lookup.asked.append(server)  # else a jammed fleet is asked over and over
-                    self.place(lookup, now)
+                    request.asked.append(server)  # else a jammed fleet is asked over and over
+                    self.place(request, now)
 
     def reported(self, server, load, now):
-        """Where lookups wait beyond what a server works on, it is late, however quick its answer was."""
+        """Where requests wait beyond what a server works on, it is late, however quick its answer was."""
         # A report is old when it comes: it may say that there was a crowd, never that there is room.
         if load and load.waiting and now > server.crowded_until:
             server.crowded_until = now + CROWDED
@@ -532,7 +539,7 @@
         self.alarm(self.failback_at)
 
     def alarm(self, at):
-        # Timers only for what is due: agents that look round all the time cost more than their lookups do.
+        # Timers only for what is due: agents that look round all the time cost more than their requests do.
         # Never at once: each of several timers of one moment would find the next due again, and set two more.
         at = max(at, self.host.now + SOON)
         if at < self.alarm_at:
@@ -556,23 +563,23 @@
                 del server.left[0]
             if not server.closed and not server.trial and server.state is State.READY:
                 if now >= server.retry_at:
-                    server.retry_at, server.trial = now + 2.0, not self.charter.may_probe
-                    if self.charter.may_probe:
+                    server.retry_at, server.trial = now + 2.0, not self.settings.may_probe
+                    if self.settings.may_probe:
                         self.host.probe(server.index)
                 self.alarm(server.retry_at)
-        for lookup in [each for each in self.held.values() if now >= each.held_until]:
+        for request in [each for each in self.held.values() if now >= each.held_until]:
             self.missed.add(now)
-            self.place(lookup, now, last=True)
+            self.place(request, now, last=True)
         self.release(now)
-        for lookup in self.held.values():
-            self.hold(lookup, now)
+        for request in self.held.values():
+            self.hold(request, now)
 
     def patience(self, server, now):
         usual = max(server.pace, self.pace.read(now) / max(self.paced.read(now), 0.1))  # slow is not silent
         return max(0.25, usual * (4.0 if len(server.out) < 3 else 2.5)) if usual else inf
 
     def listen_for(self, server, now):
-        """A server that has gone silent is left before its shots end."""
+        """A server that has gone silent is left before its attempts end."""
         patience = self.patience(server, now)
         due = max(next(iter(server.out.values())), server.heard) + patience
         if now < due:
@@ -581,16 +588,17 @@
             server.silent = True
             server.fails.add(now, DOUBT)
             self.open(server, now)
-        # The lookups waiting there are taken back where another shot can do no harm. So are those that others
-        # overtake: they would fill the room until their time limit, and the whole server would seem silent.
-        for (number, shot), sent in list(server.out.items()):
-            lookup = self.lookups.get(number)
-            if lookup and shot in lookup.out and self.charter.may_cancel \
-                    and lookup.workload.repeat is not Repeat.UNREPEATABLE and (
-                    now < lookup.goal_at if server.silent else
-                    server.heard > sent + patience and now > max(lookup.goal_at, sent + 2 * patience)):
-                self.doubt(server, lookup, now)
-                self.host.cancel(number, shot)
+        # The requests waiting there are taken back where another attempt can do no harm. So are those that
+        # others overtake: they would fill the room until their deadline, and the whole server would seem
+        # silent.
+        for (number, attempt), sent in list(server.out.items()):
+            request = self.requests.get(number)
+            if request and attempt in request.out and self.settings.may_cancel \
+                    and request.request_class.repeat is not Repeat.NON_IDEMPOTENT and (
+                    now < request.target_at if server.silent else
+                    server.heard > sent + patience and now > max(request.target_at, sent + 2 * patience)):
+                self.doubt(server, request, now)
+                self.host.cancel(number, attempt)
 
 
 def mixed(value):
--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from cartdeal import grant
+from cartdeal import settings
+from cartdeal.balancer import Balancer
 from cartdeal.benchlink import wire
-from cartdeal.choice import Balancer
 from cartdeal.terms import Listing, Load, State
 
 
@@ -50,21 +50,21 @@
     def load(self, count: int, values: tuple) -> Load | None:
         if not count:
             return None
-        said = [self.columns.get(name, count) for name in grant.COLUMNS]
-        return grant.load_of(*(values[place] if place < count else None for place in said))
+        said = [self.columns.get(name, count) for name in settings.COLUMNS]
+        return settings.load_of(*(values[place] if place < count else None for place in said))
 
-    def shoot(self, lookup: int, server: int, until: float):
-        stop = max(0, round(until * 1e6))
-        self.reply.records += wire.DISPATCH.pack(16, self.instance, lookup, self.names[server], stop)
+    def send_attempt(self, request: int, server: int, deadline: float):
+        stop = max(0, round(deadline * 1e6))
+        self.reply.records += wire.DISPATCH.pack(16, self.instance, request, self.names[server], stop)
 
-    def turn_back(self, lookup: int, wait: float):
-        self.reply.records += wire.BUSY.pack(17, self.instance, lookup, round(wait * 1e6))
+    def reject(self, request: int, wait: float):
+        self.reply.records += wire.BUSY.pack(17, self.instance, request, round(wait * 1e6))
 
-    def terminate(self, lookup: int):
-        self.reply.records += wire.ABORT.pack(18, self.instance, lookup)
+    def fail(self, request: int):
+        self.reply.records += wire.ABORT.pack(18, self.instance, request)
 
-    def cancel(self, lookup: int, shot: int):
-        self.reply.records += wire.WITHDRAW.pack(19, self.instance, lookup, shot)
+    def cancel(self, request: int, attempt: int):
+        self.reply.records += wire.WITHDRAW.pack(19, self.instance, request, attempt)
 
     def wake(self, token: int, delay: float):
         self.reply.records += wire.TIMER.pack(20, self.instance, token, max(1, round(delay * 1e6)))
@@ -78,7 +78,7 @@
     def watch(self, on: bool = True):
         self.reply.records += wire.LISTEN.pack(26, self.instance, on)
 
-    def fetch_list(self):
+    def fetch_servers(self):
         self.reply.records += wire.GET_LIST.pack(27, self.instance)
 
     def close_idle(self, server: int):
@@ -132,14 +132,13 @@
     def launched(self, instance: int, clock: int, body: bytes, place: int, tail: int):
         _, seed, offset, size = wire.LAUNCH.unpack_from(body, place)
         try:
-            given = grant.read(wire.cut(body, tail, offset, size))
+            given = settings.read(wire.cut(body, tail, offset, size))
         except (msgspec.MsgspecError, UnicodeError) as trouble:
             raise wire.Malformed(f"the settings of a launch can't be read: {trouble}") from None
-        charter = given.charter(seed)
         seat = self.seats[instance] = Seat(instance, self.reply, clock)
         seat.columns = {name: place for place, name in enumerate(given.reports.columns)}
         try:
-            seat.balancer = Balancer(seat, charter)
+            seat.balancer = Balancer(seat, given.for_balancer(seed))
         except Exception as trouble:
             self.fault(instance, trouble)
 
@@ -147,20 +146,20 @@
         del self.seats[seat.instance]
 
     def inbound(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, number, workload, tenant, key, limit, _, bits = wire.INBOUND.unpack_from(body, place)
-        seat.balancer.taken(number, workload, tenant, key, limit / 1e6, bool(bits & 2))
+        _, number, request_class, tenant, key, limit, _, bits = wire.INBOUND.unpack_from(body, place)
+        seat.balancer.taken(number, request_class, tenant, key, limit / 1e6, bool(bits & 2))
 
     def ended(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, number, name, code, took, shot, final, reported, *values = wire.ENDED.unpack_from(body, place)
+        _, number, name, code, took, attempt, final, reported, *values = wire.ENDED.unpack_from(body, place)
         outcome = wire.known(wire.OUTCOMES, code, "outcome")
         load = seat.load(reported, values)
-        seat.balancer.shot_ended(number, seat.index(name), outcome, shot, took / 1e6, bool(final), load)
+        seat.balancer.attempt_ended(number, seat.index(name), outcome, attempt, took / 1e6, bool(final), load)
 
     def head_received(self, seat: Seat, body: bytes, place: int, tail: int):
         wire.HEAD_RECEIVED.unpack_from(body, place)     # no decision waits for it
 
-    def abandoned(self, seat: Seat, body: bytes, place: int, tail: int):
-        seat.balancer.abandoned(wire.ABANDONED.unpack_from(body, place)[1])
+    def client_disconnected(self, seat: Seat, body: bytes, place: int, tail: int):
+        seat.balancer.client_disconnected(wire.ABANDONED.unpack_from(body, place)[1])
 
     def elapsed(self, seat: Seat, body: bytes, place: int, tail: int):
         seat.balancer.woken(wire.ELAPSED.unpack_from(body, place)[1])
@@ -190,7 +189,7 @@
 
     HANDLERS = {
         16: launched, 17: head_received, 18: inbound, 19: peer, 21: ping_result, 22: ended,
-        23: roster_change, 24: abandoned, 25: elapsed, 26: stopped,
+        23: roster_change, 24: client_disconnected, 25: elapsed, 26: stopped,
     }
 
 
--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -48,13 +48,13 @@
     at fault."""
     from cartdeal.agent import configuration, start
     try:
-        station = configuration.read({**os.environ, "PROXY_CONFIG": file})
-        papers = start.fleet_papers(station)
+        config = configuration.read({**os.environ, "PROXY_CONFIG": file})
+        fleet = start.fleet_config(config)
     except configuration.Fault as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
-    fleet = f", fleet {papers.pact.fleet}" if papers else ""
-    click.echo(f"{file}: good, {station.name}, {len(station.known.lines)} servers known{fleet}")
+    in_fleet = f", fleet {fleet.pact.fleet}" if fleet else ""
+    click.echo(f"{file}: good, {config.name}, {len(config.known.entries)} servers known{in_fleet}")
 
 
 @main.command()
@@ -96,7 +96,7 @@
 @main.command()
 @click.argument("file")
 @click.option("--seed", "seeds", multiple=True, type=int, default=[1], help="may come again; 1 if left out")
-@click.option("--trace", type=click.File("w"), help="write each answer: time, lookup, status")
+@click.option("--trace", type=click.File("w"), help="write each answer: time, request, status")
 @click.option("--cut", is_flag=True, help="cut the first run down to what its first violation needs")
 def emulate(file, seeds, trace, cut):
     """Play the world in FILE; exit status 1 if a rule was broken."""
--- a/cartdeal/emulator/judge.py
+++ b/cartdeal/emulator/judge.py
@@ -1,12 +1,12 @@
 """The judge of the four rules: it sees what went over the network and what was told when, and nothing else.
 
-It must never look into an agent. Each violation names rule, lookup or server, and times.
+It must never look into an agent. Each violation names rule, request or server, and times.
 """
 
 from collections import defaultdict, deque
 from typing import NamedTuple
 
-SLACK = 0.05        # after a time limit, as on sockets
+SLACK = 0.05        # after a deadline, as on sockets
 
 
 class Violation(NamedTuple):
@@ -20,23 +20,23 @@
 
 
 class Case:
-    """A lookup as the network saw it."""
+    """A request as the network saw it."""
 
-    __slots__ = ("agent", "workload", "taken", "limit", "answers", "shots", "excused")
+    __slots__ = ("agent", "request_class", "taken", "limit", "answers", "attempts", "excused")
 
-    def __init__(self, agent, workload, taken, limit):
-        self.agent, self.workload, self.taken, self.limit = agent, workload, taken, limit
+    def __init__(self, agent, request_class, taken, limit):
+        self.agent, self.request_class, self.taken, self.limit = agent, request_class, taken, limit
         self.answers, self.excused = [], False
-        self.shots = {}     # number -> [server, zone, when, proved never to have run, out]
+        self.attempts = {}     # number -> [server, zone, when, proved never to have run, out]
 
 
 class Judge:
     def __init__(self, world):
         self.world, self.violations = world, []
         self.cases: dict[str, Case] = {}
-        self.kinds = {each.name: each for each in world.workload}
+        self.kinds = {each.name: each for each in world.request_class}
         self.told_at = {}       # (agent, server) -> since when it may be sent nothing new
-        self.changed = {}       # server -> when the list service knew
+        self.changed = {}       # server -> when the discovery service knew
         self.sent = defaultdict(deque)      # cold server -> (when, work)
         self.fallen = set()
         self.taken = self.answered = self.excused = 0
@@ -46,55 +46,57 @@
 
     # What the network shows
 
-    def lookup_taken(self, at, agent, lookup, workload, limit):
+    def request_taken(self, at, agent, request, request_class, limit):
         self.taken += 1
-        self.cases[lookup] = Case(agent, workload, at, limit)
+        self.cases[request] = Case(agent, request_class, at, limit)
 
-    def lookup_answered(self, at, lookup, status):
-        case = self.cases[lookup]
+    def request_answered(self, at, request, status):
+        case = self.cases[request]
         case.answers.append((at, status))
         if len(case.answers) > 1:
             first, _ = case.answers[0]
-            return self.break_(1, at, lookup, f"a second answer, {status}; the first was at {first:.3f} s")
+            return self.break_(1, at, request, f"a second answer, {status}; the first was at {first:.3f} s")
         self.answered += 1
         if at > case.limit + SLACK:
-            self.break_(1, at, lookup, f"answered {at - case.limit:.3f} s after its time limit")
-        kind = self.kinds[case.workload]
-        doubt = [shot for shot in case.shots.values() if not shot[3]]
+            self.break_(1, at, request, f"answered {at - case.limit:.3f} s after its deadline")
+        kind = self.kinds[case.request_class]
+        doubt = [attempt for attempt in case.attempts.values() if not attempt[3]]
         if status in (429, 503) and doubt and (kind.repeat == "unsafe" or kind.repeat == "keyed" and (
-                kind.group != "all" or any(at > shot[2] + kind.window_s for shot in doubt))):
-            self.break_(2, at, lookup, f"turned back though a shot at {doubt[0][0]} may have run")
+                kind.group != "all" or any(at > attempt[2] + kind.window_s for attempt in doubt))):
+            self.break_(2, at, request, f"rejected though an attempt at {doubt[0][0]} may have run")
 
-    def shot_sent(self, at, agent, lookup, number, server, zone):
-        case = self.cases.get(lookup)
+    def attempt_sent(self, at, agent, request, number, server, zone):
+        case = self.cases.get(request)
         if case is None:
-            return self.break_(1, at, lookup, "a shot for a lookup that nobody asked")
+            return self.break_(1, at, request, "an attempt for a request that nobody asked")
         if case.answers:
-            self.break_(1, at, lookup, f"a shot at {server} after its final answer")
-        kind = self.kinds[case.workload]
-        for past, there, sent, never, out in case.shots.values():
+            self.break_(1, at, request, f"an attempt at {server} after its final answer")
+        kind = self.kinds[case.request_class]
+        for past, there, sent, never, out in case.attempts.values():
             if never:
                 continue
             if kind.repeat == "unsafe":
-                self.break_(2, at, lookup, f"shot at {server} though one at {past} may have run")
+                self.break_(2, at, request, f"attempt at {server} though one at {past} may have run")
             elif kind.repeat == "keyed" and (at > sent + kind.window_s
                                              or kind.group != "all" and there != zone):
-                self.break_(2, at, lookup, f"shot at {server} out of group or window of {past}")
+                self.break_(2, at, request, f"attempt at {server} out of group or window of {past}")
             elif out:
-                self.break_(2, at, lookup, f"shot at {server} while one at {past} is out")
+                self.break_(2, at, request, f"attempt at {server} while one at {past} is out")
             else:
                 continue
             break
-        case.shots[number] = [server, zone, at, False, True]
+        case.attempts[number] = [server, zone, at, False, True]
         told = min(self.told_at.get((agent, server), at),
                    self.changed.get(server, at) + self.world.list.deemed_s)
         if at > told + self.world.drain_grace_s:
-            self.break_(3, at, lookup, f"shot at {server}, {at - told:.3f} s after agent {agent} was told")
+            self.break_(
+                3, at, request, f"attempt at {server}, {at - told:.3f} s after agent {agent} was told"
+            )
 
-    def shot_ended(self, lookup, number, never_ran):
-        shot = self.cases[lookup].shots.get(number)
-        if shot:
-            shot[3], shot[4] = never_ran, False
+    def attempt_ended(self, request, number, never_ran):
+        attempt = self.cases[request].attempts.get(number)
+        if attempt:
+            attempt[3], attempt[4] = never_ran, False
 
     def agent_told(self, at, agent, server, ready):
         if ready:
@@ -127,6 +129,6 @@
                         f"{at - server.started:.2f} s after its start")
 
     def close(self, at):
-        for lookup, case in self.cases.items():
+        for request, case in self.cases.items():
             if not case.answers and not case.excused and case.limit + SLACK < at:
-                self.break_(1, at, lookup, f"no answer; its time limit was {case.limit:.3f} s")
+                self.break_(1, at, request, f"no answer; its deadline was {case.limit:.3f} s")
--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -1,4 +1,5 @@
-"""Plays a world: builds its fleet, list service, clients and faults on one clock, and counts what came of it.
+"""Plays a world: builds its fleet, discovery service, clients and faults on one clock, and counts what came
+of it.
 
 It must never start a thread, read a clock or touch a socket: the same world and seed give the same trace.
 """
@@ -9,7 +10,7 @@
 from itertools import accumulate
 from math import sqrt
 
-from cartdeal.agent.configuration import Line, Roll
+from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import Reducer
 from cartdeal.emulator.clock import Clock, chance
 from cartdeal.emulator.judge import Judge
@@ -22,7 +23,7 @@
 RESTART = 1.0       # how long a killed agent is away
 
 
-class ListService:
+class DiscoveryService:
     """Tells changes late; takes so many calls a second and turns away what would wait too long."""
 
     def __init__(self, fleet):
@@ -31,10 +32,10 @@
         self.free_at, self.down, self.later = 0.0, False, 0.0
         self.calls = Counter()      # by second
 
-    def whole(self) -> Roll:
-        return Roll(self.version, True, tuple(self.lines.values()))
+    def whole(self) -> ServerList:
+        return ServerList(self.version, True, tuple(self.lines.values()))
 
-    def change(self, line: Line):
+    def change(self, line: ServerEntry):
         """What happens to a server; told when it is, and to those who watch then."""
         self.clock.after(self.terms.late_s + self.later, self.tell, line)
 
@@ -44,10 +45,10 @@
         if line.state != "left":
             self.lines[line.name] = line
         self.fleet.judge.list_changed(self.clock.now, line.name, line.state == "active")
-        roll = Roll(self.version, False, (line,))
+        server_list = ServerList(self.version, False, (line,))
         for stand in self.watchers:
             if self.fleet.reaches_list(stand):
-                self.clock.after(self.fleet.world.network.cross_s, stand.heard, roll)
+                self.clock.after(self.fleet.world.network.cross_s, stand.heard, server_list)
 
     def call(self, stand):
         now, self.calls[int(self.clock.now)] = self.clock.now, self.calls[int(self.clock.now)] + 1
@@ -62,7 +63,7 @@
             return stand.life == life and stand.heard(None)
         self.watchers.append(stand)
         whole = self.version != stand.known.version
-        stand.heard(self.whole() if whole else Roll(self.version))
+        stand.heard(self.whole() if whole else ServerList(self.version))
 
     def forget(self, stand):
         if stand in self.watchers:
@@ -84,16 +85,16 @@
         self.hot = 0.0
         self.offered = self.served = 0.0
         self.took = []              # seconds from due to answer, of those completed
-        self.workloads = list(accumulate(each.share for each in world.workload))
+        self.request_classes = list(accumulate(each.share for each in world.request_class))
         self.popular = list(accumulate((1 + place) ** -world.clients.popularity
                                        for place in range(world.clients.keys)))
         self.servers, self.named = {}, 0
-        self.list = ListService(self)
+        self.list = DiscoveryService(self)
         for zone in range(len(world.zones)):
             for _ in range(world.servers.per_zone):
                 self.add(zone)
         self.stands = [Stand(self, number, number % len(world.zones), make) for number in range(world.agents)]
-        self.open = {}              # lookup -> workload, key, due, repeats so far, stand
+        self.open = {}              # request -> request class, key, due, repeats so far, stand
 
     # Servers
 
@@ -111,14 +112,14 @@
             self.list.lines[name] = line
         return server
 
-    def line(self, server, state="active") -> Line:
+    def line(self, server, state="active") -> ServerEntry:
         zone = self.world.zones[server.zone]
-        return Line(server.name, server.name, zone, 0, state, 1.0, server.started * 1e3)
+        return ServerEntry(server.name, server.name, zone, 0, state, 1.0, server.started * 1e3)
 
-    def work(self, query, probe) -> float:
+    def work(self, request, probe) -> float:
         if probe:
             return self.world.servers.probe_s
-        kind = self.world.workload[query.workload]
+        kind = self.world.request_class[request.request_class]
         return kind.work_s * (self.works.expovariate(1.0) if kind.spread == "exponential" else 1.0)
 
     def way(self, here, there) -> float | None:
@@ -136,7 +137,7 @@
         if self.clock.now >= self.world.seconds:
             return
         self.clock.after(random.expovariate(rate * self.rush), self.arrive, stand, random, rate)
-        workload = bisect_left(self.workloads, random.random() * self.workloads[-1])
+        request_class = bisect_left(self.request_classes, random.random() * self.request_classes[-1])
         hot, place = random.random() < self.hot, random.random() * self.popular[-1]
         key = 0 if hot else bisect_left(self.popular, place)
         stand.came += 1
@@ -145,34 +146,34 @@
         if self.only is not None and arrival not in self.only:
             return
         if stand.lives:     # an application stops with its agent
-            self.offered += self.world.workload[workload].importance
-        self.ask(stand, workload, key, self.clock.now, 0)
+            self.offered += self.world.request_class[request_class].priority
+        self.ask(stand, request_class, key, self.clock.now, 0)
 
-    def ask(self, stand, workload, key, due, repeats):
-        kind, now = self.world.workload[workload], self.clock.now
+    def ask(self, stand, request_class, key, due, repeats):
+        kind, now = self.world.request_class[request_class], self.clock.now
         left = due + kind.limit_s - now
         if not stand.lives or left <= 0:
             return
-        self.count["lookups"] += 1
-        lookup = f"l{self.count['lookups']}"
-        self.open[lookup] = workload, key, due, repeats, stand
-        self.judge.lookup_taken(now, stand.number, lookup, kind.name, now + left)
-        stand.taken(lookup, workload, zlib.crc32(b"%d" % key) + 1, left, repeats > 0)
+        self.count["requests"] += 1
+        request = f"l{self.count['requests']}"
+        self.open[request] = request_class, key, due, repeats, stand
+        self.judge.request_taken(now, stand.number, request, kind.name, now + left)
+        stand.taken(request, request_class, zlib.crc32(b"%d" % key) + 1, left, repeats > 0)
 
-    def answered(self, lookup, status, wait):
+    def answered(self, request, status, wait):
         now = self.clock.now
-        self.judge.lookup_answered(now, lookup, status)
-        workload, key, due, repeats, stand = self.open.pop(lookup, (0, 0, 0.0, 99, None))
-        kind = self.world.workload[workload]
+        self.judge.request_answered(now, request, status)
+        request_class, key, due, repeats, stand = self.open.pop(request, (0, 0, 0.0, 99, None))
+        kind = self.world.request_class[request_class]
         self.count[status] += 1
         if self.trace is not None:
-            self.trace.append(f"{now:.6f} {lookup} {status}")
+            self.trace.append(f"{now:.6f} {request} {status}")
         if status == 200:
             self.took.append(now - due)
-            self.served += kind.importance * (now - due <= kind.goal_s)
+            self.served += kind.priority * (now - due <= kind.goal_s)
         elif status == 503 and repeats < self.world.clients.retries:
             pause = max(wait, self.world.clients.pause_s)
-            self.clock.after(pause, self.ask, stand, workload, key, due, repeats + 1)
+            self.clock.after(pause, self.ask, stand, request_class, key, due, repeats + 1)
 
     # Faults
 
@@ -200,7 +201,7 @@
             "crash": lambda s: (s.die(), lambda: self.rise(s))[1],
             "slow": lambda s: self.set(s, "slow", size), "silent": lambda s: self.set(s, "silent", True),
             "errors": lambda s: self.set(s, "errors", size), "resets": lambda s: self.set(s, "resets", size),
-            "one_workload": lambda s: self.set(s, "spoilt", {fault.workload: size}),
+            "one_workload": lambda s: self.set(s, "spoilt", {fault.request_class: size}),
         }
         whole = {
             "zone_cut": lambda: (self.cut.add(self.world.zones.index(fault.zone)),
@@ -250,7 +251,7 @@
             self.clock.after(0.1 + random.expovariate(rate), self.arrive, stand, random, rate)
         for place, fault in enumerate(world.fault):
             self.clock.at(fault.begins_s, self.begin, fault, place)
-        longest = max(each.limit_s for each in world.workload)
+        longest = max(each.limit_s for each in world.request_class)
         self.clock.run(world.seconds + max(TAIL, 2 * longest))
         self.judge.close(self.clock.now)
         return self
@@ -260,7 +261,7 @@
         mean = sum(loads) / len(loads)
         apart = sqrt(sum((load - mean) ** 2 for load in loads) / len(loads))
         return {
-            "lookups": self.count["lookups"], "completed": self.count[200], "turned back": self.count[503],
+            "lookups": self.count["requests"], "completed": self.count[200], "turned back": self.count[503],
             "terminated": self.count[502], "served": round(self.served / max(self.offered, 1e-9), 4),
             **{each: self.count[each] for each in COUNTED},
             "most list calls in a second": max(self.list.calls.values(), default=0),
--- a/cartdeal/emulator/report.py
+++ b/cartdeal/emulator/report.py
@@ -28,7 +28,7 @@
 
 
 def percentiles(took) -> dict:
-    """In milliseconds, counted from when each lookup was due."""
+    """In milliseconds, counted from when each request was due."""
     histogram = HdrHistogram(1, 3_600_000_000, 3)
     for each in took:
         histogram.record_value(max(1, int(each * 1e6)))
--- a/cartdeal/emulator/servers.py
+++ b/cartdeal/emulator/servers.py
@@ -15,10 +15,10 @@
 class Job:
     """Work at a server; `done` is called with a status once, `began` when it starts to run."""
 
-    __slots__ = ("work", "done", "began", "workload", "running", "dropped")
+    __slots__ = ("work", "done", "began", "request_class", "running", "dropped")
 
-    def __init__(self, work, done, began=lambda: None, workload=""):
-        self.work, self.done, self.began, self.workload = work, done, began, workload
+    def __init__(self, work, done, began=lambda: None, request_class=""):
+        self.work, self.done, self.began, self.request_class = work, done, began, request_class
         self.running = self.dropped = False
 
 
@@ -29,7 +29,7 @@
         self.started = started      # 0: long ago
         self.up, self.draining, self.life = True, False, 0
         self.slow, self.silent, self.errors, self.resets = 1.0, False, 0.0, 0.0
-        self.spoilt = {}            # workload -> share that fails
+        self.spoilt = {}            # request class -> share that fails
         self.waiting, self.running, self.open = deque(), 0, 0
         self.busy, self.served, self.turned_away, self.handshakes, self.probes = 0.0, 0, 0, 0, 0
 
@@ -71,7 +71,7 @@
             return
         self.running -= 1
         if not self.silent and not job.dropped:
-            failing = max(self.errors, self.spoilt.get(job.workload, 0.0))
+            failing = max(self.errors, self.spoilt.get(job.request_class, 0.0))
             failed = failing and self.random.random() < failing
             self.served += not failed
             job.done(500 if failed else 200)
--- a/cartdeal/emulator/world.py
+++ b/cartdeal/emulator/world.py
@@ -1,4 +1,5 @@
-"""What a world is: servers, zones, network, list service, clients and faults, read from a checked TOML file.
+"""What a world is: servers, zones, network, discovery service, clients and faults, read from a checked TOML
+file.
 
 The one place that names the file's keys. It must never guess round a wrong value: a fault names file, key,
 what was found and what is wanted. It builds no server and moves no clock.
@@ -36,7 +37,7 @@
     cold_s: More = 8.0
     spread: Share = 0.0             # of their speeds
     on_cancel: Literal["nothing", "waiting"] = "waiting"    # what a cancel takes back
-    crowded_from: More = 1e6        # lookups held from which on work takes longer ...
+    crowded_from: More = 1e6        # requests held from which on work takes longer ...
     crowded_by: Some = 0.0          # ... by this share for each further one
 
 
@@ -45,10 +46,10 @@
     cross_s: Some = 0.001
     jitter: Share = 0.1
     connect_s: More = 0.25          # a connection that is not up by then isn't
-    loss: Share = 0.0               # of connections reset after the last byte of a lookup
+    loss: Share = 0.0               # of connections reset after the last byte of a request
 
 
-class ListService(Strict):
+class DiscoveryService(Strict):
     late_s: Some = 1.0              # from a change to when it is told
     calls_per_s: More = 200.0
     timeout_s: More = 1.0           # a call that would wait longer is turned away
@@ -56,7 +57,7 @@
 
 
 class Clients(Strict):
-    per_s: More = 100.0             # lookups of all agents together
+    per_s: More = 100.0             # requests of all agents together
     unevenness: Some = 0.5          # spread of agents' shares, as a deviation over the mean
     keys: Count = 500
     popularity: Some = 0.9          # exponent by which keys differ
@@ -64,7 +65,7 @@
     pause_s: More = 0.1
 
 
-class Workload(Strict):
+class RequestClass(Strict, rename={"priority": "importance"}):
     name: str
     repeat: Literal["safe", "keyed", "unsafe"] = "safe"
     group: Literal["all", "zone", "cell"] = "all"
@@ -72,7 +73,7 @@
     goal_s: More = 0.6
     limit_s: More = 2.0
     share: More = 1.0
-    importance: More = 1.0
+    priority: More = 1.0
     work_s: More = 0.05
     spread: Literal["fixed", "exponential"] = "exponential"
 
@@ -81,7 +82,7 @@
          "hot_key", "resets", "one_workload")
 
 
-class Fault(Strict):
+class Fault(Strict, rename={"request_class": "workload"}):
     """`part` of the servers (or agents), those of `zone` alone where it is named, meet it."""
 
     kind: Literal[KINDS]
@@ -90,10 +91,10 @@
     part: Share = 0.2
     zone: str = ""
     size: Some = 1.0        # times slower or busier, seconds later, or a share, by kind
-    workload: str = ""
+    request_class: str = ""
 
 
-class World(Strict):
+class World(Strict, rename={"request_class": "workload", "most_attempts": "most_shots"}):
     seconds: Annotated[float, Meta(gt=0, le=86400)] = 20.0
     zones: tuple[str, ...] = ("a", "b")
     agents: Count = 20
@@ -104,21 +105,21 @@
     probing_fee: Some = 0.0
     probes: bool = True
     cancels: bool = True
-    most_shots: Count = 5
+    most_attempts: Count = 5
     servers: Servers = msgspec.field(default_factory=Servers)
     network: Network = msgspec.field(default_factory=Network)
-    list: ListService = msgspec.field(default_factory=ListService)
+    list: DiscoveryService = msgspec.field(default_factory=DiscoveryService)
     clients: Clients = msgspec.field(default_factory=Clients)
-    workload: tuple[Workload, ...] = (Workload("read"),)
+    request_class: tuple[RequestClass, ...] = (RequestClass("read"),)
     fault: tuple[Fault, ...] = ()
 
 
-def settings(world: World, number: int, zone: int) -> dict:
+def agent_settings(world: World, number: int, zone: int) -> dict:
     """What an agent of this world finds in its configuration."""
     return {
         "areas": world.zones, "az": zone, "myNumber": number, "groupSize": world.agents,
         "discovery": "on_request",
-        "caps": {"maxShots": world.most_shots, "cancel": world.cancels, "probes": world.probes,
+        "caps": {"maxShots": world.most_attempts, "cancel": world.cancels, "probes": world.probes,
                  "retryAfter": True, "maxRetryAfterUs": 2e6,
                  "connectTimeoutUs": world.network.connect_s * 1e6},
         "fees": {"crossZone": world.crossing_fee, "probe": world.probing_fee},
@@ -126,8 +127,8 @@
                   "coldUs": world.servers.cold_s * 1e6, "fallUs": world.fall_s * 1e6},
         "workloads": [{"name": each.name, "idempotency": each.repeat, "group": each.group,
                        "repeatWindowUs": each.window_s * 1e6, "goalTimeUs": each.goal_s * 1e6,
-                       "timeLimitUs": each.limit_s * 1e6, "importance": each.importance}
-                      for each in world.workload],
+                       "timeLimitUs": each.limit_s * 1e6, "importance": each.priority}
+                      for each in world.request_class],
     }
 
 
@@ -145,7 +146,7 @@
         world = msgspec.convert(found, World)
     except msgspec.ValidationError as trouble:
         raise Unusable(str(trouble)) from None
-    names = [each.name for each in world.workload]
+    names = [each.name for each in world.request_class]
     wrong = [("workload", names, "at least one, each with a name of its own", len(set(names)) != len(names)
               or not names), ("zones", world.zones, "at least one, each with a name of its own",
                               len(set(world.zones)) != len(world.zones) or not world.zones)]
@@ -156,8 +157,8 @@
              each.begins_s >= world.seconds),
             (f"{at}.zone", each.zone, f"one of {', '.join(world.zones)}",
              (each.zone or each.kind == "zone_cut") and each.zone not in world.zones),
-            (f"{at}.workload", each.workload, f"one of {', '.join(names)}",
-             (each.workload or each.kind == "one_workload") and each.workload not in names),
+            (f"{at}.workload", each.request_class, f"one of {', '.join(names)}",
+             (each.request_class or each.kind == "one_workload") and each.request_class not in names),
             (f"{at}.size", each.size, "1 at most for this kind",
              each.kind in ("errors", "hot_key", "resets", "one_workload") and each.size > 1)]
     for key, found_there, wanted, is_wrong in wrong:
--- a/cartdeal/fleet/buckets.py
+++ b/cartdeal/fleet/buckets.py
@@ -28,7 +28,7 @@
 
 
 class Demand:
-    """Lookups a second, averaged over `over_s`."""
+    """Requests a second, averaged over `over_s`."""
 
     def __init__(self, over_s: float):
         self.over_s, self.rate, self.at = over_s, 0.0, -inf
@@ -315,7 +315,7 @@
                           or self.rate * self.lease < enough * self.crowd)
 
     def piece(self, who, ask, room, top) -> Given:
-        """Single tokens, for lookups that wait: no rate, and a cap of just what was given."""
+        """Single tokens, for requests that wait: no rate, and a cap of just what was given."""
         # A token may have to be put together from the parts of several owners. Were each to serve whom it
         # heard first, two holders would get parts that neither can use: all prefer the one that had least of
         # late.
--- a/cartdeal/fleet/papers.py
+++ b/cartdeal/fleet/configuration.py
@@ -1,8 +1,8 @@
 """Reads the operator file of a fleet (TOML), at the start and on SIGHUP, checks it and fills in defaults.
 
-The one place that knows the names of its keys and of the environment's. It must never guess around a
-wrong value, nor show the fleet's key: a fault is errors.WrongPapers and names file, key, what was found and
-what is wanted.
+The one place that knows the names of its keys and of the environment's. It must never guess around a wrong
+value, nor show the fleet's key: a fault is errors.WrongConfiguration and names file, key, what was found
+and what is wanted.
 """
 
 import os
@@ -14,8 +14,8 @@
 from msgspec.structs import fields, replace
 
 from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.errors import WrongPapers
-from cartdeal.grant import REPEATS, seconds
+from cartdeal.fleet.errors import WrongConfiguration
+from cartdeal.settings import REPEATS, seconds
 from cartdeal.terms import Repeat
 
 FILE, NAME, LISTEN, ADDRESS = "PROXY_FLEET", "PROXY_FLEET_NAME", "PROXY_FLEET_LISTEN", "PROXY_FLEET_ADDRESS"
@@ -32,7 +32,7 @@
 Address = tuple[str, int]
 
 
-class Papers(Struct, frozen=True):
+class FleetConfiguration(Struct, frozen=True):
     """What the file says: `pact` for the node, `listen` for the host."""
 
     pact: Pact
@@ -93,8 +93,8 @@
 SHARES = {"rate": number(1e-3, 1e7), "burst": number(1, 1e7)}
 
 
-def read(station, environment=os.environ) -> Papers:
-    """Raises errors.WrongPapers. `station`: the agent's own configuration; the file has to agree with it."""
+def read(config, environment=os.environ) -> FleetConfiguration:
+    """Raises errors.WrongConfiguration. `config`: the agent's own; the file has to agree with it."""
     path = environment[FILE]
     try:
         text = Path(path).read_bytes()
@@ -106,10 +106,10 @@
         found = tomllib.loads(text.decode())
     except (ValueError, RecursionError) as trouble:
         raise fault(path, trouble, "TOML in UTF-8") from None
-    return papers(found, path, station, environment)
+    return decode(found, path, config, environment)
 
 
-def papers(found: dict, path: str, station, environment) -> Papers:
+def decode(found: dict, path: str, config, environment) -> FleetConfiguration:
     for key, value in found.items():
         if key not in KEYS:
             raise fault(f"{path}: {key}", shown(value), f"no such key; there are {', '.join(KEYS)}")
@@ -127,7 +127,7 @@
             if key not in SHARES:
                 raise fault(f"{where}.{key}", shown(parts[key]), "no such key; there are rate and burst")
             check(f"{where}.{key}", parts.get(key, "nothing"), SHARES[key])
-    name = chosen(path, found, environment, "name", NAME, station.name)
+    name = chosen(path, found, environment, "name", NAME, config.name)
     listen = chosen(path, found, environment, "listen", LISTEN, seeds.get(name, "nothing"))
     # A file for many agents can't hold the address of one: where that one listens comes from outside.
     reached = found | ({} if LISTEN not in environment else {"address": None})
@@ -135,10 +135,10 @@
     pact = Pact(
         **{key: value for key, value in found.items()
            if key not in ("name", "listen", "address", "key", "key_file", "limits", "zone")},
-        name=name, address=reached, key=the_key(path, found), zone=found.get("zone", zone_of(station)),
+        name=name, address=reached, key=the_key(path, found), zone=found.get("zone", zone_of(config)),
         limits={tenant: Limit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()})
-    agree(path, pact, listen, station)
-    return Papers(pact, address(listen, 0))
+    agree(path, pact, listen, config)
+    return FleetConfiguration(pact, address(listen, 0))
 
 
 def chosen(path, found, environment, key, variable, default) -> str:
@@ -166,7 +166,7 @@
     return key
 
 
-def agree(path: str, pact: Pact, listen: str, station):
+def agree(path: str, pact: Pact, listen: str, config):
     """What each key allows by itself, but not beside another one, or beside the agent's own configuration."""
     seeds, by_address = pact.seeds, {}
     wrong = [
@@ -191,14 +191,14 @@
     for name, at in seeds.items():
         other = by_address.setdefault(at, name)
         wrong.append((f"seeds.{name}", at, f"an address of its own, {other} has this", other != name))
-    tenants = [each.name for each in station.grant.tenants]
+    tenants = [each.name for each in config.settings.tenants]
     for tenant in pact.limits:
         known = ", ".join(tenants) or "none"
         wrong.append((f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}",
                       tenant not in tenants))
-    for kind in station.grant.workloads:
+    for kind in config.settings.request_classes:
         keyed = REPEATS.get(kind.repeat) is Repeat.DEDUPLICATED
-        needs = seconds(kind.window) * keyed + kind.limit
+        needs = seconds(kind.window) * keyed + kind.timeout
         wrong.append(("longest_mark_s", pact.longest_mark_s, f"{needs:g} or more for workload {kind.name}: "
                       "else what it did is forgotten too soon", pact.longest_mark_s < needs))
     for key, found, wanted, is_wrong in wrong:
@@ -212,9 +212,9 @@
     return kept, [each.name for each in fields(Pact) if getattr(kept, each.name) != getattr(new, each.name)]
 
 
-def zone_of(station) -> str:
-    grant = station.grant
-    return grant.zones[grant.own_zone] if grant.zones else ""
+def zone_of(config) -> str:
+    settings = config.settings
+    return settings.zones[settings.own_zone] if settings.zones else ""
 
 
 def check(where: str, found, rule, secret: bool = False):
@@ -227,5 +227,5 @@
     return type(found).__name__ if isinstance(found, dict | list) else str(found)
 
 
-def fault(where: str, found, wanted: str) -> WrongPapers:
-    return WrongPapers(where, found, f"wanted {wanted}")
+def fault(where: str, found, wanted: str) -> WrongConfiguration:
+    return WrongConfiguration(where, found, f"wanted {wanted}")
--- a/cartdeal/fleet/days.py
+++ b/cartdeal/fleet/days.py
@@ -19,14 +19,14 @@
 
 
 class Day:
-    def __init__(self, seed: int, agents: int, seconds: float, pause_s: float, lookups: float, upgrade: bool,
+    def __init__(self, seed: int, agents: int, seconds: float, pause_s: float, requests: float, upgrade: bool,
                  apart: float, terms: dict):
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(agents)}
         pact = Pact(**{"fleet": "day", "name": "", "key": b"k" * 32, "seeds": seeds, "limits": LIMITS,
                        "longest_mark_s": 15.0, **terms})
         self.fleet = fleet = Memory(pact, seed)
         self.fates, self.people = chance(seed, "day/faults"), chance(seed, "day/clients")
-        self.seconds, self.pause_s, self.lookups, self.upgrade = seconds, pause_s, lookups, upgrade
+        self.seconds, self.pause_s, self.requests, self.upgrade = seconds, pause_s, requests, upgrade
         self.pressed = PRESSED * LIMITS["shop"].rate
         self.cuts: list[set] = []
         self.patient: list[str] = []
@@ -164,7 +164,7 @@
         else:
             patience = takes + people.choice([0.3, 1.0])
             self.patient.append(f"i{number + 1}")
-        # It comes no more when its time limit is over; no mark lasts for longer.
+        # It comes no more when its deadline is over; no mark lasts for longer.
         limit = fleet.pact.longest_mark_s - window
         tries = min(people.randrange(1, 5), int(limit / (patience + 0.8)))
         question = Question(
@@ -172,7 +172,7 @@
             group=group, window_s=window, limit_s=limit, workload="w")
         agents = list(fleet.places)
         fleet.intend(question, people.sample(agents, len(agents)), tries, takes, patience)
-        fleet.clock.after(people.expovariate(self.lookups), self.client)
+        fleet.clock.after(people.expovariate(self.requests), self.client)
 
     def shopper(self):
         self.fleet.intend(SHOP, [self.people.choice(list(self.fleet.places))])
@@ -193,7 +193,7 @@
             self.after(0.8 * self.seconds, self.upgraded, self.some(), (1, 1))
         self.fault()
         fleet.run(self.seconds)
-        clients, self.lookups, self.pressed = self.lookups, 1e-9, 1e-9
+        clients, self.requests, self.pressed = self.requests, 1e-9, 1e-9
         for name, place in fleet.places.items():
             if place.stopped:
                 place.go_on()
@@ -221,12 +221,12 @@
         one_ring = fleet.until(self.settled, quiet) + 4.0
         equal = fleet.until(fleet.equal_copies, quiet, 0.5) + fleet.clock.now - healed
         # The fleet is as before: all that come are served.
-        self.lookups, self.pressed = clients, PRESSED * LIMITS["shop"].rate
+        self.requests, self.pressed = clients, PRESSED * LIMITS["shop"].rate
         self.client()
         self.shopper()
         since = fleet.clock.now
         fleet.run(20.0)
-        self.lookups = self.pressed = 1e-9
+        self.requests = self.pressed = 1e-9
         fleet.run(5.0)
         shop = sum(since <= at < since + 20.0 for at in judge.served["shop"])
         if one_ring == float("inf"):
@@ -249,15 +249,15 @@
             "notes": dict(sorted(fleet.noted.items()))}
 
     def served(self, intents) -> float:
-        """Of lookups whose clients wait for their answers; tenants ask for more than their limits."""
+        """Of requests whose clients wait for their answers; tenants ask for more than their limits."""
         return round(sum("completed" in self.fleet.outcomes[each] for each in intents) / len(intents), 4)
 
 
 def day(seed: int, agents: int = 6, seconds: float = 60.0, *, quiet: float = 90.0, pause_s: float = 4.0,
-        lookups: float = 20.0, upgrade: bool = False, apart: float = 0.001, **terms) -> dict:
-    """Figures of one day. `pause_s`: between faults, on average; `lookups`: a second; `upgrade`: the program
+        requests: float = 20.0, upgrade: bool = False, apart: float = 0.001, **terms) -> dict:
+    """Figures of one day. `pause_s`: between faults, on average; `requests`: a second; `upgrade`: the program
     is brought up agent by agent, and one rolled back; `apart`: share by which monotonic clocks differ;
     `terms`: further keys of the operator file. "found" lists what the judge found; "one_ring_s" and "equal_s"
     count from when all was healed, "served_after" and "shop_after" (of a limit that is asked for PRESSED
     times) are of 20 s after that; "waited" is seconds; "messages" and "bytes" are by agent and second."""
-    return Day(seed, agents, seconds, pause_s, lookups, upgrade, apart, terms).play(quiet)
+    return Day(seed, agents, seconds, pause_s, requests, upgrade, apart, terms).play(quiet)
--- a/cartdeal/fleet/desk.py
+++ b/cartdeal/fleet/desk.py
@@ -10,14 +10,14 @@
 
 
 class Limit(Struct, frozen=True):
-    """A tenant's limit for the whole fleet: lookups a second, and how many may come at once."""
+    """A tenant's limit for the whole fleet: requests a second, and how many may come at once."""
 
     rate: float
     burst: float
 
 
 class Pact(Struct, frozen=True, kw_only=True):
-    """What the operator file says, checked (papers.py); times in seconds, shares 0 to 1."""
+    """What the operator file says, checked (configuration.py); times in seconds, shares 0 to 1."""
 
     fleet: str
     name: str
@@ -30,13 +30,13 @@
     copies: int = 3
     write_by: int = 2                       # owners that have it when a mark counts as written
     read_by: int = 2
-    on_doubt: str = "turn_back"             # or "terminate": a lookup whose session can't be known in time
+    on_doubt: str = "turn_back"             # or "terminate": a request whose session can't be known in time
     limit_doubt: str = "turn_back"          # or "serve": a tenant whose owners can't be asked in time
     clients_mark: bool = False              # whether clients mark all their repeats, so that others are new
-    wait_s: float = 0.05                    # the longest a lookup waits for the fleet
+    wait_s: float = 0.05                    # the longest a request waits for the fleet
     lease_s: float = 2.0
     period_s: float = 1.0
-    longest_mark_s: float = 30.0            # the longest window and time limit together
+    longest_mark_s: float = 30.0            # the longest window and deadline together
     clock_ahead_s: float = 0.5              # a clock further ahead than this is not believed
     clock_drift: float = 0.01               # how much faster one monotonic clock may run than another
     tick_s: float = 0.1
@@ -49,7 +49,7 @@
     most_records: int = 100_000
     most_marks_a_session: int = 64
     most_hints: int = 10_000
-    most_waiting: int = 1_000               # lookups that wait for the fleet at once
+    most_waiting: int = 1_000               # requests that wait for the fleet at once
     reads: tuple[int, int] = (1, 2)         # schema versions this program can read
     hold_version: int = 0                   # the operator keeps the fleet from writing above this; 0: no hold
 
--- a/cartdeal/fleet/epochs.py
+++ b/cartdeal/fleet/epochs.py
@@ -548,7 +548,7 @@
         return self.kth + self.pact.lease_s
 
     def sure(self) -> bool:
-        """Asked with every lookup: in most of a lease what was counted last is enough."""
+        """Asked with every request: in most of a lease what was counted last is enough."""
         if self.desk.now < self.kth + self.pact.lease_s / 2 and not self.accepted_higher:
             return True
         return self.desk.now < self.sure_until
--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -89,7 +89,7 @@
     do = "look which program that agent runs; in a rolling upgrade it ends with the upgrade"
 
 
-class WrongPapers(Trouble):
+class WrongConfiguration(Trouble):
     """A key of the fleet's operator file can't be used: `what` names the file and the key."""
 
     do = "correct the file"
--- a/cartdeal/fleet/host.py
+++ b/cartdeal/fleet/host.py
@@ -17,10 +17,10 @@
 from gevent.event import Event
 from msgspec.structs import replace
 
-from cartdeal.agent.connection import Unbound, bound
+from cartdeal.agent.connection import BindError, bound
 from cartdeal.fleet import wire
+from cartdeal.fleet.configuration import address as place
 from cartdeal.fleet.errors import TooLong, Trouble, UnknownWords
-from cartdeal.fleet.papers import address as place
 
 CONNECT = 1.0       # how long a connection to a peer may take
 STALLED = 2.0       # how long a peer may take to accept what is written
@@ -60,7 +60,7 @@
 
 class Host:
     """`make(pact, seed, now, wall)` gives the node; `decided(ticket, verdict, wait, heed)` gets its words on
-    a lookup. Raises connection.Unbound."""
+    a request. Raises connection.Unbound."""
 
     def __init__(self, pact, listen, make, decided, bounds: Bounds | None = None):
         self.words, self.listener = doors(listen)
@@ -100,7 +100,7 @@
 
     # Events
 
-    def feed(self, event: str, *args):
+    def dispatch(self, event: str, *args):
         """One event into the node; one that comes of its effects is played after those."""
         self.events.append((event, args))
         if self.busy:
@@ -136,7 +136,7 @@
     def tick(self):
         while True:
             gevent.sleep(self.pact.tick_s * (0.9 + 0.2 * self.random.random()))
-            self.feed("tick")
+            self.dispatch("tick")
 
     def report(self):
         while True:
@@ -311,7 +311,7 @@
                 more = sock.recv(READ)
                 if not more:
                     return
-                messages = frames.feed(more)
+                messages = frames.dispatch(more)
                 self.half += len(frames.rest) - half
                 half = len(frames.rest)
                 for text in messages:
@@ -345,7 +345,7 @@
             return False
         self.figured["heard messages"] += 1
         self.figured["heard bytes"] += len(text)
-        self.feed("heard", *said)
+        self.dispatch("heard", *said)
         return True
 
     def refuse(self, trouble: Trouble, peer):
@@ -371,7 +371,7 @@
         listener = bound(socket.SOCK_STREAM, listen)
         try:
             words = bound(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
-        except Unbound:
+        except BindError:
             listener.close()
             if not left:
                 raise
--- a/cartdeal/fleet/judge.py
+++ b/cartdeal/fleet/judge.py
@@ -24,7 +24,7 @@
 
 
 class Ran(NamedTuple):
-    """A shot that reached a server, which may have acted on it."""
+    """An attempt that reached a server, which may have acted on it."""
 
     at: float
     zone: str
@@ -33,7 +33,7 @@
 
 
 class Written(NamedTuple):
-    """A mark of a lookup that went on: it said that it was written."""
+    """A mark of a request that went on: it said that it was written."""
 
     at: float
     agent: str
@@ -47,7 +47,7 @@
         self.intents: dict[str, tuple] = {}             # intent -> (repeat, group, window)
         self.ran: dict[str, list[Ran]] = defaultdict(list)
         self.told: dict[str, list] = defaultdict(list)  # intent -> (at, agent, verdict)
-        self.served: dict[str, list[float]] = defaultdict(list)     # tenant -> when a lookup of it went on
+        self.served: dict[str, list[float]] = defaultdict(list)     # tenant -> when a request of it went on
         # Processes
         self.starts: dict[str, list[float]] = defaultdict(list)
         self.deaths: list[tuple[float, str]] = []
@@ -67,7 +67,7 @@
         # Marks
         self.fixed: dict[str, tuple] = {}               # mark -> what never changes of it
         self.claims: dict[tuple[str, int, int], tuple[str, str, str, int]] = {}
-        self.latest: dict[tuple[str, str, str], str] = {}   # (agent, record, key of the lookup) -> mark
+        self.latest: dict[tuple[str, str, str], str] = {}   # (agent, record, key of the request) -> mark
         self.writers: dict[str, dict[str, None]] = defaultdict(dict)
         self.marks: dict[tuple[str, str], Written] = {}
         self.until: dict[str, int] = {}
@@ -82,7 +82,7 @@
         """A client wants one effect, however often it comes."""
         self.intents[intent] = (repeat, group, window)
 
-    def shot(self, intent: str, at: float, zone: str, cell: int, agent: str):
+    def attempt(self, intent: str, at: float, zone: str, cell: int, agent: str):
         repeat, group, window = self.intents[intent]
         before = self.ran[intent]
         for past in before:
@@ -91,7 +91,9 @@
             apart = at - past.at
             same = group == "all" or past.zone == zone and (group == "zone" or past.cell == cell)
             if repeat == "u":
-                self.violated(f"{intent}: unrepeatable, ran {apart:.3f} s apart at {past.agent} and {agent}")
+                self.violated(
+                    f"{intent}: non-idempotent, ran {apart:.3f} s apart at {past.agent} and {agent}"
+                )
             elif apart > window + HAIR or not same:
                 self.violated(f"{intent}: deduplicated, ran {apart:.3f} s apart at {past.agent} and {agent}, "
                               f"{past.zone}/{past.cell} and {zone}/{cell}")
@@ -102,13 +104,13 @@
         if verdict in ("turn_back", "limited"):
             for past in self.ran[intent]:
                 if repeat == "u" or repeat == "d" and (group != "all" or at - past.at > window + HAIR):
-                    self.violated(f"{intent}: turned back at {agent}, {at - past.at:.3f} s after it ran")
+                    self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
         self.told[intent].append((at, agent, verdict))
 
     def waited(self, agent: str, seconds: float):
         """For the fleet's word. A tick more than is allowed, as that's when an agent looks at its clock."""
         if seconds > self.pact.wait_s + 1.2 * self.pact.tick_s:
-            self.violated(f"{agent}: a lookup waited for {seconds:.3f} s")
+            self.violated(f"{agent}: a request waited for {seconds:.3f} s")
 
     def went_on(self, tenant: str, at: float):
         if tenant in self.limits:
@@ -245,7 +247,7 @@
         self.latest[agent, words.key, mark.key] = words.by
 
     def marked(self, agent: str, at: float, record: str, key: str, own_copy):
-        """A lookup that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
+        """A request that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
         the record at the agent itself, as it may be an owner."""
         by = self.latest.get((agent, record, key))
         ring = self.rings.get(self.ring_of.get(agent, b""))
--- a/cartdeal/fleet/lending.py
+++ b/cartdeal/fleet/lending.py
@@ -1,7 +1,8 @@
 """Tenants' limits for the whole fleet: its owners lend parts of each to the agents that use it, for a lease.
 
-It owns what this agent lent of the limits whose owner it is, what it has on loan itself, and the lookups that
-wait for a loan. It must never serve from a loan whose lease is over, take an answer that it no longer waits
+It owns what this agent lent of the limits whose owner it is, what it has on loan itself, and the requests
+that wait for a loan. It must never serve from a loan whose lease is over, take an answer that it no longer
+waits
 for, or lend while another agent may still lend the same part. Only durations on the own monotonic clock
 count.
 
@@ -16,7 +17,7 @@
 of its rate, if its burst is at least a tenth of a second of that and a token for each owner.
 
 A fresh fleet, an agent that restarted as an owner and an owner that is new in a ring lend nothing for a fence
-of a little over two leases (4.3 s at a lease of 2 s), and begin with an empty bucket. Meanwhile lookups are
+of a little over two leases (4.3 s at a lease of 2 s), and begin with an empty bucket. Meanwhile requests are
 answered with sure=False, where no other owner has tokens: what on_doubt says holds.
 """
 
@@ -47,14 +48,14 @@
 MOST_A_MESSAGE = 200    # tenants in one message; more go in the next
 MOST_TOKENS = 1e9
 LEAST_WAIT = 0.05       # seconds: what is told to come back sooner only comes in vain
-QUIET = 2               # leases without a lookup, after which a loan is given back
+QUIET = 2               # leases without a request, after which a loan is given back
 
 
 class Ask(Struct, frozen=True, array_like=True):
     """For one tenant. `sequence` rises by holder's life; `holds`: the one loan from this owner that is in use
     (0: none, none is ever used again). `most`: what that loan's bucket is capped at from now on; `top`: while
-    this ask waits for its answer. `back`: tokens taken out of it and given back; `waits`: tokens for lookups
-    that wait; `want`: tokens that would be of use; `demand`: lookups a second, the owner's share of them;
+    this ask waits for its answer. `back`: tokens taken out of it and given back; `waits`: tokens for requests
+    that wait; `want`: tokens that would be of use; `demand`: requests a second, the owner's share of them;
     `had`: served here lately."""
 
     tenant: str
@@ -140,7 +141,7 @@
 
 class Line:
     """What was said to one owner for one tenant: the ask that waits (`sequence` 0: none), and whether the
-    owner leaves lookups without an answer for longer than they may wait."""
+    owner leaves requests without an answer for longer than they may wait."""
 
     def __init__(self):
         self.sequence, self.asked, self.silent = 0, -inf, False
@@ -163,7 +164,7 @@
 
     @property
     def low(self) -> float:
-        """With fewer tokens than this, more are asked for before a lookup has to wait."""
+        """With fewer tokens than this, more are asked for before a request has to wait."""
         return max(1.0, sum(held.most for held in self.loans.values()) / 4) if self.how != PIECE else 0.0
 
     def level(self, now: float) -> float:
@@ -209,7 +210,7 @@
         self.tenure = Tenure(desk.now, self.fence, self.share_in)
         self.ring, self.version, self.parting = None, pact.reads[0], False
         self.wards: dict[str, Ward] = {}        # used lately here
-        self.queue: dict[str, None] = {}        # tenants with lookups that wait
+        self.queue: dict[str, None] = {}        # tenants with requests that wait
         self.waits = 0
         self.due: list[tuple[float, str]] = []
         self.buckets: dict[str, Bucket] = {}    # of limits this agent owns a part of: no more than limits
@@ -247,16 +248,16 @@
                 self.bucket(tenant, now).limited(pact.limits[tenant])
 
     def leaving(self):
-        """Gives back all that is on loan here. Lookups after that are served by single tokens."""
+        """Gives back all that is on loan here. Requests after that are served by single tokens."""
         self.parting = True
         for ward in list(self.wards.values()):
             self.give_back(ward)
         self.flush()
 
-    # Lookups
+    # Requests
 
     def spend(self, ticket: int, tenant: str, until: float):
-        """May one lookup of this tenant be served? `until`: the local time at which it waits no longer."""
+        """May one request of this tenant be served? `until`: the local time at which it waits no longer."""
         now = self.desk.now
         if tenant not in self.pact.limits:
             self.served[tenant] += 1
@@ -445,7 +446,7 @@
     # Time
 
     def next_due(self) -> float:
-        """When the first lookup that waits will wait no longer; a tick is wanted then."""
+        """When the first request that waits will wait no longer; a tick is wanted then."""
         return min((self.wards[tenant].waiting[0][1] for tenant in self.queue), default=inf)
 
     def tick(self):
@@ -497,7 +498,7 @@
         self.plan(ward, now)
 
     def figures(self) -> dict:
-        """For operators: by tenant, what is on loan from here, what is left, and lookups that were turned
+        """For operators: by tenant, what is on loan from here, what is left, and requests that were turned
         away."""
         now, lent, unlent = self.desk.now, {}, {}
         for tenant, bucket in self.buckets.items():
--- a/cartdeal/fleet/members.py
+++ b/cartdeal/fleet/members.py
@@ -14,7 +14,8 @@
 One-way cuts. A peer that others reach stays: helpers' acks count as its own. Where B hears nobody, the others
 call B gone and believe nothing that B says any more; B sees that it is cut off from all, and calls all of
 them gone. Where nobody hears B, it is gone to the others and suspects all of them, and calls them gone once
-no news of any comes in any more. Neither takes the other in again by its calls alone: a stranger, or one that
+no news of any comes in any more. Neither takes the other in again by its calls alone: an unidentified
+client, or one that
 is gone, has to answer a ping before anything it says is read but what concerns the reader; and an agent that
 hears nobody changes nothing that it says of itself, since its next turn would pass for a refutation. Of two
 agents alone, each calls the other gone until both ways are open.
@@ -266,7 +267,8 @@
         return len(self.live())
 
     def addresses(self) -> dict[str, str]:
-        """Where each known agent is to be reached, the gone and strangers included: they are called, too."""
+        """Where each known agent is to be reached, the gone and unidentified clients included: they are
+        called, too."""
         called = {name: each.peer.address for name, each in self.strangers.items()}
         return {name: peer.address for name, peer in self.table.items()} | called
 
@@ -456,7 +458,8 @@
             self._say(sender, Pieces)
 
     def _greet(self, peer: Peer, words) -> bool:
-        """Whether a stranger, or one that was gone, has shown that it hears; if not, it is sent a ping."""
+        """Whether an unidentified client, or one that was gone, has shown that it hears; if not, it is sent
+        a ping."""
         stranger, known = self.strangers.get(peer.name), peer.name in self.table
         if peer.state == State.LEFT or self.me.state == State.LEFT:
             return known
@@ -467,7 +470,7 @@
                 self._say(peer.name, Compare, self._digests(), False)
                 return True
         elif not stranger and len(self.strangers) >= STRANGERS:
-            self.desk.count("dropped strangers")
+            self.desk.count("dropped unidentified clients")
         elif not stranger:
             if known and peer.life > self.table[peer.name].life:    # started anew, maybe at another address
                 self._put(replace(self.table[peer.name], address=peer.address))
--- a/cartdeal/fleet/memory.py
+++ b/cartdeal/fleet/memory.py
@@ -247,7 +247,7 @@
         return intent
 
     def come_again(self, intent: str, question: Question, agent: str, work_s=0.05, patience_s=1.0):
-        """The client of an earlier lookup comes once more, at another agent."""
+        """The client of an earlier request comes once more, at another agent."""
         self.come(Client(intent, question, 2, (agent, agent), work_s, patience_s), 1)
 
     def come(self, client: Client, turn: int):
@@ -281,7 +281,7 @@
         if turn + 1 < client.tries:
             self.clock.after(pause, self.come, client, turn + 1)
 
-    def decided(self, place, ticket, verdict, wait, heed):
+    def decided(self, place, ticket, verdict, wait, earlier_attempts):
         if ticket in place.asked:
             self.waits.append(self.clock.now - place.asked.pop(ticket))
             self.judge.waited(place.pact.name, self.waits[-1])
@@ -299,7 +299,7 @@
                 key = f"s/{client.question.session}"
                 self.judge.marked(place.pact.name, self.clock.now, key, client.question.key,
                                   self.marks_at(place.node, key))
-            return self.clock.after(0.0, self.shoot, place, place.node, ticket, heed)
+            return self.clock.after(0.0, self.send_attempt, place, place.node, ticket, earlier_attempts)
         del place.tickets[ticket]
         self.judge.answered(client.intent, self.clock.now, place.pact.name, verdict)
         self.outcomes[client.intent].append(verdict)
@@ -310,27 +310,30 @@
         if place.node is node:
             place.carry_out(node)
 
-    def shoot(self, place, node, ticket, heed):
-        """What the balancer would do, and the gate behind it: one shot, within what it has to heed."""
+    def send_attempt(self, place, node, ticket, earlier_attempts):
+        """What the balancer would do, and the gate behind it: one attempt, within what it has to heed."""
         found = place.tickets.get(ticket) if place.node is node else None
         if found is None:
             return
         client, turn = found
         zone, cell = place.pact.zone, self.random.randrange(CELLS)
-        for bound_zone, bound_cell, group, _ in heed:
+        for bound_zone, bound_cell, group, _ in earlier_attempts:
             if group == "zone":
                 zone = bound_zone
             elif group == "cell":
                 zone, cell = bound_zone, bound_cell
-        good = all(group == "all" or zone == z and (group == "zone" or cell == c) for z, c, group, _ in heed)
-        good = good and node.wall * 1e3 <= min((each[3] for each in heed), default=float("inf"))
+        good = all(
+            group == "all" or zone == z and (group == "zone" or cell == c)
+            for z, c, group, _ in earlier_attempts
+        )
+        good = good and node.wall * 1e3 <= min((each[3] for each in earlier_attempts), default=float("inf"))
         if not good or place.stopped:
             place.tickets.pop(ticket)
             place.play(node.ended, ticket, "never")
             self.outcomes[client.intent].append("terminate")
             return
         place.play(node.went, ticket, zone, cell)
-        self.judge.shot(client.intent, self.clock.now, zone, cell, place.pact.name)
+        self.judge.attempt(client.intent, self.clock.now, zone, cell, place.pact.name)
         self.clock.after(client.work_s, self.answer, place, node, ticket)
 
     def answer(self, place, node, ticket):
