--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -2,7 +2,7 @@
 
 One event comes in by one method; what it leads to stands in `asked` afterwards, for a host to carry out:
     ("send", name, address, words)              to a peer
-    ("decided", ticket, verdict, wait, heed)    what is done with a lookup; `heed`: see verdict.Elsewhere
+    ("decided", ticket, verdict, wait, heed)    what is done with a request; `heed`: see verdict.Elsewhere
     ("note", kind, about)                       for an operator to read
 It must never do I/O, read a clock or sleep: the host sets `now` (monotonic seconds) and `wall` (the wall
 clock's) before each event. It decides nothing of servers.
@@ -25,15 +25,15 @@
 from cartdeal.fleet.replica import Replica
 from cartdeal.fleet.verdict import Question, Verdict, earlier, in_doubt, judge, may_repeat, may_turn_back
 
-COME_AGAIN = 0.5    # seconds after which one turned back in doubt may come again, 1.5 times that at most
+COME_AGAIN = 0.5    # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
 MOST_CLOCKS = 64
 LOOK = 10.0         # seconds between two looks at whether the own clock is the odd one
-KNOWN_PEERS = 4     # addresses kept of strangers, as a multiple of the most agents there may be
+KNOWN_PEERS = 4     # addresses kept of unidentified clients, as a multiple of the most agents there may be
 
 
 class Waiting:
-    """A lookup that waits for the fleet's word, or has had it and is not ended yet."""
+    """A request that waits for the fleet's word, or has had it and is not ended yet."""
 
     __slots__ = ("question", "until", "by", "mark", "step", "limit_wait")
 
@@ -51,7 +51,7 @@
         self.name, self.address = pact.name, pact.address
         self.random = Random(f"{seed}/{pact.name}/{int(wall * 1e3)}")
         self.life = int(wall * 1e3) << 16 | self.random.getrandbits(16)
-        self.count_ = 0                 # lookups so far; with the life, no number is ever given out twice
+        self.count_ = 0                 # requests so far; with the life, no number is ever given out twice
         self.waiting: dict[int, Waiting] = {}
         self.open = 0                   # of these, how many still wait for the fleet's word
         self.addresses: dict[str, str] = {}
@@ -233,7 +233,8 @@
         return not self.fenced and self.epochs.sure()
 
     def ask(self, ticket: int, question: Question):
-        """May this lookup go on to the balancer? The word comes by a `decided`, `wait_s` from now at most."""
+        """May this request go on to the balancer? The word comes by a `decided`, `wait_s` from now at
+        most."""
         if self.open >= self.pact.most_waiting:
             self.count("too many waiting")
             return self.decide(ticket, self.doubtful(question), self.come_again())
@@ -247,14 +248,14 @@
             self.spent(ticket, True, 0.0, True)
 
     def went(self, ticket: int, zone: str, cell: int):
-        """A shot of it goes out now."""
+        """An attempt of it goes out now."""
         each = self.waiting.get(ticket)
         if each and each.mark and (zone, cell) not in each.mark.places:
             places = tuple(sorted({*each.mark.places, (zone, cell)}))
             self.refine(each, places=places, certainty=int(Certainty.SENT))
 
     def ended(self, ticket: int, ran: str):
-        """It is answered and no shot is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
+        """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
         each = self.waiting.pop(ticket, None)
         if each is None:
             return
@@ -280,7 +281,7 @@
         return self.replica.settled
 
     def reread(self, pact: Pact):
-        """Takes over what a running agent can; papers.py says which keys these are."""
+        """Takes over what a running agent can; configuration.py says which keys these are."""
         self.pact = self.members.pact = self.epochs.pact = self.replica.pact = pact
         self.epochs.damper.share, self.epochs.damper.wait = pact.damp_share, pact.damp_s
         self.lending.reread(pact)
@@ -328,8 +329,8 @@
             if may_turn_back(question, marks, wall_ms, slack, marking):
                 return self.settle(ticket, each, Verdict.LIMITED, each.limit_wait or self.come_again())
             return self.settle(ticket, each, Verdict.TERMINATE)
-        verdict, heed = judge(question, marks, wall_ms, slack, marking)
-        self.settle(ticket, each, verdict, 0.0, heed)
+        verdict, earlier_attempts = judge(question, marks, wall_ms, slack, marking)
+        self.settle(ticket, each, verdict, 0.0, earlier_attempts)
 
     # Ways of ending the wait
 
@@ -342,21 +343,21 @@
             return Verdict.TURN_BACK
         return in_doubt(question, self.pact.on_doubt, self.pact.clients_mark)
 
-    def settle(self, ticket: int, each: Waiting, verdict: Verdict, wait: float = 0.0, heed=()):
+    def settle(self, ticket: int, each: Waiting, verdict: Verdict, wait: float = 0.0, earlier_attempts=()):
         self.open -= 1
         if verdict is Verdict.PASS:
             each.step = "open"
         else:
             del self.waiting[ticket]
             if each.mark:
-                # This lookup went nowhere. What an earlier one did is kept in a mark of its own.
+                # This request went nowhere. What an earlier one did is kept in a mark of its own.
                 self.refine(each, certainty=int(Certainty.NEVER_RAN))
-        self.decide(ticket, verdict, wait, heed)
+        self.decide(ticket, verdict, wait, earlier_attempts)
 
-    def decide(self, ticket: int, verdict: Verdict, wait: float, heed=()):
+    def decide(self, ticket: int, verdict: Verdict, wait: float, earlier_attempts=()):
         self.count(verdict.value)
         wait = 0.0 if verdict in (Verdict.PASS, Verdict.TERMINATE) else wait
-        self.asked.append(("decided", ticket, verdict.value, wait, heed))
+        self.asked.append(("decided", ticket, verdict.value, wait, earlier_attempts))
 
     def come_again(self) -> float:
         return COME_AGAIN * (1.0 + 0.5 * self.random.random())
--- a/cartdeal/fleet/records.py
+++ b/cartdeal/fleet/records.py
@@ -35,23 +35,23 @@
 
 
 class Certainty(IntEnum):
-    """What is known of a lookup that a mark stands for; it is only ever gained."""
+    """What is known of a request that a mark stands for; it is only ever gained."""
 
     CLAIMED = 0         # may be sent at any moment
     SENT = 1            # may have run
-    NEVER_RAN = 2       # surely not run; one that shoots again takes a new mark
+    NEVER_RAN = 2       # surely not run; one that sends again takes a new mark
     ANSWERED = 3
 
 
 class Mark(Struct, frozen=True):
-    """One lookup of a session. One agent writes it (`by`: "name/life/number"); copies may be of any age."""
+    """One request of a session. One agent writes it (`by`: "name/life/number"); copies may be of any age."""
 
     by: str
     key: str
-    repeat: str                                 # "d": deduplicated, "u": unrepeatable
+    repeat: str                                 # "d": deduplicated, "u": non-idempotent
     group: str                                  # where servers deduplicate together: one of GROUPS
     window_ms: int                              # how long they do
-    places: tuple[tuple[str, int], ...] = ()    # (zone, cell) of each shot, sorted
+    places: tuple[tuple[str, int], ...] = ()    # (zone, cell) of each attempt, sorted
     certainty: int = Certainty.CLAIMED
     sent_ms: int = 0                            # wall clock
     until_ms: int = 0                           # wall clock; the mark goes then
@@ -70,14 +70,15 @@
 
 
 class Session(Struct):
-    """Where a session's lookups went. `beyond`: the version it takes to read it whole, if this isn't it."""
+    """Where a session's requests went. `beyond`: the version it takes to read it whole, if this isn't it."""
 
     marks: dict[str, Mark] = {}     # by -> mark
     extra: dict = {}                # unknown fields
     beyond: int = 0
 
     def open_marks(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[Mark, ...]:
-        """The marks of a lookup that still bind a repeat: not over by the slowest clock, and may have run."""
+        """The marks of a request that still bind a repeat: not over by the slowest clock, and may have
+        run."""
         return tuple(mark for _, mark in sorted(self.marks.items()) if mark.key == key
                      and mark.certainty != Certainty.NEVER_RAN and mark.until_ms + slack_ms > wall_ms)
 
--- a/cartdeal/fleet/verdict.py
+++ b/cartdeal/fleet/verdict.py
@@ -1,7 +1,7 @@
-"""What is done with a lookup, from the marks that are known of its session.
+"""What is done with a request, from the marks that are known of its session.
 
-Pure. It must never let a lookup go on whose earlier shot may have run where another one could do harm, and
-never guesses what is not known.
+Pure. It must never let a request go on whose earlier attempt may have run where another one could do harm,
+and never guesses what is not known.
 """
 
 from enum import Enum
@@ -11,11 +11,11 @@
 
 from cartdeal.fleet.records import Certainty, Mark
 
-SPARE_MS = 50       # of a window kept free, as the balancer does, for the shot to arrive
+SPARE_MS = 50       # of a window kept free, as the balancer does, for the attempt to arrive
 
 
 class Question(Struct, frozen=True, kw_only=True):
-    """A lookup, as far as the fleet has to know it."""
+    """A request, as far as the fleet has to know it."""
 
     tenant: str = ""
     session: str = ""           # the session's hash, in hex; "" where it has none
@@ -23,7 +23,7 @@
     repeat: str = "i"           # idempotent, (d)eduplicated, (u)nrepeatable
     group: str = "all"
     window_s: float = 0.0
-    limit_s: float = 1.0        # of its time limit, what is left
+    limit_s: float = 1.0        # of its deadline, what is left
     workload: str = ""
     retried: bool = False       # whether the client marked it as a repeat
 
@@ -43,7 +43,8 @@
 
 
 class Elsewhere(NamedTuple):
-    """An earlier shot that may have run: a further one goes to its group only, no later than `until_ms`."""
+    """An earlier attempt that may have run: a further one goes to its group only, no later than
+    `until_ms`."""
 
     zone: str
     cell: int
@@ -52,15 +53,15 @@
 
 
 def earlier(question: Question, marks, clients_mark: bool) -> list[Mark]:
-    """The marks of lookups that this one may repeat and that may have run."""
+    """The marks of requests that this one may repeat and that may have run."""
     found = []
     for mark in marks:
         if mark.key != question.key or mark.workload != question.workload \
                 or mark.certainty == Certainty.NEVER_RAN:
             continue
         if question.repeat == "u" and not question.retried:
-            # Without a key of its own, a lookup that says the same may be a new one: where clients mark their
-            # repeats, and where the client has its answer to the one before.
+            # Without a key of its own, a request that says the same may be a new one: where clients mark
+            # their repeats, and where the client has its answer to the one before.
             if clients_mark or mark.certainty == Certainty.ANSWERED:
                 continue
         found.append(mark)
@@ -74,18 +75,18 @@
         return Verdict.PASS, ()
     if question.repeat == "u":
         return Verdict.TERMINATE, ()
-    heed = []
+    earlier_attempts = []
     for mark in found:
         until = mark.sent_ms + mark.window_ms - slack_ms - SPARE_MS
         if wall_ms > until:
             return Verdict.TERMINATE, ()
         if mark.group == "all":
-            heed.append(Elsewhere("", -1, "all", until))
+            earlier_attempts.append(Elsewhere("", -1, "all", until))
         elif not mark.places:
             return Verdict.TERMINATE, ()    # it may have gone anywhere, and where is not known any more
         else:
-            heed += [Elsewhere(zone, cell, mark.group, until) for zone, cell in mark.places]
-    return Verdict.PASS, tuple(dict.fromkeys(heed))
+            earlier_attempts += [Elsewhere(zone, cell, mark.group, until) for zone, cell in mark.places]
+    return Verdict.PASS, tuple(dict.fromkeys(earlier_attempts))
 
 
 def may_turn_back(question: Question, marks, wall_ms: int, slack_ms: int, clients_mark: bool) -> bool:
@@ -103,6 +104,6 @@
 
 
 def in_doubt(question: Question, on_doubt: str, clients_mark: bool) -> Verdict:
-    """Marks can't be known in time: what may be a repeat is never asked to come again, nor shot."""
+    """Marks can't be known in time: what may be a repeat is never asked to come again, nor sent."""
     repeat = may_repeat(question, clients_mark)
     return Verdict.TERMINATE if repeat or on_doubt == "terminate" else Verdict.TURN_BACK
--- a/cartdeal/fleet/wire.py
+++ b/cartdeal/fleet/wire.py
@@ -104,7 +104,7 @@
     def __init__(self, most: int = LONGEST_FRAME):
         self.most, self.rest, self.spoilt = most, bytearray(), False
 
-    def feed(self, more: bytes) -> list[bytes]:
+    def dispatch(self, more: bytes) -> list[bytes]:
         """Raises TooLong or Unreadable; the messages that came whole before the fault go with it."""
         if self.spoilt:
             raise Unreadable("a stream", "more behind a fault")
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -1,4 +1,4 @@
-"""What the fleet adds to a lookup: real agents with it and without, on loopback, asked in turns by a client.
+"""What the fleet adds to a request: real agents with it and without, on loopback, asked in turns by a client.
 
 It owns the processes, which it ends by id however it ends itself. It must never ask two agents at once: a
 machine's other work is to meet both sides alike.
@@ -60,12 +60,12 @@
         env = {"PROXY_CONFIG": str(file), "PATH": os.environ["PATH"], "PYTHONPATH": str(HERE)}
         if seeds:
             terms = {"fleet": "lab", "name": self.name, "key": "k" * 32, "listen": seeds[self.name], **FLEET}
-            papers = file.with_suffix(".toml")
-            papers.write_text("\n".join([
+            operator_file = file.with_suffix(".toml")
+            operator_file.write_text("\n".join([
                 *(f"{key} = {json.dumps(value)}" for key, value in terms.items()), "[seeds]",
                 *(f"{name} = {json.dumps(at)}" for name, at in seeds.items()),
                 "[limits.shop]", "rate = 100000.0", "burst = 50000.0", ""]))
-            env["PROXY_FLEET"] = str(papers)
+            env["PROXY_FLEET"] = str(operator_file)
         self.process = subprocess.Popen([sys.executable, "-m", "cartdeal", "serve"], cwd=HERE, env=env,
                                         stderr=subprocess.PIPE, start_new_session=True)
         pairs.agents.append(self)
@@ -94,7 +94,7 @@
                 return 0, monotonic() - begun
         answer = self.connection.whole.pop()
         took = monotonic() - begun
-        if not answer.keep:
+        if not answer.keep_alive:
             self.connection.close()
         return answer.status, took
 
@@ -163,11 +163,11 @@
                 + f"Idempotency-Key: k{self.asked}\r\n" * (kind == "submit")
                 + "Content-Length: 0\r\n" * (method == "POST") + "\r\n").encode()
 
-    def measure(self, kind: str, lookups: int) -> dict:
+    def measure(self, kind: str, requests: int) -> dict:
         """Milliseconds; the share completed is of the side with the fleet."""
         sides, took, good = {"on": self.on, "off": self.off}, {"on": [], "off": []}, 0
         dice = Random(self.seed)
-        for turn in range(-lookups // 10, lookups):     # the first ones warm both up
+        for turn in range(-requests // 10, requests):     # the first ones warm both up
             for side in dice.sample(("on", "off"), 2):
                 status, seconds = sides[side][turn % AGENTS].ask(self.head(kind))
                 if turn >= 0:
@@ -178,7 +178,7 @@
             at = {side: percentile(each, part) for side, each in took.items()}
             row |= {f"off p{part} ms": at["off"], f"on p{part} ms": at["on"],
                     f"added p{part} ms": round(at["on"] - at["off"], 3)}
-        return row | {"lookups": lookups, "completed": round(good / lookups, 4)}
+        return row | {"lookups": requests, "completed": round(good / requests, 4)}
 
 
 def percentile(took: list[float], part: float) -> float:
--- a/cartdeal/lab/baselines.py
+++ b/cartdeal/lab/baselines.py
@@ -1,4 +1,4 @@
-"""Plain policies to measure against: only which server of a zone takes a shot is theirs.
+"""Plain policies to measure against: only which server of a zone takes an attempt is theirs.
 
 They live here alone. Rules that an agent owes (group, window, drains, cold ramp) are kept as the module keeps
 them, so that a comparison is of choices and not of broken rules. An agent in service must never import them.
@@ -14,14 +14,14 @@
         self.balancer.pick = self.pick
         self.balancer.must_ask = lambda server, now: False
 
-    def pick(self, members, lookup, now):
+    def pick(self, members, request, now):
         balancer, like, able = self.balancer, None, []
         for server in members:
-            if server in lookup.tried or not balancer.within_group(lookup, server, now):
+            if server in request.tried or not balancer.within_group(request, server, now):
                 continue
-            if server.started and now - server.started < balancer.charter.cold_for:
+            if server.started and now - server.started < balancer.settings.cold_for:
                 like = balancer.like(server.zone, now) if like is None else like
-                if not balancer.granted(server, now, like):
+                if not balancer.ramp_allows(server, now, like):
                     continue
             able.append(server)
         return self.choose(able) if able else None
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -27,36 +27,36 @@
 
 class Copies(Strict):
     agents: Annotated[int, Meta(ge=3, le=1000)] = 5
-    rate: Rate = 1.0        # lookups an agent and second, each with a mark and of a tenant with a limit
+    rate: Rate = 1.0        # requests an agent and second, each with a mark and of a tenant with a limit
     rest_s: Seconds = 10.0
     traffic_s: Seconds = 10.0
     cut_s: Seconds = 20.0
     most_s: Seconds = 90.0  # waited for one ring, for answers with marks, and for equal copies
 
 
-class Days(Strict):
+class Days(Strict, rename={"requests": "lookups"}):
     agents: Annotated[int, Meta(ge=3, le=50)] = 6
     seconds: Seconds = 60.0
     quiet: Seconds = 90.0
     pause_s: Seconds = 4.0
-    lookups: Rate = 20.0
+    requests: Rate = 20.0
     upgrade: bool = False
     apart: Annotated[float, Meta(ge=0, le=0.01)] = 0.001
 
 
-class Upgrade(Strict):
+class Upgrade(Strict, rename={"requests": "lookups"}):
     agents: Annotated[int, Meta(ge=3, le=100)] = 20
     every_s: Seconds = 4.0      # between two restarts at least; each waits until the last has caught up
     cut: Literal["none", "halves", "zone"] = "none"
     cut_s: Seconds = 20.0
-    lookups: Rate = 40.0                # a second, of all agents, without a limit
+    requests: Rate = 40.0                # a second, of all agents, without a limit
     limit: Rate = 20.0                  # a second, of a tenant that asks for twice that
     most_s: Seconds = 90.0
 
 
-class Added(Strict):
+class Added(Strict, rename={"requests": "lookups"}):
     kind: Literal["read", "limited", "submit", "close"] = "read"
-    lookups: Annotated[int, Meta(ge=10, le=1_000_000)] = 2000   # with the fleet, and as many without
+    requests: Annotated[int, Meta(ge=10, le=1_000_000)] = 2000   # with the fleet, and as many without
 
 
 def made(play: str, found: dict, at: str):
@@ -133,7 +133,7 @@
 
 
 def answers(fleet, names) -> bool:
-    """Whether each of these completes lookups with marks. One that founds a fleet knows nothing of what was
+    """Whether each of these completes requests with marks. One that founds a fleet knows nothing of what was
     before it for as long as a mark may last."""
     from cartdeal.fleet.verdict import Question
     asked = [fleet.intend(Question(tenant="", session=f"probe {fleet.intents}", key="k", repeat="u",
@@ -231,7 +231,7 @@
 def days(terms: Days, seed: int) -> dict:
     from cartdeal.fleet.days import day
     row = day(seed, terms.agents, terms.seconds, quiet=terms.quiet, pause_s=terms.pause_s,
-              lookups=terms.lookups, upgrade=terms.upgrade, apart=terms.apart)
+              requests=terms.requests, upgrade=terms.upgrade, apart=terms.apart)
     return {key: value for key, value in row.items() if key not in ("seed", "found", "notes")}
 
 
@@ -240,7 +240,7 @@
 
 def upgrade(terms: Upgrade, seed: int) -> dict:
     """Agents are told to end and come back with a program that reads (1, 2) in place of (1, 1), one after the
-    other. Served: of lookups without a limit, two thirds of them with a mark; clients try three agents.
+    other. Served: of requests without a limit, two thirds of them with a mark; clients try three agents.
     Budget: what the limited tenant got of its rate. Times are from the first restart."""
     from cartdeal.fleet.desk import Limit
     from cartdeal.fleet.verdict import Question
@@ -253,7 +253,7 @@
         question = Question(tenant="", session=f"{people.randrange(200)}", key=f"k{fleet.intents}",
                             repeat=repeat, window_s=4.0 * (repeat == "d"), limit_s=2.0, workload="w")
         open_.append((fleet.clock.now, fleet.intend(question, people.sample(names, 3), tries=3)))
-        fleet.clock.after(people.expovariate(terms.lookups), free)
+        fleet.clock.after(people.expovariate(terms.requests), free)
 
     def limited():
         fleet.intend(Question(tenant="shop", workload="w"), people.sample(names, 2))
@@ -313,14 +313,14 @@
         "violations": len(found)}
 
 
-# What it adds to a lookup
+# What it adds to a request
 
 
 def added(terms: Added, seed: int) -> dict:
     """Three real agents with the fleet and three without, asked in turns by one client at a time."""
     from cartdeal.lab.added import Pairs
     with Pairs(seed) as pairs:
-        return pairs.measure(terms.kind, terms.lookups)
+        return pairs.measure(terms.kind, terms.requests)
 
 
 PLAYS = {"ring": (Ring, ring), "copies": (Copies, copies), "days": (Days, days),
--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -21,7 +21,7 @@
     ("caps", "probes"): "servers may not be probed",
     ("fees", "probe"): "servers may not be probed",
     ("rules", "askEveryUs"): "the list comes unasked",
-    ("importanceBasis",): "no longer read: lookups carry no hints of their work",
+    ("importanceBasis",): "no longer read: requests carry no hints of their work",
 }
 PEERS = ("peer_listen", "peers", "peers_all")
 
@@ -49,8 +49,8 @@
     return found
 
 
-def part(papers: dict, key: str) -> dict:
-    found = papers.get(key, {})
+def part(old: dict, key: str) -> dict:
+    found = old.get(key, {})
     if not isinstance(found, dict):
         raise fault(key, found, "an object")
     return found
@@ -69,11 +69,11 @@
 
 def plan(path: str, areas=(), zone=None, agents=None, number=None, columns=(), over=None) -> Plan | None:
     """What becomes of the file at `path`; None if it has the new shape already."""
-    papers = load(path)
-    settings = part(papers, "settings")
+    old = load(path)
+    settings = part(old, "settings")
     if has_new_shape(settings):
         return None
-    configuration.station(json.dumps(papers).encode(), path, dict.fromkeys(
+    configuration.decode(json.dumps(old).encode(), path, dict.fromkeys(
         ("PROXY_LISTEN", "PROXY_DISCOVERY"), "127.0.0.1:0"))
     check_number(settings)
     old_areas = settings.get("areas", [])
@@ -110,23 +110,25 @@
                          f"clients; say what it is in the pool ({option})")
     new |= over or {}
     if "workloads" not in (over or {}):
-        still.append("settings.workloads: carried over; confirm goal times, limits, repeats (--settings)")
+        still.append(
+            "settings.workloads: carried over; confirm latency targets, limits, repeats (--settings)"
+        )
     if "objectiveMix" not in new:
-        still.append("settings.objectiveMix: none, so no workload counts apart; say it where one does")
+        still.append("settings.objectiveMix: none, so no request class counts apart; say it where one does")
 
-    made = {key: value for key, value in papers.items() if key not in (*PEERS, "known", "settings")}
+    made = {key: value for key, value in old.items() if key not in (*PEERS, "known", "settings")}
     for key in PEERS:
-        if key in papers:
+        if key in old:
             lost.append(f"{key}: agents of the pool have no way to talk to each other")
-    known = part(papers, "known").get("targets", ())
+    known = part(old, "known").get("targets", ())
     if known:
         lost.append(f"known: {len(known)} servers: of the old build, with weights of another kind")
     made["settings"] = new
-    still.append(f"listen: {papers.get('listen', 'none')!r}: clients come through a front layer; confirm")
+    still.append(f"listen: {old.get('listen', 'none')!r}: clients come through a front layer; confirm")
     still.append("limits: one agent now serves many clients; confirm sockets and memory_mb")
     text = (json.dumps(made, indent=2, ensure_ascii=False) + "\n").encode()
     try:
-        configuration.station(text, path, os.environ)
+        configuration.decode(text, path, os.environ)
         trouble = ""
     except Fault as found:
         trouble = str(found)
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -1,6 +1,6 @@
 """Plays a world on sockets: stand-ins, open-loop clients, and real agents started by the deploy file's `run`.
 
-Latency counts from when a lookup was due, so an agent that stalls can't hide. Every process that is started
+Latency counts from when a request was due, so an agent that stalls can't hide. Every process that is started
 is bounded in number and time and ended by its id, however the rig ends. It must never touch an address off
 the loopback.
 """
@@ -23,13 +23,13 @@
 from cartdeal.agent.connection import Connection, Malformed
 from cartdeal.emulator.clock import chance
 from cartdeal.emulator.judge import Judge
-from cartdeal.emulator.world import Unusable, World, settings
-from cartdeal.rig.stands import HOST, ListService, Server
+from cartdeal.emulator.world import Unusable, World, agent_settings
+from cartdeal.rig.stands import HOST, DiscoveryService, Server
 
 MOST_AGENTS, MOST_SECONDS = 64, 300.0
 READY = 20.0        # how long an agent may take to serve
 RESTART = 1.0       # how long a killed agent is away
-TAIL = 1.0          # after the longest time limit, when all must be answered
+TAIL = 1.0          # after the longest deadline, when all must be answered
 COUNTED = "shots", "crossings", "probes", "list calls", "late clients", "faults logged"
 UNPLAYABLE = ("zone_cut",)      # loopback has no zones to cut
 PORT = re.compile(rb"msg=serving .*\bport=(\d+)")
@@ -69,7 +69,7 @@
             "name": f"n{self.number}", "listen": f"{HOST}:0", "discovery": rig.list.address,
             "seed": f"{rig.seed * 4096 + self.number * 16 + self.life:x}", "known": known,
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "settings": settings(rig.world, self.number, self.zone)}))
+            "settings": agent_settings(rig.world, self.number, self.zone)}))
         # A group of its own: a shell that starts more than one process must leave none behind.
         self.process = subprocess.Popen(["/bin/sh", "-c", rig.run], stderr=subprocess.PIPE,
                                         start_new_session=True,
@@ -110,12 +110,12 @@
         self.began, self.offset = monotonic(), time()
         self.judge, self.count = Judge(world), Counter()
         self.offered = self.served = 0.0
-        self.rush, self.hot, self.took, self.named, self.lookups = 1.0, 0.0, [], 0, 0
-        self.workloads = list(accumulate(each.share for each in world.workload))
+        self.rush, self.hot, self.took, self.named, self.requests = 1.0, 0.0, [], 0, 0
+        self.request_classes = list(accumulate(each.share for each in world.request_class))
         self.popular = list(accumulate((1 + place) ** -world.clients.popularity
                                        for place in range(world.clients.keys)))
-        self.kinds = {each.name: each for each in world.workload}
-        self.asked_by = {}      # lookup -> agent
+        self.kinds = {each.name: each for each in world.request_class}
+        self.asked_by = {}      # request -> agent
         self.servers, self.agents = {}, []
 
     @property
@@ -127,7 +127,7 @@
 
     def play(self):
         with tempfile.TemporaryDirectory() as self.folder:
-            self.list = ListService(self)
+            self.list = DiscoveryService(self)
             try:
                 for zone in range(len(self.world.zones)):
                     for _ in range(self.world.servers.per_zone):
@@ -152,7 +152,7 @@
             works.append(gevent.spawn(self.arrive, agent, random, rate))
         for place, fault in enumerate(self.world.fault):
             works.append(gevent.spawn_later(fault.begins_s, self.begin, fault, place))
-        longest = max(each.limit_s for each in self.world.workload)
+        longest = max(each.limit_s for each in self.world.request_class)
         gevent.sleep(self.world.seconds + longest + TAIL)
         gevent.killall(works)
         self.judge.close(self.now)
@@ -172,16 +172,16 @@
         terms = self.kinds[kind]
         return terms.work_s * (random.expovariate(1.0) if terms.spread == "exponential" else 1.0)
 
-    def shot_came(self, lookup, shot, server):
+    def attempt_came(self, request, attempt, server):
         self.count["shots"] += 1
-        agent = self.asked_by.get(lookup)
-        case = self.judge.cases.get(lookup)
+        agent = self.asked_by.get(request)
+        case = self.judge.cases.get(request)
         if case:
             # Whether an earlier one is still out is known to the agent alone: its close takes a while.
-            for each in case.shots.values():
+            for each in case.attempts.values():
                 each[4] = False
             self.count["crossings"] += agent.zone != server.zone
-        self.judge.shot_sent(self.now, agent.number if agent else None, lookup, shot, server.name,
+        self.judge.attempt_sent(self.now, agent.number if agent else None, request, attempt, server.name,
                              self.world.zones[server.zone])
 
     def told(self, line):
@@ -196,23 +196,23 @@
         due = 0.0
         while (due := due + random.expovariate(rate * self.rush)) < self.world.seconds:
             gevent.sleep(max(0.0, due - self.now))
-            which = bisect_left(self.workloads, random.random() * self.workloads[-1])
-            kind = self.world.workload[which]
+            which = bisect_left(self.request_classes, random.random() * self.request_classes[-1])
+            kind = self.world.request_class[which]
             hot, place = random.random() < self.hot, random.random() * self.popular[-1]
             key = 0 if hot else bisect_left(self.popular, place)
             if agent.port:
-                self.offered += kind.importance
+                self.offered += kind.priority
                 gevent.spawn(self.ask, agent, kind, key, due)
 
     def ask(self, agent, kind, key, due):
-        self.lookups += 1
-        lookup, life, late = f"r{self.lookups}", agent.life, self.now - due
+        self.requests += 1
+        request, life, late = f"r{self.requests}", agent.life, self.now - due
         head = (f"{METHODS.get(kind.repeat, 'POST')} /{kind.name}/{key} HTTP/1.1\r\n"
-                f"X-Request-ID: {lookup}\r\nCookie: sid={key}\r\n"
+                f"X-Request-ID: {request}\r\nCookie: sid={key}\r\n"
                 f"X-Timeout: {kind.limit_s * 1e3:.0f}m\r\nContent-Length: 0\r\n"
-                + f"Idempotency-Key: {lookup}\r\n" * (kind.repeat == "keyed") + "\r\n")
-        self.asked_by[lookup] = agent
-        self.judge.lookup_taken(self.now, agent.number, lookup, kind.name, self.now + kind.limit_s)
+                + f"Idempotency-Key: {request}\r\n" * (kind.repeat == "keyed") + "\r\n")
+        self.asked_by[request] = agent
+        self.judge.request_taken(self.now, agent.number, request, kind.name, self.now + kind.limit_s)
         connection, message = self.kept(agent), None
         if connection:
             message = self.exchange(connection, head, kind)
@@ -226,18 +226,20 @@
             message = self.exchange(connection, head, kind)
         if not message:
             return      # unanswered: the judge says so, unless the agent was killed
-        self.judge.lookup_answered(self.now, lookup, message.status)
+        self.judge.request_answered(self.now, request, message.status)
         self.count[message.status] += 1
-        if message.status not in ANSWERS:   # 409: it had read the lookup when it closed, and so had taken it
-            self.judge.break_(1, self.now, lookup, f"answered {message.status}, which is no answer to it")
+        if message.status not in ANSWERS:   # 409: it had read the request when it closed, and so had taken it
+            self.judge.break_(1, self.now, request, f"answered {message.status}, which is no answer to it")
         if message.status == 200:
-            if message.body != b"done " + lookup.encode():
-                self.judge.break_(1, self.now, lookup, f"no server made this answer for it: {message.body!r}")
+            if message.body != b"done " + request.encode():
+                self.judge.break_(
+                    1, self.now, request, f"no server made this answer for it: {message.body!r}"
+                )
             took = self.now - due
             self.took.append(took)
-            self.served += kind.importance * (took <= kind.goal_s)
+            self.served += kind.priority * (took <= kind.goal_s)
         self.count["late clients"] += late > 0.05
-        if message.keep and agent.port and life == agent.life:
+        if message.keep_alive and agent.port and life == agent.life:
             agent.idle.append(connection)
         else:
             connection.close()
@@ -284,7 +286,7 @@
             for turn, server in enumerate(met):
                 gevent.spawn_later(turn * fault.lasts_s / len(met), self.replace, server)
         else:
-            ends = [self.meet(kind, size, fault.workload, each) for each in self.whole(kind) or met]
+            ends = [self.meet(kind, size, fault.request_class, each) for each in self.whole(kind) or met]
             gevent.sleep(fault.lasts_s)
             for end in ends:
                 end()
@@ -294,14 +296,14 @@
         return {"list_down": [self.list], "list_late": [self.list],
                 "jump": [self], "hot_key": [self]}.get(kind)
 
-    def meet(self, kind, size, workload, it):
+    def meet(self, kind, size, request_class, it):
         if kind == "crash":
             it.die()
             return lambda: (it.rise(), self.list.change(it.line()))
         if kind == "list_down":
             it.go_down()
             return lambda: setattr(it, "down", False)
-        name, value = {"silent": ("silent", True), "one_workload": ("spoilt", {workload: size}),
+        name, value = {"silent": ("silent", True), "one_workload": ("spoilt", {request_class: size}),
                        "list_late": ("later", size), "jump": ("rush", size),
                        "hot_key": ("hot", size)}.get(kind, (kind, size))
         before = getattr(it, name)
@@ -318,7 +320,7 @@
 
     def figures(self) -> dict:
         return {
-            "lookups": self.lookups, "completed": self.count[200], "turned back": self.count[503],
+            "lookups": self.requests, "completed": self.count[200], "turned back": self.count[503],
             "terminated": self.count[502], "served": round(self.served / max(self.offered, 1e-9), 4),
             **{each: self.count[each] for each in COUNTED},
             "lost with killed agents": self.judge.excused, "violations": len(self.judge.violations)}
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback: servers that work, fail and break off at any byte, and a list service.
+"""Stand-ins on loopback: servers that work, fail and break off at any byte, and a discovery service.
 
 They speak the published protocol and know nothing of the agent. A stand-in must never listen off the
 loopback, nor hold a connection for longer than the rig lasts.
@@ -78,14 +78,14 @@
 
 
 class Server(Listener):
-    """First come first served on `cores`, each lookup for the time that its workload takes."""
+    """First come first served on `cores`, each request for the time that its request class takes."""
 
     def __init__(self, rig, name, zone, started=0.0):
         self.rig, self.terms, self.name, self.zone, self.started = rig, rig.world.servers, name, zone, started
         self.random = chance(rig.seed, name)
         self.draining, self.slow, self.silent, self.errors, self.resets = False, 1.0, False, 0.0, 0.0
         self.spoilt = {}
-        self.running, self.waiting, self.shots, self.life = 0, deque(), 0, 0
+        self.running, self.waiting, self.attempts, self.life = 0, deque(), 0, 0
         super().__init__()
 
     def warmth(self) -> float:
@@ -99,23 +99,23 @@
         if path == b"/health/live":
             self.rig.count["probes"] += 1
             return connection.sock.sendall(said(200)) if not self.silent else gevent.sleep(3600)
-        lookup = message.headers.get(b"x-request-id", b"").decode()
+        request = message.headers.get(b"x-request-id", b"").decode()
         kind = path[1:].partition(b"/")[0].decode()
-        self.shots += 1
-        shot, life = f"{self.name}/{self.shots}", self.life
-        self.rig.shot_came(lookup, shot, self)
+        self.attempts += 1
+        attempt, life = f"{self.name}/{self.attempts}", self.life
+        self.rig.attempt_came(request, attempt, self)
         work = self.rig.work(kind, self.random)
         if self.started and self.warmth() < 1:
             self.rig.judge.work_reached(self.rig.now, self, work)
         if self.draining or self.running + len(self.waiting) >= self.terms.cores + self.terms.waiting:
-            self.rig.judge.shot_ended(lookup, shot, True)
+            self.rig.judge.attempt_ended(request, attempt, True)
             return connection.sock.sendall(said(503, extra=b"X-Not-Processed: 1\r\n"))
         self.run(work)
         if life != self.life or connection.closed:
             return
         if self.silent:
             gevent.sleep(3600)
-        self.reply(connection, lookup, kind)
+        self.reply(connection, request, kind)
 
     def run(self, work):
         if self.running >= self.terms.cores:
@@ -128,8 +128,8 @@
         if self.waiting:
             self.waiting.popleft().set()
 
-    def reply(self, connection, lookup, kind):
-        whole = said(200, b"done " + lookup.encode())
+    def reply(self, connection, request, kind):
+        whole = said(200, b"done " + request.encode())
         if self.random.random() < self.resets:
             way = self.random.choice(BREAKS)
             self.rig.count[f"broken off: {way}"] += 1
@@ -153,7 +153,7 @@
                 "boot_ms": int(self.rig.wall(self.started) * 1e3) if self.started else 0}
 
 
-class ListService(Listener):
+class DiscoveryService(Listener):
     BEAT = 2.0
 
     def __init__(self, rig):
@@ -161,7 +161,7 @@
         self.lines, self.version, self.watches, self.down, self.later = {}, 1, [], False, 0.0
         super().__init__()
 
-    def roll(self, lines, whole) -> bytes:
+    def server_list(self, lines, whole) -> bytes:
         return msgspec.json.encode({"rev": self.version, "all": whole, "targets": lines})
 
     def play(self, connection, message):
@@ -169,7 +169,7 @@
         if self.down:
             connection.sock.sendall(said(503))
             return connection.close()
-        whole = self.roll(list(self.lines.values()), True)
+        whole = self.server_list(list(self.lines.values()), True)
         if b"watch=1" not in message.path:
             return connection.sock.sendall(said(200, whole))
         connection.sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -196,7 +196,7 @@
             del self.lines[line["uid"]]
         self.rig.told(line)
         for watch in self.watches:
-            self.write(watch, self.roll([line], False) + b"\n")
+            self.write(watch, self.server_list([line], False) + b"\n")
 
     def go_down(self):
         self.down, watches, self.watches = True, self.watches, []
--- a/cartdeal/grant.py
+++ b/cartdeal/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the settings an agent is given, for the bench's wire and for sockets, and draws up its charter.
+"""Decodes the settings an agent is given, for the bench's wire and for sockets, and draws up its settings.
 
 The one place that knows the names of the settings. Unknown keys are passed over.
 """
@@ -6,34 +6,34 @@
 import msgspec
 from msgspec import field
 
-from cartdeal.terms import Charter, Group, Load, Repeat, Tenant, Workload
+from cartdeal.terms import BalancerSettings, Group, Load, Repeat, RequestClass, Tenant
 
-REPEATS = {"safe": Repeat.IDEMPOTENT, "keyed": Repeat.DEDUPLICATED, "unsafe": Repeat.UNREPEATABLE}
+REPEATS = {"safe": Repeat.IDEMPOTENT, "keyed": Repeat.DEDUPLICATED, "unsafe": Repeat.NON_IDEMPOTENT}
 COLUMNS = ("outstanding", "throughput", "backlog", "recent_ms")     # of a report, as load_of takes them
 GROUPS = {group.value: group for group in Group}
 
 
-class Kind(msgspec.Struct):
+class ClassSettings(msgspec.Struct):
     name: str = ""
     repeat: str | None = field(default=None, name="idempotency")
     group: str | None = None
     window: float | None = field(default=None, name="repeatWindowUs")
-    goal_time: float | None = field(default=None, name="goalTimeUs")
-    time_limit: float | None = field(default=None, name="timeLimitUs")
-    importance: float = 1.0
+    latency_target: float | None = field(default=None, name="goalTimeUs")
+    timeout_us: float | None = field(default=None, name="timeLimitUs")
+    priority: float = field(default=1.0, name="importance")
 
     @property
-    def limit(self) -> float:
-        return seconds(self.time_limit) or 1.0
+    def timeout(self) -> float:
+        return seconds(self.timeout_us) or 1.0
 
-    def workload(self) -> Workload:
-        return Workload(
-            REPEATS.get(self.repeat, Repeat.UNREPEATABLE),
+    def request_class(self) -> RequestClass:
+        return RequestClass(
+            REPEATS.get(self.repeat, Repeat.NON_IDEMPOTENT),
             # Where no group is named, none is known to drop repeats beyond the narrowest one.
             GROUPS.get(self.group, Group.CELL),
             seconds(self.window),
-            seconds(self.goal_time) or self.limit,
-            self.importance,
+            seconds(self.latency_target) or self.timeout,
+            self.priority,
             self.name,
         )
 
@@ -43,10 +43,10 @@
     quota: float | None = field(default=None, name="quotaPerS")
 
 
-class Leave(msgspec.Struct):
+class Permissions(msgspec.Struct):
     """What the deployment permits."""
 
-    most_shots: int = field(default=1, name="maxShots")
+    most_attempts: int = field(default=1, name="maxShots")
     may_cancel: bool = field(default=False, name="cancel")
     may_probe: bool = field(default=False, name="probes")
     may_tell: bool = field(default=False, name="peers")
@@ -76,50 +76,50 @@
 class Mix(msgspec.Struct):
     """What a result is made of."""
 
-    worst_workload: float = field(default=0.0, name="worstClass")
+    worst_class: float = field(default=0.0, name="worstClass")
 
 
-class Grant(msgspec.Struct):
+class Settings(msgspec.Struct):
     number: int = field(default=0, name="myNumber")
     agents: int = field(default=1, name="groupSize")
     zones: tuple[str, ...] = field(default=(), name="areas")
     own_zone: int = field(default=0, name="az")
-    workloads: tuple[Kind, ...] = ()
+    request_classes: tuple[ClassSettings, ...] = field(default=(), name="workloads")
     tenants: tuple[Quota, ...] = ()
     beyond_share: float = field(default=1.0, name="overageImportance")
-    list_comes: str = field(default="pushed", name="discovery")
+    discovery_mode: str = field(default="pushed", name="discovery")
     family: str = "mesh"
     mix: Mix = field(default_factory=Mix, name="objectiveMix")
     weights: str = field(default="nominal", name="weightKind")
-    leave: Leave = field(default_factory=Leave, name="caps")
+    permissions: Permissions = field(default_factory=Permissions, name="caps")
     rules: Rules = field(default_factory=Rules)
     fees: Fees = field(default_factory=Fees)
     reports: Reports = field(default_factory=Reports, name="feedback")
 
-    def charter(self, seed: int) -> Charter:
-        return Charter(
+    def for_balancer(self, seed: int) -> BalancerSettings:
+        return BalancerSettings(
             seed=seed,
             number=self.number,
             agents=self.agents,
             zones=len(self.zones) or 1,
             own_zone=self.own_zone,
-            workloads=tuple(kind.workload() for kind in self.workloads),
+            request_classes=tuple(kind.request_class() for kind in self.request_classes),
             tenants=tuple(Tenant(each.quota or 0.0) for each in self.tenants),
             beyond_share=self.beyond_share,
             crossing_fee=self.fees.crossing,
             probing_fee=self.fees.probing,
-            most_shots=self.leave.most_shots,
-            may_cancel=self.leave.may_cancel,
-            may_probe=self.leave.may_probe,
-            advises_wait=seconds(self.leave.longest_wait) if self.leave.advises_wait else 0.0,
-            must_ask=self.list_comes == "on_request",
+            most_attempts=self.permissions.most_attempts,
+            may_cancel=self.permissions.may_cancel,
+            may_probe=self.permissions.may_probe,
+            advises_wait=seconds(self.permissions.longest_wait) if self.permissions.advises_wait else 0.0,
+            must_ask=self.discovery_mode == "on_request",
             ask_every=seconds(self.rules.ask_every) or 10.0,
             cold_from=self.rules.cold_from,
             cold_for=seconds(self.rules.cold_for),
             cold_span=seconds(self.rules.cold_span) or 1.0,
             pooled=self.family == "proxy",
             live_weights=self.weights == "live",
-            worst_workload=self.mix.worst_workload,
+            worst_class=self.mix.worst_class,
         )
 
 
@@ -134,5 +134,5 @@
     return (micros or 0.0) / 1e6
 
 
-def read(text: bytes) -> Grant:
-    return msgspec.json.decode(text, type=Grant)
+def read(text: bytes) -> Settings:
+    return msgspec.json.decode(text, type=Settings)
--- a/cartdeal/terms.py
+++ b/cartdeal/terms.py
@@ -8,11 +8,11 @@
 class Repeat(Enum):
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
-    UNREPEATABLE = "unrepeatable"
+    NON_IDEMPOTENT = "unrepeatable"
 
 
 class Group(Enum):
-    """The servers that recognise a repeat of a deduplicated lookup."""
+    """The servers that recognise a repeat of a deduplicated request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,19 +34,19 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNUSABLE = "unusable"   # the server can make nothing of the lookup, and would not again
+    UNUSABLE = "unusable"   # the server can make nothing of the request, and would not again
 
     @property
     def never_ran(self) -> bool:
         return self in (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
 
 
-class Workload(NamedTuple):
+class RequestClass(NamedTuple):
     repeat: Repeat
     group: Group
     window: float
-    goal_time: float
-    importance: float
+    latency_target: float
+    priority: float
     name: str = ""      # told apart by it where all else is alike
 
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Charter:
+class BalancerSettings:
     """What a deployment grants an agent and asks of it."""
 
     seed: int
@@ -85,12 +85,12 @@
     agents: int
     zones: int
     own_zone: int
-    workloads: tuple[Workload, ...]
+    request_classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
     beyond_share: float
     crossing_fee: float
     probing_fee: float
-    most_shots: int
+    most_attempts: int
     may_cancel: bool
     may_probe: bool
     advises_wait: float
@@ -100,7 +100,7 @@
     cold_for: float
     cold_span: float
     pooled: bool            # clients reach any agent of a pool, in place of one of their own
-    worst_workload: float   # how much the worst-served workload counts beside the whole
+    worst_class: float   # how much the worst-served request class counts beside the whole
     live_weights: bool      # the list's weights are lowered by what servers hold
 
 
@@ -109,13 +109,13 @@
 
     now: float
 
-    def shoot(self, lookup: int, server: int, until: float) -> None: ...
-    def turn_back(self, lookup: int, wait: float) -> None: ...
-    def terminate(self, lookup: int) -> None: ...
-    def cancel(self, lookup: int, shot: int) -> None: ...
+    def send_attempt(self, request: int, server: int, deadline: float) -> None: ...
+    def reject(self, request: int, wait: float) -> None: ...
+    def fail(self, request: int) -> None: ...
+    def cancel(self, request: int, attempt: int) -> None: ...
     def probe(self, server: int) -> None: ...
     def watch(self, on: bool = True) -> None: ...
-    def fetch_list(self) -> None: ...
+    def fetch_servers(self) -> None: ...
     def close_idle(self, server: int) -> None: ...
     def tell(self, agent: int, words: bytes) -> None: ...
     def wake(self, token: int, delay: float) -> None: ...
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,9 +1,9 @@
-"""A toy deployment to try the agent with: a few servers, and the list service that names them.
+"""A toy deployment to try the agent with: a few servers, and the discovery service that names them.
 
     python examples/toy.py --servers 3 --list-port 8500
 
-A lookup's query says what its server does with it: `?do=error`, `full`, `busy`, `reset`, `half`, `silent` and
-so on, see Server.DOES. Without one it answers 200 with its own name and the lookup's body.
+A request's query says what its server does with it: `?do=error`, `full`, `busy`, `reset`, `half`, `silent`
+and so on, see Server.DOES. Without one it answers 200 with its own name and the request's body.
 """
 
 import argparse
@@ -113,7 +113,7 @@
             connection.close()
 
 
-class ListService(Listener):
+class DiscoveryService(Listener):
     """Answers with the whole list, and keeps each watch told."""
 
     BEAT = 2.0
@@ -123,13 +123,13 @@
         self.down, self.mute = False, False
         super().__init__(port)
 
-    def roll(self, lines: list, whole: bool) -> bytes:
+    def server_list(self, lines: list, whole: bool) -> bytes:
         return json.dumps({"rev": self.version, "all": whole, "targets": lines}).encode()
 
     def play(self, connection: Connection, message):
         path = message.path.decode()
         self.calls.append(path)
-        whole = self.roll(list(self.lines.values()), True)
+        whole = self.server_list(list(self.lines.values()), True)
         if self.down:
             connection.push(answer(503), last=True)
         elif "watch=1" in path:
@@ -157,7 +157,7 @@
             self.lines[line["uid"]] = line
             if line["state"] == "left":
                 del self.lines[line["uid"]]
-        text = self.roll(list(lines), False) + b"\n"
+        text = self.server_list(list(lines), False) + b"\n"
         for watch in self.watches:
             self.write(watch, text[:split])
             self.write(watch, text[split:])
@@ -169,9 +169,13 @@
     parser.add_argument("--list-port", type=int, default=8500)
     args = parser.parse_args()
     servers = [Server(f"toy-{place}") for place in range(args.servers)]
-    service = ListService(args.list_port)
+    service = DiscoveryService(args.list_port)
     service.lines = {server.name: server.line() for server in servers}
-    print(f"list service at {service.address}; servers:", *(server.address for server in servers), flush=True)
+    print(
+        f"discovery service at {service.address}; servers:",
+        *(server.address for server in servers),
+        flush=True,
+    )
     gevent.wait()
 
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -22,7 +22,7 @@
 
 from cartdeal.agent.connection import Connection
 from cartdeal.fleet import wire
-from examples.toy import ListService, Server
+from examples.toy import DiscoveryService, Server
 
 PORT = re.compile(rb"msg=serving .*port=(\d+)")
 LIMIT = 30.0        # seconds until what has to happen counts as never happening
@@ -91,7 +91,7 @@
             there = socket.create_connection(self.to)
             self.open.append(there)
             while more := sock.recv(65536):
-                for text in frames.feed(more):
+                for text in frames.dispatch(more):
                     for delay in self.fate(text):
                         gevent.sleep(delay)
                         there.sendall(wire.framed(text))
@@ -167,7 +167,7 @@
     def __init__(self, folder, agents=3, limits="", **terms):
         self.folder, self.random, self.terms, self.limits = folder, Random(7), QUICK | terms, limits
         self.cuts, self.lose, self.double, self.delay = set(), 0.0, 0.0, 0.0
-        self.list = ListService()
+        self.list = DiscoveryService()
         self.servers = [Server(f"s{zone}") for zone in "abc"]
         for server, zone in zip(self.servers, "abc", strict=True):
             self.list.lines[server.name] = server.line(az=zone)
@@ -212,7 +212,7 @@
         return found.pop() if len(found) == 1 else 0
 
     def ask(self, agent, path, session="one", key="", tenant="", method="POST", retried=False, wait=3.0):
-        """One lookup; its status, body and headers, or 0 where the connection broke off."""
+        """One request; its status, body and headers, or 0 where the connection broke off."""
         sock = socket.create_connection(("127.0.0.1", agent.port))
         connection = Connection(sock, answers=True)
         head = [f"{method} {path} HTTP/1.1", "Host: x", f"X-Request-ID: r{next(IDS)}",
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -12,29 +12,47 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.connection import Connection
 from cartdeal.agent.effects import Effects
-from cartdeal.choice import Balancer
-from cartdeal.terms import Charter, Group, Listing, Outcome, Repeat, State, Workload
-from examples.toy import ListService, Server
+from cartdeal.balancer import Balancer
+from cartdeal.terms import BalancerSettings, Group, Listing, Outcome, Repeat, RequestClass, State
+from examples.toy import DiscoveryService, Server
 
 TRACES = Path(__file__).parent / "traces"
-READ = Workload(Repeat.IDEMPOTENT, Group.CELL, 5.0, 1.0, 1.0)
-ONCE = READ._replace(repeat=Repeat.UNREPEATABLE, importance=3.0)
+READ = RequestClass(Repeat.IDEMPOTENT, Group.CELL, 5.0, 1.0, 1.0)
+ONCE = READ._replace(repeat=Repeat.NON_IDEMPOTENT, priority=3.0)
 MARKED = READ._replace(repeat=Repeat.DEDUPLICATED, group=Group.ZONE, window=2.0)
 MARKED_ALL = MARKED._replace(group=Group.ALL)
-IDS = count(1)      # every lookup has an id of its own
+IDS = count(1)      # every request has an id of its own
 
 
 class Scene:
     def __init__(self, servers="a0 b0 c1 d1", seed=7, number=0, **terms):
         base = dict(
-            seed=seed, number=number, agents=2, zones=2, own_zone=0, tenants=(), beyond_share=1.0,
-            workloads=(READ, ONCE, MARKED, MARKED_ALL), crossing_fee=0.1, probing_fee=0.0,
-            most_shots=5, may_cancel=True, may_probe=True, advises_wait=0.0, must_ask=False, ask_every=10.0,
-            cold_from=0.2, cold_for=10.0, cold_span=2.0, pooled=False, live_weights=False,
-            worst_workload=0.0)
-        self.now, self.lines, self.due, self.quiet, self.shots = 100.0, [], [], False, {}
+            seed=seed,
+            number=number,
+            agents=2,
+            zones=2,
+            own_zone=0,
+            tenants=(),
+            beyond_share=1.0,
+            request_classes=(READ, ONCE, MARKED, MARKED_ALL),
+            crossing_fee=0.1,
+            probing_fee=0.0,
+            most_attempts=5,
+            may_cancel=True,
+            may_probe=True,
+            advises_wait=0.0,
+            must_ask=False,
+            ask_every=10.0,
+            cold_from=0.2,
+            cold_for=10.0,
+            cold_span=2.0,
+            pooled=False,
+            live_weights=False,
+            worst_class=0.0,
+        )
+        self.now, self.lines, self.due, self.quiet, self.attempts = 100.0, [], [], False, {}
         self.timers, self.asked, self.prompt = 0, [], True
-        self.balancer = Balancer(self, Charter(**base | terms))
+        self.balancer = Balancer(self, BalancerSettings(**base | terms))
         self.names = {}
         self.list(servers)
 
@@ -48,19 +66,19 @@
         if not self.quiet:
             self.lines.append(f"{self.now - 100:6.2f}  {text}")
 
-    def shoot(self, lookup, server, until):
-        shot = self.shots[lookup][1] + 1 if lookup in self.shots else 0
-        self.shots[lookup] = (server, shot, self.now)
-        self.say(f"shoot {lookup} at {chr(server)}")
+    def send_attempt(self, request, server, until):
+        attempt = self.attempts[request][1] + 1 if request in self.attempts else 0
+        self.attempts[request] = (server, attempt, self.now)
+        self.say(f"send {request} at {chr(server)}")
 
-    def turn_back(self, lookup, wait):
-        self.say(f"turn back {lookup}")
+    def reject(self, request, wait):
+        self.say(f"reject {request}")
 
-    def terminate(self, lookup):
-        self.say(f"terminate {lookup}")
+    def fail(self, request):
+        self.say(f"terminate {request}")
 
-    def cancel(self, lookup, shot):
-        self.say(f"cancel shot {shot} of {lookup}")
+    def cancel(self, request, attempt):
+        self.say(f"cancel attempt {attempt} of {request}")
 
     def probe(self, server):
         if self.balancer.servers[server].closed and self.prompt:
@@ -69,7 +87,7 @@
             self.say(f"probe {chr(server)}")
 
     def answer(self):
-        """Servers that are asked before a shot answer at once, unless a scene makes them slow."""
+        """Servers that are asked before an attempt answer at once, unless a scene makes them slow."""
         while self.asked:
             self.balancer.probe_ended(self.asked.pop(), Outcome.COMPLETED, 0.001, None)
 
@@ -88,27 +106,27 @@
             self.answer()
         self.now = end
 
-    def take(self, lookup, workload=0, key=0, limit=2.0, repeat=False):
-        self.balancer.taken(lookup, workload, 0, key or lookup, self.now + limit, repeat)
+    def take(self, request, request_class=0, key=0, limit=2.0, repeat=False):
+        self.balancer.taken(request, request_class, 0, key or request, self.now + limit, repeat)
         self.answer()
-        return chr(self.shots[lookup][0]) if lookup in self.shots else ""
+        return chr(self.attempts[request][0]) if request in self.attempts else ""
 
-    def end(self, lookup, outcome=Outcome.COMPLETED, load=None):
-        server, shot, sent = self.shots[lookup]
+    def end(self, request, outcome=Outcome.COMPLETED, load=None):
+        server, attempt, sent = self.attempts[request]
         finished = outcome is Outcome.COMPLETED
-        self.balancer.shot_ended(lookup, server, outcome, shot, self.now - sent, finished, load)
+        self.balancer.attempt_ended(request, server, outcome, attempt, self.now - sent, finished, load)
         self.answer()
 
-    def serve(self, lookups, outcomes=None, took=0.05):
-        """Plays lookups one after the other; servers named in `outcomes` end their shots so."""
-        for lookup in lookups:
-            self.take(lookup)
+    def serve(self, requests, outcomes=None, took=0.05):
+        """Plays requests one after the other; servers named in `outcomes` end their attempts so."""
+        for request in requests:
+            self.take(request)
             self.wait(took)
-            while lookup in self.balancer.lookups:
-                if lookup in self.balancer.held:
+            while request in self.balancer.requests:
+                if request in self.balancer.held:
                     self.wait(took)
                     continue
-                self.end(lookup, (outcomes or {}).get(chr(self.shots[lookup][0]), Outcome.COMPLETED))
+                self.end(request, (outcomes or {}).get(chr(self.attempts[request][0]), Outcome.COMPLETED))
 
     def kept(self, name):
         kept(name, self.lines)
@@ -123,7 +141,7 @@
 
 # The agent: stations to start it at, and a deployment of toys round it.
 
-GRANT = {
+SETTINGS = {
     "areas": ["a", "b"], "az": 0, "myNumber": 0, "groupSize": 2, "discovery": "on_request",
     "caps": {"maxShots": 3, "cancel": True, "retryAfter": True, "maxRetryAfterUs": 2000000, "peers": True,
              "connectTimeoutUs": 250000, "idleCloseUs": 30000000},
@@ -135,14 +153,14 @@
         {"name": "once", "idempotency": "unsafe", "goalTimeUs": 1000000, "timeLimitUs": 2000000}]}
 
 
-def papers(**more):
+def config_file(**more):
     return {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-            "limits": {"memory_mb": 192, "sockets": 1024}, "settings": GRANT} | more
+            "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS} | more
 
 
-def station(folder, **more):
+def agent_config(folder, **more):
     file = folder / "config.json"
-    file.write_text(json.dumps(papers(**more)))
+    file.write_text(json.dumps(config_file(**more)))
     return configuration.read({"PROXY_CONFIG": str(file)})
 
 
@@ -156,22 +174,22 @@
 
 
 class Deployment:
-    """Toy servers, a toy list service and an agent in one process; lookups go in by `ask`."""
+    """Toy servers, a toy discovery service and an agent in one process; requests go in by `ask`."""
 
     def __init__(self, folder, servers=1, fleet=None, **more):
         self.servers = [Server(f"s{place}") for place in range(servers)]
-        self.service = ListService()
+        self.service = DiscoveryService()
         self.service.lines = {server.name: server.line() for server in self.servers}
         known = {"rev": 1, "all": True, "targets": list(self.service.lines.values())}
-        self.papers = papers(discovery=self.service.address, known=known) | more
-        self.agent = Effects(station(folder, **self.papers), fleet)
+        self.config = config_file(discovery=self.service.address, known=known) | more
+        self.agent = Effects(agent_config(folder, **self.config), fleet)
         self.agent.start()
 
     def connect(self):
         return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), answers=True)
 
     def ask(self, path="/read/x", method="GET", body=b"", connection=None, **headers):
-        """One lookup from first byte to last; gives the answer's status and body."""
+        """One request from first byte to last; gives the answer's status and body."""
         connection = connection or self.connect()
         connection.sock.sendall(worded(path, method, body, **headers))
         return answered(connection)
@@ -181,10 +199,10 @@
 
     def stop(self):
         gevent.killall(self.agent.works)
-        if self.agent.gate:
-            self.agent.gate.stop()
-        self.agent.front.shut()
-        self.agent.front.end(0.0)
+        if self.agent.admission:
+            self.agent.admission.stop()
+        self.agent.front.stop_accepting()
+        self.agent.front.close(0.0)
         for each in (*self.servers, self.service):
             each.stop()
 
--- a/tests/stories/sessions.feature
+++ b/tests/stories/sessions.feature
@@ -1,4 +1,4 @@
-Feature: What a session's earlier lookups did is known wherever its client comes next
+Feature: What a session's earlier requests did is known wherever its client comes next
 
   Scenario: An agent dies while a sheet is being submitted
     Given a fleet of 3 agents in 3 zones
@@ -20,17 +20,17 @@
     And no mark of the 20 sheets is lost
     And all copies are equal within 5 seconds
 
-  Scenario: A lookup that servers of one zone deduplicate goes to that zone again, or nowhere
+  Scenario: A request that servers of one zone deduplicate goes to that zone again, or nowhere
     Given a fleet of 3 agents in 3 zones
     And the fleet has settled
-    When a client sends a lookup that is deduplicated in its zone for 8 seconds to a0, and comes again at a1, a2 after 2 seconds
+    When a client sends a request that is deduplicated in its zone for 8 seconds to a0, and comes again at a1, a2 after 2 seconds
     And 7 seconds pass
-    Then the last lookup ran in one zone, 3 times within 7 seconds
+    Then the last request ran in one zone, 3 times within 7 seconds
 
-  Scenario: A lookup is not sent again when its window is over
+  Scenario: A request is not sent again when its window is over
     Given a fleet of 3 agents in 3 zones
     And the fleet has settled
-    When a client sends a lookup that is deduplicated everywhere for 3 seconds to a0, and comes again at a1, a2 after 4 seconds
+    When a client sends a request that is deduplicated everywhere for 3 seconds to a0, and comes again at a1, a2 after 4 seconds
     And 7 seconds pass
     Then the client was told: broke off, terminate
 
@@ -38,9 +38,9 @@
     Given a fleet of 3 agents in 3 zones
     And the clock of a0 is 10 seconds ahead
     And the fleet has settled
-    When a client sends a lookup that is deduplicated in its zone for 8 seconds to a0, and comes again at a1, a2 after 3 seconds
+    When a client sends a request that is deduplicated in its zone for 8 seconds to a0, and comes again at a1, a2 after 3 seconds
     And 8 seconds pass
-    Then the last lookup ran in one zone, 3 times within 8 seconds
+    Then the last request ran in one zone, 3 times within 8 seconds
 
   Scenario: An agent comes back with a clock that is 10 s back
     Given a fleet of 3 agents in 3 zones
--- a/tests/test_choice.py
+++ b/tests/test_balancer.py
@@ -33,20 +33,20 @@
     scene.serve(range(9, 13))
     scene.wait(1)
     scene.balancer.probe_ended(ord("a"), Outcome.COMPLETED, 0.01, None)
-    scene.say("the probe was answered: one trial lookup at a time")
-    for lookup in range(13, 20):
-        scene.take(lookup)
+    scene.say("the probe was answered: one trial request at a time")
+    for request in range(13, 20):
+        scene.take(request)
     scene.kept("circuit")
 
 
-def test_silent_server_is_left_before_its_shots_end():
+def test_silent_server_is_left_before_its_attempts_end():
     scene = Scene("a0 b0 e0")
     scene.serve(range(1, 9))
-    scene.say("a goes silent with lookups of two kinds")
+    scene.say("a goes silent with requests of two kinds")
     first = next(n for n in range(10, 99) if scene.take(n) == "a")
     second = next(n for n in range(100, 199) if scene.take(n, 1) == "a")
     scene.quiet = True
-    for number in [n for n in scene.balancer.lookups if n not in (first, second)]:
+    for number in [n for n in scene.balancer.requests if n not in (first, second)]:
         scene.wait(0.01)
         scene.end(number)
     scene.quiet = False
@@ -57,7 +57,7 @@
     scene.kept("silent")
 
 
-def test_server_that_fails_with_one_workload_alone_is_passed_by_for_that_one_only():
+def test_server_that_fails_with_one_class_alone_is_passed_by_for_that_one_only():
     scene = Scene("a0 b0")
     scene.quiet = True
     scene.serve(range(1, 60))
@@ -66,12 +66,12 @@
         at_a = scene.take(number, 3) == "a"
         failed += at_a
         scene.end(number, Outcome.ERROR if at_a and failed < 5 else Outcome.COMPLETED)
-        if number in scene.balancer.lookups:
+        if number in scene.balancer.requests:
             scene.end(number)
         if failed == 3:
             break
     scene.quiet = False
-    scene.say("a has failed with one workload; others go on there")
+    scene.say("a has failed with one request class; others go on there")
     for number in range(100, 106):
         scene.take(number, 3)
         scene.end(number)
@@ -87,7 +87,7 @@
     scene.kept("workload")
 
 
-def test_shots_that_others_overtake_are_taken_back_and_their_workload_passes_by():
+def test_attempts_that_others_overtake_are_taken_back_and_their_class_passes_by():
     scene = Scene("a0 e1")
     scene.serve(range(1, 9))
     for number in (10, 11, 9):
@@ -104,21 +104,21 @@
     scene.kept("overtaken")
 
 
-def test_failed_shot_is_followed_by_another_while_others_are_held_for_a_moment():
+def test_failed_attempt_is_followed_by_another_while_others_are_held_for_a_moment():
     scene = Scene("a0 b0 e0", agents=8)
     for number in range(1, 12):
         scene.take(number)
     assert scene.balancer.held and scene.balancer.strain.read(scene.now) > 2.0
     scene.wait(0.02)
     scene.end(1, Outcome.RESET)
-    while scene.balancer.lookups[1].shots < 2:      # room comes soon: that is no overload
-        scene.end(next(n for n, each in scene.balancer.lookups.items() if each.out))
+    while scene.balancer.requests[1].attempts < 2:      # room comes soon: that is no overload
+        scene.end(next(n for n, each in scene.balancer.requests.items() if each.out))
     for number in range(20, 60):
         scene.take(number)
     scene.wait(0.5)                                 # now most have found none
-    first = next(n for n, each in scene.balancer.lookups.items() if each.out)
+    first = next(n for n, each in scene.balancer.requests.items() if each.out)
     scene.end(first, Outcome.RESET)
-    assert first not in scene.balancer.lookups
+    assert first not in scene.balancer.requests
 
 
 def test_few_keys_move_when_a_server_leaves_and_a_busy_one_yields():
@@ -130,8 +130,8 @@
     assert all(after[n] == server for n, server in before.items() if server != "f")
     assert all(60 <= list(before.values()).count(server) <= 90 for server in "abef")
     hot = Scene("a0 b0 e0 f0")
-    for lookup in range(1, 9):
-        hot.take(lookup, key=5)
+    for request in range(1, 9):
+        hot.take(request, key=5)
     hot.kept("yield")
 
 
@@ -143,11 +143,11 @@
             (3, Outcome.RESET, 0), (3, Outcome.RESET, 2.5), (0, Outcome.ERROR, 0)]:
         scene = Scene(may_cancel=False, may_probe=False)
         scene.take(1, kind, limit=9.0)
-        scene.balancer.lookups[1].goal_at += 9
+        scene.balancer.requests[1].target_at += 9
         scene.wait(pause)
-        scene.say(f"{scene.balancer.lookups[1].workload.repeat.value}: {outcome.value}")
+        scene.say(f"{scene.balancer.requests[1].request_class.repeat.value}: {outcome.value}")
         scene.end(1, outcome)
-        if 1 in scene.balancer.lookups:
+        if 1 in scene.balancer.requests:
             scene.say("and again")
             scene.end(1, outcome)
         lines += scene.lines
@@ -155,7 +155,7 @@
     scene.kept("effects")
 
 
-def test_deduplicated_lookup_stays_in_its_group():
+def test_deduplicated_request_stays_in_its_group():
     scene = Scene("a0 c1 d1")
     scene.take(1, 2)
     scene.say("an error; only servers of another zone are left")
@@ -193,21 +193,21 @@
     scene.kept("asked")
 
 
-def test_server_without_room_is_asked_once_a_lookup():
+def test_server_without_room_is_asked_once_a_request():
     scene = Scene("a0 b0 e0 f0", crossing_fee=9.0, agents=5)
     scene.prompt = False
     scene.take(1)
-    for server in scene.balancer.lookups[1].asked:
+    for server in scene.balancer.requests[1].asked:
         scene.balancer.probe_ended(server.index, Outcome.COMPLETED, 0.1, None)
     scene.wait(0.25)
     assert len([line for line in scene.lines if "probe" in line]) == 1
 
 
-def test_few_agents_know_the_servers_from_their_own_lookups():
+def test_few_agents_know_the_servers_from_their_own_requests():
     scene = Scene("a0 b0", agents=2)
     scene.prompt = False
     scene.take(1)
-    assert 1 in scene.shots and not scene.asked
+    assert 1 in scene.attempts and not scene.asked
 
 
 def test_keys_cross_together_while_home_misses_more_than_the_fee():
@@ -222,8 +222,8 @@
 
 def test_timers_of_one_moment_do_not_multiply():
     scene = Scene("a0", agents=8, crossing_fee=9.0)
-    for lookup in range(1, 40):
-        scene.take(lookup)
+    for request in range(1, 40):
+        scene.take(request)
     before = scene.timers
     scene.wait(0.3)
     assert scene.timers - before < 60
@@ -245,20 +245,22 @@
         scene.serve(range(1, 200))
         scene.list("a0", started=scene.now, whole=False)
         began = scene.now
-        for lookup in range(200, 300):
-            scene.take(lookup)
+        for request in range(200, 300):
+            scene.take(request)
             scene.wait(0.02)
-            scene.end(lookup) if lookup in scene.shots else None
-        sent += [at - began for server, _, at in scene.shots.values() if chr(server) == "a" and at >= began]
-    # 50 lookups a second from each of 6 agents: a warm server of three is sent 100 a second.
+            scene.end(request) if request in scene.attempts else None
+        sent += [
+            at - began for server, _, at in scene.attempts.values() if chr(server) == "a" and at >= began
+        ]
+    # 50 requests a second from each of 6 agents: a warm server of three is sent 100 a second.
     assert 0 < sum(at < 0.5 for at in sent) < 100 * 0.5 * 0.25
     assert sum(at < 2 for at in sent) < 100 * 2 * 0.4
 
 
-def test_overload_holds_the_important_longest_in_line_and_turns_back_the_rest():
+def test_overload_holds_the_important_longest_in_line_and_rejects_the_rest():
     scene = Scene("a0", agents=8, crossing_fee=9.0)
-    for lookup in range(1, 7):
-        scene.take(lookup, workload=lookup % 2)
+    for request in range(1, 7):
+        scene.take(request, request_class=request % 2)
     scene.wait(0.05)
     scene.end(1)
     scene.wait(0.2)
@@ -267,16 +269,16 @@
     scene.kept("overload")
 
 
-def test_repeats_wait_behind_new_lookups():
+def test_repeats_wait_behind_new_requests():
     scene = Scene("a0", agents=8, crossing_fee=9.0)
-    for lookup in range(1, 5):
-        scene.take(lookup, repeat=lookup == 2)
+    for request in range(1, 5):
+        scene.take(request, repeat=request == 2)
     scene.wait(0.05)
     scene.end(1)
-    assert 3 in scene.shots and 2 not in scene.shots
+    assert 3 in scene.attempts and 2 not in scene.attempts
 
 
-def test_held_lookup_is_answered_before_a_short_try_ends():
+def test_held_request_is_answered_before_a_short_try_ends():
     scene = Scene("", crossing_fee=9.0)
     scene.take(1, limit=0.1)
     scene.wait(0.1)
@@ -285,7 +287,7 @@
     scene.kept("short_try")
 
 
-def test_instant_refusals_draw_no_further_shots():
+def test_instant_refusals_draw_no_further_attempts():
     scene = Scene("a0 b0")
     scene.serve(range(1, 5))
     scene.balancer.servers[ord("a")].limit = 4.0
@@ -304,14 +306,14 @@
 
 def test_slow_server_is_not_taken_for_a_silent_one():
     scene, keys = Scene("a0 b0"), {}
-    for lookup in range(1, 9):
-        keys[scene.take(lookup)] = lookup
-        scene.end(lookup)
-    for lookup in range(9, 50):
-        name = "b" if lookup % 10 == 9 else "a"
-        scene.take(lookup, key=keys[name])
+    for request in range(1, 9):
+        keys[scene.take(request)] = request
+        scene.end(request)
+    for request in range(9, 50):
+        name = "b" if request % 10 == 9 else "a"
+        scene.take(request, key=keys[name])
         scene.wait(0.4 if name == "b" else 0.03)
-        scene.end(lookup)
+        scene.end(request)
     assert scene.take(50, key=keys["b"]) == "b"
     scene.wait(0.5)
     assert scene.balancer.servers[ord("b")].closed
@@ -329,13 +331,13 @@
 
 @pytest.mark.parametrize("agents, pooled, least", [(2, False, 1.0), (20, False, 1.0), (2, True, 1.0),
                                                    (20, True, 0.2)])
-def test_late_answers_leave_the_agents_of_a_pool_a_few_shots_together(agents, pooled, least):
+def test_late_answers_leave_the_agents_of_a_pool_a_few_attempts_together(agents, pooled, least):
     scene = Scene("a0 " + " ".join(f"{chr(98 + n)}1" for n in range(20)), agents=agents, may_probe=False,
                   pooled=pooled)
-    for lookup, took in enumerate([0.01] * 9 + [0.4] * 40):
-        scene.take(lookup)
+    for request, took in enumerate([0.01] * 9 + [0.4] * 40):
+        scene.take(request)
         scene.wait(took)
-        scene.end(lookup)
+        scene.end(request)
         scene.wait(2.0)
     assert scene.balancer.servers[ord("a")].limit == pytest.approx(least)
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -97,12 +97,12 @@
 def test_actions_are_laid_out_as_the_wire_wants():
     seat = Seat(3, Reply(), 0)
     server = seat.index(bytes.fromhex("0a124a075b1b"))
-    seat.shoot(0x5D3A91C4, server, 8.494298)
+    seat.send_attempt(0x5D3A91C4, server, 8.494298)
     seat.wake(77, 0.500000)
     seat.note("two servers known")
     seat.tell(-1, b"hi 7")
     seat.close_idle(server)
-    seat.fetch_list()
+    seat.fetch_servers()
     seat.watch(False)
     reply = seat.reply.framed(12)
     heads = ["100300c4913a5d0a124a075b1bda9c810000000000", "1403004d0000000000000020a10700",
--- a/tests/test_roster.py
+++ b/tests/test_discovery.py
@@ -8,10 +8,10 @@
 import gevent
 import pytest
 
-from cartdeal.agent import roster
-from cartdeal.agent.configuration import Line, Roll
-from cartdeal.agent.reducer import Query, Reducer
-from tests.scene import GRANT, station
+from cartdeal.agent import discovery
+from cartdeal.agent.configuration import ServerEntry, ServerList
+from cartdeal.agent.reducer import Reducer, Request
+from tests.scene import SETTINGS, agent_config
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD = 6.0      # what a silent watch misses counts as told so long after it fell silent
@@ -74,22 +74,22 @@
 
     def __init__(self, folder, monkeypatch, *scripts, chance=None, seed="7", known=({},)):
         self.now, self.scripts, self.due, self.order = 100.0, list(scripts), [], 0
-        self.calls, self.failed, self.shots = [], [], []
+        self.calls, self.failed, self.attempts = [], [], []
         self.sink = os.open(os.devnull, os.O_WRONLY)
-        monkeypatch.setattr(roster, "monotonic", lambda: self.now)
-        monkeypatch.setattr(roster, "socket", SimpleNamespace(
+        monkeypatch.setattr(discovery, "monotonic", lambda: self.now)
+        monkeypatch.setattr(discovery, "socket", SimpleNamespace(
             socket=lambda *kind: Sock(self), AF_INET=0, SOCK_STREAM=0))
         known = {"rev": 3, "all": True, "targets": [server("s0") | each for each in known]}
-        papers = station(folder, seed=seed, known=known, settings=GRANT | {"discovery": "pushed"})
-        self.reducer = Reducer(papers, self.now, 2000.0)
+        config = agent_config(folder, seed=seed, known=known, settings=SETTINGS | {"discovery": "pushed"})
+        self.reducer = Reducer(config, self.now, 2000.0)
         if chance is not None:
             self.reducer.balancer.chance = lambda: chance
-        self.roster = roster.Roster(papers, self.feed, lambda: self.reducer.version)
-        call = self.roster.call
-        self.roster.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
+        self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
+        call = self.discovery.call
+        self.discovery.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
         self.carry_out()
 
-    def feed(self, event, *args):
+    def dispatch(self, event, *args):
         if event == "watch_failed":
             self.failed.append(self.now)
         self.reducer.now = self.now
@@ -103,24 +103,26 @@
                 self.order += 1
                 heappush(self.due, (args[1], self.order))
             elif verb == "watch":
-                self.roster.watch(*args)
-            elif verb == "shoot":
-                self.shots.append(args[2])
+                self.discovery.watch(*args)
+            elif verb == "send_attempt":
+                self.attempts.append(args[2])
 
     def play(self, until):
         """Plays watches and timers up to about that time."""
         while self.now < until:
-            if self.roster.watching:
-                self.roster.watching.join()
+            if self.discovery.watching:
+                self.discovery.watching.join()
             elif self.due and self.due[0][0] <= self.now:
                 heappop(self.due)
-                self.feed("woken", 0)
+                self.dispatch("woken", 0)
             else:
                 self.now = self.due[0][0]
 
     def take(self, number):
         path = b"/%d" % number
-        self.feed("taken", number, Query(0, False, 0, number, 2.0, False, b"GET", path, path, b"", b"", b""))
+        self.dispatch(
+            "taken", number, Request(0, False, 0, number, 2.0, False, b"GET", path, path, b"", b"", b"")
+        )
 
 
 @pytest.fixture
@@ -134,8 +136,8 @@
     yield make
     for each in made:
         os.close(each.sink)
-        if each.roster.watching:
-            each.roster.watching.kill()
+        if each.discovery.watching:
+            each.discovery.watching.kill()
 
 
 STOOD = [(0.0, LIST), (2.0, BEAT), (4.0, BEAT)]     # and falls silent
@@ -153,7 +155,7 @@
     assert at - LAST <= 5.5 and played.reducer.version == 9
     assert one.endswith("after=3") and two.endswith("after=4") and two == three     # all that was missed
     played.take(1)
-    assert not played.shots
+    assert not played.attempts
 
 
 def test_only_the_call_after_silence_is_short_and_its_pauses_grow(world):
@@ -162,17 +164,17 @@
     begun = [at for at, _ in played.calls[1:]]
     took = [failed - at for failed, at in zip(played.failed[1:], begun, strict=False)]
     pauses = [at - failed for failed, at in zip(played.failed, begun, strict=False)]
-    assert took[:3] == pytest.approx([roster.HASTE, roster.ANSWER, roster.ANSWER])
+    assert took[:3] == pytest.approx([discovery.HASTE, discovery.ANSWER, discovery.ANSWER])
     assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 2.0, 10 / 3]) and len(begun) < 12
 
 
 @pytest.mark.parametrize("script, fails", [
-    ([], roster.ANSWER),
-    ([(n / 2, HEAD[n:n + 1]) for n in range(60)], roster.ANSWER),
-    ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + roster.SILENCE),
-    ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], roster.SILENCE),
-    ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], roster.SILENCE),
-    ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + roster.SILENCE),
+    ([], discovery.ANSWER),
+    ([(n / 2, HEAD[n:n + 1]) for n in range(60)], discovery.ANSWER),
+    ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE),
+    ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE),
+    ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE),
+    ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE),
 ], ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"])
 def test_watch_without_whole_lines_is_broken_however_much_it_trickles(world, script, fails):
     played = world(script, [(0.0, HEAD + BEAT)])
@@ -219,15 +221,15 @@
     played.take(2)
     played.play(104.0)
     played.take(3)
-    assert played.shots == [0, 0, 2]
+    assert played.attempts == [0, 0, 2]
 
 
 def test_service_moved_to_is_asked_at_once_and_again_in_time_for_all_it_has(world):
     played = world([(0.0, LIST)], [], [(0.0, HEAD + told(2, server("s2"), whole=True))], chance=0.999999)
-    played.roster.watching.join()       # the old one fell silent, and a pause is on
+    played.discovery.watching.join()       # the old one fell silent, and a pause is on
     moved = played.now
-    played.roster.move(("127.0.0.1", 2))
-    played.feed("list_moved")
+    played.discovery.move(("127.0.0.1", 2))
+    played.dispatch("discovery_moved")
     played.play(moved + 4.0)    # what changed counts by then
     assert [path[-7:] for _, path in played.calls[1:3]] == ["after=0"] * 2 and played.calls[1][0] == moved
     assert played.calls[2][0] < moved + 3.8 and played.reducer.version == 2
@@ -244,13 +246,13 @@
 def test_whole_list_is_had_in_time_or_not_at_all(world, script):
     played = world([(0.0, LIST), (0.0, b"")], script)
     played.scripts.insert(0, played.scripts.pop())
-    gevent.spawn(played.roster.run_fetch).join()
-    assert played.failed and played.failed[0] - 100 == pytest.approx(roster.ANSWER)
+    gevent.spawn(played.discovery.run_fetch).join()
+    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.ANSWER)
 
 
 def test_a_list_is_one_of_known_form():
-    assert roster.roll(b'{"rev": 2, "targets": []}') == Roll(2)
-    with pytest.raises(roster.Fault):
-        roster.roll(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
-    line, = roster.roll(json.dumps({"targets": [server("s")]}).encode()).lines
-    assert line == Line("s", "127.0.0.1:1", "a")
+    assert discovery.decode_list(b'{"rev": 2, "targets": []}') == ServerList(2)
+    with pytest.raises(discovery.Fault):
+        discovery.decode_list(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
+    line, = discovery.decode_list(json.dumps({"targets": [server("s")]}).encode()).entries
+    assert line == ServerEntry("s", "127.0.0.1:1", "a")
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -82,11 +82,11 @@
     assert held == pytest.approx(by_little, rel=1e-6)
 
 
-def test_lookups_in_equal_lookups_out_and_the_rules_are_kept():
+def test_requests_in_equal_requests_out_and_the_rules_are_kept():
     fleet = play(HARD)
     judge = fleet.judge
-    assert not judge.violations and judge.excused       # agents were killed with lookups open
-    assert judge.taken == judge.answered + judge.excused == fleet.count["lookups"] > 1000
+    assert not judge.violations and judge.excused       # agents were killed with requests open
+    assert judge.taken == judge.answered + judge.excused == fleet.count["requests"] > 1000
     assert fleet.count[200] + fleet.count[503] + fleet.count[502] == judge.answered
     assert min(fleet.count[each] for each in (200, 502, 503, "crossings", "handshakes", "list calls")) > 0
     assert not [each for each in fleet.servers.values() if each.open < 0 or each.running < 0]
@@ -118,23 +118,23 @@
         return super().listing(line)._replace(state=State.READY)
 
 
-class ShotAgain(Reducer):
+class SentAgain(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.within_group = lambda lookup, server, now: True
+        self.balancer.within_group = lambda request, server, now: True
 
 
 class NoRamp(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.granted = lambda server, now, like: True
+        self.balancer.ramp_allows = lambda server, now, like: True
 
 
 class TwoAnswers(Reducer):
     def answer(self, number, status, kind, body, wait):
-        owed = self.lookups.get(number)
-        if owed and owed.asker is not None and number % 50 == 0:
-            self.asked.append(("answer", owed.asker, status, kind, body, wait))
+        pending = self.requests.get(number)
+        if pending and pending.asker is not None and number % 50 == 0:
+            self.asked.append(("answer", pending.asker, status, kind, body, wait))
         super().answer(number, status, kind, body, wait)
 
 
@@ -145,36 +145,36 @@
 
 
 class Overdue(Reducer):
-    def taken(self, asker, query):
-        super().taken(asker, query._replace(wait=query.wait + 1.0))
+    def taken(self, asker, request):
+        super().taken(asker, request._replace(wait=request.wait + 1.0))
 
 
-class TurnedBackInDoubt(Reducer):
-    def terminate(self, lookup):
-        self.turn_back(lookup, 0.0)
+class RejectedInDoubt(Reducer):
+    def fail(self, request):
+        self.reject(request, 0.0)
 
 
-class ShotAfterAnswer(Reducer):
-    def shot_ended(self, number, server, shot, ending, load=None):
-        owed = self.lookups.get(number)
-        super().shot_ended(number, server, shot, ending, load)
-        if owed and number % 50 == 0 and server in self.servers and number not in self.lookups:
-            self.lookups[number] = owed
-            self.shoot(number, server, 0.0)
-            del self.lookups[number]
+class SentAfterAnswer(Reducer):
+    def attempt_ended(self, number, server, attempt, ending, load=None):
+        pending = self.requests.get(number)
+        super().attempt_ended(number, server, attempt, ending, load)
+        if pending and number % 50 == 0 and server in self.servers and number not in self.requests:
+            self.requests[number] = pending
+            self.send_attempt(number, server, 0.0)
+            del self.requests[number]
 
 
 class BothAtOnce(Reducer):
-    def shoot(self, lookup, server, until):
-        super().shoot(lookup, server, until)
-        if self.lookups[lookup].shots == 1 and lookup % 50 == 0:
-            super().shoot(lookup, server, until)
+    def send_attempt(self, request, server, until):
+        super().send_attempt(request, server, until)
+        if self.requests[request].attempts == 1 and request % 50 == 0:
+            super().send_attempt(request, server, until)
 
 
 @pytest.mark.parametrize("breakage, world, rule", [
-    (DrainIgnored, HARD, 3), (GoneIgnored, HARD, 3), (ShotAgain, HARD, 2), (TurnedBackInDoubt, HARD, 2),
+    (DrainIgnored, HARD, 3), (GoneIgnored, HARD, 3), (SentAgain, HARD, 2), (RejectedInDoubt, HARD, 2),
     (BothAtOnce, HARD, 2), (TwoAnswers, HARD, 1), (Forgotten, HARD, 1), (Overdue, HARD, 1),
-    (ShotAfterAnswer, HARD, 1), (NoRamp, COLD, 4)])
+    (SentAfterAnswer, HARD, 1), (NoRamp, COLD, 4)])
 def test_judge_finds_a_planted_fault_and_names_its_rule(breakage, world, rule):
     found = play(world, make=breakage).judge.violations
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
@@ -203,13 +203,21 @@
     return subprocess.run(words, capture_output=True, text=True)
 
 
-@pytest.mark.parametrize("text, words", [
-    ("agents = 0", "agents"), ("agnets = 3", "agnets"), ("[servers]\ncores = 'two'", "servers.cores"),
-    ("[[fault]]\nkind = 'flood'\nbegins_s = 1", "kind"),
-    ("[[fault]]\nkind = 'zone_cut'\nbegins_s = 1", "fault[0].zone"),
-    ("[[fault]]\nkind = 'crash'\nbegins_s = 99", "fault[0].begins_s: found 99"), ("zones = []", "zones"),
-    ("[[workload]]\nname = 'x'\n[[workload]]\nname = 'x'", "workload: found"), ("agents = ", "world.toml"),
-    ("[[fault]]\nkind = 'errors'\nbegins_s = 1\nsize = 2.0", "fault[0].size")])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("agents = 0", "agents"),
+        ("agnets = 3", "agnets"),
+        ("[servers]\ncores = 'two'", "servers.cores"),
+        ("[[fault]]\nkind = 'flood'\nbegins_s = 1", "kind"),
+        ("[[fault]]\nkind = 'zone_cut'\nbegins_s = 1", "fault[0].zone"),
+        ("[[fault]]\nkind = 'crash'\nbegins_s = 99", "fault[0].begins_s: found 99"),
+        ("zones = []", "zones"),
+        ("[[workload]]\nname = 'x'\n[[workload]]\nname = 'x'", "workload: found"),
+        ("agents = ", "world.toml"),
+        ("[[fault]]\nkind = 'errors'\nbegins_s = 1\nsize = 2.0", "fault[0].size"),
+    ],
+)
 def test_world_that_cannot_be_used_gets_one_line_and_status_2(tmp_path, text, words):
     file = tmp_path / "world.toml"
     file.write_text(text)
--- a/tests/test_fleet_papers.py
+++ b/tests/test_fleet_configuration.py
@@ -4,21 +4,21 @@
 import pytest
 from msgspec.structs import fields
 
-from cartdeal.fleet import papers
+from cartdeal.fleet import configuration
 from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.errors import WrongPapers
-from tests.scene import GRANT, station
+from cartdeal.fleet.errors import WrongConfiguration
+from tests.scene import SETTINGS, agent_config
 
 KEY, SEEDS = "k" * 16, '[seeds]\na1 = "127.0.0.1:7001"\na2 = "127.0.0.1:7002"\n'
 GOOD = f'fleet = "f"\nkey = "{KEY}"\n'
 LIMITS = "[limits.x]\nrate = 5.0\nburst = 2\n"
-TENANTS = GRANT | {"tenants": [{"name": "x"}]}
+TENANTS = SETTINGS | {"tenants": [{"name": "x"}]}
 
 
 def read(folder, text, **environment):
     (folder / "fleet.toml").write_text(text)
     environment = {"PROXY_FLEET": str(folder / "fleet.toml"), "PROXY_FLEET_NAME": "a1"} | environment
-    return papers.read(station(folder, settings=TENANTS), environment)
+    return configuration.read(agent_config(folder, settings=TENANTS), environment)
 
 
 def test_one_file_serves_many_agents_and_what_is_left_out_has_its_default(tmp_path):
@@ -74,7 +74,7 @@
     (GOOD + SEEDS + "[limits.y]\nrate = 1\nburst = 1\n", "limits.y", "y", "one of the settings' tenants: x"),
 ])
 def test_each_fault_names_file_key_found_and_wanted(tmp_path, text, key, found, wanted):
-    with pytest.raises(WrongPapers) as trouble:
+    with pytest.raises(WrongConfiguration) as trouble:
         read(tmp_path, text if "[" in text else text + SEEDS)
     assert trouble.value.what == f"{tmp_path / 'fleet.toml'}: {key}"
     assert (trouble.value.found, wanted in trouble.value.do) == (found, True), trouble.value
@@ -85,16 +85,16 @@
 def test_a_file_that_is_no_toml_or_is_not_there_is_refused(tmp_path, text):
     (tmp_path / "bad.toml").write_bytes(text.encode(errors="surrogateescape"))
     for file in ("bad.toml", "none.toml"):
-        with pytest.raises(WrongPapers, match="TOML|readable"):
-            papers.read(station(tmp_path), {"PROXY_FLEET": str(tmp_path / file)})
-    with pytest.raises(WrongPapers, match="PROXY_FLEET_LISTEN: found 'x'"):
+        with pytest.raises(WrongConfiguration, match="TOML|readable"):
+            configuration.read(agent_config(tmp_path), {"PROXY_FLEET": str(tmp_path / file)})
+    with pytest.raises(WrongConfiguration, match="PROXY_FLEET_LISTEN: found 'x'"):
         read(tmp_path, GOOD + SEEDS, PROXY_FLEET_LISTEN="x")
 
 
 def test_what_a_running_agent_takes_over(tmp_path):
     old = read(tmp_path, GOOD + SEEDS + LIMITS).pact
     new = read(tmp_path, GOOD + "copies = 5\nwrite_by = 3\nread_by = 3\nwait_s = 0.2\n" + SEEDS).pact
-    kept, restart = papers.taken_over(old, new)
+    kept, restart = configuration.taken_over(old, new)
     assert (kept.wait_s, kept.limits, kept.copies) == (0.2, {}, 3)
     assert restart == ["copies", "write_by", "read_by"]
 
@@ -105,11 +105,11 @@
     found = read(tmp_path, text, PROXY_FLEET_NAME="orders-1")
     assert found.pact.fleet == "orders" and found.listen == ("10.0.0.5", 7946)
     bare = tomllib.loads("\n".join(line.removeprefix("# ") for line in text.splitlines()
-                                   if line.removeprefix("# ").partition(" = ")[0] in papers.KEYS))
+                                   if line.removeprefix("# ").partition(" = ")[0] in configuration.KEYS))
     defaults = {each.name: each.default for each in fields(Pact)}
-    assert bare.keys() | {"seeds", "limits"} == papers.KEYS.keys()
-    assert papers.KEYS.keys() - {"listen", "key_file"} == defaults.keys() - {"reads"}
+    assert bare.keys() | {"seeds", "limits"} == configuration.KEYS.keys()
+    assert configuration.KEYS.keys() - {"listen", "key_file"} == defaults.keys() - {"reads"}
     for key in bare.keys() - {"fleet", "name", "listen", "address", "key", "key_file", "zone"}:
         assert bare[key] == defaults[key], key
-    papers.read(station(tmp_path, settings=TENANTS), {
+    configuration.read(agent_config(tmp_path, settings=TENANTS), {
         "PROXY_FLEET": str(tmp_path / "fleet.toml"), "PROXY_FLEET_NAME": "orders-1"})
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -8,7 +8,7 @@
 
 from cartdeal.fleet.days import day
 
-DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "lookups": 10.0}
+DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
 SAY = f"from cartdeal.fleet.days import day; print(day(3, **{DAY}))"
 
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -108,7 +108,7 @@
     stream, frames, got, cut = b"".join(map(wire.framed, messages)), wire.Frames(40), [], 0
     while stream:
         size = cuts[cut % len(cuts)]
-        got += frames.feed(stream[:size])
+        got += frames.dispatch(stream[:size])
         stream, cut = stream[size:], cut + 1
     assert got == messages and not frames.rest
 
@@ -117,10 +117,10 @@
 def test_a_frame_that_can_not_be_is_refused_and_nothing_of_it_kept(head, kind):
     frames = wire.Frames()
     with pytest.raises(kind):
-        frames.feed(head + bytes(100))
+        frames.dispatch(head + bytes(100))
     assert not frames.rest
     with pytest.raises(errors.Unreadable):
-        frames.feed(wire.framed(b"x"))
+        frames.dispatch(wire.framed(b"x"))
 
 
 class Scripted:
@@ -175,7 +175,7 @@
 
 
 def say(host, to, *words):
-    host.feed("say", to.pact.name, to.node.address, *words)
+    host.dispatch("say", to.pact.name, to.node.address, *words)
 
 
 def test_words_go_by_datagram_or_stream_and_come_with_their_sender(hosts):
@@ -186,15 +186,15 @@
     assert [each[3] for each in b.node.got if type(each[3]) is Load] == [Load(bytes(400_000)), Load(b"y")]
     assert len(a.roads) == 1 and len(b.readers) == 1 and not b.half
     say(a, b, Hail("x" * 2000))
-    a.feed("say", "b", "nowhere", Hail("x"))
+    a.dispatch("say", "b", "nowhere", Hail("x"))
     assert a.figured["dropped too long"] == a.figured["dropped no address"] == 1
 
 
 def test_an_event_that_comes_of_an_effect_is_played_after_it(hosts):
     seen = []
     a = hosts("a", decided=lambda ticket, *rest: seen.append(ticket) or ticket < 3 and (
-        a.feed("decide", ticket + 2), seen.append(-ticket)))
-    a.feed("decide", 1)
+        a.dispatch("decide", ticket + 2), seen.append(-ticket)))
+    a.dispatch("decide", 1)
     assert seen == [1, -1, 3]
 
 
@@ -232,7 +232,7 @@
     assert b.figured["refused UnknownWords"] == 1 and len(b.node.got) == 1
 
 
-def test_strangers_have_little_time_and_room_and_a_known_peer_keeps_its_stream(hosts, monkeypatch):
+def test_unidentified_clients_have_little_time_and_room_and_a_known_peer_keeps_its_stream(hosts, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.host.STRANGERS", 3)
     monkeypatch.setattr("cartdeal.fleet.host.GREET", 0.1)
     a, b = hosts("a"), hosts("b", bounds=Bounds(half=100_000))
--- a/tests/test_fleet_lending.py
+++ b/tests/test_fleet_lending.py
@@ -146,7 +146,7 @@
             agent.queue = []
         self.at(self.now + seconds, goes_on)
 
-    def lookup(self, name, tenant="t"):
+    def request(self, name, tenant="t"):
         agent = self.agents[name]
         if not agent.stopped:
             ticket = next(self.tickets)
@@ -159,10 +159,10 @@
         self.answers.append((self.now, name, ok, wait_s, sure, self.now - asked))
 
     def load(self, name, rate, start, end):
-        """Lookups by chance, `rate` a second on average."""
+        """Requests by chance, `rate` a second on average."""
         when = start
         while (when := when + self.random.expovariate(rate)) < end:
-            self.at(when, partial(self.lookup, name))
+            self.at(when, partial(self.request, name))
 
     def run(self, until):
         while self.events and self.events[0][0] <= until:
@@ -212,7 +212,7 @@
             net.at(when, partial(net.cut.update, cuts))
             net.at(when + long, partial(net.cut.difference_update, cuts))
     net.run(until + 8)
-    assert not net.waiting      # each lookup is answered, whatever comes
+    assert not net.waiting      # each request is answered, whatever comes
     return net
 
 
@@ -324,7 +324,7 @@
 def test_a_fresh_fleet_is_unsure_and_a_quiet_agent_is_served_in_a_round_trip():
     net = Net("abcdef")
     for when in (2.0, 4.0, 20.0):
-        net.at(when, partial(net.lookup, "f"))
+        net.at(when, partial(net.request, "f"))
     net.run(21)
     assert [each[2:5:2] for each in net.answers] == [(False, False), (False, False), (True, True)]
     assert net.answers[-1][-1] <= 0.004
@@ -338,12 +338,12 @@
     net = Net("abcd", limit=Limit(1.0, 40.0))
     net.run(60)
     for _ in range(30):
-        net.lookup("d")
+        net.request("d")
     net.run(60.3)
     net.agents["d"].part.leaving()
     net.run(60.4)
     for _ in range(60):
-        net.lookup("b")
+        net.request("b")
     net.run(60.6)
     assert net.served() >= 38 and net.over() <= 0
 
@@ -359,7 +359,7 @@
     assert len(late) > 100 and not any(ok or sure for _, _, ok, _, sure, _ in late)
     assert max(took for *_, took in late) <= net.pact.wait_s + 2 * net.pact.tick_s
     mine.pact = replace(mine.pact, most_waiting=0)      # full: turned away at once, counted
-    net.lookup("d")
+    net.request("d")
     assert net.answers[-1][2] is False and mine.desk.counted["lending full"] == 1
 
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -25,7 +25,7 @@
     return Question(tenant="", session=session, key="close", repeat="u", limit_s=2.0, workload="close")
 
 
-def test_lookup_that_may_have_run_at_an_agent_that_died_does_not_run_again():
+def test_request_that_may_have_run_at_an_agent_that_died_does_not_run_again():
     memory = fleet()
     intent = memory.intend(unrepeatable(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
     memory.run(0.1)
--- a/tests/test_fleet_off.py
+++ b/tests/test_fleet_off.py
@@ -7,13 +7,13 @@
 import pytest
 from gevent import subprocess
 
-from tests.scene import papers
+from tests.scene import config_file
 from tests.test_sockets import line_with
 
 IMPORTS = """
     cartdeal cartdeal.agent cartdeal.agent.configuration cartdeal.agent.connection cartdeal.agent.effects
-    cartdeal.agent.front cartdeal.agent.reducer cartdeal.agent.roster cartdeal.agent.shots
-    cartdeal.agent.start cartdeal.choice cartdeal.grant cartdeal.terms""".split()
+    cartdeal.agent.front cartdeal.agent.reducer cartdeal.agent.discovery cartdeal.agent.upstream
+    cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms""".split()
 
 # Says what is imported once the agent serves.
 TOLD = ("import gevent, sys; from cartdeal.agent import start; "
@@ -22,7 +22,7 @@
 
 
 def run(folder, *words, **environment):
-    (folder / "config.json").write_text(json.dumps(papers()))
+    (folder / "config.json").write_text(json.dumps(config_file()))
     environment = {**os.environ, "PROXY_CONFIG": str(folder / "config.json"), **environment}
     return subprocess.Popen([sys.executable, *words], stdout=subprocess.PIPE, stderr=subprocess.PIPE,
                             env=environment)
@@ -71,12 +71,12 @@
 
 def test_with_one_it_is(tmp_path, fleet):
     agent = run(tmp_path, "-c", TOLD, PROXY_FLEET=str(fleet))
-    assert {"cartdeal.fleet.node", "cartdeal.fleet.host", "cartdeal.agent.gate"} <= set(modules(agent))
+    assert {"cartdeal.fleet.node", "cartdeal.fleet.host", "cartdeal.agent.admission"} <= set(modules(agent))
     end(agent)
 
 
 def test_what_is_open_at_a_start(tmp_path, fleet):
-    # The list service is not there: what is tried towards it comes and goes and is left out.
+    # The discovery service is not there: what is tried towards it comes and goes and is left out.
     off = run(tmp_path, "-m", "cartdeal", PROXY_FLEET="")
     on = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet))
     for agent in (off, on):
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -281,15 +281,15 @@
     "a minority that draws a ring": (minority, cut_in_two, 5, {}, "drawn by 2 of 5"),
     "an owner whom nobody has to vouch for": (no_vouching, cut_in_two, 5, {}, "over its limit"),
     "a field dropped": (field_dropped, newer_field, 3, {}, "newer field: copies differ"),
-    "a handover that answers too early": (answers_too_early, copies_lost, 5, {}, "unrepeatable, ran"),
-    "marks forgotten too early": (forgets_early, comes_late, 3, {}, "unrepeatable, ran"),
+    "a handover that answers too early": (answers_too_early, copies_lost, 5, {}, "non-idempotent, ran"),
+    "marks forgotten too early": (forgets_early, comes_late, 3, {}, "non-idempotent, ran"),
     "a doubled answer taken twice": (taken_twice, bad_weather, 3, {"hold_version": 1}, "over its limit"),
     "a version gone up without a majority": (all_are_able, half_new, 5, {"reads": (1, 1)}, "can read 2"),
     "a mark that one owner is enough for": (written_by_one, cut_off_sheets, 3, {}, "written at 1 of 2"),
-    "one in doubt that sends its client elsewhere": (come_again, in_doubt, 3, {}, "turned back"),
+    "one in doubt that sends its client elsewhere": (come_again, in_doubt, 3, {}, "rejected"),
     "a repeat sent to another zone": (places_forgotten, another_zone, 3, {}, "deduplicated, ran"),
     "owners by remainder": (by_remainder, comes_and_goes, 5, {}, "which stayed"),
-    "a clock that is believed whatever it says": (believes_clocks, clock_ahead, 3, {}, "unrepeatable, ran"),
+    "a clock that is believed whatever it says": (believes_clocks, clock_ahead, 3, {}, "non-idempotent, ran"),
 }
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
 
 
 def settled(world, agents=None):
-    """A lookup with a mark is completed at each agent: owners have caught up, and are vouched for."""
+    """A request with a mark is completed at each agent: owners have caught up, and are vouched for."""
     for each in agents or world.agents:
         eventually(lambda each=each: world.ask(each, "/close/probe", f"probe {monotonic()}")[0] == 200,
                    "marks are written")
@@ -78,7 +78,7 @@
     assert world.epoch() or eventually(world.epoch, "one ring")
 
 
-def test_agent_that_is_told_to_end_hands_over_and_its_clients_lookups_stay_known(world):
+def test_agent_that_is_told_to_end_hands_over_and_its_clients_requests_stay_known(world):
     one, two, _ = world.agents
     settled(world)
     held = gevent.spawn(world.ask, two, "/close/9?do=wait", "fay")
--- a/tests/test_fleet_replica.py
+++ b/tests/test_fleet_replica.py
@@ -193,7 +193,7 @@
         assert not (sure and certain) or other.by in seen or mark.by in found
 
 
-def test_all_owners_down_is_doubt_at_the_time_limit_and_never_a_guess():
+def test_all_owners_down_is_doubt_at_the_deadline_and_never_a_guess():
     net = Net("abcde")
     sid = net.sid(no="ab")
     assert net["a"].asked(sid)[1]
--- a/tests/test_fleet_ring.py
+++ b/tests/test_fleet_ring.py
@@ -187,7 +187,7 @@
     assert watch.run(120, flap).changes == 0
 
 
-def test_a_restart_faster_than_its_absence_shows_keeps_the_seat_and_brings_no_stranger_in():
+def test_a_restart_faster_than_its_absence_shows_keeps_the_seat_and_brings_no_unidentified_client_in():
     watch = Watch([10] * 5)
     stranger = watch.live["a9999"] = watch.peer("a9999", 64.0)
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -8,14 +8,27 @@
 import pytest
 
 from cartdeal.agent import configuration
-from tests.scene import GRANT, papers
-
-OLD = papers(listen="127.0.0.1:0", peers=["127.0.0.1:9"], peer_listen="127.0.0.1:8", novel=[1],
-             known={"rev": 3, "all": True, "targets": [{"uid": "s", "endpoint": "127.0.0.1:7", "az": "b"}]},
-             settings=GRANT | {"areas": ["a", "b", "c"], "az": 1, "groupSize": 9, "myNumber": 2, "odd": True,
-                               "family": "mesh", "weightKind": "rough",
-                               "fees": {"crossZone": 0.1, "probe": 0.01},
-                               "caps": GRANT["caps"] | {"probes": True}})
+from tests.scene import SETTINGS, config_file
+
+OLD = config_file(
+    listen="127.0.0.1:0",
+    peers=["127.0.0.1:9"],
+    peer_listen="127.0.0.1:8",
+    novel=[1],
+    known={"rev": 3, "all": True, "targets": [{"uid": "s", "endpoint": "127.0.0.1:7", "az": "b"}]},
+    settings=SETTINGS
+    | {
+        "areas": ["a", "b", "c"],
+        "az": 1,
+        "groupSize": 9,
+        "myNumber": 2,
+        "odd": True,
+        "family": "mesh",
+        "weightKind": "rough",
+        "fees": {"crossZone": 0.1, "probe": 0.01},
+        "caps": SETTINGS["caps"] | {"probes": True},
+    },
+)
 TOLD = ("--area", "x", "--area", "b", "--agents", 4, "--number", 1, "--column", "backlog")
 
 
@@ -45,7 +58,7 @@
     assert got["areas"] == ["x", "b"] and got["az"] == 1      # its zone by name, not by place
     assert (got["groupSize"], got["myNumber"], got["caps"]["probes"]) == (4, 1, False)
     assert got["feedback"] == {"how": "answers", "columns": ["backlog"]}
-    assert got["workloads"] == GRANT["workloads"] and got["odd"] and made["novel"] == [1]
+    assert got["workloads"] == SETTINGS["workloads"] and got["odd"] and made["novel"] == [1]
     assert made["limits"] == OLD["limits"] and "known" not in made and "peers" not in made
     lost = [line.split(": ")[1] for line in out.splitlines() if line.startswith("not carried over")]
     assert lost == ["settings.caps.probes", "settings.fees.probe", "settings.rules.askEveryUs", "peer_listen",
@@ -53,7 +66,7 @@
     assert "to confirm: settings.workloads" in out and "to confirm: settings.groupSize" not in out
     first = new.read_bytes()
     assert said("migrate", old, new, *TOLD, "--force")[0] == 0 and new.read_bytes() == first
-    assert configuration.read({"PROXY_CONFIG": str(new)}).grant.charter(1).pooled
+    assert configuration.read({"PROXY_CONFIG": str(new)}).settings.for_balancer(1).pooled
 
 
 def test_dry_run_shows_all_and_changes_nothing(old, tmp_path):
@@ -124,13 +137,13 @@
     ("objectiveMix", {"worstClass": -1}, "settings.objectiveMix.worstClass: found -1"),
 ])
 def test_setting_that_the_module_reads_is_checked(tmp_path, key, value, words):
-    (tmp_path / "c.json").write_text(json.dumps(papers(settings=GRANT | {key: value})))
+    (tmp_path / "c.json").write_text(json.dumps(config_file(settings=SETTINGS | {key: value})))
     with pytest.raises(configuration.Fault) as fault:
         configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")})
     assert words in str(fault.value)
 
 
 def test_defaults_are_those_of_an_agent_beside_its_client(tmp_path):
-    (tmp_path / "c.json").write_text(json.dumps(papers()))
-    charter = configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")}).grant.charter(1)
-    assert (charter.pooled, charter.live_weights, charter.worst_workload) == (False, False, 0.0)
+    (tmp_path / "c.json").write_text(json.dumps(config_file()))
+    settings = configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")}).settings.for_balancer(1)
+    assert (settings.pooled, settings.live_weights, settings.worst_class) == (False, False, 0.0)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -14,7 +14,7 @@
 
 
 def homes(scene, keys, took=0.05):
-    """Where each of a row of lookups goes, one at a time."""
+    """Where each of a row of requests goes, one at a time."""
     found = []
     for number, key in enumerate(keys, 1000):
         found.append(scene.take(number, key=key))
@@ -28,17 +28,17 @@
     scene, still = pool(agents=2), pool(agents=2, live_weights=False)
     for each in (scene, still):
         each.list("a0", whole=False, weight=0.2)
-    picks = [{key: each.balancer.pick(each.balancer.zones[0], lookup, each.now).index
-              for key in range(1, 200) for lookup in [made(each, key)]} for each in (scene, still)]
+    picks = [{key: each.balancer.pick(each.balancer.zones[0], request, each.now).index
+              for key in range(1, 200) for request in [made(each, key)]} for each in (scene, still)]
     assert 30 < list(picks[0].values()).count(ord("a")) < 70 and list(picks[1].values()).count(ord("a")) < 25
 
 
 def made(scene, key):
     scene.take(9999, key=key)
-    lookup = scene.balancer.forget(9999)
-    lookup.tried.clear()
-    scene.balancer.servers[scene.shots[9999][0]].out.clear()
-    return lookup
+    request = scene.balancer.forget(9999)
+    request.tried.clear()
+    scene.balancer.servers[scene.attempts[9999][0]].out.clear()
+    return request
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, nan, inf, -inf, 1e30])
@@ -76,7 +76,7 @@
     assert max(where.values()) <= 4 and len(where) >= 3     # eight at one, by seconds alone
 
 
-def test_slow_server_is_sent_less_before_any_shot_of_it_fails():
+def test_slow_server_is_sent_less_before_any_attempt_of_it_fails():
     scene, found = pool(agents=2), Counter()
     for number in range(1, 400):
         name = scene.take(number)
@@ -94,10 +94,10 @@
     assert first and not scene.take(2)      # four quarters make one
     scene.wait(0.05)
     scene.end(1)
-    assert 2 in scene.shots and scene.now == pytest.approx(100.05)
+    assert 2 in scene.attempts and scene.now == pytest.approx(100.05)
 
 
-def test_shot_given_up_fills_its_server_until_a_later_one_is_answered():
+def test_attempt_given_up_fills_its_server_until_a_later_one_is_answered():
     # A time-out stops nothing: room given away at once let servers fill up unseen, whatever the limits were.
     scene = pool("a0", crossing_fee=9.0)
     server = scene.balancer.servers[ord("a")]
@@ -107,16 +107,16 @@
     assert scene.take(1) and not scene.take(3, limit=0.2)
     scene.wait(0.1)
     scene.end(1, Outcome.TIMED_OUT)
-    assert scene.balancer.full([server]) and 3 not in scene.shots
+    assert scene.balancer.full([server]) and 3 not in scene.attempts
     scene.end(2)        # sent before the one given up: that may still be there
     assert len(server.left) == 1
-    assert 3 in scene.shots and not scene.take(4)
+    assert 3 in scene.attempts and not scene.take(4)
     scene.wait(0.1)
     scene.end(3)
     assert not server.left
 
 
-def test_one_shot_at_a_time_goes_out_where_all_that_fills_a_zone_was_given_up():
+def test_one_attempt_at_a_time_goes_out_where_all_that_fills_a_zone_was_given_up():
     # Else none went out to a lost zone, none failed, and agents stayed there until the list dropped it.
     scene = pool("a0 b0 e0", crossing_fee=9.0)
     server = scene.balancer.servers[ord("a")]
@@ -136,32 +136,32 @@
     assert scene.balancer.servers[ord("a")].limit == 0.25
 
 
-SHORT = READ._replace(name="short", importance=1.0)
-LONG = READ._replace(name="long", importance=2.0)
+SHORT = READ._replace(name="short", priority=1.0)
+LONG = READ._replace(name="long", priority=2.0)
 
 
 def busy(scene, served, rounds=20):
-    """Teaches an agent the usual times, and how much of each workload was served."""
+    """Teaches an agent the usual times, and how much of each request class was served."""
     for number in range(rounds * 2):
         which = number % 2
         scene.balancer.taken(5000 + number, which, 0, 1 + number, scene.now + 2.0, False)
         scene.wait(0.25 if which else 0.05)
-        if 5000 + number in scene.balancer.lookups and 5000 + number in scene.shots:
+        if 5000 + number in scene.balancer.requests and 5000 + number in scene.attempts:
             scene.end(5000 + number, Outcome.COMPLETED if which in served else Outcome.ERROR)
 
 
-def test_held_lookups_go_by_worth_for_the_time_they_take():
-    # By importance alone, short lookups of little importance got no room at all in a full zone.
-    scene = pool(agents=2, workloads=(SHORT, LONG), crossing_fee=9.0)
+def test_held_requests_go_by_worth_for_the_time_they_take():
+    # By priority alone, short requests of little priority got no room at all in a full zone.
+    scene = pool(agents=2, request_classes=(SHORT, LONG), crossing_fee=9.0)
     busy(scene, (0, 1))
     worth = [scene.balancer.worth(which, 1.0 + which, scene.now) for which in (0, 1)]
     assert worth[0] > 1.5 * worth[1]
 
 
-def test_workload_that_is_served_worst_counts_more_where_the_result_does():
+def test_class_that_is_served_worst_counts_more_where_the_result_does():
     worth = []
     for weight in (0.0, 0.4):
-        scene = pool(agents=2, workloads=(SHORT, LONG), worst_workload=weight, may_cancel=False)
+        scene = pool(agents=2, request_classes=(SHORT, LONG), worst_class=weight, may_cancel=False)
         busy(scene, (0,))
         worth.append([scene.balancer.worth(which, 1.0, scene.now) for which in (0, 1)])
     assert worth[1][0] == pytest.approx(worth[0][0], rel=0.1) and worth[1][1] > 1.5 * worth[0][1]
@@ -176,18 +176,18 @@
     assert missed.amount > 0.3 * ended.amount and scene.balancer.spill == 0.0
 
 
-def test_given_up_lookup_is_answered_at_once_and_told_when_to_come_back():
+def test_given_up_request_is_answered_at_once_and_told_when_to_come_back():
     scene, waits = pool("a0", crossing_fee=9.0, advises_wait=2.0), []
-    scene.turn_back = lambda lookup, wait: waits.append((scene.now, wait))
+    scene.reject = lambda request, wait: waits.append((scene.now, wait))
     scene.balancer.servers[ord("a")].limit = 1.0
     for number in range(1, 6):
         scene.take(number, limit=9.0)
     scene.wait(0.305)
-    assert len(waits) == 4      # the goal time is 1 s, the time limit 9 s
+    assert len(waits) == 4      # the latency target is 1 s, the deadline 9 s
     assert all(at <= 100.303 and 0.2 <= wait <= 0.5 for at, wait in waits)
 
 
-def test_lookups_that_wait_at_a_server_cut_its_limit():
+def test_requests_that_wait_at_a_server_cut_its_limit():
     scene = pool("a0")
     before = scene.balancer.servers[ord("a")].limit
     scene.take(1)
@@ -221,6 +221,6 @@
     scene.list("a0 b0", State.GONE, whole=False)
     scene.take(3)
     scene.wait(0.5)
-    assert scene.lines[-1].endswith("turn back 3")
+    assert scene.lines[-1].endswith("reject 3")
     scene.list("b0")
     assert scene.take(4) == "b"
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,10 +1,10 @@
 import pytest
 
 from cartdeal.agent import configuration
-from cartdeal.agent.configuration import Line, Roll
-from cartdeal.agent.reducer import Cause, Ending, Progress, Query, Reducer
+from cartdeal.agent.configuration import ServerEntry, ServerList
+from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.terms import Outcome
-from tests.scene import kept, papers, station
+from tests.scene import agent_config, config_file, kept
 
 SERVERS = [{"uid": f"s{n}", "endpoint": f"127.0.0.1:{n}", "az": "a"} for n in (1, 2)]
 
@@ -15,7 +15,7 @@
     def __init__(self, folder, boot=1000.0):
         known = {"rev": 3, "all": True, "targets": SERVERS}
         self.lines, self.at = [], {}
-        self.reducer = Reducer(station(folder, known=known), 100.0, 100.0 + boot)
+        self.reducer = Reducer(agent_config(folder, known=known), 100.0, 100.0 + boot)
         self.say("start")
 
     def play(self, after, event, *args):
@@ -26,7 +26,7 @@
     def say(self, event):
         self.lines.append(f"{self.reducer.now - 100:5.2f}  {event}")
         for verb, *args in self.reducer.asked:
-            if verb == "shoot":
+            if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
             if verb not in ("note", "begun", "wake"):
                 words = " ".join(self.show(each) for each in args)
@@ -34,54 +34,58 @@
         self.reducer.asked.clear()
 
     def show(self, each):
-        if isinstance(each, Query):
+        if isinstance(each, Request):
             return each.path.decode()
         if isinstance(each, float):
             return f"{each:.2f}" if each < 100 else f"@{each - 100:.2f}"
         return each.decode() if isinstance(each, bytes) else str(each)
 
-    def take(self, workload, strict=False, wait=2.0):
+    def take(self, request_class, non_idempotent=False, wait=2.0):
         path = b"/%d" % (self.reducer.count + 1)
-        query = Query(workload, strict, 0, 7, wait, False, b"GET", path, path, b"", b"", b"")
-        self.play(0.1, "taken", f"line {self.reducer.count + 1}", query)
+        request = Request(request_class, non_idempotent, 0, 7, wait, False, b"GET", path, path, b"", b"", b"")
+        self.play(0.1, "taken", f"line {self.reducer.count + 1}", request)
 
-    def end(self, number, shot, cause=Cause.ANSWERED, progress=Progress.WHOLE, status=200, **more):
-        ending = Ending(cause, progress, 0.05, status, body=b"found", **more)
-        self.play(0.05, "shot_ended", number, self.at[number, shot], shot, ending)
+    def end(
+        self, number, attempt, reason=FailureReason.ANSWERED, progress=Progress.WHOLE, status=200, **more
+    ):
+        result = AttemptResult(reason, progress, 0.05, status, body=b"found", **more)
+        self.play(0.05, "attempt_ended", number, self.at[number, attempt], attempt, result)
 
 
 def test_one_final_answer_whatever_comes_after_it(tmp_path):
     desk = Desk(tmp_path)
-    desk.play(0.0, "listed", Roll(4, False, (Line("s1", "127.0.0.1:1", "a"),)))
+    desk.play(0.0, "listed", ServerList(4, False, (ServerEntry("s1", "127.0.0.1:1", "a"),)))
     desk.take(0)
     desk.end(1, 0, status=500)
     desk.end(1, 1)
-    desk.play(0.0, "abandoned", 1)
+    desk.play(0.0, "client_disconnected", 1)
     desk.play(2.5, "overdue", 1)
     desk.take(2)
-    desk.end(2, 0, Cause.BROKEN, Progress.WRITTEN)
+    desk.end(2, 0, FailureReason.BROKEN, Progress.WRITTEN)
     desk.take(2)
-    desk.play(0.0, "abandoned", 3)
+    desk.play(0.0, "client_disconnected", 3)
     desk.end(3, 0)
-    assert not desk.reducer.lookups
+    assert not desk.reducer.requests
     kept("answers", desk.lines)
 
 
-def test_lookup_whose_form_promises_less_runs_once_at_most(tmp_path):
+def test_request_whose_form_promises_less_runs_once_at_most(tmp_path):
     desk = Desk(tmp_path)
-    desk.take(0, strict=True)
-    desk.end(1, 0, Cause.BROKEN, Progress.WRITTEN)
-    desk.take(0, strict=True)
-    desk.end(2, 0, Cause.BROKEN, Progress.PARTLY_WRITTEN)
-    kept("strict", desk.lines)
+    desk.take(0, non_idempotent=True)
+    desk.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
+    desk.take(0, non_idempotent=True)
+    desk.end(2, 0, FailureReason.BROKEN, Progress.PARTLY_WRITTEN)
+    kept("non_idempotent", desk.lines)
 
 
 def test_server_list_is_kept_across_restarts_moves_and_whole_lists(tmp_path):
     desk = Desk(tmp_path, boot=1000.0)
-    desk.play(1.0, "listed", Roll(4, False, (Line("s1", "127.0.0.1:9", "a"),)))
-    desk.play(1.0, "listed", Roll(5, False, (Line("s1", "127.0.0.1:9", "a", started=1101500.0),)))
+    desk.play(1.0, "listed", ServerList(4, False, (ServerEntry("s1", "127.0.0.1:9", "a"),)))
+    desk.play(
+        1.0, "listed", ServerList(5, False, (ServerEntry("s1", "127.0.0.1:9", "a", started=1101500.0),))
+    )
     assert desk.reducer.balancer.servers[0].started == pytest.approx(101.5)
-    desk.play(1.0, "listed", Roll(6, True, (Line("s2", "127.0.0.1:2", "a"),)))
+    desk.play(1.0, "listed", ServerList(6, True, (ServerEntry("s2", "127.0.0.1:2", "a"),)))
     assert desk.reducer.balancer.servers.keys() == {1} and desk.reducer.balancer.servers[1].started == 0.0
     desk.play(1.0, "watch_failed")
     desk.play(0.0, "watch_stands")
@@ -89,32 +93,32 @@
     kept("list", desk.lines)
 
 
-def test_a_long_day_of_new_servers_ids_and_lookups_leaves_nothing_behind(tmp_path):
+def test_a_long_day_of_new_servers_ids_and_requests_leaves_nothing_behind(tmp_path):
     desk = Desk(tmp_path)
     reducer, balancer = desk.reducer, desk.reducer.balancer
     for day in range(300):
-        new = Line(f"n{day}", "127.0.0.1:3", "a")       # at the address of the one before it
-        desk.play(0.1, "listed", Roll(day, day % 7 == 0, (new,)))
+        new = ServerEntry(f"n{day}", "127.0.0.1:3", "a")       # at the address of the one before it
+        desk.play(0.1, "listed", ServerList(day, day % 7 == 0, (new,)))
         desk.take(day % 3)
         number, server = reducer.count, desk.at[reducer.count, 0]
-        desk.play(0.1, "listed", Roll(day, False, (Line(new.name, state="left"),)))
+        desk.play(0.1, "listed", ServerList(day, False, (ServerEntry(new.name, state="left"),)))
         assert server in balancer.servers or server not in reducer.servers
         desk.end(number, 0)
-    assert not reducer.lookups and not balancer.lookups and not balancer.held
+    assert not reducer.requests and not balancer.requests and not balancer.held
     assert len(reducer.servers) == len(reducer.indices) == len(balancer.servers) <= 2
     assert reducer.named > 300 and len(reducer.ids) + len(reducer.ids_before) < 200
 
 
-def test_shot_at_a_server_that_has_gone_still_ends_its_lookup(tmp_path):
+def test_attempt_at_a_server_that_has_gone_still_ends_its_request(tmp_path):
     desk = Desk(tmp_path)
     desk.take(2)
     server = desk.at[1, 0]
-    desk.play(0.0, "listed", Roll(4, True, ()))
-    desk.end(1, 0, Cause.BROKEN, Progress.WRITTEN)
+    desk.play(0.0, "listed", ServerList(4, True, ()))
+    desk.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
     assert not desk.reducer.owes and server not in desk.reducer.balancer.servers
 
 
-def test_what_is_owed_at_the_end_is_terminated_in_time(tmp_path):
+def test_what_is_owed_at_the_end_is_failed_in_time(tmp_path):
     desk = Desk(tmp_path)
     desk.take(2, wait=6.0)
     desk.play(0.0, "ending", desk.reducer.now + 3.0)
@@ -123,15 +127,15 @@
     kept("ending", desk.lines)
 
 
-def test_overdue_lookup_that_never_went_out_is_turned_back(tmp_path):
+def test_overdue_request_that_never_went_out_is_rejected(tmp_path):
     desk = Desk(tmp_path)
-    desk.play(0.0, "listed", Roll(4, True, ()))
+    desk.play(0.0, "listed", ServerList(4, True, ()))
     desk.take(2, wait=6.0)
     desk.play(0.05, "overdue", 1)
-    assert "answer line 1 503   0.00" in desk.lines[-1] and not desk.reducer.lookups
+    assert "answer line 1 503   0.00" in desk.lines[-1] and not desk.reducer.requests
 
 
-def test_a_broken_decision_still_gets_its_lookup_answered(tmp_path):
+def test_a_broken_decision_still_gets_its_request_answered(tmp_path):
     desk = Desk(tmp_path)
     desk.reducer.balancer.pick = None
     with pytest.raises(TypeError):
@@ -140,49 +144,58 @@
     assert desk.lines[-1].split()[:3] == ["answer", "line", "1"] and not desk.reducer.owes
 
 
-@pytest.mark.parametrize("cause, progress, status, not_processed, outcome", [
-    (Cause.ANSWERED, Progress.WHOLE, 200, False, Outcome.COMPLETED),
-    (Cause.ANSWERED, Progress.WHOLE, 500, False, Outcome.ERROR),
-    (Cause.ANSWERED, Progress.WHOLE, 302, False, Outcome.ERROR),
-    (Cause.ANSWERED, Progress.WHOLE, 503, True, Outcome.FULL),
-    (Cause.ANSWERED, Progress.WHOLE, 504, True, Outcome.FULL),
-    (Cause.ANSWERED, Progress.WHOLE, 503, False, Outcome.ERROR),
-    (Cause.ANSWERED, Progress.WHOLE, 500, True, Outcome.ERROR),
-    (Cause.BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-    (Cause.BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-    (Cause.BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
-    (Cause.BROKEN, Progress.HEAD, 0, False, Outcome.RESET),
-    (Cause.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-    (Cause.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-    (Cause.TIMED_OUT, Progress.HEAD, 0, False, Outcome.TIMED_OUT),
-    (Cause.GIVEN_UP, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
-    (Cause.GIVEN_UP, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
+@pytest.mark.parametrize("reason, progress, status, not_processed, outcome", [
+    (FailureReason.ANSWERED, Progress.WHOLE, 200, False, Outcome.COMPLETED),
+    (FailureReason.ANSWERED, Progress.WHOLE, 500, False, Outcome.ERROR),
+    (FailureReason.ANSWERED, Progress.WHOLE, 302, False, Outcome.ERROR),
+    (FailureReason.ANSWERED, Progress.WHOLE, 503, True, Outcome.FULL),
+    (FailureReason.ANSWERED, Progress.WHOLE, 504, True, Outcome.FULL),
+    (FailureReason.ANSWERED, Progress.WHOLE, 503, False, Outcome.ERROR),
+    (FailureReason.ANSWERED, Progress.WHOLE, 500, True, Outcome.ERROR),
+    (FailureReason.BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+    (FailureReason.BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+    (FailureReason.BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
+    (FailureReason.BROKEN, Progress.HEAD, 0, False, Outcome.RESET),
+    (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+    (FailureReason.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+    (FailureReason.TIMED_OUT, Progress.HEAD, 0, False, Outcome.TIMED_OUT),
+    (FailureReason.GIVEN_UP, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
+    (FailureReason.GIVEN_UP, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
 ])
-def test_how_far_a_shot_had_come_tells_what_it_was(cause, progress, status, not_processed, outcome):
-    ending = Ending(cause, progress, 0.1, status, not_processed)
-    assert ending.outcome() is outcome
-    if cause is not Cause.ANSWERED:
+def test_how_far_an_attempt_had_come_tells_what_it_was(reason, progress, status, not_processed, outcome):
+    result = AttemptResult(reason, progress, 0.1, status, not_processed)
+    assert result.outcome() is outcome
+    if reason is not FailureReason.ANSWERED:
         assert outcome.never_ran == (progress < Progress.WRITTEN)
 
 
-@pytest.mark.parametrize("more, words", [
-    ({"listen": "8080"}, "listen: found '8080', wanted an address"),
-    ({"discovery": None}, "discovery: found None, wanted an address"),
-    ({"peers": ["127.0.0.1:x"]}, "peers: found '127.0.0.1:x'"),
-    ({"seed": "xyz"}, "seed: found 'xyz', wanted a number"),
-    ({"limits": {"sockets": "many"}}, "Expected `int`, got `str` - at `$.limits.sockets`"),
-    ({"limits": {"sockets": 8}}, "limits.sockets: found 8, wanted 64 or more"),
-    ({"limits": {"memory_mb": 20}}, "limits.memory_mb: found 20.0, wanted 24 or more"),
-    ({"settings": None}, "settings: found nothing"),
-    ({"settings": {"workloads": []}}, "settings.workloads: found 0, wanted at least one"),
-    ({"settings": {"workloads": [{"name": "a"}], "az": 3}}, "settings.az: found 3"),
-    ({"settings": {"workloads": [{"name": "a"}, {"name": "a"}]}}, "settings.workloads[1].name: found 'a'"),
-    ({"settings": {"workloads": [{"name": "a", "timeLimitUs": -1}]}}, "settings.workloads[0].timeLimitUs"),
-    ({"known": {"targets": [{"uid": "s", "endpoint": "?"}]}}, "known.targets[].endpoint: found '?'"),
-])
+@pytest.mark.parametrize(
+    "more, words",
+    [
+        ({"listen": "8080"}, "listen: found '8080', wanted an address"),
+        ({"discovery": None}, "discovery: found None, wanted an address"),
+        ({"peers": ["127.0.0.1:x"]}, "peers: found '127.0.0.1:x'"),
+        ({"seed": "xyz"}, "seed: found 'xyz', wanted a number"),
+        ({"limits": {"sockets": "many"}}, "Expected `int`, got `str` - at `$.limits.sockets`"),
+        ({"limits": {"sockets": 8}}, "limits.sockets: found 8, wanted 64 or more"),
+        ({"limits": {"memory_mb": 20}}, "limits.memory_mb: found 20.0, wanted 24 or more"),
+        ({"settings": None}, "settings: found nothing"),
+        ({"settings": {"workloads": []}}, "settings.workloads: found 0, wanted at least one"),
+        ({"settings": {"workloads": [{"name": "a"}], "az": 3}}, "settings.az: found 3"),
+        (
+            {"settings": {"workloads": [{"name": "a"}, {"name": "a"}]}},
+            "settings.workloads[1].name: found 'a'",
+        ),
+        (
+            {"settings": {"workloads": [{"name": "a", "timeLimitUs": -1}]}},
+            "settings.workloads[0].timeLimitUs",
+        ),
+        ({"known": {"targets": [{"uid": "s", "endpoint": "?"}]}}, "known.targets[].endpoint: found '?'"),
+    ],
+)
 def test_configuration_faults_name_the_key(tmp_path, more, words):
     with pytest.raises(configuration.Fault) as fault:
-        station(tmp_path, **more)
+        agent_config(tmp_path, **more)
     assert words in str(fault.value)
 
 
@@ -190,4 +203,4 @@
     for environment in ({}, {"PROXY_CONFIG": str(tmp_path / "none")}, {"PROXY_CONFIG": __file__}):
         with pytest.raises(configuration.Fault, match="PROXY_CONFIG: "):
             configuration.read(environment)
-    assert station(tmp_path, novel={"x": 1}).name == papers()["name"]
+    assert agent_config(tmp_path, novel={"x": 1}).name == config_file()["name"]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("words, rule", [
-    ("R.terminate = lambda self, lookup: self.turn_back(lookup, 0.0)", 2),
+    ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
     ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=State.READY)", 3),
     ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1)])
 def test_judge_finds_a_broken_agent_on_sockets(words, rule):
@@ -55,7 +55,7 @@
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
 
 
-def test_lookup_that_a_close_crossed_is_sent_once_more():
+def test_request_that_a_close_crossed_is_sent_once_more():
     rig = Rig(worlds.made({"seconds": 1.0, "agents": 1, "zones": ["a"]}), 1, AGENT)
     kept = rig.kept
     rig.kept = lambda agent: crossed.pop() if crossed else kept(agent)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,13 +10,13 @@
 import pytest
 from gevent import socket, subprocess
 
-from cartdeal.agent.connection import BODY_ROOM, Connection
+from cartdeal.agent.connection import BODY_LIMIT, Connection
 from cartdeal.agent.front import hashed
-from cartdeal.agent.start import ENDS, LINES, LONGEST_WAIT, Sparing, lasts
-from cartdeal.grant import Grant, Kind
+from cartdeal.agent.start import ENDS, LINES, LONGEST_WAIT, RateLimitFilter, lasts
+from cartdeal.settings import ClassSettings, Settings
 from cartdeal.terms import Load, Outcome
-from examples.toy import ListService, Server, answer
-from tests.scene import GRANT, IDS, Deployment, answered, worded
+from examples.toy import DiscoveryService, Server, answer
+from tests.scene import IDS, SETTINGS, Deployment, answered, worded
 
 
 @pytest.fixture(autouse=True)
@@ -43,10 +43,10 @@
         gevent.sleep(0.002)
 
 
-@pytest.mark.parametrize("does, status, body, shots", [
+@pytest.mark.parametrize("does, status, body, attempts", [
     ("serve", 200, b"s0 ", 1), ("dribble", 200, b"s0 ", 1), ("chunked", 200, b"three", 1),
     ("interim", 200, b"after all", 1), ("closing", 200, b"bye", 1),
-    # May have run: such a lookup is not shot again, and a turn-back would say that it never ran.
+    # May have run: such a request is not sent again, and a rejection would say that it never ran.
     ("error", 502, b"", 1), ("odd", 502, b"", 1), ("busy", 502, b"", 1), ("reset", 502, b"", 1),
     ("end", 502, b"", 1), ("half", 502, b"", 1), ("garbage", 502, b"", 1), ("long", 502, b"", 1),
     ("silent", 502, b"", 1),
@@ -56,10 +56,10 @@
     ("twice", 200, b"one", 1), ("noisy", 200, b"one", 1), ("trailing", 200, b"one", 1),
     ("hints", 200, b"one", 1), ("unread", 200, b"one", 1), ("unusable", 400, b"", 1),
 ])
-def test_outcomes_of_an_unrepeatable_lookup(deploy, does, status, body, shots):
+def test_outcomes_of_an_non_idempotent_request(deploy, does, status, body, attempts):
     deployment = deploy(servers=2)
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == (status, body)
-    assert len(deployment.seen()) == shots
+    assert len(deployment.seen()) == attempts
 
 
 SPOILT = ("garbage", "long", "both", "endless", "huge", "negative", "other", "lists", "open", "old", "chunks",
@@ -67,26 +67,26 @@
 
 
 @pytest.mark.parametrize("does", SPOILT)
-def test_spoilt_answer_ends_its_shot_at_once_as_one_that_may_have_run(deploy, does):
+def test_spoilt_answer_ends_its_attempt_at_once_as_one_that_may_have_run(deploy, does):
     deployment = deploy(servers=2)
-    # Had it taken its time limit to notice, the test would be over.
+    # Had it taken its deadline to notice, the test would be over.
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="60000m") == (502, b"")
     assert len(deployment.seen()) == 1
     until(lambda: not any(server.open for server in deployment.servers))
 
 
-def test_what_comes_behind_an_answer_is_never_the_next_lookups(deploy, monkeypatch):
+def test_what_comes_behind_an_answer_is_never_the_next_requests(deploy, monkeypatch):
     deployment = deploy()
     server, late = deployment.servers[0], answer(200, b"stray")
     for does in ("twice", "noisy"):
         assert deployment.ask(f"/read/x?do={does}") == (200, b"one")
         assert deployment.ask() == (200, b"s0 ")
-    monkeypatch.setattr("cartdeal.agent.shots.SETTLED", 0.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 0.0)
     for connection in server.open:
         connection.sock.sendall(late)       # on a kept connection, some time after its answer
-    until(lambda: all(each.unread() for kept in deployment.agent.shots.idle.values() for each in kept))
+    until(lambda: all(each.unread() for kept in deployment.agent.upstream.idle.values() for each in kept))
     assert deployment.ask() == (200, b"s0 ")
-    monkeypatch.setattr("cartdeal.agent.shots.SETTLED", 60.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 60.0)
     before = set(server.open)
     assert deployment.ask() == (200, b"s0 ") and server.open - before     # those before it are to rest first
 
@@ -94,20 +94,20 @@
 def test_server_under_a_new_name_at_the_same_address_inherits_no_connection(deploy):
     deployment = deploy()
     assert deployment.ask() == (200, b"s0 ")
-    shots, address = deployment.agent.shots, deployment.servers[0].address
-    until(lambda: shots.kept(0, address) is None and shots.idle)
-    shots.idle[0][0].since -= 1.0
-    assert shots.kept(1, address) is None and shots.kept(0, address)
+    attempts, address = deployment.agent.upstream, deployment.servers[0].address
+    until(lambda: attempts.pooled(0, address) is None and attempts.idle)
+    attempts.idle[0][0].since -= 1.0
+    assert attempts.pooled(1, address) is None and attempts.pooled(0, address)
 
 
-def test_lookup_that_a_server_finds_unusable_is_nothing_against_it(deploy):
+def test_request_that_a_server_finds_unusable_is_nothing_against_it(deploy):
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
     assert deployment.agent.reducer.balancer.servers[0].closed and len(deployment.seen()) == 4
 
 
-def test_lookup_goes_on_and_its_answer_comes_back_unchanged(deploy):
+def test_request_goes_on_and_its_answer_comes_back_unchanged(deploy):
     deployment, body = deploy(), bytes(range(256)) * 256
     path = "/mark/a%20b;c?x=1&do=serve"
     assert deployment.ask(path, "POST", body[:-3], Idempotency_Key="k1", X_Timeout="1500000u",
@@ -119,25 +119,25 @@
     assert hashed(b"7f") == 17540531883517894515
 
 
-def test_what_a_lookup_and_a_server_tell_of_themselves(deploy, monkeypatch):
+def test_what_a_request_and_a_server_tell_of_themselves(deploy, monkeypatch):
     more = {"tenants": [{"name": "x"}, {"name": "y"}], "feedback": {"how": "answers"}}
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
-    deployment, told = deploy(settings=GRANT | more), []
+    deployment, told = deploy(settings=SETTINGS | more), []
     balancer = deployment.agent.reducer.balancer
-    for event in ("taken", "shot_ended", "probe_ended"):
+    for event in ("taken", "attempt_ended", "probe_ended"):
         handle = getattr(balancer, event)
         setattr(balancer, event, lambda *args, handle=handle: (told.append(args), handle(*args)))
     deployment.ask("/read/x?do=load", X_Tenant_Id="y", X_Retried="1")
-    deployment.agent.shots.probe(0, deployment.servers[0].address)
+    deployment.agent.upstream.probe(0, deployment.servers[0].address)
     until(lambda: len(told) > 2)
-    (_, _, tenant, _, _, repeat), shot, probe = told
+    (_, _, tenant, _, _, repeat), attempt, probe = told
     assert (tenant, repeat) == (1, True)
-    assert shot[-1] == Load(7.0, None) and probe[1] is Outcome.COMPLETED and probe[-1] == Load(1.0, 2.5)
-    assert [deployment.agent.shots.load(each) for each in (b"\xff", b"{\"throughput\": []}")] == [None, None]
+    assert attempt[-1] == Load(7.0, None) and probe[1] is Outcome.COMPLETED and probe[-1] == Load(1.0, 2.5)
+    assert [deployment.agent.upstream.load(each) for each in (b"\xff", b'{"throughput": []}')] == [None, None]
 
 
 def test_bytes_dribbled_and_joined_on_one_connection(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.shots.SETTLED", 0.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 0.0)
     deployment = deploy()
     connection = deployment.connect()
     for place in worded("/mark/1", "POST", b"one", Idempotency_Key="k"):
@@ -195,7 +195,7 @@
     ("workload", worded("/other/x"), 404),
     ("method", worded("/read/x", "DELETE"), 405),
     ("body of a GET", worded("/read/x", body=b"abc"), 400),
-    ("long", worded("/mark/x", "POST", bytes(BODY_ROOM + 1)), 413),
+    ("long", worded("/mark/x", "POST", bytes(BODY_LIMIT + 1)), 413),
     ("huge", post(b"Content-Length: 60000000"), 413),
     ("over 64 bits", post(b"Content-Length: 99999999999999999999"), 400),
     ("negative", post(b"Content-Length: -3"), 400),
@@ -243,7 +243,7 @@
     assert len(deployment.seen()) == 1
 
 
-def test_trailers_change_nothing_of_a_lookup(deploy):
+def test_trailers_change_nothing_of_a_request(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(post(CHUNKED, b"Idempotency-Key: k", id=b"X-Request-ID: t%d",
@@ -253,7 +253,7 @@
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
 
 
-def test_id_of_a_lookup_that_is_open_or_was_just_now_is_refused(deploy):
+def test_id_of_a_request_that_is_open_or_was_just_now_is_refused(deploy):
     deployment = deploy()
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/read/x?do=wait", X_Request_ID="same"))
@@ -272,8 +272,8 @@
 
 def test_long_bodies_find_no_memory_when_it_is_out(deploy):
     deployment = deploy(limits={"memory_mb": 32, "sockets": 256})
-    room, body = deployment.agent.room, bytes(9000)
-    assert room.most == 224 and room.long_bodies > 20 * 3 * BODY_ROOM
+    room, body = deployment.agent.budget, bytes(9000)
+    assert room.most == 224 and room.long_bodies > 20 * 3 * BODY_LIMIT
     left = room.long_bodies = 30000
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/mark/x?do=wait", "POST", body, Idempotency_Key="k"))
@@ -286,22 +286,24 @@
     until(lambda: room.long_bodies == left)
 
 
-def test_strangers_have_little_room_and_time_and_the_usual_clients_all_the_rest(deploy, monkeypatch):
+def test_unidentified_clients_have_little_room_and_time_and_the_usual_all_the_rest(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.front.GREET", 0.05)
     deployment = deploy(limits={"memory_mb": 64, "sockets": 96})
     front, usual = deployment.agent.front, [deployment.connect() for _ in range(4)]
     for client in usual:
         assert deployment.ask(connection=client)[0] == 200
     silent = [deployment.connect() for _ in range(100)]
-    assert deployment.ask()[0] == 200       # it comes last, and so they have all come in by now
-    assert len(front.strangers) <= 17 and all(deployment.ask(connection=client)[0] == 200 for client in usual)
+    assert deployment.ask()[0] == 200  # it comes last, and so they have all come in by now
+    assert len(front.unidentified) <= 17 and all(
+        deployment.ask(connection=client)[0] == 200 for client in usual
+    )
     half = deployment.connect()
     half.sock.sendall(b"GET /read/x HT")
     assert all(answered(each) is None for each in (*silent, half))
-    assert len(front.lines) <= 5
+    assert len(front.clients) <= 5
 
 
-def test_garbage_behind_a_lookup_still_leaves_it_its_answer(deploy):
+def test_garbage_behind_a_request_still_leaves_it_its_answer(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x") + b"no request\r\n\r\n")
@@ -316,9 +318,9 @@
     for each in (connection, idle):
         assert deployment.ask(connection=each)[0] == 200
     connection.sock.sendall(b"GET /read/x HT")
-    assert answered(connection) is None and len(deployment.agent.front.lines) == 1
+    assert answered(connection) is None and len(deployment.agent.front.clients) == 1
     monkeypatch.setattr("cartdeal.agent.front.IDLE", 0.05)
-    assert answered(idle) is None and not deployment.agent.front.lines
+    assert answered(idle) is None and not deployment.agent.front.clients
 
 
 def test_bytes_that_came_in_time_beat_the_timer_of_an_agent_that_runs_late():
@@ -336,7 +338,7 @@
     for token in (9, 1, 5):
         agent.wake(token, now + token / 1e3)
     time.sleep(0.02)
-    agent.feed("watch_stands")
+    agent.dispatch("watch_stands")
     assert woken == [(1, True), (5, True), (9, True)]
     now = time.monotonic()
     agent.wake(3, now + 0.003)
@@ -352,21 +354,21 @@
     assert deployment.agent.reducer.owes == 1
     connection.close()
     until(lambda: not deployment.agent.reducer.owes)
-    assert not deployment.agent.reducer.balancer.lookups and not deployment.agent.front.lines
+    assert not deployment.agent.reducer.balancer.requests and not deployment.agent.front.clients
 
 
-def test_shot_given_up_closes_its_connection(deploy):
+def test_attempt_given_up_closes_its_connection(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(worded("/once/x?do=silent", "POST"))
     until(deployment.seen)
-    deployment.agent.shots.cancel(1, 0)
+    deployment.agent.upstream.cancel(1, 0)
     assert answered(connection) == (502, b"")
     until(lambda: not deployment.servers[0].open)
-    # Given up before its greenlet ran, a shot still ends with an event.
-    deployment.agent.shots.shoot(9, 0, 0, deployment.servers[0].address, None, 0.0)
-    deployment.agent.shots.cancel(9, 0)
-    until(lambda: not deployment.agent.shots.out)
+    # Given up before its greenlet ran, an attempt still ends with an event.
+    deployment.agent.upstream.send_attempt(9, 0, 0, deployment.servers[0].address, None, 0.0)
+    deployment.agent.upstream.cancel(9, 0)
+    until(lambda: not deployment.agent.upstream.out)
 
 
 def test_server_that_is_not_there(deploy):
@@ -376,8 +378,8 @@
 
 
 def test_watch_split_silent_unreadable_and_refused(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.roster.SILENCE", 0.05)
-    monkeypatch.setattr(ListService, "BEAT", 0.01)
+    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE", 0.05)
+    monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
     until(lambda: reducer.balancer.watching)
@@ -396,14 +398,14 @@
         until(lambda: not reducer.balancer.watching)
     service.BEAT, service.down = 0.01, True
     reducer.balancer.watch_at = 0.0
-    deployment.agent.feed("woken", 0)
-    until(lambda: len(service.calls) > calls and not deployment.agent.roster.watching)
+    deployment.agent.dispatch("woken", 0)
+    until(lambda: len(service.calls) > calls and not deployment.agent.discovery.watching)
     assert deployment.ask() == (200, b"s0 ")    # the old list is kept
     extra.stop()
 
 
 def test_watch_with_nothing_new_stands(deploy, monkeypatch):
-    monkeypatch.setattr(ListService, "play", lambda service, connection, message: connection.push(
+    monkeypatch.setattr(DiscoveryService, "play", lambda service, connection, message: connection.push(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"))
     deployment = deploy()
     until(lambda: deployment.agent.reducer.balancer.watching)
@@ -411,14 +413,14 @@
 
 def test_whole_list_is_fetched(deploy):
     deployment = deploy()
-    deployment.agent.reducer.fetch_list()
+    deployment.agent.reducer.fetch_servers()
     deployment.agent.carry_out()
     until(lambda: "/registry/instances" in deployment.service.calls)
 
 
 def test_no_descriptors_left(deploy):
     deployment = deploy()
-    room, idle, busy = deployment.agent.room, *(deployment.connect() for _ in "ib")
+    room, idle, busy = deployment.agent.budget, *(deployment.connect() for _ in "ib")
     assert deployment.ask(connection=idle)[0] == 200
     room.most = room.used + 1                   # two clients, a kept connection, the next client's
     assert deployment.ask(connection=busy) == (200, b"s0 ")
@@ -440,9 +442,9 @@
     assert answered(waiting) == (200, b"s0 ")
 
 
-def test_no_room_for_a_shot_turns_back(deploy):
+def test_no_room_for_an_attempt_rejects(deploy):
     deployment = deploy()
-    deployment.agent.room.most = 2
+    deployment.agent.budget.most = 2
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
@@ -450,15 +452,15 @@
 
 
 def test_words_between_agents(deploy):
-    neighbour, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in "ns")
-    for each in (neighbour, stranger):
+    neighbour, unidentified = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in "ns")
+    for each in (neighbour, unidentified):
         each.bind(("127.0.0.1", 0))
     there = f"127.0.0.1:{neighbour.getsockname()[1]}"
     deployment = deploy(peer_listen="127.0.0.1:0", peers=[there], peers_all=there)
     agent, heard = deployment.agent, []
     agent.reducer.told = lambda sender, words: heard.append((sender, words))
-    here = agent.words.getsockname()
-    for sender, words in ((stranger, b"no"), (neighbour, bytes(257)), (neighbour, b"yes")):
+    here = agent.datagrams.getsockname()
+    for sender, words in ((unidentified, b"no"), (neighbour, bytes(257)), (neighbour, b"yes")):
         sender.sendto(words, here)
     until(lambda: heard)
     assert heard == [(0, b"yes")]
@@ -493,22 +495,22 @@
     assert switches(deployment.ask) > 0
 
 
-def test_greenlet_that_dies_costs_no_more_than_its_shot(deploy, caplog):
+def test_greenlet_that_dies_costs_no_more_than_its_attempt(deploy, caplog):
     deployment = deploy()
-    deployment.agent.shots.write = None
+    deployment.agent.upstream.write = None
     assert deployment.ask("/once/x", "POST") == (503, b"")
-    del deployment.agent.shots.write
-    assert "shot died" in caplog.text and deployment.ask() == (200, b"s0 ")
-    deployment.agent.front.query = None
+    del deployment.agent.upstream.write
+    assert "attempt died" in caplog.text and deployment.ask() == (200, b"s0 ")
+    deployment.agent.front.request = None
     assert deployment.ask() is None
-    del deployment.agent.front.query
+    del deployment.agent.front.request
     assert deployment.ask() == (200, b"s0 ")
 
 
 def test_door_outlives_a_fault(deploy, caplog):
     deployment = deploy()
     with pytest.MonkeyPatch.context() as broken:
-        broken.setattr("cartdeal.agent.front.Line", None)
+        broken.setattr("cartdeal.agent.front.ClientConnection", None)
         deployment.connect()
         until(lambda: "work died" in caplog.text)
     assert deployment.ask() == (200, b"s0 ")
@@ -516,7 +518,7 @@
 
 def start(tmp_path, deployment, **more):
     file = tmp_path / "agent.json"
-    file.write_text(json.dumps(deployment.papers | more))
+    file.write_text(json.dumps(deployment.config | more))
     return subprocess.Popen([sys.executable, "-m", "cartdeal"], stderr=subprocess.PIPE,
                             env={**os.environ, "PROXY_CONFIG": str(file)})
 
@@ -528,7 +530,7 @@
 
 
 def lead_to(agent, deployment):
-    """From now on the deployment's lookups go to that agent, in place of the one in this process."""
+    """From now on the deployment's requests go to that agent, in place of the one in this process."""
     deployment.agent.front.port = int(line_with(agent, b"msg=serving").split(b"port=")[1].split()[0])
 
 
@@ -546,13 +548,13 @@
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", report))
     deployment = deploy()
     deployment.service.calls.clear()
-    agent = start(tmp_path, deployment, settings=GRANT | NEW_SHAPE, known={})
+    agent = start(tmp_path, deployment, settings=SETTINGS | NEW_SHAPE, known={})
     lead_to(agent, deployment)
     until(lambda: deployment.ask("/health/ready")[0] == 200)    # it knew of none at its start
     assert any("watch=1" in call for call in deployment.service.calls)
     assert deployment.ask("/read/x?do=load") == (200, b"")
-    # A quick answer lets five lookups out where four went before, and three if it says that some wait there;
-    # the others are turned back after a moment.
+    # A quick answer lets five requests out where four went before, and three if it says that some wait there;
+    # the others are rejected after a moment.
     asking = [gevent.spawn(deployment.ask, "/once/x?do=wait", "POST") for _ in range(6)]
     until(lambda: sum(each.ready() for each in asking) >= 6 - served)
     assert sum(b"wait" in message.path for message in deployment.servers[0].seen) == served
@@ -580,25 +582,25 @@
     assert agent.poll() is None         # it still owes an answer
     deployment.servers[0].released.set()
     assert answered(waiting) == (200, b"waited") and answered(waiting) is None
-    assert answered(kept) is None       # closed between lookups
+    assert answered(kept) is None       # closed between requests
     assert agent.wait() == 0
 
 
 def test_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(deploy, tmp_path):
-    deployment, there = deploy(), ListService()
+    deployment, there = deploy(), DiscoveryService()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
     until(lambda: len(deployment.service.open) == 2)    # the agent in this process watches too
     waiting, file = deployment.connect(), tmp_path / "agent.json"
     waiting.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(deployment.seen)
-    for text, words in ((json.dumps(deployment.papers)[:-90], b"can't be used"),
-                        (json.dumps(deployment.papers | {"discovery": "nowhere"}), b"discovery: found")):
+    for text, words in ((json.dumps(deployment.config)[:-90], b"can't be used"),
+                        (json.dumps(deployment.config | {"discovery": "nowhere"}), b"discovery: found")):
         file.write_text(text)
         agent.send_signal(signal.SIGHUP)
         assert words in line_with(agent, b"configuration refused")
     assert len(deployment.service.open) == 2
-    file.write_text(json.dumps(deployment.papers | {"discovery": there.address, "name": "n9"}))
+    file.write_text(json.dumps(deployment.config | {"discovery": there.address, "name": "n9"}))
     there.mute, there.lines = True, deployment.service.lines
     agent.send_signal(signal.SIGHUP)
     assert b"needs_restart=name" in line_with(agent, b"configuration read")
@@ -619,18 +621,18 @@
 
 
 def test_no_pause_of_the_address_before_applies_to_the_new_one(deploy):
-    deployment, there = deploy(), ListService()
+    deployment, there = deploy(), DiscoveryService()
     deployment.service.stop()
     until(lambda: deployment.agent.reducer.balancer.watch_backoff > 0.5)
     deployment.agent.reducer.balancer.watch_backoff = 60.0
-    deployment.agent.roster.move(("127.0.0.1", int(there.address.split(":")[1])))
-    deployment.agent.feed("list_moved")
+    deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
+    deployment.agent.dispatch("discovery_moved")
     until(lambda: deployment.agent.reducer.balancer.watching)
     there.stop()
 
 
 def test_lines_of_one_kind_are_bounded_and_those_left_out_are_counted():
-    sparing, passed = Sparing(), []
+    sparing, passed = RateLimitFilter(), []
     for place in range(1000):
         record = logging.makeLogRecord({"name": "x", "msg": "refused", "created": 5.0 + place / 400})
         if sparing.filter(record):
@@ -648,7 +650,7 @@
     assert agent.wait() == status and words in said and said.count(b"\n") == 1
 
 
-def test_what_is_still_out_at_the_end_is_terminated_before_a_kill_can_come(deploy, tmp_path):
+def test_what_is_still_out_at_the_end_is_failed_before_a_kill_can_come(deploy, tmp_path):
     deployment = deploy()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
@@ -661,7 +663,7 @@
 
 
 @pytest.mark.parametrize("limit, wanted", [(2.0, 2.0 + ENDS), (6.0, LONGEST_WAIT + ENDS)])
-def test_a_long_time_limit_does_not_put_off_the_end_beyond_the_kill(limit, wanted):
-    kinds = Kind(time_limit=limit * 1e6), Kind(time_limit=1e6)
-    assert lasts(Grant(workloads=kinds)) == pytest.approx(wanted)
+def test_a_long_deadline_does_not_put_off_the_end_beyond_the_kill(limit, wanted):
+    kinds = ClassSettings(timeout_us=limit * 1e6), ClassSettings(timeout_us=1e6)
+    assert lasts(Settings(request_classes=kinds)) == pytest.approx(wanted)
     assert wanted < min(limit, 3.0) + 0.7
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -54,7 +54,7 @@
         return [name for name in self.memory.places if name not in names]
 
     def come(self, agents, repeat="u", take=0.05, patience=None, **more):
-        """A client comes to the first agent, and to the next one when it breaks off or is turned back."""
+        """A client comes to the first agent, and to the next one when it breaks off or is rejected."""
         number = len(self.clients)
         question = Question(**{"session": f"s{number}", "key": f"k{number}", "repeat": repeat,
                                "limit_s": 20.0, "workload": "sheet", **more})
@@ -80,7 +80,7 @@
         return owners(self.ring, self.key(client).encode(), 3)
 
     def marks(self, client=-1):
-        """Of each owner that runs, what it knows of the lookup."""
+        """Of each owner that runs, what it knows of the request."""
         nodes = self.memory.nodes()
         records = {name: nodes[name].replica.record(self.key(client)) for name in self.owners(client)
                    if name in nodes}
@@ -115,7 +115,7 @@
     story.size, story.zones = int(size), int(zones)
 
 
-@steps(given, r"shop may have (?P<rate>\d+) lookups a second and (?P<burst>\d+) at once")
+@steps(given, r"shop may have (?P<rate>\d+) requests a second and (?P<burst>\d+) at once")
 def _(story, rate, burst):
     story.terms["limits"] = {"shop": Limit(float(rate), float(burst))}
 
@@ -273,7 +273,7 @@
     story.memory.run(0.3)
 
 
-@steps(when, r"a client sends a lookup that is deduplicated (?P<group>everywhere|in its zone) for "
+@steps(when, r"a client sends a request that is deduplicated (?P<group>everywhere|in its zone) for "
              rf"{SECONDS} to (?P<first>a\d+), and comes again at (?P<then>a\d+(?:(?:, | and )a\d+)*) after "
              r"(?P<patience>\d+) seconds?")
 def _(story, group, seconds, first, then, patience):
@@ -324,7 +324,7 @@
     assert least * int(count) <= ran <= most * int(count), ran
 
 
-@steps(then, rf"the last lookup ran in one zone, (?P<times>\d+) times within {SECONDS}")
+@steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS}")
 def _(story, times, seconds):
     ran = story.memory.judge.ran[story.clients[-1][0]]
     assert len(ran) == int(times) and len({each.zone for each in ran}) == 1
