--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -61,13 +61,14 @@
 
 def made(play: str, found: dict, at: str):
     """The terms that `found` sets, the others as they are by themselves. Raises Unusable."""
-    kinds = {each.name: each.type for each in msgspec.structs.fields(PLAYS[play][0])}
+    known = {each.encode_name: each for each in msgspec.structs.fields(PLAYS[play][0])}
+    kinds = {key: each.type for key, each in known.items()}
     given = {}
     for key, value in found.items():
         if key not in kinds:
             raise Unusable(f"{at}.{key}: found {value!r}, wanted one of {', '.join(kinds)}")
         try:
-            given[key] = msgspec.convert(value, kinds[key])
+            given[known[key].name] = msgspec.convert(value, kinds[key])
         except msgspec.ValidationError as trouble:
             wanted = str(trouble).removeprefix("Expected ")
             if get_origin(kinds[key]) is Literal:
--- a/tests/test_fleet_admission.py
+++ b/tests/test_fleet_admission.py
@@ -397,7 +397,7 @@
     deployment.agent.leave_fleet(time.monotonic() + 10)
     assert gone.ready() and [each[0] for each in node.got] == ["leaving", "parting"]
     node.gone = False
-    deployment.agent.leave_fleet(time.monotonic() + 0.05)      # others do not take it over: it ends all the same
+    deployment.agent.leave_fleet(time.monotonic() + 0.05)  # others do not take it over: it ends
     assert node.got[-1] == ("parting",)
 
 
