--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -188,7 +188,7 @@
     def read(self, attempt: Attempt, deadline: float):
         connection = attempt.connection
         while not connection.whole:
-            if not connection.receive(left(deadline)):
+            if not connection.receive(left(deadline)) and not connection.whole:
                 return None
             if connection.message.status >= 200:
                 attempt.progress = Progress.HEAD
@@ -226,7 +226,8 @@
             sock.close()
             self.budget.release()
             raise
-        connection = Connection(sock, True, lambda connection: self.budget.release(), budget=self.budget)
+        connection = Connection(sock, True, lambda connection: self.budget.release(), budget=self.budget,
+                                until_close=True)
         connection.address = address
         return connection
 
--- /dev/null
+++ b/tests/test_retries.py
@@ -0,0 +1,126 @@
+"""How an attempt's answer may be cut, and what its request's further attempts may then be."""
+
+import struct
+
+import gevent
+import pytest
+from gevent import socket
+
+from cartdeal.agent.connection import BODY_LIMIT, Connection, Malformed
+from examples.toy import Server
+from tests.scene import Deployment
+
+HEAD = b"HTTP/1.1 200 OK\r\n"
+OPEN = HEAD + b"\r\none"
+SIZED = HEAD + b"Content-Length: 3\r\n\r\none"
+CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
+
+
+@pytest.fixture(autouse=True)
+def bounded():
+    with gevent.Timeout(20):
+        yield
+
+
+@pytest.fixture
+def deployment(tmp_path):
+    made = Deployment(tmp_path, servers=2)
+    yield made
+    made.stop()
+
+
+def until(true):
+    while not true():
+        gevent.sleep(0.002)
+
+
+def pair(until_close=True):
+    """An upstream connection and the server's end of it."""
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(1)
+    ours = socket.create_connection(listener.getsockname())
+    theirs, _ = listener.accept()
+    listener.close()
+    return Connection(ours, answers=True, until_close=until_close), theirs
+
+
+def reset(sock):
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    sock.close()
+
+
+def read(connection):
+    """The body of the answer; None where the stream ends before that is whole."""
+    while not connection.whole:
+        if not connection.receive(5.0) and not connection.whole:
+            return None
+    return connection.whole[0].body
+
+
+def cut(text, end):
+    """Plays an answer whose bytes are all read before its connection ends."""
+    connection, theirs = pair()
+    theirs.sendall(text)
+    came = 0
+    while came < len(text):
+        before = connection.kept
+        assert connection.receive(5.0)
+        came += connection.came - before
+    end(theirs)
+    return connection
+
+
+@pytest.mark.parametrize("end", [socket.socket.close, reset], ids=["close", "reset"])
+@pytest.mark.parametrize("text", [OPEN[:10], OPEN[:-4], SIZED[:-1], CHUNKED[:-9], CHUNKED[:-2]], ids=repr)
+def test_answer_cut_before_its_end_is_none_however_it_is_cut(text, end):
+    connection = cut(text, end)
+    try:
+        assert read(connection) is None
+    except ConnectionResetError:
+        assert end is reset
+
+
+@pytest.mark.parametrize("text", [HEAD + b"\r\n", OPEN, OPEN + bytes(50000)], ids=["empty", "short", "long"])
+def test_only_an_orderly_end_ends_an_answer_without_a_length(text):
+    connection = cut(text, socket.socket.close)
+    assert read(connection) == text.partition(b"\r\n\r\n")[2] and not connection.whole[0].keep_alive
+    with pytest.raises(ConnectionResetError):
+        read(cut(text, reset))
+    strict, theirs = pair(until_close=False)
+    theirs.sendall(text)
+    with pytest.raises(Malformed):      # who has not asked for such answers gets none
+        read(strict)
+
+
+@pytest.mark.parametrize("text", [SIZED, CHUNKED])
+def test_reset_behind_a_whole_answer_takes_nothing_from_it(text):
+    assert read(cut(text, reset)) == b"one"
+
+
+def test_answer_without_a_length_is_bounded():
+    connection, theirs = pair()
+    sending = gevent.spawn(theirs.sendall, HEAD + b"\r\n" + bytes(10 * BODY_LIMIT))
+    with pytest.raises(Malformed):
+        read(connection)
+    assert len(connection.buffer) <= 4 * BODY_LIMIT
+    sending.kill()
+
+
+@pytest.mark.parametrize("does, outcome", [
+    ("open", (200, b"one")), ("empty", (200, b"")), ("torn", (502, b"")), ("unending", (502, b""))])
+def test_non_idempotent_request_whose_answer_has_no_length(deployment, does, outcome):
+    assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == outcome
+    assert len(deployment.seen()) == 1
+    until(lambda: not any(server.open for server in deployment.servers))    # and its connection is not kept
+
+
+def test_request_that_never_ran_by_an_answer_without_a_length_goes_on(deployment, monkeypatch):
+    refusal = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n\r\nfull"
+    for does in ("open", "torn"):
+        monkeypatch.setitem(Server.DOES, does, refusal)
+        # The mark counts once its answer is whole; where that is torn nobody can tell what else it said.
+        seen = len(deployment.seen())
+        assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m")[0] == (
+            503 if does == "open" else 502)
+        assert len(deployment.seen()) - seen == (2 if does == "open" else 1)
