--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -340,6 +340,12 @@
         look.register(self.sock, select.POLLIN)
         return bool(look.poll(0))
 
+    def peer_ended(self) -> bool:
+        """Whether the other side has closed or reset, though nobody may have read that yet."""
+        look = select.poll()
+        look.register(self.sock, select.POLLRDHUP)
+        return bool(look.poll(0))   # with bytes unread before it, too
+
     def close(self):
         if not self.closed:
             self.closed = True
--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -46,7 +46,7 @@
         self.reducer = Reducer(config, monotonic(), time(), self.admission and self.admission.longest)
         self.budget = ConnectionBudget(*room_for(config.limits, self.admission))
         self.front = FrontServer(config, self.dispatch, lambda: self.reducer.ready, self.budget)
-        self.upstream = UpstreamPool(config, self.dispatch, self.budget)
+        self.upstream = UpstreamPool(config, self.dispatch, self.budget, self.may_begin)
         self.discovery = DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
         self.datagrams = self.open_datagrams()
         self.verbs = {
@@ -144,6 +144,18 @@
     def withhold(self, request: int, server: int, attempt: int, result):
         self.after("attempt_ended", request, server, attempt, result)
 
+    def may_begin(self, request: int, attempt: int, server: int) -> bool:
+        """Asked by an attempt right before its first byte goes.
+
+        An agent that is late reads a client's close only after the timers that send its request on: the close
+        is heard here.
+        """
+        asker = self.reducer.asker_of(request)
+        if asker is not None and (asker.closed or asker.peer_ended()):
+            self.front.disconnect(asker)
+        self.reducer.now = max(self.reducer.now, monotonic())
+        return self.reducer.may_begin(request, attempt, server)
+
     # Timers
 
     def wake(self, token: int, at: float):
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -14,7 +14,7 @@
 
 from cartdeal.agent.configuration import AgentConfiguration, ServerList
 from cartdeal.balancer import Balancer
-from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, State
+from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, RequestClass, State
 
 STATES = {"active": State.READY, "leaving": State.DRAINING}
 ID_MEMORY = 5.0     # seconds for which a request's id is known, twice that at most
@@ -40,6 +40,7 @@
     GIVEN_UP = 3
     SPOILT = 4      # what came back can't be read, or can in two ways
     NO_CONNECTION = 5     # the agent's own limits left none for it
+    NOT_BEGUN = 6   # what it was decided on no longer held when its first byte was due
 
 
 class AttemptResult(NamedTuple):
@@ -64,7 +65,7 @@
                 return Outcome.UNUSABLE     # the request's fault, not the server's
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
         # neither is the server's doing
-        if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION):
+        if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION, FailureReason.NOT_BEGUN):
             return Outcome.CANCELLED if written else Outcome.NEVER_SENT
         if not written:
             return Outcome.NOT_CONNECTED
@@ -100,6 +101,7 @@
     def __init__(self, asker, request: Request, deadline: float):
         self.asker, self.request, self.deadline = asker, request, deadline
         self.attempts, self.out = 0, 0
+        self.chosen: dict[int, Known] = {}  # by attempt that is out: what the list said of its server
 
 
 class EarlierAttempt(NamedTuple):
@@ -118,6 +120,13 @@
     cell: int
 
 
+class OtherAttempts(NamedTuple):
+    """A request's attempts but for one, as the balancer looks at them."""
+
+    request_class: RequestClass
+    traces: dict
+
+
 class Known(NamedTuple):
     """What the list says of a server that the balancer has no use for."""
 
@@ -229,6 +238,7 @@
         if pending is None:
             return
         pending.out -= 1
+        pending.chosen.pop(attempt, None)
         outcome = result.outcome()
         pending.ran = pending.ran or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.asker is not None:
@@ -325,6 +335,7 @@
             zones = self.config.settings.zones
             self.asked.append(("went", request, zones[where.zone] if zones else "", where.cell))
         pending.sent += 1
+        pending.chosen[attempt] = self.servers[server]
         self.asked.append(
             (
                 "send_attempt",
@@ -337,6 +348,31 @@
             )
         )
 
+    def may_begin(self, number: int, attempt: int, server: int) -> bool:
+        """Whether an attempt that was asked for may still send its first byte, now.
+
+        Connecting takes up to seconds. A request that is answered, or whose client has gone, wants nothing
+        more; a server that drains, has gone, moved or started again since is not the one that was chosen; and
+        an attempt that is harmless within a window must reach its server within it.
+        """
+        pending = self.requests.get(number)
+        if pending is None or pending.asker is None or self.now >= pending.deadline:
+            return False
+        where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
+        if where is None or known is None or where.state is not State.READY:
+            return False
+        if self.servers.get(server) != pending.chosen.get(attempt):
+            return False
+        others = {each: past for each, past in known.traces.items() if each != attempt}
+        return self.balancer.within_group(
+            OtherAttempts(known.request_class, others), where, self.now
+        ) and all(self.within(each, where) for each in pending.earlier_attempts)
+
+    def asker_of(self, number: int):
+        """Who waits for the request's answer; None where nobody does."""
+        pending = self.requests.get(number)
+        return pending and pending.asker
+
     def withhold(self, request: int, server: int, attempt: int, pending: PendingRequest):
         """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
         the earlier ones as of its own: it then looks for a server where a further one does no harm."""
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -1,7 +1,8 @@
 """The connections to servers, and the attempts and probes that go out on them.
 
 Keeps idle connections, newest used first, and closes them well before a server would. Every attempt ends in
-one Ending that tells how far it had come. It must never send anything twice, nor choose where anything goes.
+one AttemptResult that tells how far it had come. It must never send anything twice, nor choose where anything
+goes.
 """
 
 import logging
@@ -34,6 +35,10 @@
     """The agent's own limits leave no connection for an attempt."""
 
 
+class NotBegun(Exception):
+    """What an attempt was decided on no longer holds, and nothing of it has been written."""
+
+
 class Report(msgspec.Struct):
     """What a server says of its load; numbers it can't mean make the whole of no use."""
 
@@ -60,7 +65,9 @@
 
 
 class UpstreamPool:
-    def __init__(self, config, dispatch, budget: ConnectionBudget):
+    def __init__(self, config, dispatch, budget: ConnectionBudget, may_begin):
+        """`may_begin(request, attempt, server)`: whether an attempt may still send its first byte."""
+        self.may_begin = may_begin
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
         self.connect_limit = seconds(permissions.connect_limit) or CONNECT
@@ -106,7 +113,8 @@
     # Greenlets
 
     def run_attempt(self, attempt, request_number, attempt_number, server, address, request, deadline):
-        result = self.exchange(attempt, server, address, deadline, lambda: written(request, deadline))
+        result = self.exchange(attempt, server, address, deadline, lambda: written(request, deadline),
+                               lambda: self.may_begin(request_number, attempt_number, server))
         del self.out[request_number, attempt_number]
         if result.reason is not FailureReason.ANSWERED or result.status != 200:
             log.info("attempt ended", extra={"request": request.id.decode("latin-1"), "address": address,
@@ -135,13 +143,18 @@
             return None
         return load_of(said.outstanding, said.throughput, said.backlog, said.recent_ms)
 
-    def exchange(self, attempt: Attempt, server: int, address: str, deadline: float, text) -> AttemptResult:
-        """Writes one request and reads its whole answer. Whatever goes wrong comes back as an Ending."""
+    def exchange(self, attempt: Attempt, server: int, address: str, deadline: float, text,
+                 may_begin=lambda: True) -> AttemptResult:
+        """Writes one request and reads its whole answer. Whatever goes wrong comes back in the result."""
         answer, attempt.begun = None, True
         try:
             if attempt.given_up:
                 return attempt.end(FailureReason.GIVEN_UP)
-            attempt.connection = self.pooled(server, address) or self.connect(address, deadline)
+            self.check(may_begin)
+            attempt.connection = self.pooled(server, address)
+            if attempt.connection is None:
+                attempt.connection = self.connect(address, deadline)
+                self.check(may_begin)   # it may have taken seconds to come up; nothing yields from here on
             self.write(attempt, text(), deadline)
             answer = self.read(attempt, deadline)
             if answer is None:
@@ -162,6 +175,8 @@
             return attempt.end(FailureReason.GIVEN_UP)
         except (TimeoutError, BlockingIOError):
             return attempt.end(FailureReason.TIMED_OUT, "no answer in time")
+        except NotBegun:
+            return attempt.end(FailureReason.NOT_BEGUN, "no longer wanted there")
         except NoConnection:
             return attempt.end(FailureReason.NO_CONNECTION, "no descriptor to spare")
         except Malformed as trouble:
@@ -178,6 +193,10 @@
             elif connection:
                 connection.close()
 
+    def check(self, may_begin):
+        if not may_begin():
+            raise NotBegun
+
     def write(self, attempt: Attempt, text: bytes, deadline: float):
         sock, rest = attempt.connection.sock, memoryview(text)
         while rest:
--- /dev/null
+++ b/tests/test_handover.py
@@ -0,0 +1,187 @@
+"""What may have changed between the choice of a server and an attempt's first byte there."""
+
+from types import SimpleNamespace
+
+import gevent
+import pytest
+from gevent import socket
+from gevent.event import Event
+
+from cartdeal.agent.configuration import ServerEntry, ServerList
+from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
+from tests.scene import SETTINGS, Deployment, answered, worded
+from tests.test_fleet_admission import MARK as GATED_MARK
+from tests.test_fleet_admission import GateDesk
+from tests.test_reducer import Desk
+
+READ, MARK, ONCE = range(3)
+WITHOUT_CANCEL = SETTINGS | {"caps": SETTINGS["caps"] | {"cancel": False}, "workloads": [
+    each | {"goalTimeUs": 20000000} for each in SETTINGS["workloads"]]}     # requests are held for a while
+
+
+@pytest.fixture(autouse=True)
+def bounded():
+    with gevent.Timeout(20):
+        yield
+
+
+@pytest.fixture
+def deployment(tmp_path):
+    made = Deployment(tmp_path, settings=WITHOUT_CANCEL)
+    yield made
+    made.stop()
+
+
+@pytest.fixture
+def late(monkeypatch):
+    """Connections to servers that count as up only when the test lets them: `came` lists them."""
+    came, gate = [], Event()
+
+    class Late(socket.socket):
+        def connect(self, address):
+            super().connect(address)
+            came.append(self)
+            gate.wait()
+
+    names = ("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY")
+    monkeypatch.setattr("cartdeal.agent.upstream.socket",
+                        SimpleNamespace(socket=Late, **{name: getattr(socket, name) for name in names}))
+    return SimpleNamespace(came=came, gate=gate)
+
+
+def until(true):
+    while not true():
+        gevent.sleep(0.002)
+
+
+def settled(deployment):
+    """All attempts have ended, and no connection to a server is left over."""
+    until(lambda: not deployment.agent.upstream.out)
+    assert deployment.agent.budget.used == len(deployment.agent.front.clients) + 1     # the next client's
+    until(lambda: not deployment.servers[0].open)
+
+
+def unread_end(deployment, count):
+    """So many ends lie in the agent's sockets, unread, when this returns: no other greenlet has run since."""
+    while sum(each.peer_ended() for each in deployment.agent.front.clients) < count:
+        pass
+
+
+@pytest.mark.parametrize("more", [
+    {"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str)
+@pytest.mark.parametrize("path", ["/once/x", "/read/x"])
+def test_connection_that_comes_up_after_its_server_changed_carries_nothing(deployment, late, more, path):
+    client = deployment.connect()
+    client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
+    until(lambda: late.came)
+    deployment.service.tell(deployment.servers[0].line(**more))
+    until(lambda: deployment.agent.reducer.version == 2)
+    late.gate.set()
+    # It never ran, and there is no other server: none is turned away in doubt.
+    assert answered(client)[0] == 503 and not deployment.seen()
+    settled(deployment)
+
+
+def test_connection_that_comes_up_after_its_client_has_gone_carries_nothing(deployment, late):
+    client = deployment.connect()
+    client.sock.sendall(worded("/once/x", "POST"))
+    until(lambda: late.came)
+    client.close()
+    until(lambda: not deployment.agent.front.clients)
+    late.gate.set()
+    settled(deployment)
+    assert not deployment.seen() and not deployment.agent.reducer.requests
+
+
+@pytest.mark.parametrize("ends", ["cancel", "overdue"])
+def test_connection_that_comes_up_after_its_attempt_was_given_up_is_closed_unused(deployment, late, ends):
+    client = deployment.connect()
+    client.sock.sendall(worded("/once/x", "POST"))
+    until(lambda: late.came)
+    if ends == "cancel":
+        deployment.agent.upstream.cancel(1, 0)
+    else:
+        deployment.agent.dispatch("overdue", 1)
+    late.gate.set()
+    assert answered(client)[0] in (502, 503)
+    settled(deployment)
+    assert not deployment.seen()
+
+
+@pytest.mark.parametrize("how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)],
+                         ids=["closes", "ends its side"])
+def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
+    until(lambda: deployment.agent.reducer.balancer.watching)
+    draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
+    deployment.agent.dispatch("listed", ServerList(2, False, (draining,)))
+    clients = [deployment.connect() for _ in range(8)]
+    for client in clients:
+        client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
+    held = deployment.agent.reducer.balancer.held
+    until(lambda: len(held) == len(clients))
+    for client in clients:
+        how(client.sock)
+    unread_end(deployment, len(clients))    # the agent is late: what it sees next is room for all of them
+    ready = ServerEntry("s0", deployment.servers[0].address, "a")
+    deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
+    assert deployment.agent.upstream.out
+    until(lambda: not deployment.agent.front.clients)
+    settled(deployment)
+    assert not deployment.seen() and not deployment.agent.reducer.requests
+
+
+def test_request_behind_another_ends_with_its_client(deployment):
+    client = deployment.connect()
+    client.sock.sendall(worded("/read/1?do=wait") + worded("/once/2", "POST"))
+    until(deployment.seen)
+    client.close()
+    unread_end(deployment, 1)
+    done = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
+    deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)   # the answer is read before the close
+    until(lambda: not deployment.agent.front.clients)
+    deployment.servers[0].released.set()
+    until(lambda: not deployment.agent.upstream.out)
+    assert deployment.seen() == ["/read/1?do=wait"]
+
+
+def test_client_is_heard_to_leave_though_its_connection_is_deaf(deployment):
+    client = deployment.connect()
+    client.sock.sendall(worded("/read/1?do=wait") + b"no request\r\n\r\n")
+    until(lambda: deployment.seen() and any(each.deaf for each in deployment.agent.front.clients))
+    client.close()
+    until(lambda: not deployment.agent.reducer.owes)
+
+
+def test_repeat_reaches_its_server_within_the_window_or_not_at_all(tmp_path):
+    for kind, within in ((READ, True), (MARK, False)):
+        desk = Desk(tmp_path)
+        desk.take(kind, wait=6.0)
+        desk.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
+        server = desk.at[1, 1]
+        assert desk.reducer.may_begin(1, 1, server)
+        desk.reducer.now += 4.0
+        assert desk.reducer.may_begin(1, 1, server) is within
+        desk.reducer.now += 2.0     # the deadline
+        assert not desk.reducer.may_begin(1, 1, server)
+        desk.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+        # What may have run may be rejected only where a repeat does no harm.
+        assert desk.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
+
+
+def test_non_idempotent_request_may_begin_once_its_earlier_attempt_never_ran(tmp_path):
+    desk = Desk(tmp_path)
+    desk.take(ONCE)
+    assert desk.reducer.may_begin(1, 0, desk.at[1, 0])
+    desk.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+    assert desk.at[1, 1] != desk.at[1, 0] and desk.reducer.may_begin(1, 1, desk.at[1, 1])
+    assert not desk.reducer.may_begin(1, 0, desk.at[1, 0])      # that one has ended
+
+
+def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
+    desk = GateDesk(tmp_path)
+    desk.take(GATED_MARK)
+    desk.play(0.01, "admitted", 1, desk.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    server = desk.at[1, 0]
+    assert desk.reducer.may_begin(1, 0, server)
+    desk.reducer.now += 0.6
+    assert not desk.reducer.may_begin(1, 0, server)
