--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,12 +1,15 @@
 """How an attempt's answer may be cut, and what its request's further attempts may then be."""
 
 import struct
+from time import monotonic
 
 import gevent
 import pytest
 from gevent import socket
 
 from cartdeal.agent.connection import BODY_LIMIT, Connection, Malformed
+from cartdeal.agent.reducer import FailureReason, Progress, Request
+from cartdeal.agent.upstream import Attempt, written
 from examples.toy import Server
 from tests.scene import Deployment
 
@@ -124,3 +127,19 @@
         assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m")[0] == (
             503 if does == "open" else 502)
         assert len(deployment.seen()) - seen == (2 if does == "open" else 1)
+
+
+@pytest.mark.parametrize("left", [-1.0, 0.0, 0.0009])
+@pytest.mark.parametrize("kept", [False, True])
+def test_deadline_that_ends_before_the_first_byte_is_an_attempt_that_never_ran(deployment, left, kept):
+    upstream, address = deployment.agent.upstream, deployment.servers[0].address
+    request = Request(2, True, 0, 0, 1.0, False, b"POST", b"/once/x", b"late", b"", b"", b"")
+    if kept:
+        connection = upstream.connect(address, monotonic() + 1.0)
+        upstream.pool(0, connection)
+        connection.since -= 1.0
+    deadline = monotonic() + left
+    result = upstream.exchange(Attempt(), 0, address, deadline, lambda: written(request, deadline))
+    assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
+    assert result.outcome().never_ran and not deployment.seen()
+    until(lambda: not any(server.open for server in deployment.servers))
