--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -155,7 +155,7 @@
             if attempt.connection is None:
                 attempt.connection = self.connect(address, deadline)
                 self.check(may_begin)   # it may have taken seconds to come up; nothing yields from here on
-            self.write(attempt, text(), deadline)
+            self.write(attempt, text(), deadline, may_begin)
             answer = self.read(attempt, deadline)
             if answer is None:
                 return attempt.end(FailureReason.BROKEN, "ended early")
@@ -197,11 +197,17 @@
         if not may_begin():
             raise NotBegun
 
-    def write(self, attempt: Attempt, text: bytes, deadline: float):
+    def write(self, attempt: Attempt, text: bytes, deadline: float, may_begin):
         sock, rest = attempt.connection.sock, memoryview(text)
+        sock.settimeout(0.0)
         while rest:
-            sock.settimeout(left(deadline))
-            rest = rest[sock.send(rest):]
+            try:
+                rest = rest[sock.send(rest):]
+            except BlockingIOError:
+                socket.wait_write(sock.fileno(), left(deadline))
+                # The server begins with the last byte: one held up beyond a window must not come to it.
+                self.check(may_begin)
+                continue
             attempt.progress = Progress.PARTLY_WRITTEN if rest else Progress.WRITTEN
 
     def read(self, attempt: Attempt, deadline: float):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -43,9 +43,7 @@
             came.append(self)
             gate.wait()
 
-    names = ("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY")
-    monkeypatch.setattr("cartdeal.agent.upstream.socket",
-                        SimpleNamespace(socket=Late, **{name: getattr(socket, name) for name in names}))
+    put_in_place(monkeypatch, Late)
     return SimpleNamespace(came=came, gate=gate)
 
 
@@ -54,6 +52,27 @@
         gevent.sleep(0.002)
 
 
+@pytest.fixture
+def narrow(monkeypatch, deployment):
+    """A server that takes a few bytes of a request and reads on only when the test has it accept."""
+    class Narrow(socket.socket):
+        def connect(self, address):
+            self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            super().connect(address)
+
+    put_in_place(monkeypatch, Narrow)
+    server = deployment.servers[0]
+    server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    server.work.kill()
+    return lambda: setattr(server, "work", gevent.spawn(server.accept))
+
+
+def put_in_place(monkeypatch, kind):
+    names = ("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY", "wait_write")
+    monkeypatch.setattr("cartdeal.agent.upstream.socket",
+                        SimpleNamespace(socket=kind, **{name: getattr(socket, name) for name in names}))
+
+
 def settled(deployment):
     """All attempts have ended, and no connection to a server is left over."""
     until(lambda: not deployment.agent.upstream.out)
@@ -108,6 +127,30 @@
     assert not deployment.seen()
 
 
+@pytest.mark.parametrize("over", [True, False])
+def test_request_held_up_in_the_middle_is_whole_within_its_window_or_never(deployment, narrow, over):
+    reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
+    client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
+    attempts = deployment.agent.upstream.out
+    until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
+    if over:    # an earlier attempt of it that may have run, longer ago than servers remember
+        balancer = reducer.balancer
+        balancer.requests[1].traces[-1] = balancer.servers[0], reducer.now - 60.0
+    narrow()
+    # In doubt it may not be sent again, nor its client told that it never ran.
+    assert answered(client) == ((502, b"") if over else (200, b"s0 " + body))
+    assert len(deployment.seen()) == 1 - over
+    until(lambda: not attempts)
+
+
+def test_request_held_up_until_its_deadline_never_ran(deployment, narrow):
+    body = bytes(60000)
+    assert deployment.ask("/once/x", "POST", body, X_Timeout="300m") == (503, b"")
+    narrow()
+    assert deployment.ask("/once/y", "POST")[0] == 200  # it is accepted behind the first
+    assert deployment.seen() == ["/once/y"]
+
+
 @pytest.mark.parametrize("how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)],
                          ids=["closes", "ends its side"])
 def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
