--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -280,7 +280,9 @@
             f"list {server_list.version}: {len(server_list.entries)} lines{' in all' * server_list.whole}"
         )
         gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
-        lines = [self.listing(line) for line in server_list.entries if line.state != "left"]
+        # Where an attempt may have run is its server's group of then: one in another group is another server.
+        lines = [self.let_go(line.name.encode()) for line in server_list.entries if self.regrouped(line)]
+        lines += [self.listing(line) for line in server_list.entries if line.state != "left"]
         if server_list.whole:
             here = {line.name for line in lines}
             gone += [name for name in self.indices if name not in here]
@@ -307,6 +309,11 @@
         self.close_idle(index)
         return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
 
+    def regrouped(self, line) -> bool:
+        index = self.indices.get(line.name.encode())
+        known = self.balancer.servers.get(index)
+        return known is not None and (known.zone, known.cell) != (self.zones.get(line.zone, 0), line.cell)
+
     def listing(self, line) -> Listing:
         name = line.name.encode()
         if name not in self.indices:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -228,3 +228,21 @@
     assert desk.reducer.may_begin(1, 0, server)
     desk.reducer.now += 0.6
     assert not desk.reducer.may_begin(1, 0, server)
+
+
+@pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
+def test_server_that_moves_to_another_group_leaves_its_attempts_in_the_one_before(tmp_path, place):
+    desk = Desk(tmp_path)
+    desk.take(MARK)
+    balancer, server = desk.reducer.balancer, desk.at[1, 0]
+    trace, _ = balancer.requests[1].traces[0]
+    before = trace.zone, trace.cell
+    name = next(name for name, index in desk.reducer.indices.items() if index == server)
+    entry = ServerEntry(name.decode(), desk.reducer.servers[server].address, **place)
+    desk.play(0.0, "listed", ServerList(4, False, (entry,)))
+    assert (trace.zone, trace.cell) == before and not desk.reducer.may_begin(1, 0, server)
+    assert desk.reducer.indices[name] != server and server not in desk.reducer.servers
+    desk.end(1, 0)
+    assert server not in balancer.servers and not desk.reducer.owes
+    desk.play(0.0, "listed", ServerList(5, False, (entry,)))
+    assert len(balancer.servers) == 2       # told again, it has not moved again
