--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -23,6 +23,8 @@
 # 0.75 for the pause after it, and half a second is left for the second call. Under 3.0 a line that is late
 # by half its time would cost a call in calm weather; under 1.0 a service with 200 callers at once would work
 # for some that have hung up. Only that one call is short: after it ANSWER holds, and the pauses grow.
+# From the moment a service that was away can be reached again 6 s are left, too: ANSWER for a call that just
+# missed it, 2.0 for the longest pause after it (the balancer's RENEWED), and 1.0 for the next call's answer.
 SILENCE = 3.0       # from one whole line to the next, the first one from the head
 HASTE = 1.0         # in place of ANSWER for the call after a watch that stood and fell silent
 
@@ -67,7 +69,7 @@
         except TimeoutError:
             words = "silent"
         except UNUSABLE as trouble:
-            words = str(trouble)
+            words = str(trouble) or repr(trouble)   # no words would mean that it was let go
         except Exception:
             log.exception("watch died")
         watch = gevent.getcurrent()
--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -5,7 +5,7 @@
 from math import exp, inf, log
 from zlib import crc32
 
-from cartdeal.terms import Group, Outcome, Repeat, State
+from cartdeal.terms import Fading, Group, Outcome, Repeat, State
 
 GLANCE, SOON = 0.05, 0.002  # how often room is looked for, a probe's answer holds; the least time to a timer
 SPARE, SHUN = 0.04, 4.0  # kept free before a deadline for the answer; longest a class passes a server by
@@ -13,6 +13,7 @@
 DOUBT, FAILING = 2.0, 0.3  # failures (fading) that may open a circuit, if they are such a share of what ended
 SHARED_LIMIT, COLD_SHARE = 8.0, 0.7  # in flight at a new server, from all agents; share of a cold ramp sent
 LEAST, CUT = 0.25, 0.75  # limits under one mean pauses between single attempts; what a cut leaves
+RENEWED, BEAT = 5.0, 2.0  # from a call to discovery to the next, at most; in which a watch has a line
 CALM, LATE, TOO_LATE = 0.15, 0.25, 0.6  # of the latency target: a limit grows, is cut, falls under one
 YIELD, HOLD = 1.5, 0.3  # times the mean in flight at which a server yields; share of the target to be held
 EVEN, BUSY = 1.2, 4.0  # times the mean over the memory, in a pool; least in flight at a server, by them all
@@ -22,22 +23,6 @@
 MASK, NEVER = (1 << 64) - 1, (0, 0.0, 1.0)
 
 
-class Fading:
-    """A sum whose parts fade away over time."""
-
-    def __init__(self, span, now, amount=0.0):
-        self.amount, self.at, self.span = amount, now, span
-
-    def read(self, now):
-        if now > self.at:
-            self.amount *= exp((self.at - now) / self.span)
-            self.at = now
-        return self.amount
-
-    def add(self, now, more=1.0):
-        self.amount = self.read(now) + more
-
-
 class RoutedRequest:
     def __init__(self, number, request_class, key, deadline, now, value, tally):
         self.number, self.request_class, self.key, self.tally = number, request_class, key, tally
@@ -91,6 +76,7 @@
         # The share of the keys that cross; requests that ended, all and bad, at home and away.
         self.spill, self.ends = 0.0, [[Fading(MEMORY, now), Fading(MEMORY, now)] for _ in "ha"]
         self.watching, self.watch_at, self.watch_backoff, self.alarm_at = not settings.must_ask, now, 0.5, inf
+        self.called_at = self.stood_at = now    # the call that is out; when the watch stood
         self.keep_watch(now)
 
     def chance(self):
@@ -100,7 +86,8 @@
     def listed(self, lines, fresh):
         now = self.host.now
         if fresh:
-            self.watching, self.watch_backoff = True, 0.5
+            self.stood_at = self.stood_at if self.watching else now
+            self.watching, self.called_at = True, inf
         for line in lines:
             server = self.servers.get(line.server)
             if server is None:
@@ -141,13 +128,18 @@
             del self.servers[server.index]
 
     def watch_failed(self):
-        self.watch_at = self.host.now + self.watch_backoff * (0.5 + self.chance())
+        # What discovery has counts as told 6 s after it can be reached. A call that just missed it may hang:
+        # with the pause after it, it may take 5, and a second is left for the next one among hundreds.
+        now = self.host.now
+        longest = (min(self.called_at, now) + RENEWED - now) / 1.5 if self.servers else 1.0
+        stood = self.watching and now >= self.stood_at + BEAT   # not one that ends at once, again and again
+        backoff = 0.5 if stood else max(0.5, min(self.watch_backoff, longest, self.settings.ask_every / 3))
+        self.watch_at, self.watch_backoff = now + backoff * (0.5 + self.chance()), backoff * (2 - stood)
         self.alarm(self.watch_at)   # one that stood may have failed late: the pause after it is no longer yet
-        self.watch_backoff = min(self.watch_backoff * (2 - self.watching), self.settings.ask_every / 3)
-        self.watching = False
+        self.watching, self.called_at = False, inf
 
     def discovery_moved(self):
-        self.watching, self.watch_at, self.watch_backoff = False, self.host.now, 0.5
+        self.watching, self.called_at, self.watch_at, self.watch_backoff = False, inf, self.host.now, 0.5
         self.keep_watch(self.host.now)
 
     def keep_watch(self, now):
@@ -155,6 +147,7 @@
         if not self.watching:
             if now >= self.watch_at:
                 self.host.watch()
+                self.called_at = min(self.called_at, now)
                 self.watch_at = now + self.settings.ask_every / 3
             self.alarm(self.watch_at)
 
@@ -589,8 +582,7 @@
             server.fails.add(now, DOUBT)
             self.open(server, now)
         # The requests waiting there are taken back where another attempt can do no harm. So are those that
-        # others overtake: they would fill the room until their deadline, and the whole server would seem
-        # silent.
+        # others overtake: they'd fill the room until their deadline, and the whole server would seem silent.
         for (number, attempt), sent in list(server.out.items()):
             request = self.requests.get(number)
             if request and attempt in request.out and self.settings.may_cancel \
--- a/cartdeal/terms.py
+++ b/cartdeal/terms.py
@@ -2,9 +2,26 @@
 
 from dataclasses import dataclass
 from enum import Enum
+from math import exp
 from typing import NamedTuple, Protocol
 
 
+class Fading:
+    """A sum whose parts fade away over time."""
+
+    def __init__(self, span, now, amount=0.0):
+        self.amount, self.at, self.span = amount, now, span
+
+    def read(self, now):
+        if now > self.at:
+            self.amount *= exp((self.at - now) / self.span)
+            self.at = now
+        return self.amount
+
+    def add(self, now, more=1.0):
+        self.amount = self.read(now) + more
+
+
 class Repeat(Enum):
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
