--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -40,11 +40,15 @@
         self.former = None      # the watch at the address before, until the one at the new address stands
         self.anew = False       # whether the next watch is the first at its address
         self.hasty = False      # whether the next watch follows one that stood and fell silent
+        self.told = 0           # lists that watches have told
 
     def move(self, address):
-        if self.former:
-            self.former.kill(block=False)
-        self.address, self.former, self.watching = address, self.watching, None
+        former, left = self.watching, self.former
+        if left and self.anew:      # nothing came from the one that is left: the one before it still tells
+            former, left = left, former
+        if left:
+            left.kill(block=False)
+        self.address, self.former, self.watching = address, former, None
         self.anew, self.hasty = True, False
 
     # Effects
@@ -82,7 +86,7 @@
                 self.dispatch("watch_failed")
 
     def run_fetch(self):
-        connection, due = None, monotonic() + ANSWER
+        connection, due, moment = None, monotonic() + ANSWER, (self.address, self.told)
         try:
             connection = self.call(PATH, ANSWER)
             while not connection.whole:
@@ -90,10 +94,14 @@
                     raise Malformed(400, "ended early")
             if connection.whole[0].status != 200:
                 raise Malformed(400, f"status {connection.whole[0].status}")
-            self.dispatch("listed", decode_list(connection.whole[0].body))
+            found = decode_list(connection.whole[0].body)
+            # A watch has told what is newer, or another service has: this list would take it back.
+            if moment == (self.address, self.told):
+                self.dispatch("listed", found, False)
         except UNUSABLE as trouble:
             log.warning("list not had", extra={"reason": str(trouble)})
-            self.dispatch("watch_failed")
+            if not self.watching:   # else a watch that stands would be told as failed
+                self.dispatch("watch_failed")
         finally:
             if connection:
                 connection.close()
@@ -101,6 +109,7 @@
     def follow(self):
         patience, self.hasty = HASTE if self.hasty else ANSWER, False
         headed, stood, part, due = False, False, b"", monotonic() + patience
+        watch = gevent.getcurrent()
         # Another service may number its lists otherwise: the first call there asks for all there is.
         connection = self.call(f"{PATH}?watch=1&after={0 if self.anew else self.version()}", patience)
         try:
@@ -114,17 +123,25 @@
                     part += text
                     if text.strip() and not ended(part):
                         continue
-                    if self.watching is gevent.getcurrent():
+                    # Lines of one that was let go may be read before its end: they would go on top of the
+                    # other service's list, and leave its version to ask after.
+                    if watch not in (self.watching, self.former):
+                        return
+                    found, current = decode_list(part) if part.strip() else None, watch is self.watching
+                    if current and (found or not self.anew):    # an empty line brings nothing to go by
                         self.stands()
-                    if part.strip():
-                        self.dispatch("listed", decode_list(part))
-                    elif not stood:
+                    if found:
+                        self.told += 1
+                        # The former one's say nothing of the watch in its place, which may have failed.
+                        self.dispatch("listed", found, current)
+                    elif current and not stood:
                         self.dispatch("watch_stands")
                     stood, part, due = True, b"", monotonic() + SILENCE
                 if connection.whole:
                     return
         except TimeoutError:
-            self.hasty = stood and self.watching is gevent.getcurrent()
+            if self.watching is watch:
+                self.hasty = stood
             raise
         finally:
             connection.close()
@@ -133,6 +150,7 @@
         self.anew = False
         if self.former:
             self.former.kill(block=False)
+            self.former = None
 
     def call(self, path: str, patience: float) -> Connection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,8 @@
 from cartdeal.agent import discovery
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import Reducer, Request
-from tests.scene import SETTINGS, agent_config
+from examples.toy import DiscoveryService, answer
+from tests.scene import SETTINGS, Deployment, agent_config
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD = 6.0      # what a silent watch misses counts as told so long after it fell silent
@@ -321,8 +322,8 @@
 
 @pytest.mark.parametrize("script", [[], NEVER_UP, [(n / 2, b"HTTP/1.1 200 OK"[n:n + 1]) for n in range(15)]])
 def test_whole_list_is_had_in_time_or_not_at_all(world, script):
-    played = world([(0.0, LIST), (0.0, b"")], script)
-    played.scripts.insert(0, played.scripts.pop())
+    played = world(script)
+    played.discovery.watching.kill()    # before its call: the script is the list's
     gevent.spawn(played.discovery.run_fetch).join()
     assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.ANSWER)
 
@@ -333,3 +334,102 @@
         discovery.decode_list(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
     line, = discovery.decode_list(json.dumps({"targets": [server("s")]}).encode()).entries
     assert line == ServerEntry("s", "127.0.0.1:1", "a")
+
+
+# Two watches during a move, on sockets: stand-in services that say each thing when the test lets them.
+
+@pytest.fixture
+def moved(tmp_path):
+    """A deployment whose watch stands; `move` gives it another service, which says nothing by itself."""
+    made, deployment = [], Deployment(tmp_path)
+    old, agent = deployment.service, deployment.agent
+
+    def move(down=False):
+        service = DiscoveryService()
+        service.lines, service.mute = dict(old.lines), True
+        made.append(service)
+        if down:
+            service.stop()
+        agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
+        agent.dispatch("discovery_moved")
+        if not down:
+            until(lambda: service.watches)
+        return service
+
+    with gevent.Timeout(20):
+        until(lambda: agent.reducer.balancer.watching and old.watches)
+        yield SimpleNamespace(move=move, old=old, reducer=agent.reducer, discovery=agent.discovery)
+    deployment.stop()
+    for each in made:
+        each.stop()
+
+
+def until(true):
+    while not true():
+        gevent.sleep(0.002)
+
+
+def test_change_from_the_service_that_was_left_does_not_stand_for_the_new_one(moved):
+    there = moved.move(down=True)
+    until(lambda: not moved.discovery.watching)     # refused, and a pause is on
+    moved.old.tell(server("s7", state="active"))
+    until(lambda: b"s7" in moved.reducer.indices)
+    assert not moved.reducer.balancer.watching
+    back = DiscoveryService(int(there.address.split(":")[1]))
+    until(lambda: back.calls and moved.reducer.balancer.watching and not moved.old.open)
+    back.stop()
+
+
+@pytest.mark.parametrize("first", ["old", "new"])
+def test_no_change_of_the_service_that_was_left_comes_on_top_of_the_new_ones_list(moved, first):
+    there = moved.move()
+    whole = there.server_list(list(there.lines.values()), True) + b"\n"
+    both = [lambda: moved.old.tell(server("s7", state="active")),
+            lambda: there.write(there.watches[0], whole)]
+    for say in both if first == "old" else both[::-1]:      # both lie there before the agent reads either
+        say()
+    until(lambda: not moved.old.open)
+    assert b"s7" not in moved.reducer.indices and moved.reducer.version == 1
+
+
+def test_of_two_moves_in_a_row_the_watch_that_has_a_list_goes_on(moved):
+    second, third = moved.move(), moved.move()
+    until(lambda: not second.open)
+    moved.old.tell(server("s7", state="active"))
+    until(lambda: b"s7" in moved.reducer.indices)
+    third.tell()
+    until(lambda: not moved.old.open)
+
+
+def test_empty_line_of_the_new_service_does_not_end_the_watch_before_it(moved):
+    there = moved.move()
+    there.write(there.watches[0], b"\n")
+    until(lambda: moved.reducer.balancer.watching)
+    moved.old.tell(server("s7", state="active"))
+    until(lambda: b"s7" in moved.reducer.indices)
+    there.tell()
+    until(lambda: not moved.old.open)
+
+
+@pytest.mark.parametrize("newer", ["a change", "a move"])
+def test_list_that_was_asked_for_before_does_not_take_back_what_is_newer(moved, newer):
+    held = []
+    moved.old.play = lambda connection, message: held.append(connection)
+    moved.discovery.fetch_servers()
+    until(lambda: held)
+    if newer == "a change":
+        moved.old.tell(server("s7", state="active"))
+    else:
+        moved.move().tell(server("s7", state="active"))
+    until(lambda: b"s7" in moved.reducer.indices)
+    text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
+    held[0].push(answer(200, text))
+    until(lambda: held[0] not in moved.old.open)
+    assert b"s7" in moved.reducer.indices and moved.reducer.version == 2
+
+
+def test_list_that_is_not_had_is_no_failure_of_the_watch_that_stands(moved):
+    moved.old.down = True
+    moved.discovery.fetch_servers()
+    until(lambda: "/registry/instances" in moved.old.calls and len(moved.old.open) == 1)
+    assert moved.reducer.balancer.watching and moved.discovery.watching
