--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -246,6 +246,19 @@
     assert played.reducer.ready and max(map(float.__sub__, begun[1:], begun)) < 1.51 and len(begun) < 12
 
 
+@pytest.mark.parametrize("first, until, answer", [
+    (REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["turned away"], 7.5, 0.9), ([], 0.0, 2.9)],
+    ids=["down", "deaf", "full", "slow"])
+def test_nine_in_ten_agents_that_know_no_server_are_ready_within_10_s(world, first, until, answer):
+    late = 0
+    for seed in range(200):
+        played = world(seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}", known=(),
+                       service=lambda now: first if now < 100 + until else [(answer, BACK)])
+        played.play(111.0)
+        late += not any(at <= 110.0 for at, _ in played.heard)
+    assert late <= 20
+
+
 @pytest.mark.parametrize("script, fails", [
     ([], discovery.ANSWER),
     ([(n / 2, HEAD[n:n + 1]) for n in range(60)], discovery.ANSWER),
