--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -205,7 +205,8 @@
         if len(sessions) > 1:
             raise Malformed(400, "more than one sid")
         repeat = REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)
-        promised = message.method == b"GET" or repeat is Repeat.DEDUPLICATED and bool(idempotency_key)
+        # A method promises nothing of a deduplicated class: servers know a repeat by its key alone.
+        promised = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
         return Request(
             request_class,
             not promised,
--- /dev/null
+++ b/tests/test_another_customer.py
@@ -0,0 +1,89 @@
+"""Settings that no customer so far had: each value that a deployment may leave out or set to its least."""
+
+
+import gevent
+import pytest
+
+from tests.scene import SETTINGS, Deployment, answered, worded
+
+
+@pytest.fixture(autouse=True)
+def bounded():
+    with gevent.Timeout(20):
+        yield
+
+
+@pytest.fixture
+def deploy(tmp_path):
+    made = []
+
+    def make(**more):
+        made.append(Deployment(tmp_path, **more))
+        return made[-1]
+
+    yield make
+    for deployment in made:
+        deployment.stop()
+
+
+def workload(name="mark", **more):
+    return {"name": name, "idempotency": "keyed", "group": "all", "goalTimeUs": 1000000} | more
+
+
+BARE = {"workloads": [{"name": "any"}], "caps": {"maxShots": 3}}
+
+
+@pytest.mark.parametrize("method", ["GET", "POST"])
+def test_class_of_which_nothing_is_said_runs_once(deploy, method):
+    deployment = deploy(servers=2, settings=BARE)
+    assert deployment.ask("/any/x?do=reset", method, Idempotency_Key="k") == (502, b"")
+    assert len(deployment.seen()) == 1
+    assert deployment.ask("/any/x?do=full", method) == (503, b"")
+    assert len(deployment.seen()) == 3
+    assert deployment.ask("/any/x", method)[0] == 200
+
+
+@pytest.mark.parametrize("key, attempts", [(None, 1), ("k", 2)])
+@pytest.mark.parametrize("method", ["GET", "POST"])
+def test_deduplicated_request_is_sent_again_only_with_the_key_that_tells_a_repeat(
+        deploy, method, key, attempts):
+    deployment = deploy(servers=2)
+    assert deployment.ask("/mark/x?do=reset", method, Idempotency_Key=key)[0] in (502, 503)
+    assert len(deployment.seen()) == attempts
+
+
+@pytest.mark.parametrize("group, window, status, attempts", [
+    ("all", None, 502, 1), ("all", 0, 502, 1), ("all", 1, 502, 1), ("all", 4000000, 503, 2),
+    # Of a group that is not named, or not known, no server is known to drop a repeat of another cell's.
+    (None, 4000000, 502, 1), ("rack", 4000000, 502, 1), ("zone", 4000000, 502, 1)])
+def test_window_that_is_missing_or_over_and_groups(deploy, group, window, status, attempts):
+    settings = SETTINGS | {"workloads": [workload(group=group, repeatWindowUs=window)]}
+    deployment = deploy(servers=2, settings=settings)
+    zones = iter("ab")
+    for place, line in enumerate(deployment.service.lines.values()):
+        line |= {"az": next(zones), "pod_group": place}
+    deployment.service.tell(*deployment.service.lines.values())
+    while len({each.zone for each in deployment.agent.reducer.balancer.servers.values()}) < 2:
+        gevent.sleep(0.002)
+    assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k") == (status, b"")
+    assert len(deployment.seen()) == attempts
+
+
+def test_least_limits_still_serve(deploy):
+    deployment = deploy(limits={"memory_mb": 24, "sockets": 64})
+    idle, asked = [deployment.connect() for _ in range(40)], []
+    for _ in range(10):
+        asked.append(deployment.connect())
+        asked[-1].sock.sendall(worded())    # what is silent as long as others are may be closed for them
+    assert [answered(connection) for connection in asked] == [(200, b"s0 ")] * 10
+    for connection in idle + asked:
+        connection.close()
+
+
+@pytest.mark.parametrize("millis", [20, 50])
+def test_request_of_little_time_is_answered_when_its_server_is_silent(deploy, millis):
+    settings = SETTINGS | {"workloads": [workload("read", idempotency="safe", goalTimeUs=millis * 500,
+                                                  timeLimitUs=millis * 1000)]}
+    deployment = deploy(settings=settings)
+    assert deployment.ask("/read/x?do=silent", X_Timeout=f"{millis}m")[0] in (502, 503)
+    assert deployment.ask("/read/x", X_Timeout=f"{millis}m")[0] == 200
