--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -11,6 +11,7 @@
 REPEATS = {"safe": Repeat.IDEMPOTENT, "keyed": Repeat.DEDUPLICATED, "unsafe": Repeat.NON_IDEMPOTENT}
 COLUMNS = ("outstanding", "throughput", "backlog", "recent_ms")     # of a report, as load_of takes them
 GROUPS = {group.value: group for group in Group}
+LEAST_PRIORITY = 1e-6   # priorities are divided by their mean, which must not be 0
 
 
 class ClassSettings(msgspec.Struct):
@@ -33,7 +34,7 @@
             GROUPS.get(self.group, Group.CELL),
             seconds(self.window),
             seconds(self.latency_target) or self.timeout,
-            self.priority,
+            max(self.priority, LEAST_PRIORITY),
             self.name,
         )
 
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -87,3 +87,13 @@
     deployment = deploy(settings=settings)
     assert deployment.ask("/read/x?do=silent", X_Timeout=f"{millis}m")[0] in (502, 503)
     assert deployment.ask("/read/x", X_Timeout=f"{millis}m")[0] == 200
+
+
+@pytest.mark.parametrize("family", ["mesh", "proxy"])
+def test_class_of_no_importance_is_served_and_leaves_nothing(deploy, family):
+    settings = SETTINGS | {"family": family, "workloads": [workload("read", idempotency="safe",
+                                                                       importance=0)]}
+    deployment = deploy(settings=settings)
+    for does in ("serve", "full", "reset", "serve"):
+        assert deployment.ask(f"/read/x?do={does}")[0] == (200 if does == "serve" else 503)
+    assert not deployment.agent.reducer.balancer.requests
