--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -97,6 +97,11 @@
     fees: Fees = field(default_factory=Fees)
     reports: Reports = field(default_factory=Reports, name="feedback")
 
+    def shares(self) -> tuple[Tenant, ...]:
+        """A share is one of all quotas: where one is missing nobody's is known, and nobody is beyond it."""
+        quotas = [each.quota for each in self.tenants]
+        return tuple(map(Tenant, quotas)) if all(quotas) else ()
+
     def for_balancer(self, seed: int) -> BalancerSettings:
         return BalancerSettings(
             seed=seed,
@@ -105,7 +110,7 @@
             zones=len(self.zones) or 1,
             own_zone=self.own_zone,
             request_classes=tuple(kind.request_class() for kind in self.request_classes),
-            tenants=tuple(Tenant(each.quota or 0.0) for each in self.tenants),
+            tenants=self.shares(),
             beyond_share=self.beyond_share,
             crossing_fee=self.fees.crossing,
             probing_fee=self.fees.probing,
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -1,9 +1,11 @@
 """Settings that no customer so far had: each value that a deployment may leave out or set to its least."""
 
+import json
 
 import gevent
 import pytest
 
+from cartdeal.settings import read
 from tests.scene import SETTINGS, Deployment, answered, worded
 
 
@@ -69,6 +71,13 @@
     assert len(deployment.seen()) == attempts
 
 
+def test_tenants_without_a_quota_are_all_within_their_share():
+    # None is known to send too much: to count all they send as beyond it would make all of little worth.
+    for tenants, known in (([{"name": "x"}, {"name": "y"}], 0), ([{"name": "x", "quotaPerS": 5}], 1)):
+        text = json.dumps(BARE | {"tenants": tenants, "overageImportance": 0.1}).encode()
+        assert len(read(text).for_balancer(1).tenants) == known
+
+
 def test_least_limits_still_serve(deploy):
     deployment = deploy(limits={"memory_mb": 24, "sockets": 64})
     idle, asked = [deployment.connect() for _ in range(40)], []
