--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -27,11 +27,13 @@
     def timeout(self) -> float:
         return seconds(self.timeout_us) or 1.0
 
-    def request_class(self) -> RequestClass:
+    def request_class(self, zoned: bool) -> RequestClass:
+        # Where no group is named, none is known to drop repeats beyond the narrowest one. Where the areas are
+        # not, all servers look like one zone, and a repeat in another one might run again.
+        group = GROUPS.get(self.group, Group.CELL)
         return RequestClass(
             REPEATS.get(self.repeat, Repeat.NON_IDEMPOTENT),
-            # Where no group is named, none is known to drop repeats beyond the narrowest one.
-            GROUPS.get(self.group, Group.CELL),
+            Group.CELL if group is Group.ZONE and not zoned else group,
             seconds(self.window),
             seconds(self.latency_target) or self.timeout,
             max(self.priority, LEAST_PRIORITY),
@@ -109,7 +111,7 @@
             agents=self.agents,
             zones=len(self.zones) or 1,
             own_zone=self.own_zone,
-            request_classes=tuple(kind.request_class() for kind in self.request_classes),
+            request_classes=tuple(kind.request_class(bool(self.zones)) for kind in self.request_classes),
             tenants=self.shares(),
             beyond_share=self.beyond_share,
             crossing_fee=self.fees.crossing,
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -98,6 +98,19 @@
     assert deployment.ask("/read/x", X_Timeout=f"{millis}m")[0] == 200
 
 
+def test_repeat_of_a_zones_group_stays_in_its_cell_where_no_areas_are_named(deploy):
+    settings = SETTINGS | {"areas": [], "workloads": [workload(group="zone", repeatWindowUs=4000000)]}
+    for cells, attempts in (((0, 1), 1), ((0, 0), 2)):
+        deployment = deploy(servers=2, settings=settings)
+        for line, zone, cell in zip(deployment.service.lines.values(), "ab", cells, strict=True):
+            deployment.service.tell(line | {"az": zone, "pod_group": cell})
+        balancer = deployment.agent.reducer.balancer
+        while [each.cell for each in balancer.servers.values()] != list(cells):
+            gevent.sleep(0.002)
+        assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k") == (502, b"")
+        assert len(deployment.seen()) == attempts
+
+
 @pytest.mark.parametrize("family", ["mesh", "proxy"])
 def test_class_of_no_importance_is_served_and_leaves_nothing(deploy, family):
     settings = SETTINGS | {"family": family, "workloads": [workload("read", idempotency="safe",
