--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -205,12 +205,13 @@
         if len(sessions) > 1:
             raise Malformed(400, "more than one sid")
         repeat = REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)
+        tenant = headers.get(b"x-tenant-id", b"")
         # A method promises nothing of a deduplicated class: servers know a repeat by its key alone.
         promised = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
         return Request(
             request_class,
             not promised,
-            self.tenants.get(headers.get(b"x-tenant-id"), 0),
+            self.tenants.get(tenant, len(self.tenants) if tenant else 0),
             hashed(sessions.pop()) if sessions else 0,
             wait - min(MARGIN, wait / 10),
             headers.get(b"x-retried") == b"1",
@@ -220,7 +221,7 @@
             idempotency_key,
             headers.get(b"content-type", b""),
             message.body,
-            headers.get(b"x-tenant-id", b""),
+            tenant,
         )
 
     # Effects
--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -100,9 +100,12 @@
     reports: Reports = field(default_factory=Reports, name="feedback")
 
     def shares(self) -> tuple[Tenant, ...]:
-        """A share is one of all quotas: where one is missing nobody's is known, and nobody is beyond it."""
+        """A share is one of all quotas: where one is missing nobody's is known, and nobody is beyond it.
+
+        The last one is of those that the settings don't name: they have none, and use up nobody else's.
+        """
         quotas = [each.quota for each in self.tenants]
-        return tuple(map(Tenant, quotas)) if all(quotas) else ()
+        return tuple(map(Tenant, quotas + [0.0])) if quotas and all(quotas) else ()
 
     def for_balancer(self, seed: int) -> BalancerSettings:
         return BalancerSettings(
