--- a/cartdeal/emulator/judge.py
+++ b/cartdeal/emulator/judge.py
@@ -4,6 +4,7 @@
 """
 
 from collections import defaultdict, deque
+from math import sqrt
 from typing import NamedTuple
 
 SLACK = 0.05        # after a deadline, as on sockets
@@ -38,7 +39,12 @@
         self.told_at = {}       # (agent, server) -> since when it may be sent nothing new
         self.changed = {}       # server -> when the discovery service knew
         self.sent = defaultdict(deque)      # cold server -> (when, work)
-        self.fallen = set()
+        self.calls = defaultdict(deque)     # cold server -> when requests came from agents told of its start
+        self.told_start = {}    # (agent, server) -> the start that the agent was told of, in seconds
+        shares = sum(each.share for each in world.request_class)
+        self.mean_work = sum(each.share * each.work_s for each in world.request_class) / shares
+        self.closest = {}       # cold server -> most requests in a span over what is allowed, of its life
+        self.fallen = set()     # (server, which bound)
         self.taken = self.answered = self.excused = 0
 
     def break_(self, rule, at, about, words):
@@ -98,7 +104,8 @@
         if attempt:
             attempt[3], attempt[4] = never_ran, False
 
-    def agent_told(self, at, agent, server, ready):
+    def agent_told(self, at, agent, server, ready, started=0.0):
+        self.told_start[agent, server] = started
         if ready:
             self.told_at.pop((agent, server), None)
         else:
@@ -116,16 +123,35 @@
                 case.excused = True
                 self.excused += 1
 
-    def work_reached(self, at, server, work):
-        """Work that came to a cold server, whoever sent it: within any span it stays under the multiple."""
-        world, seen = self.world, self.sent[server.name]
+    def work_reached(self, at, server, work, agent=None):
+        """`work` in seconds that came to a cold server; `agent` sent it, None: a probe.
+
+        Within any span both hold: all work stays under the multiple, and the requests of agents that had been
+        told of the start stay under as many of mean work and what chance adds.
+        """
+        world, seen, came = self.world, self.sent[server.name], self.calls[server.name]
+        most = world.fall_multiple * server.capacity() * world.fall_s
         seen.append((at, work))
         while seen[0][0] < at - world.fall_s:
             seen.popleft()
-        most = world.fall_multiple * server.capacity() * world.fall_s
-        if sum(each for _, each in seen) > most and server.name not in self.fallen:
-            self.fallen.add(server.name)
-            self.break_(4, at, server.name, f"over {most:.2f} s of work within {world.fall_s:g} s, "
+        if sum(each for _, each in seen) > most:
+            self.fell(at, server, f"{most:.2f} s of", "work")
+        # Who was told of an older start alone knows of no ramp. The list's milliseconds round.
+        if agent is None or self.told_start.get((agent, server.name), 0.0) < server.started - 1e-3:
+            return
+        came.append(at)
+        while came[0] < at - world.fall_s:
+            came.popleft()
+        calls = most / self.mean_work
+        calls += 2 * sqrt(calls) + 2
+        self.closest[server.name] = max(self.closest.get(server.name, 0.0), len(came) / calls)
+        if len(came) > calls:
+            self.fell(at, server, f"{calls:.1f}", "requests")
+
+    def fell(self, at, server, most, what):
+        if (server.name, what) not in self.fallen:
+            self.fallen.add((server.name, what))
+            self.break_(4, at, server.name, f"over {most} {what} within {self.world.fall_s:g} s, "
                         f"{at - server.started:.2f} s after its start")
 
     def close(self, at):
--- a/cartdeal/emulator/stand.py
+++ b/cartdeal/emulator/stand.py
@@ -178,7 +178,7 @@
         attempt.progress = Progress.WRITTEN
         work = fleet.work(attempt.request, probe)
         if server.started and server.warmth() < 1:
-            fleet.judge.work_reached(self.clock.now, server, work)
+            fleet.judge.work_reached(self.clock.now, server, work, None if probe else self.number)
         kind = "" if probe else fleet.world.request_class[attempt.request.request_class].name
         attempt.job = Job(work, lambda status: self.back(attempt, end, status), request_class=kind)
         if fleet.way(self.zone, server.zone) is None:
@@ -254,7 +254,8 @@
     # The list
 
     def told(self, line):
-        self.fleet.judge.agent_told(self.clock.now, self.number, line.name, line.state == "active")
+        self.fleet.judge.agent_told(
+            self.clock.now, self.number, line.name, line.state == "active", line.started / 1e3)
 
     def heard(self, server_list: ServerList | None):
         """Of a call or a watch; None: it failed."""
