--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -21,6 +21,7 @@
 READ = 4096            # room kept for one read
 HELD = 3               # times that a long body is held at most: in the buffer, by itself, with its head again
 STALLED = 10.0         # how long a peer may take to accept what is left of an answer
+THROWN = 1 << 20       # bytes that are thrown away behind the end of our sending, at most
 
 
 class Message:
@@ -95,12 +96,16 @@
 
 
 class Connection:
-    """`on_close` is called once, when the descriptor is free again."""
+    """`on_half_close` is called once, when our side has ended and the other is waited for; `on_close` once,
+    when the descriptor is free again.
+    """
 
     def __init__(self, sock, answers: bool, on_close=lambda connection: None, body_limit: int = BODY_LIMIT,
-                 budget: ConnectionBudget | None = None, until_close: bool = False):
+                 budget: ConnectionBudget | None = None, until_close: bool = False,
+                 on_half_close=lambda connection: None):
         """`until_close`: whether an answer with neither length nor chunks is good, up to an orderly close."""
         self.sock, self.answers, self.on_close, self.body_limit = sock, answers, on_close, body_limit
+        self.on_half_close = on_half_close
         self.budget, self.claimed = budget, 0   # bytes of the room for long bodies ...
         self.claims = 0                     # ... and those for the message that is coming
         self.parser = (httptools.HttpResponseParser if answers else httptools.HttpRequestParser)(self)
@@ -123,7 +128,9 @@
         self.wrong = None
         self.unsent = b""           # what the socket did not take at once
         self.rest = None            # the greenlet that writes it
-        self.last = False           # whether to close once all is written
+        self.last = False           # whether to half-close once all is written
+        self.half_closed = False    # whether our sending has ended
+        self.thrown = 0             # bytes that came since and were thrown away
         self.closed = False
         self.since = 0.0            # when it became idle, for its owner
 
@@ -134,7 +141,10 @@
         """
         self.sock.settimeout(wait)
         if self.deaf:
-            return bool(self.sock.recv_into(DEAF))
+            count = self.sock.recv_into(DEAF)
+            self.thrown += count
+            gevent.sleep(0)     # who sends without a pause must not hold up everyone else
+            return bool(count) and not (self.half_closed and self.thrown > THROWN)
         self.fit()
         count = self.sock.recv_into(self.view[self.kept:])
         if not count and self.midway and self.unbounded:
@@ -296,10 +306,12 @@
     def push(self, data: bytes, last: bool = False):
         """Writes at once what the socket takes; the rest goes out in a greenlet of its own, in order.
 
-        After the last of it the connection is closed. One that is deaf only ends: to close it with bytes
-        unread would reset it, and take what was written with it. Its owner closes it then.
+        After the last of it the connection is half-closed, and from now on nothing more is read or written.
         """
-        self.last |= last
+        if self.last:
+            return
+        self.last = last
+        self.deaf |= last
         if not self.rest:
             try:
                 data = data[os.write(self.sock.fileno(), data):]
@@ -311,7 +323,7 @@
         if self.unsent and not self.rest:
             self.rest = gevent.spawn(self.push_rest)
         elif self.last and not self.unsent:
-            self.end()
+            self.half_close()
 
     def push_rest(self):
         try:
@@ -324,15 +336,24 @@
         finally:
             self.rest = None
         if self.last:
-            self.end()
+            self.half_close()
+
+    def half_close(self):
+        """Ends our sending, the one way to close on a peer that may still send.
 
-    def end(self):
+        What comes after it is neither parsed nor taken: it is thrown away until the other side ends, or
+        `THROWN` bytes have come, or the owner closes. A close over unread bytes would reset the connection
+        and take with it what was written last.
+        """
+        if self.half_closed or self.closed:
+            return
+        self.half_closed = self.last = self.deaf = True
+        self.thrown = 0
         try:
-            if self.deaf:
-                return self.sock.shutdown(socket.SHUT_WR)
+            self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass
-        self.close()
+            return self.close()
+        self.on_half_close(self)
 
     def unread(self) -> bool:
         """Whether bytes, or the other side's end, have come that nobody has read."""
@@ -350,5 +371,16 @@
         if not self.closed:
             self.closed = True
             self.give_back()
+            if self.half_closed:
+                self.throw_away()
             self.sock.close()
             self.on_close(self)
+
+    def throw_away(self):
+        """Takes what lies unread, without waiting: a close over it would reset the connection."""
+        self.sock.settimeout(0.0)
+        try:
+            while self.thrown <= THROWN and (count := self.sock.recv_into(DEAF)):
+                self.thrown += count
+        except OSError:
+            pass
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -4,7 +4,9 @@
 disturb another connection, and never words a final answer itself: that is the reducer's.
 
 A connection ends when its client ends it, when it is refused, or by the sweep: an unidentified client, which
-has asked nothing good yet, has little time and room; one that has asked may stand idle for a while.
+has asked nothing good yet, has little time and room; one that has asked may stand idle for a while. Whatever
+ends it here, it is half-closed first, and what then comes is thrown away for a moment: what a client sent
+just then must neither be taken nor reset the connection under its last answer.
 """
 
 import hashlib
@@ -24,7 +26,8 @@
 GREET = 1.5         # how long an unidentified client may take from connecting to its first whole request
 STALL = 2.0         # how long a client may take over any other
 IDLE = 5.0          # how long a client's connection may stand idle
-LINGER = 0.5        # how long a client that was refused may go on sending, unread
+LINGER = 0.5        # how long a client may go on sending, unread, after our side has ended
+LINGERING = 8       # one in so many connections may be such a client's
 SWEEP = 0.2         # seconds between looks for connections whose time is up
 UNIDENTIFIED = 4       # one in so many connections may be an unidentified client's ...
 CLIENTS = 0.6       # ... and this share a client's, while there are idle ones to close; servers need the rest
@@ -46,12 +49,11 @@
 class ClientConnection(Connection):
     """A connection of the application; while it `waits`, `request` is the one that it waits for."""
 
-    def __init__(self, sock, on_close, budget):
-        super().__init__(sock, answers=False, on_close=on_close, budget=budget)
+    def __init__(self, sock, on_close, budget, on_half_close):
+        super().__init__(sock, answers=False, on_close=on_close, budget=budget, on_half_close=on_half_close)
         self.request, self.waits, self.keep_alive, self.asked = 0, False, True, False
-        self.refused = None     # what came that ends the connection once all before it is answered ...
-        self.lingers = False    # ... and whether that has been said
-        self.since = monotonic()    # when it came, was last asked on or answered, or was refused
+        self.refused = None     # what came that ends the connection once all before it is answered
+        self.since = monotonic()    # when it came, was last asked on or answered, or was half-closed
 
     def on_message_begin(self):
         super().on_message_begin()
@@ -66,6 +68,11 @@
     def done(self) -> bool:
         return not (self.waits or self.whole)
 
+    @property
+    def lingers(self) -> bool:
+        """Whether it has been told the end, or would have been if it had read it."""
+        return self.half_closed or (self.last and self.refused is not None)
+
     def between(self) -> bool:
         return self.done() and not (self.midway or self.rest or self.refused)
 
@@ -86,10 +93,13 @@
         }
         self.tenants = {each.name.encode(): place for place, each in enumerate(self.settings.tenants)}
         self.clients: set[ClientConnection] = set()
+        self.lingering: dict[ClientConnection, None] = {}   # half-closed and not in `clients`, oldest first
         # the longest here first; those refused come last
         self.unidentified: dict[ClientConnection, None] = {}
         self.taking, self.ending, self.changed = True, False, Event()
-        budget.closers += self.close_unidentified, self.close_idle
+        self.closing = False    # whether a client between requests is closed at once
+        # The first closes what the others have half-closed.
+        budget.closers += self.close_lingering, self.close_unidentified, self.close_idle
         self.listener = bound(socket.SOCK_STREAM, config.listen)
         self.listener.listen(512)
         self.port = self.listener.getsockname()[1]
@@ -113,12 +123,15 @@
                     log.warning("accept failed", extra={"reason": str(trouble)})
                     gevent.sleep(0.05)
                 continue
-            client = ClientConnection(sock, self.closed, self.budget)
-            self.clients.add(client)
-            self.unidentified[client] = None
-            gevent.spawn(self.serve, client)
+            self.admit(sock)
             gevent.sleep(0)     # hundreds that connect at once wait for those that have asked
 
+    def admit(self, sock):
+        client = ClientConnection(sock, self.closed, self.budget, self.linger)
+        self.clients.add(client)
+        self.unidentified[client] = None
+        gevent.spawn(self.serve, client)
+
     def serve(self, client: ClientConnection):
         try:
             while self.hear(client):
@@ -154,7 +167,7 @@
 
     def begin(self, client: ClientConnection):
         """Takes the next request that has come whole, once the one before it is answered."""
-        while client.whole and not client.waits and not client.closed:
+        while client.whole and not (client.waits or client.last or client.closed):
             message = client.whole.pop(0)
             client.keep_alive = message.keep_alive
             path = message.path.partition(b"?")[0]
@@ -170,8 +183,8 @@
                 break
             client.waits = True
             self.dispatch("taken", client, request)
-        if client.refused and not (client.waits or client.closed or client.lingers):
-            client.lingers, client.since = True, monotonic()
+        if client.refused and not (client.waits or client.closed or client.last):
+            client.since = monotonic()
             self.unidentified[client] = None
             client.push(
                 worded(client.refused.status, str(client.refused).encode(), b"Connection: close\r\n"), True
@@ -247,21 +260,41 @@
         self.changed.set()
 
     def say(self, client: ClientConnection, status: int, body: bytes = b"", extra: bytes = b""):
-        last = not client.keep_alive or self.ending
+        # What was read before the end is answered; what has come and was not read yet is read and answered.
+        more = client.whole or client.midway or client.refused
+        last = not client.keep_alive or self.ending and not (more or client.unread())
         client.push(worded(status, body, extra + b"Connection: close\r\n" * last), last)
 
+    def linger(self, client: ClientConnection):
+        """Half-closed: it counts against the budget until it is closed, and no longer as a client."""
+        self.clients.discard(client)
+        self.unidentified.pop(client, None)
+        client.since = monotonic()
+        self.lingering[client] = None
+        if len(self.lingering) * LINGERING > self.budget.most:
+            self.close_lingering()
+        self.changed.set()
+
     def closed(self, client: ClientConnection):
         self.clients.discard(client)
         self.unidentified.pop(client, None)
+        self.lingering.pop(client, None)
         self.budget.release()
         self.changed.set()
 
+    def close_lingering(self) -> bool:
+        for client in self.lingering:
+            client.close()
+            return True
+        return False
+
     def close_unidentified(self) -> bool:
-        """Closes the unidentified client that has said nothing for longest: one with bytes unread may have
-        asked."""
+        """Half-closes the unidentified client that has said nothing for longest: one with bytes unread may
+        have asked.
+        """
         for client in self.unidentified:
             if client.lingers or not (client.whole or client.unread()):
-                client.close()
+                client.half_close()
                 return True
         return False
 
@@ -269,16 +302,22 @@
         idle = (client for client in self.clients if client.asked and client.between())
         for client in sorted(idle, key=lambda client: client.since):
             if not client.unread():
-                client.close()
+                client.half_close()
                 return True
         return False
 
+    def close_between(self):
+        for client in [each for each in self.clients if each.between() and not each.unread()]:
+            client.half_close()
+
     def sweep(self):
         while True:
             gevent.sleep(SWEEP)
             now = monotonic()
-            for client in [each for each in self.clients if each.overdue(now)]:
-                client.close()
+            for client in [each for each in (*self.clients, *self.lingering) if each.overdue(now)]:
+                client.close() if client.lingers else client.half_close()
+            if self.closing:
+                self.close_between()
 
     def stop_accepting(self):
         """Closes the door. Connections that are open stay so: their clients may have no other way."""
@@ -286,7 +325,7 @@
         self.listener.close()
 
     def wait_empty(self, until: float):
-        while self.clients and monotonic() < until:
+        while (self.clients or self.lingering) and monotonic() < until:
             self.changed.clear()
             self.changed.wait(max(0.0, until - monotonic()))
 
@@ -294,7 +333,13 @@
         """Who asks again is answered with a close, who does not is closed after a pause."""
         self.ending = True
         gevent.sleep(pause)     # to close at once would cross what busy clients have just sent
-        for client in [each for each in self.clients if each.between()]:
+        self.closing = True
+        self.close_between()
+
+    def finish(self):
+        """Closes whoever is left. An exit would do so over unread bytes, and reset the last answers."""
+        for client in [*self.clients, *self.lingering]:
+            client.half_close()
             client.close()
 
 
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -107,6 +107,7 @@
     agent.front.wait_empty(end_at)
     gevent.sleep(0)
     agent.leave_fleet(end_at)
+    agent.front.finish()
     log.info("ended", extra={"pending": agent.reducer.owes})
     return 0
 
--- /dev/null
+++ b/tests/test_shutdown.py
@@ -0,0 +1,178 @@
+"""The end of an agent and of its clients' connections, with bytes that come in the very moment of it.
+
+A stand-in puts the bytes on the wire between the last look and the close, so the bad order comes every time.
+No sleep decides a verdict.
+"""
+
+import gevent
+import pytest
+from gevent import socket
+
+from cartdeal.agent import front
+from cartdeal.agent.front import ClientConnection
+from tests.scene import Deployment, answered, worded
+from tests.test_sockets import until
+
+
+@pytest.fixture
+def deployment(tmp_path):
+    made = Deployment(tmp_path)
+    yield made
+    made.stop()
+
+
+unread = ClientConnection.unread
+
+
+def arrive(connection, client, path):
+    """A request is sent and lies unread at the agent's end; no greenlet runs meanwhile."""
+    connection.sock.sendall(worded(path, "POST"))
+    while not unread(client):
+        pass
+
+
+@pytest.fixture
+def crosses(monkeypatch):
+    """`crosses(connection)`: a request arrives right after the next look that found nothing unread."""
+    waiting = []
+
+    def looked(client):
+        seen = unread(client)
+        if not seen and waiting:
+            arrive(waiting.pop(), client, "/once/crossing")
+        return seen
+
+    monkeypatch.setattr(ClientConnection, "unread", looked)
+    return waiting.append
+
+
+def ends_in_order(deployment, connection):
+    """The client sees an end and no reset, and what crossed it was not taken."""
+    return answered(connection) is None and "/once/crossing" not in deployment.seen()
+
+
+@pytest.mark.parametrize("asked, end", [
+    (True, lambda agent: agent.close_idle()), (False, lambda agent: agent.close_unidentified()),
+    (True, lambda agent: agent.close_between()), (True, lambda agent: None)])
+def test_request_that_crosses_the_end_of_a_resting_connection(deployment, crosses, monkeypatch, asked, end):
+    agent, connection = deployment.agent.front, deployment.connect()
+    until(lambda: agent.clients)
+    if asked:
+        assert deployment.ask(connection=connection)[0] == 200
+    crosses(connection)
+    end(agent)
+    monkeypatch.setattr(front, "IDLE", 0.0)     # the sweep, where nobody else did
+    assert ends_in_order(deployment, connection)
+    connection.close()
+    until(lambda: not agent.lingering)
+
+
+def test_request_that_crosses_the_last_answer(deployment, crosses, monkeypatch):
+    monkeypatch.setattr(front, "LINGER", 60.0)
+    agent, connection = deployment.agent.front, deployment.connect()
+    assert deployment.ask(connection=connection)[0] == 200
+    agent.ending = True
+    crosses(connection)
+    assert deployment.ask(connection=connection) == (200, b"s0 ")
+    for _ in "ab":      # a closed connection would break under the second
+        connection.sock.sendall(worded("/once/crossing", "POST"))
+    assert ends_in_order(deployment, connection)
+
+
+def test_request_that_crosses_an_answer_its_client_called_the_last(deployment, monkeypatch):
+    connection, push = deployment.connect(), ClientConnection.push
+
+    def crossed(client, data, last=False):
+        arrive(connection, client, "/once/crossing")
+        push(client, data, last)
+
+    monkeypatch.setattr(ClientConnection, "push", crossed)
+    assert deployment.ask(connection=connection, Connection="close") == (200, b"s0 ")
+    assert ends_in_order(deployment, connection)
+
+
+def test_request_unread_as_the_agent_closes_is_answered(deployment, crosses, monkeypatch):
+    agent, connection, between = deployment.agent.front, deployment.connect(), ClientConnection.between
+    assert deployment.ask(connection=connection)[0] == 200
+    crossed = []
+
+    def arrives(client):
+        if between(client) and not crossed:
+            crossed.append(client)
+            arrive(connection, client, "/once/late")
+            return True
+        return between(client)
+
+    monkeypatch.setattr(ClientConnection, "between", arrives)
+    agent.close(0.0)
+    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+
+
+def test_requests_read_before_the_end_are_all_answered(deployment):
+    agent, connection = deployment.agent.front, deployment.connect()
+    connection.sock.sendall(b"".join(worded(f"/once/{n}?do=wait", "POST") for n in range(3)))
+    until(deployment.seen)
+    agent.ending = agent.closing = True
+    deployment.servers[0].released.set()
+    assert [answered(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
+
+
+def test_nothing_behind_a_request_called_the_last_is_taken(deployment):
+    connection = deployment.connect()
+    connection.sock.sendall(worded("/read/x", Connection="close") + worded("/once/behind", "POST"))
+    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+    assert deployment.seen() == ["/read/x"] and not deployment.agent.reducer.requests
+
+
+def refused(deployment):
+    connection = deployment.connect()
+    connection.sock.sendall(b"no request\r\n\r\n")
+    assert answered(connection)[0] == 400 and answered(connection) is None
+    return connection
+
+
+def test_lingering_clients_are_bounded_in_number_and_give_way_when_room_is_needed(deployment, monkeypatch):
+    monkeypatch.setattr(front, "LINGER", 60.0)
+    agent, room = deployment.agent.front, deployment.agent.budget
+    kept = [refused(deployment) for _ in range(3)]
+    assert len(agent.lingering) == 3 and not agent.clients and not agent.unidentified
+    room.most = 3                               # they hold all of it
+    assert deployment.ask("/health/ready") == (200, b"")
+    room.most = 2 * front.LINGERING
+    kept += [refused(deployment) for _ in range(5)]
+    assert len(agent.lingering) <= 2 and room.used <= 5     # another, one to come, and the one that asked
+    for each in kept:
+        each.close()
+    until(lambda: not agent.lingering)
+
+
+def test_lingering_clients_are_bounded_in_bytes_and_in_time(deployment, monkeypatch):
+    agent, connection = deployment.agent.front, refused(deployment)
+    monkeypatch.setattr(front, "LINGER", 60.0)
+    until(lambda: agent.lingering)
+    with pytest.raises(OSError):
+        for _ in range(1000):
+            connection.sock.sendall(bytes(65536))
+    assert not agent.lingering
+    connection = refused(deployment)
+    monkeypatch.setattr(front, "LINGER", 0.0)
+    until(lambda: not agent.lingering)
+
+
+def test_agent_that_ends_leaves_no_reset_behind(deployment, crosses):
+    """Its last look is taken for an exit, too: what lies unread then would reset the last answer."""
+    agent, connection = deployment.agent.front, deployment.connect()
+    until(lambda: agent.clients)
+    arrive(connection, next(iter(agent.clients)), "/once/crossing")
+    agent.finish()
+    for _ in range(20):
+        gevent.sleep(0)     # the loop closes descriptors that a greenlet waits on
+    assert connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
+    assert ends_in_order(deployment, connection) and not agent.clients and not agent.lingering
+
+
+def test_every_accepted_connection_writes_without_delay(deployment):
+    connection = deployment.connect()
+    assert deployment.ask(connection=connection)[0] == 200
+    client = next(iter(deployment.agent.front.clients))
+    assert client.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
