--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -320,8 +320,20 @@
                 self.close_between()
 
     def stop_accepting(self):
-        """Closes the door. Connections that are open stay so: their clients may have no other way."""
+        """Closes the door. Connections that are open stay so: their clients may have no other way.
+
+        Those that wait at the door are let in first, as far as there is room: its close would reset them.
+        """
         self.taking = False
+        self.listener.settimeout(0.0)
+        while self.budget.acquire():
+            try:
+                sock, _ = self.listener.accept()
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            except OSError:     # none is left
+                self.budget.release()
+                break
+            self.admit(sock)
         self.listener.close()
 
     def wait_empty(self, until: float):
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -159,6 +159,18 @@
     until(lambda: not agent.lingering)
 
 
+def test_clients_that_wait_at_the_door_when_it_closes_come_in(deployment):
+    agent = deployment.agent.front
+    deployment.agent.works[3].kill()            # it lets nobody in any more: they stay in the queue
+    waiting = [deployment.connect() for _ in range(20)]
+    for each in waiting:
+        each.sock.sendall(worded())
+    agent.stop_accepting()
+    assert [answered(each) for each in waiting] == [(200, b"s0 ")] * 20
+    with pytest.raises(ConnectionError):
+        deployment.connect()
+
+
 def test_agent_that_ends_leaves_no_reset_behind(deployment, crosses):
     """Its last look is taken for an exit, too: what lies unread then would reset the last answer."""
     agent, connection = deployment.agent.front, deployment.connect()
