--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -25,6 +25,8 @@
 LAST_ONES = 0.3     # and for how long after that one may still bring a request
 GOODBYE = 0.1       # before its end, when all that is still owed is terminated
 
+SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT     # those that it handles
+
 LINES = 20          # log lines of one kind a second
 
 log = logging.getLogger("cartdeal.agent")
@@ -71,7 +73,13 @@
 
 
 def main() -> int:
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)    # until it serves; by default it would end the agent
+    # Before the port is bound: from then on connections are taken, and a signal that killed would reset them.
+    # What comes while it starts is handled when it serves; nothing before `wait` yields to the loop.
+    told_to_end, agents = Event(), []
+    gevent.signal_handler(signal.SIGHUP, lambda: told_to_end.is_set() or [each.reread() for each in agents])
+    for number in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(number, told_to_end.set)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(RateLimitFilter())
     handler.setFormatter(Logfmter(keys=["at", "level", "in"],
@@ -88,10 +96,7 @@
     except BindError as trouble:
         print(f"cartdeal: {trouble}", file=sys.stderr)
         return 1
-    told_to_end = Event()
-    gevent.signal_handler(signal.SIGHUP, lambda: told_to_end.is_set() or agent.reread())
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, told_to_end.set)
+    agents.append(agent)
     agent.start()
     log.info("serving", extra={"agent": config.name, "port": agent.front.port,
                                  "servers": len(config.known.entries)})
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -4,15 +4,22 @@
 No sleep decides a verdict.
 """
 
+import json
+import os
+import subprocess
+import sys
+
 import gevent
 import pytest
 from gevent import socket
 
 from cartdeal.agent import front
 from cartdeal.agent.front import ClientConnection
-from tests.scene import Deployment, answered, worded
+from tests.scene import Deployment, answered, config_file, worded
 from tests.test_sockets import until
 
+ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+
 
 @pytest.fixture
 def deployment(tmp_path):
@@ -171,6 +178,63 @@
         deployment.connect()
 
 
+SIGNALLED = """
+import os, signal, socket, sys
+from cartdeal.agent import start
+
+class Effects(start.Effects):
+    def __init__(self, *args):
+        super().__init__(*args)
+        here["client"] = socket.create_connection(("127.0.0.1", self.front.port))
+        here["client"].sendall(b"GET /health/ready HTTP/1.1\\r\\nConnection: close\\r\\n\\r\\n")
+        os.kill(os.getpid(), signal.SIGHUP)
+        os.kill(os.getpid(), signal.SIGTERM)
+
+    def reread(self):
+        here["reread"] = True
+
+    def drain(self):
+        os.kill(os.getpid(), signal.SIGTERM)
+        os.kill(os.getpid(), signal.SIGHUP)
+
+here, start.Effects = {}, Effects
+status = start.main()
+here["client"].settimeout(5)
+print(status, here["client"].recv(4096).split()[1].decode())
+"""
+
+
+def run(tmp_path, words, **more):
+    file = tmp_path / "agent.json"
+    file.write_text(json.dumps(config_file()))
+    return subprocess.run([sys.executable, *words], capture_output=True, timeout=60, cwd=ROOT,
+                          env={**os.environ, "PROXY_CONFIG": str(file), **more})
+
+
+def test_agent_told_to_end_between_its_port_and_its_first_wait_answers_and_ends_in_order(tmp_path):
+    done = run(tmp_path, ["-c", SIGNALLED])
+    assert done.returncode == 0, done
+    assert done.stdout.split() in ([b"0", b"200"], [b"0", b"503"])
+
+
+def test_new_configuration_told_while_the_agent_starts_is_read(tmp_path):
+    once = SIGNALLED.replace("os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread")
+    once = once.replace('= True', '= True; os.kill(os.getpid(), signal.SIGTERM)')
+    done = run(tmp_path, ["-c", once + "assert here['reread']"])
+    assert done.returncode == 0, done
+
+
+def test_agent_told_to_end_while_it_imports_ends_in_order(tmp_path):
+    (tmp_path / "logfmter.py").write_text(
+        "import logging, os, signal\n"
+        "os.kill(os.getpid(), signal.SIGTERM)\n"
+        "class Logfmter(logging.Formatter):\n"
+        "    def __init__(self, **terms):\n"
+        "        super().__init__()\n")
+    done = run(tmp_path, ["-m", "cartdeal"], PYTHONPATH=str(tmp_path))
+    assert done.returncode == 0 and b"ended" in done.stderr, done
+
+
 def test_agent_that_ends_leaves_no_reset_behind(deployment, crosses):
     """Its last look is taken for an exit, too: what lies unread then would reset the last answer."""
     agent, connection = deployment.agent.front, deployment.connect()
