--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -222,12 +222,15 @@
     # Connections
 
     def pooled(self, server: int, address: str) -> Connection | None:
-        """The newest that has rested; one that has ended, or holds bytes that nobody asked for, is closed."""
-        idle, reusable_from = self.idle.get(server, []), monotonic() - REUSABLE_AFTER
+        """The newest that has rested; one that has ended, that the server may have left by now, or that holds
+        bytes that nobody asked for, is closed."""
+        now = monotonic()
+        idle, reusable_from, too_old = self.idle.get(server, []), now - REUSABLE_AFTER, now - self.pooled_for
         for connection in [each for each in reversed(idle) if each.since <= reusable_from]:
             idle.remove(connection)
             self.tidy(server)
-            if connection.address == address and not connection.unread():
+            # Between two sweeps one may stand for longer than a server with a short idle time keeps it.
+            if connection.address == address and connection.since > too_old and not connection.unread():
                 return connection
             connection.close()
         return None
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -79,6 +79,17 @@
         assert len(read(text).for_balancer(1).tenants) == known
 
 
+def test_connection_that_may_have_stood_too_long_is_used_no_more(deploy):
+    caps = SETTINGS["caps"] | {"idleCloseUs": 100000}
+    deployment = deploy(settings=SETTINGS | {"caps": caps})
+    assert deployment.ask() == (200, b"s0 ")
+    server, upstream = deployment.servers[0], deployment.agent.upstream
+    kept = upstream.idle[0][0]
+    kept.since -= 0.09      # no sweep has come by since; the server may have left it by now
+    assert deployment.ask("/once/x", "POST") == (200, b"s0 ") and kept.closed
+    assert kept not in upstream.idle.get(0, ()) and len(server.seen) == 2
+
+
 def test_least_limits_still_serve(deploy):
     deployment = deploy(limits={"memory_mb": 24, "sockets": 64})
     idle, asked = [deployment.connect() for _ in range(40)], []
