--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -21,6 +21,9 @@
 STILL_OPEN = 0.6    # after being told to end, how long connections are taken
 LONGEST_WAIT = 3.0  # of the longest deadline the platform waits out so much before it kills
 ENDS = 0.4          # after that, when it ends: one that is killed loses what it owes
+LEAST_END = 0.7     # but no sooner than this: connections come for 0.4 s, and are to be left in order ...
+LATEST_ENDS = 0.6   # ... nor later than this after the longest deadline: it is killed 0.7 s after it
+CLOSES = 0.2        # before its end, when connections are taken no more, however short the deadlines
 LEAVES = 0.8        # before its end, when connections begin to be closed; until then they are of use
 LAST_ONES = 0.3     # and for how long after that one may still bring a request
 GOODBYE = 0.1       # before its end, when all that is still owed is terminated
@@ -57,7 +60,13 @@
 
 def lasts(settings) -> float:
     """How long an agent that is told to end goes on: clients wait longer than the platform may."""
-    return min(LONGEST_WAIT, max(kind.timeout for kind in settings.request_classes)) + ENDS
+    longest = min(LONGEST_WAIT, max(kind.timeout for kind in settings.request_classes))
+    return max(longest + ENDS, min(LEAST_END, longest + LATEST_ENDS))
+
+
+def still_open(settings) -> float:
+    """How long it goes on to take connections."""
+    return min(STILL_OPEN, lasts(settings) - CLOSES)
 
 
 def fleet_config(config):
@@ -105,10 +114,10 @@
     log.info("ending", extra={"pending": agent.reducer.owes, "within": round(end_at - monotonic(), 3)})
     agent.dispatch("ending", end_at - GOODBYE)
     agent.drain()
-    gevent.sleep(STILL_OPEN)
+    gevent.sleep(still_open(config.settings))
     agent.front.stop_accepting()
     agent.front.wait_empty(end_at - LEAVES)
-    agent.front.close(LAST_ONES)
+    agent.front.close(min(LAST_ONES, max(0.0, end_at - monotonic()) / 2))
     agent.front.wait_empty(end_at)
     gevent.sleep(0)
     agent.leave_fleet(end_at)
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -5,6 +5,7 @@
 import gevent
 import pytest
 
+from cartdeal.agent.start import lasts, still_open
 from cartdeal.settings import read
 from tests.scene import SETTINGS, Deployment, answered, worded
 
@@ -143,3 +144,12 @@
     for name in ("y",) * 10 + ("x", None) * 3:      # one with no name counts as the first
         deployment.ask(X_Tenant_Id=name)
     assert values == {"y": [0.1] * 10, "x": [1.0] * 3, None: [1.0] * 3}
+
+
+@pytest.mark.parametrize("millis", [50, 180, 300, 900, 6000])
+def test_agent_ends_in_order_before_it_is_killed_however_short_its_deadlines(millis):
+    settings = read(json.dumps({"workloads": [{"name": "read", "timeLimitUs": millis * 1000}]}).encode())
+    killed = min(3.0, millis / 1e3) + 0.7
+    # Connections come for 0.4 s; what is taken on the last one has its time, and all are closed in order.
+    assert 0.4 < still_open(settings) <= lasts(settings) - 0.2
+    assert min(3.0, millis / 1e3) < lasts(settings) <= killed - 0.1
