--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -95,7 +95,7 @@
 
     waits = False       # for the gate's word
     earlier_attempts: tuple = ()    # of Heed
-    sent = 0            # attempts that were let out
+    sent = 0            # attempts that were let out, but for those that provably never ran
     ran = served = False    # whether it may have run; whether its client had the answer
 
     def __init__(self, asker, request: Request, deadline: float):
@@ -238,8 +238,9 @@
         if pending is None:
             return
         pending.out -= 1
-        pending.chosen.pop(attempt, None)
         outcome = result.outcome()
+        if pending.chosen.pop(attempt, None) and outcome.never_ran:
+            pending.sent -= 1   # else its client would be left in doubt for nothing once its time is over
         pending.ran = pending.ran or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.asker is not None:
             pending.served = True
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -135,6 +135,16 @@
     assert "answer line 1 503   0.00" in desk.lines[-1] and not desk.reducer.requests
 
 
+@pytest.mark.parametrize("progress, status", [(Progress.PARTLY_WRITTEN, 503), (Progress.WRITTEN, 502)])
+def test_overdue_request_is_rejected_if_all_that_was_let_out_never_ran(tmp_path, progress, status):
+    desk = Desk(tmp_path)
+    desk.reducer.balancer.follow_up = lambda request, now: None     # it forgets the request
+    desk.take(2)
+    desk.end(1, 0, FailureReason.BROKEN, progress)
+    desk.play(2.0, "overdue", 1)
+    assert f"answer line 1 {status}   0.00" in desk.lines[-1] and not desk.reducer.requests
+
+
 def test_a_broken_decision_still_gets_its_request_answered(tmp_path):
     desk = Desk(tmp_path)
     desk.reducer.balancer.pick = None
