--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -18,6 +18,7 @@
 
 STATES = {"active": State.READY, "leaving": State.DRAINING}
 ID_MEMORY = 5.0     # seconds for which a request's id is known, twice that at most
+MOST_ZONES = 64     # that are told apart, those of the settings among them
 OVERDUE = 0.02      # how long after its deadline a request that the balancer forgot is answered all the same
 
 
@@ -311,9 +312,11 @@
         return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
 
     def regrouped(self, line) -> bool:
+        if line.state == "left":    # it may say no zone
+            return False
         index = self.indices.get(line.name.encode())
         known = self.balancer.servers.get(index)
-        return known is not None and (known.zone, known.cell) != (self.zones.get(line.zone, 0), line.cell)
+        return known is not None and (known.zone, known.cell) != (self.zone_of(line), line.cell)
 
     def listing(self, line) -> Listing:
         name = line.name.encode()
@@ -327,7 +330,22 @@
             self.close_idle(index)      # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
         state = STATES.get(line.state, State.DRAINING)
-        return Listing(index, name, self.zones.get(line.zone, 0), 0, line.cell, state, line.weight, started)
+        zone = self.zone_of(line)
+        if zone >= MOST_ZONES:
+            state = State.DRAINING      # among zones that are not told apart a repeat might run twice
+        return Listing(index, name, zone, 0, line.cell, state, line.weight, started)
+
+    def zone_of(self, line) -> int:
+        """A zone's place; one that the settings don't name is another one than all that they do.
+
+        Taken for one of these, its servers would be sent repeats that only the group of that zone drops.
+        """
+        if not self.config.settings.zones:
+            return 0
+        if line.zone not in self.zones and len(self.zones) < MOST_ZONES:
+            self.note(f"zone {line.zone} is none of the settings'")
+            self.zones[line.zone] = len(self.zones)
+        return self.zones.get(line.zone, MOST_ZONES)
 
     # What the balancer asks for
 
@@ -340,7 +358,7 @@
             where = self.balancer.servers[server]
             if not all(self.within(each, where) for each in pending.earlier_attempts):
                 return self.withhold(request, server, attempt, pending)
-            zones = self.config.settings.zones
+            zones = tuple(self.zones)
             self.asked.append(("went", request, zones[where.zone] if zones else "", where.cell))
         pending.sent += 1
         pending.chosen[attempt] = self.servers[server]
--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -89,6 +89,8 @@
             self.stood_at = self.stood_at if self.watching else now
             self.watching, self.called_at = True, inf
         for line in lines:
+            while line.zone >= len(self.zones):     # one that the settings don't name comes last of all
+                self.zones, self.order = [*self.zones, []], [*self.order, len(self.zones)]
             server = self.servers.get(line.server)
             if server is None:
                 if line.state is State.GONE:
@@ -205,8 +207,8 @@
     def hold(self, request, now):
         if request.number not in self.held:
             # A client's late try can end sooner than the hold: the timer must find it in time to answer.
-            target = request.request_class.latency_target
-            request.held_until = min(now + HOLD * target, request.deadline - SPARE)
+            longest = HOLD * request.request_class.latency_target
+            request.held_until = min(now + longest, request.deadline - SPARE)
         if now < request.held_until:
             self.held[request.number] = request
             self.alarm(min(max(request.ask_at, now + GLANCE), request.held_until))
@@ -311,8 +313,7 @@
     def ramp_allows(self, server, now, like):
         """Whether a cold server's ramp allows one more: rule 4 holds if every agent keeps to its own ramp."""
         age = now - server.started
-        cold_from, warmed = self.settings.cold_from, min(1.0, age / self.settings.cold_for)
-        ramp = cold_from + (1 - cold_from) * warmed
+        ramp = 1 - (1 - self.settings.cold_from) * max(0.0, 1 - age / self.settings.cold_for)
         rate = COLD_SHARE * ramp * server.weight * like
         # Counted in short spans: what was not used lately is no leave for a burst.
         most = max(1.0, rate * self.settings.cold_span / 4)
@@ -383,7 +384,7 @@
                 misses += request.number in self.held
 
     def attempt_ended(self, number, index, outcome, attempt, took, finished, load):
-        now, server = self.host.now, self.servers.get(index)
+        now, server, completed = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
         # After a restart an outcome may come of an attempt, at a server, that this agent knows nothing of.
         sent = server and server.out.pop((number, attempt), None)
         if sent is None:
@@ -391,7 +392,7 @@
         self.filled.clear()
         if self.pooled and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             server.left.append(sent)
-        elif outcome is Outcome.COMPLETED:
+        elif completed:
             server.left = [each for each in server.left if each > sent]
         request = self.requests.get(number)
         server.flown.add(now, took)
@@ -403,8 +404,7 @@
             if outcome.never_ran:
                 request.traces.pop(attempt, None)
             if finished:
-                bad = outcome is not Outcome.COMPLETED or now > request.target_at
-                self.judge(self.forget(number), bad, now)
+                self.judge(self.forget(number), not (completed and now <= request.target_at), now)
             elif not request.out:
                 self.follow_up(request, now)
         self.release(now)
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -5,8 +5,10 @@
 import gevent
 import pytest
 
+from cartdeal.agent.reducer import MOST_ZONES
 from cartdeal.agent.start import lasts, still_open
 from cartdeal.settings import read
+from cartdeal.terms import State
 from tests.scene import SETTINGS, Deployment, answered, worded
 
 
@@ -124,6 +126,31 @@
         assert len(deployment.seen()) == attempts
 
 
+@pytest.mark.parametrize("zones, attempts", [("xy", 1), ("xx", 2), ("ax", 1), ("ay", 1)])
+def test_repeat_of_a_zones_group_stays_in_a_zone_that_the_settings_do_not_name(deploy, zones, attempts):
+    settings = SETTINGS | {"areas": ["a", "b"], "workloads": [workload(group="zone", repeatWindowUs=4000000)]}
+    deployment = deploy(servers=2, settings=settings)
+    reducer = deployment.agent.reducer
+    deployment.service.tell(*(line | {"az": zone} for line, zone in
+                              zip(list(deployment.service.lines.values()), zones, strict=True)))
+    while reducer.version < 2:
+        gevent.sleep(0.002)
+    assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k")[0] == 502
+    assert len(deployment.seen()) == attempts and deployment.ask("/mark/x", "POST")[0] == 200
+
+
+def test_zones_that_a_list_makes_up_are_bounded(deploy):
+    deployment = deploy()
+    reducer, line = deployment.agent.reducer, deployment.servers[0].line()
+    deployment.service.tell(*(line | {"uid": f"n{at}", "az": f"z{at}"} for at in range(2 * MOST_ZONES)))
+    while reducer.version < 2:
+        gevent.sleep(0.002)
+    servers = reducer.balancer.servers.values()
+    assert len(reducer.zones) == MOST_ZONES and len(reducer.balancer.zones) == MOST_ZONES + 1
+    assert sum(each.state is State.READY for each in servers) == MOST_ZONES - 1    # s0 among them; no zone b
+    assert deployment.ask()[0] == 200
+
+
 @pytest.mark.parametrize("family", ["mesh", "proxy"])
 def test_class_of_no_importance_is_served_and_leaves_nothing(deploy, family):
     settings = SETTINGS | {"family": family, "workloads": [workload("read", idempotency="safe",
