--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -143,7 +143,10 @@
         if self.deaf:
             count = self.sock.recv_into(DEAF)
             self.thrown += count
-            gevent.sleep(0)     # who sends without a pause must not hold up everyone else
+            if self.thrown > len(DEAF):
+                # Who sends without a pause must not hold up everyone else; but one that sent much and went
+                # is read to its end at once, before an attempt of its begins.
+                gevent.sleep(0)
             return bool(count) and not (self.half_closed and self.thrown > THROWN)
         self.fit()
         count = self.sock.recv_into(self.view[self.kept:])
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -168,6 +168,10 @@
     def begin(self, client: ClientConnection):
         """Takes the next request that has come whole, once the one before it is answered."""
         while client.whole and not (client.waits or client.last or client.closed):
+            if client.peer_ended():
+                # Its end would be read behind this request, and an attempt ordered by then still begins.
+                client.whole.clear()
+                break
             message = client.whole.pop(0)
             client.keep_alive = message.keep_alive
             path = message.path.partition(b"?")[0]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -124,6 +124,17 @@
     assert [answered(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
 
 
+def test_request_of_which_half_has_come_at_the_end_is_answered_when_it_is_whole(deployment):
+    agent, connection, text = deployment.agent.front, deployment.connect(), worded()
+    assert deployment.ask(connection=connection)[0] == 200
+    connection.sock.sendall(text[:9])
+    client = next(iter(agent.clients))
+    until(lambda: client.midway)
+    agent.close(0.0)
+    connection.sock.sendall(text[9:])
+    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+
+
 def test_nothing_behind_a_request_called_the_last_is_taken(deployment):
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x", Connection="close") + worded("/once/behind", "POST"))
@@ -131,6 +142,19 @@
     assert deployment.seen() == ["/read/x"] and not deployment.agent.reducer.requests
 
 
+@pytest.mark.parametrize("requests", [1, 16, 40, 400])
+def test_of_clients_that_send_much_and_go_at_once_nothing_goes_on(deployment, requests):
+    agent = deployment.agent.front
+    for _ in range(20):
+        connection = deployment.connect()
+        connection.sock.sendall(b"".join(worded("/once/x", "POST") for _ in range(requests)))
+        connection.sock.shutdown(socket.SHUT_RDWR)      # at once; a close waits for the loop
+        connection.close()
+    until(lambda: not (agent.clients or agent.lingering or deployment.agent.reducer.requests))
+    until(lambda: not deployment.agent.upstream.out)
+    assert deployment.ask() == (200, b"s0 ") and deployment.seen() == ["/read/x"]
+
+
 def refused(deployment):
     connection = deployment.connect()
     connection.sock.sendall(b"no request\r\n\r\n")
