--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -30,7 +30,7 @@
 
 UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)     # what may be wrong with a call
 
-log = logging.getLogger("cartdeal.roster")
+log = logging.getLogger("cartdeal.discovery")
 
 
 class DiscoveryClient:
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -28,7 +28,7 @@
 
 Held = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
-log = logging.getLogger("cartdeal.shots")
+log = logging.getLogger("cartdeal.upstream")
 
 
 class NoConnection(Exception):
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -220,3 +220,8 @@
             return None
     message = connection.whole.pop(0)
     return message.status, message.body
+
+
+def until(true):
+    while not true():
+        gevent.sleep(0.002)
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -9,26 +9,9 @@
 from cartdeal.agent.start import lasts, still_open
 from cartdeal.settings import read
 from cartdeal.terms import State
-from tests.scene import SETTINGS, Deployment, answered, worded
+from tests.scene import SETTINGS, answered, worded
 
-
-@pytest.fixture(autouse=True)
-def bounded():
-    with gevent.Timeout(20):
-        yield
-
-
-@pytest.fixture
-def deploy(tmp_path):
-    made = []
-
-    def make(**more):
-        made.append(Deployment(tmp_path, **more))
-        return made[-1]
-
-    yield make
-    for deployment in made:
-        deployment.stop()
+pytestmark = pytest.mark.usefixtures("bounded")
 
 
 def workload(name="mark", **more):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import Reducer, Request
 from examples.toy import DiscoveryService, answer
-from tests.scene import SETTINGS, Deployment, agent_config
+from tests.scene import SETTINGS, Deployment, agent_config, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD = 6.0      # what a silent watch misses counts as told so long after it fell silent
@@ -377,11 +377,6 @@
         each.stop()
 
 
-def until(true):
-    while not true():
-        gevent.sleep(0.002)
-
-
 def test_change_from_the_service_that_was_left_does_not_stand_for_the_new_one(moved):
     there = moved.move(down=True)
     until(lambda: not moved.discovery.watching)     # refused, and a pause is on
--- a/tests/test_fleet_admission.py
+++ b/tests/test_fleet_admission.py
@@ -11,7 +11,7 @@
 from cartdeal.fleet import configuration
 from cartdeal.fleet.desk import Pact
 from cartdeal.fleet.verdict import Question
-from tests.scene import SETTINGS, Deployment, agent_config, answered, worded
+from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
 from tests.test_reducer import Desk
 
 WORKLOADS = SETTINGS["workloads"] + [
@@ -265,11 +265,6 @@
         deployment.stop()
 
 
-def until(true):
-    while not true():
-        gevent.sleep(0.002)
-
-
 def asked(deployment, *args, **headers):
     """Status, and the pause that is asked for."""
     connection = deployment.connect()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,7 +9,7 @@
 
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
-from tests.scene import SETTINGS, Deployment, answered, worded
+from tests.scene import SETTINGS, Deployment, answered, until, worded
 from tests.test_fleet_admission import MARK as GATED_MARK
 from tests.test_fleet_admission import GateDesk
 from tests.test_reducer import Desk
@@ -19,10 +19,7 @@
     each | {"goalTimeUs": 20000000} for each in SETTINGS["workloads"]]}     # requests are held for a while
 
 
-@pytest.fixture(autouse=True)
-def bounded():
-    with gevent.Timeout(20):
-        yield
+pytestmark = pytest.mark.usefixtures("bounded")
 
 
 @pytest.fixture
@@ -47,11 +44,6 @@
     return SimpleNamespace(came=came, gate=gate)
 
 
-def until(true):
-    while not true():
-        gevent.sleep(0.002)
-
-
 @pytest.fixture
 def narrow(monkeypatch, deployment):
     """A server that takes a few bytes of a request and reads on only when the test has it accept."""
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -11,7 +11,7 @@
 from cartdeal.agent.reducer import FailureReason, Progress, Request
 from cartdeal.agent.upstream import Attempt, written
 from examples.toy import Server
-from tests.scene import Deployment
+from tests.scene import Deployment, until
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
 OPEN = HEAD + b"\r\none"
@@ -19,10 +19,7 @@
 CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
 
 
-@pytest.fixture(autouse=True)
-def bounded():
-    with gevent.Timeout(20):
-        yield
+pytestmark = pytest.mark.usefixtures("bounded")
 
 
 @pytest.fixture
@@ -32,11 +29,6 @@
     made.stop()
 
 
-def until(true):
-    while not true():
-        gevent.sleep(0.002)
-
-
 def pair(until_close=True):
     """An upstream connection and the server's end of it."""
     listener = socket.socket()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,31 +16,9 @@
 from cartdeal.settings import ClassSettings, Settings
 from cartdeal.terms import Load, Outcome
 from examples.toy import DiscoveryService, Server, answer
-from tests.scene import IDS, SETTINGS, Deployment, answered, worded
+from tests.scene import IDS, SETTINGS, answered, until, worded
 
-
-@pytest.fixture(autouse=True)
-def bounded():
-    with gevent.Timeout(20):
-        yield
-
-
-@pytest.fixture
-def deploy(tmp_path):
-    made = []
-
-    def make(**more):
-        made.append(Deployment(tmp_path, **more))
-        return made[-1]
-
-    yield make
-    for deployment in made:
-        deployment.stop()
-
-
-def until(true):
-    while not true():
-        gevent.sleep(0.002)
+pytestmark = pytest.mark.usefixtures("bounded")
 
 
 @pytest.mark.parametrize("does, status, body, attempts", [
