--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,8 +15,7 @@
 
 from cartdeal.agent import front
 from cartdeal.agent.front import ClientConnection
-from tests.scene import Deployment, answered, config_file, worded
-from tests.test_sockets import until
+from tests.scene import Deployment, answered, config_file, until, worded
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -135,6 +134,21 @@
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
 
+def test_answer_of_which_half_is_through_at_the_end_comes_whole(deployment):
+    agent, connection, body = deployment.agent.front, deployment.connect(), bytes(65000)
+    until(lambda: agent.clients)
+    client = next(iter(agent.clients))
+    client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+    for place in range(8):      # more than what the system takes at once
+        connection.sock.sendall(worded(f"/mark/{place}", "POST", body, Idempotency_Key="k"))
+    until(lambda: client.rest and len(deployment.seen()) == 8)
+    agent.close(0.0)
+    assert client.rest and not client.half_closed
+    assert [answered(connection) for _ in range(8)] == [(200, b"s0 " + body)] * 8
+    assert answered(connection) is None
+
+
 def test_nothing_behind_a_request_called_the_last_is_taken(deployment):
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x", Connection="close") + worded("/once/behind", "POST"))
