--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -80,9 +80,10 @@
         repeat, group, window, request_class = self.kinds[request.request_class]
         if request.non_idempotent:
             repeat, window = "u", 0.0
-        key = "" if repeat == "i" else digest(request)
         if request.idempotency_key and repeat == "d":
             key = request.idempotency_key.decode()
+        else:
+            key = "" if repeat == "i" else digest(request)
         return Question(
             # By name: who names none, or one that is not known, must not use up the first one's limit.
             tenant=request.tenant_name.decode("latin-1"),
--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -360,15 +360,17 @@
 
     def unread(self) -> bool:
         """Whether bytes, or the other side's end, have come that nobody has read."""
-        look = select.poll()
-        look.register(self.sock, select.POLLIN)
-        return bool(look.poll(0))
+        return self.shows(select.POLLIN)
 
     def peer_ended(self) -> bool:
         """Whether the other side has closed or reset, though nobody may have read that yet."""
+        return self.shows(select.POLLRDHUP)     # with bytes unread before it, too
+
+    def shows(self, event: int) -> bool:
+        """Whether the socket shows one of poll's events, or an error, now."""
         look = select.poll()
-        look.register(self.sock, select.POLLRDHUP)
-        return bool(look.poll(0))   # with bytes unread before it, too
+        look.register(self.sock, event)
+        return bool(look.poll(0))
 
     def close(self):
         if not self.closed:
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -115,18 +115,19 @@
                 self.budget.freed.clear()
                 self.budget.freed.wait()
             try:
-                sock, _ = self.listener.accept()
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                self.admit()
             except OSError as trouble:
                 self.budget.release()
                 if self.taking:
                     log.warning("accept failed", extra={"reason": str(trouble)})
                     gevent.sleep(0.05)
                 continue
-            self.admit(sock)
             gevent.sleep(0)     # hundreds that connect at once wait for those that have asked
 
-    def admit(self, sock):
+    def admit(self):
+        """Lets in the next who waits at the door; raises what the listener raises."""
+        sock, _ = self.listener.accept()
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         client = ClientConnection(sock, self.closed, self.budget, self.linger)
         self.clients.add(client)
         self.unidentified[client] = None
@@ -332,12 +333,10 @@
         self.listener.settimeout(0.0)
         while self.budget.acquire():
             try:
-                sock, _ = self.listener.accept()
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                self.admit()
             except OSError:     # none is left
                 self.budget.release()
                 break
-            self.admit(sock)
         self.listener.close()
 
     def wait_empty(self, until: float):
