--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -26,7 +26,7 @@
 # From the moment a service that was away can be reached again 6 s are left, too: ANSWER for a call that just
 # missed it, 2.0 for the longest pause after it (the balancer's RENEWED), and 1.0 for the next call's answer.
 SILENCE = 3.0       # from one whole line to the next, the first one from the head
-HASTE = 1.0         # in place of ANSWER for the call after a watch that stood and fell silent
+HASTE = 1.0         # in place of ANSWER for the call after a watch that fell silent, or after a move
 
 UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)     # what may be wrong with a call
 
@@ -39,7 +39,7 @@
         self.watching = None
         self.former = None      # the watch at the address before, until the one at the new address stands
         self.anew = False       # whether the next watch is the first at its address
-        self.hasty = False      # whether the next watch follows one that stood and fell silent
+        self.hasty = False      # whether the next call follows a watch that stood and fell silent, or a move
         self.told = 0           # lists that watches have told
 
     def move(self, address):
@@ -49,7 +49,8 @@
         if left:
             left.kill(block=False)
         self.address, self.former, self.watching = address, former, None
-        self.anew, self.hasty = True, False
+        # What the new service has to tell counts 4 s later: a second call has to fit in, as after silence.
+        self.anew, self.hasty = True, True
 
     # Effects
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -232,6 +232,18 @@
     assert len(begun) < 18 and 0.2 < min(pauses) and 1.5 < min(pauses[4:]) and max(pauses) <= 5.0
 
 
+def test_refused_calls_do_not_put_off_the_call_after_a_watch_that_ended_early(world):
+    """Refusals for 4 s, a watch that stands for 1.6 s and ends in place of telling: the next call is soon."""
+    def service(now):
+        return OUTAGES["turned away"] if now < 108 else [(0.0, LIST), (1.6, b"")]
+
+    played = world(chance=0.999999, service=service)
+    played.play(120.0)
+    ended = played.heard[0][0] + 1.6
+    assert played.failed.count(ended) == 1
+    assert min(at for at, _ in played.calls if at > ended) <= ended + 0.75
+
+
 @pytest.mark.parametrize("status", [b"204 None", b"302 There", b"500 Odd", b"503 Full"])
 def test_watch_refused_on_a_connection_that_stays_open_has_failed_at_once(world, status):
     played = world([(0.1, b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % status), (0.2, BEAT)])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -601,8 +601,8 @@
 def test_no_pause_of_the_address_before_applies_to_the_new_one(deploy):
     deployment, there = deploy(), DiscoveryService()
     deployment.service.stop()
-    until(lambda: deployment.agent.reducer.balancer.watch_backoff > 0.5)
-    deployment.agent.reducer.balancer.watch_backoff = 60.0
+    until(lambda: deployment.agent.reducer.balancer.call_pause > 0.5)
+    deployment.agent.reducer.balancer.call_pause = 60.0
     deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
     deployment.agent.dispatch("discovery_moved")
     until(lambda: deployment.agent.reducer.balancer.watching)
