--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -120,7 +120,7 @@
                     raise Malformed(400, f"status {status}")
                 if status and not headed:
                     headed, due = True, monotonic() + SILENCE
-                for text in connection.lines():
+                for text in arrived_lines(connection):
                     part += text
                     if text.strip() and not ended(part):
                         continue
@@ -182,6 +182,11 @@
         raise TimeoutError from None
 
 
+def arrived_lines(connection: Connection) -> list[bytes]:
+    """Takes the whole lines that came; of an answer that has ended, all that was not taken before."""
+    return connection.whole[0].body.splitlines() if connection.whole else connection.lines()
+
+
 def ended(part: bytes) -> bool:
     """Whether what came is a list to its end, or none: lists may come indented, over many lines."""
     if len(part) > LIST_LIMIT:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -244,6 +244,23 @@
     assert min(at for at, _ in played.calls if at > ended) <= ended + 0.75
 
 
+@pytest.mark.parametrize("ahead", [b"", told(5, server("s2"))], ids=["its first list", "a change"])
+@pytest.mark.parametrize("rest", [b"", chunk(b"{\"rev\": 9")], ids=["whole", "half a line behind"])
+def test_list_that_comes_together_with_the_end_of_its_watch_counts(world, ahead, rest):
+    first, last = (HEAD + ahead, 6) if ahead else (HEAD, 4)
+    line = told(last, server("s1", state="leaving"), whole=True)
+    played = world([(0.0, first), (0.5, line + rest + b"0\r\n\r\n")], [])
+    played.discovery.watching.join()
+    assert [version for _, version in played.heard][-1:] == [last] and len(played.failed) == 1
+
+
+def test_list_of_an_answer_with_a_length_counts(world):
+    text = json.dumps({"rev": 6, "all": True, "targets": [server("s1")]}).encode() + b"\n"
+    played = world([(0.0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)], [])
+    played.discovery.watching.join()
+    assert [version for _, version in played.heard] == [6] and len(played.failed) == 1
+
+
 @pytest.mark.parametrize("status", [b"204 None", b"302 There", b"500 Odd", b"503 Full"])
 def test_watch_refused_on_a_connection_that_stays_open_has_failed_at_once(world, status):
     played = world([(0.1, b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % status), (0.2, BEAT)])
