--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -206,6 +206,9 @@
         if self.headed:
             return      # a trailer must not stand in for a header that has decided already
         name, headers = name.lower(), self.message.headers
+        # The parser leaves blanks behind a value. A tab behind a coding stays: the parser doesn't take it for
+        # that coding then, and the message would be framed in two ways.
+        value = value.rstrip(b" " if name in FRAMES else b" \t")
         # As a list, a repeated one fits no form that holds one value, and no one takes the first or the last.
         headers[name] = headers[name] + b", " + value if name in headers else value
 
--- /dev/null
+++ b/tests/test_header_values.py
@@ -0,0 +1,84 @@
+"""Blanks and tabs behind a header's value are no part of it, in requests, answers and watches alike."""
+
+import json
+
+import gevent
+import pytest
+
+from examples.toy import DiscoveryService, Server
+from tests.scene import Deployment, answered, until, worded
+
+BLANKS = pytest.mark.parametrize("blank", [" ", "\t", " \t "], ids=["blank", "tab", "several"])
+CODING_BLANKS = pytest.mark.parametrize("blank", [" ", "   "], ids=["blank", "several"])
+
+
+@pytest.fixture
+def deployment(tmp_path):
+    made = Deployment(tmp_path, servers=2)
+    with gevent.Timeout(20):
+        yield made
+    made.stop()
+
+
+def seen(deployment):
+    return [message for server in deployment.servers for message in server.seen]
+
+
+def ask_in_chunks(deployment, coding):
+    connection = deployment.connect()
+    head = worded("/mark/x", "POST", Content_Length=None, Idempotency_Key="k", Transfer_Encoding=coding)
+    connection.sock.sendall(head + b"3\r\nabc\r\n0\r\n\r\n")
+    return answered(connection)[0]
+
+
+@BLANKS
+def test_request_with_blanks_behind_its_values_is_served(deployment, blank):
+    values = {"X-Request-ID": "id-1", "Idempotency-Key": "key-1", "X-Timeout": "900m", "X-Retried": "1"}
+    headers = {name: value + blank for name, value in values.items()}
+    assert deployment.ask("/mark/x", "POST", b"body", **headers)[0] == 200
+    (message,) = seen(deployment)
+    assert message.body == b"body"
+    assert message.headers[b"x-request-id"] == b"id-1" and message.headers[b"idempotency-key"] == b"key-1"
+
+
+@CODING_BLANKS
+def test_chunked_request_with_blanks_behind_its_coding_is_served(deployment, blank):
+    assert ask_in_chunks(deployment, "Chunked" + blank) == 200
+    assert [message.body for message in seen(deployment)] == [b"abc"]
+
+
+def test_tab_behind_a_transfer_coding_is_refused_as_the_parser_knows_no_such_coding(deployment):
+    assert ask_in_chunks(deployment, "chunked\t") == 400
+    assert not seen(deployment)
+
+
+@BLANKS
+@pytest.mark.parametrize("method", ["GET", "POST"])
+def test_mark_of_a_request_that_never_ran_counts_with_blanks(deployment, monkeypatch, blank, method):
+    marked = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1%b\r\nContent-Length: 0\r\n\r\n" % blank.encode()
+    monkeypatch.setitem(Server.DOES, "full", marked)
+    path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
+    assert deployment.ask(path, method)[0] == 503
+    assert len(seen(deployment)) == 2   # one that never ran is sent again, also where it may run but once
+
+
+@CODING_BLANKS
+def test_chunked_answer_with_blanks_behind_its_coding_is_whole(deployment, monkeypatch, blank):
+    head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
+    monkeypatch.setitem(Server.DOES, "chunked", head + b"3\r\none\r\n0\r\n\r\n")
+    assert deployment.ask("/read/x?do=chunked") == (200, b"one")
+
+
+@CODING_BLANKS
+def test_watch_with_blanks_behind_its_coding_is_heard(deployment, monkeypatch, blank):
+    def play(service, connection, message):
+        line = json.dumps({"rev": 9, "targets": [deployment.servers[0].line()]}).encode() + b"\n"
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
+        connection.push(head + b"%x\r\n%b\r\n" % (len(line), line))
+
+    monkeypatch.setattr(DiscoveryService, "play", play)
+    there = DiscoveryService()
+    deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
+    deployment.agent.dispatch("discovery_moved")
+    until(lambda: deployment.agent.reducer.version == 9)
+    there.stop()
