--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -111,7 +111,7 @@
 
     def follow(self):
         patience, self.hasty = HASTE if self.hasty else ANSWER, False
-        headed, stood, part, due = False, False, b"", monotonic() + patience
+        headed, stood, part, due = False, False, bytearray(), monotonic() + patience
         watch = gevent.getcurrent()
         # Another service may number its lists otherwise: the first call there asks for all there is.
         connection = self.call(f"{PATH}?watch=1&after={0 if self.anew else self.version()}", patience)
@@ -124,7 +124,7 @@
                     headed, due = True, monotonic() + SILENCE
                 for text in arrived_lines(connection):
                     part += text
-                    if text.strip() and not ended(part):
+                    if text.strip() and not ended(part, text):
                         continue
                     # Lines of one that was let go may be read before its end: they would go on top of the
                     # other service's list, and leave its version to ask after.
@@ -139,7 +139,7 @@
                         self.dispatch("listed", found, current)
                     elif current and not stood:
                         self.dispatch("watch_stands")
-                    stood, part, due = True, b"", monotonic() + SILENCE
+                    stood, part, due = True, bytearray(), monotonic() + SILENCE
                 if connection.whole:
                     return
         except TimeoutError:
@@ -189,11 +189,14 @@
     return connection.whole[0].body.splitlines() if connection.whole else connection.lines()
 
 
-def ended(part: bytes) -> bool:
-    """Whether what came is a list to its end, or none: lists may come indented, over many lines."""
+def ended(part: bytearray, last_line: bytes) -> bool:
+    """Whether what came is a list to its end, or none: lists may come indented, over many lines.
+
+    Only the last line is looked at as long as it can't be the end: a list may have thousands.
+    """
     if len(part) > LIST_LIMIT:
         raise Malformed(413, f"a list of over {LIST_LIMIT} bytes")
-    if not part.rstrip().endswith(b"}"):
+    if not last_line.rstrip().endswith(b"}"):
         return False
     try:
         msgspec.json.decode(part, type=msgspec.Raw)
