--- a/cartdeal/fleet/epochs.py
+++ b/cartdeal/fleet/epochs.py
@@ -24,7 +24,8 @@
 UNHEARD = 255           # an age in e.vouched: not heard of within the lease
 AGES = 200              # steps of age in a lease
 REUSED = 0.05           # seconds for which the ages of vouches, once counted, are said again
-OWED = 64               # askers of one epoch that wait until this agent has learnt it
+OWED = 1024             # askers of one epoch that wait until this agent has learnt it
+MOST_TWINS = 64         # rings of one epoch that are told of
 FOUNDERS = 8            # so many of the seeds that are there, by name, ask all seeds for a ring
 PATIENCE = 5            # leases for which the next step waits until the seats have caught up with this one
 STUCK_S = 30.0          # this long without a majority of the ring's seats, and an operator is told
@@ -443,7 +444,7 @@
         if ring.epoch < own.epoch or ring.digest == own.digest:
             return
         if ring.epoch == own.epoch:
-            if ring.digest not in self.twins and len(self.twins) < OWED:
+            if ring.digest not in self.twins and len(self.twins) < MOST_TWINS:
                 self.twins[ring.digest] = True
                 both = f"{own.digest.hex()} and {ring.digest.hex()}"
                 trouble = errors.EpochTwice(f"epoch {own.epoch}", both)
--- a/cartdeal/fleet/host.py
+++ b/cartdeal/fleet/host.py
@@ -29,12 +29,13 @@
 IDLE = 30.0         # after which a stream that carries nothing is closed by the one that writes ...
 SILENT = 90.0       # ... and by the one that reads
 GREET = 2.0         # how long a connection may take to its first message
-STRANGERS = 32      # connections that have brought none yet
+STRANGERS = 1024    # connections that have brought none yet
+BACKLOG = 1024      # connections that wait to be accepted
 QUEUE = 1024        # messages that wait for one peer
 BATCH = 65536       # bytes written at once, or little more
 READ = 65536        # bytes read at once
 TURN = 16           # datagrams read before the others have a turn
-NOTED = 256         # faults of peers that are remembered as told
+NOTED = 1024        # faults of peers that are remembered as told
 AGAIN = 0.05        # pause before what died of a fault begins again
 REPORT = 60.0       # seconds between lines of figures
 DOORS = 20          # tries to find one port for both kinds of socket
@@ -45,7 +46,7 @@
 class Bounds(NamedTuple):
     """What the host may take: connections each way, bytes of messages that wait, bytes of those half come."""
 
-    streams: int = 256
+    streams: int = 1024
     waiting: int = 16 << 20
     half: int = 16 << 20
 
@@ -293,14 +294,15 @@
                 continue
             strangers = [each for each, (_, known, _) in self.readers.items() if not known]
             if len(strangers) >= STRANGERS or len(self.readers) >= self.bounds.streams:
-                # The one longest silent goes: it comes again when it has something to say.
-                least = min(strangers if len(strangers) >= STRANGERS else self.readers,
-                            key=lambda each: self.readers[each][2])
+                # The one longest silent goes, one that has said nothing yet first: it comes again when it has
+                # something to say.
+                least = min(strangers or self.readers, key=lambda each: self.readers[each][2])
                 self.figured["closed no room"] += 1
                 self.readers.pop(least)[0].close()
                 least.kill(block=False)
             reader = gevent.spawn(self.read, sock, peer)
             self.readers[reader] = [sock, False, monotonic()]
+            gevent.sleep(0)     # what it has said already is read before the next one may take its place
 
     def read(self, sock, peer):
         state, frames, half = self.readers[gevent.getcurrent()], wire.Frames(), 0
@@ -376,7 +378,7 @@
             if not left:
                 raise
             continue
-        listener.listen(256)
+        listener.listen(BACKLOG)
         words.settimeout(0.0)   # what is sent in the middle of an event must never wait
         return words, listener
 
--- a/cartdeal/fleet/members.py
+++ b/cartdeal/fleet/members.py
@@ -40,7 +40,7 @@
 HELPERS = 3             # asked to ping in one's stead
 WITNESSES = 4           # kept and passed on for one accused
 DIRECT = 0.4            # share of a probe's time after which helpers are asked, and a helper gives up
-RELAYS = 64             # pings in others' stead that are out at once
+RELAYS = 1024           # pings in others' stead that are out at once
 SLOWEST = 3.0           # how many times suspect_s a suspicion with one witness lasts
 WORST = 4               # local health: a probe takes up to 1 + WORST times as long
 KEPT = 60.0             # seconds the gone are kept after the last sign of them: old gossip raises none
@@ -49,9 +49,10 @@
 COMPARE = 5.0           # seconds between two comparisons of the whole table with a peer
 BUCKETS, BYTES = 16, 4  # parts of the table that are compared, bytes of digest for each
 SHIPPED = 2             # messages of table pieces, and as many warnings, a tick at most
-OWED = 16               # peers that are owed pieces at once
-WARNINGS = 256          # that wait at once
-STRANGERS, GREETED = 64, 1.0    # that have still to answer a ping; seconds until they are pinged again
+OWED = 1024             # peers that are owed pieces at once
+WARNINGS = 1024         # that wait at once
+STRANGERS = 1024        # that have still to answer a ping ...
+GREETED = 1.0           # ... and seconds until they are pinged again
 QUIET = 3               # probes' time without a word from anyone, after which nothing new is told of oneself
 GAP = 10                # ticks missed at a stretch after which this agent was stopped, rather than late
 FIRST_ASK, LAST_ASK = 0.25, 4.0     # seconds between two rounds of asking seeds
@@ -170,6 +171,15 @@
     done: bool = False
 
 
+class Owed(Struct):
+    """What a peer is still to get: whole parts of the table, and the names that are left of the last one.
+
+    The names of one part alone are held at a time, so that many peers may be owed the whole table."""
+
+    parts: list[int]
+    names: list[str]
+
+
 class Relay(Struct):
     """A ping in another's stead."""
 
@@ -221,7 +231,7 @@
         self.warned: dict[str, float] = {}      # when an accused was last told of it
         self.news: dict[str, tuple[int, int]] = {}      # name: (times sent, minus its place in time)
         self.warnings: dict[str, Told] = {}
-        self.owed: dict[str, list[str]] = {}    # to whom: the names whose pieces it is still to get
+        self.owed: dict[str, Owed] = {}         # by name of the peer
         self.relays: dict[int, Relay] = {}
         self.strangers: dict[str, Stranger] = {}
         self.wish: dict = {}    # what is to be said of itself when it hears anyone again
@@ -520,7 +530,7 @@
             self._say(sender, Compare, mine, True)
         if sender not in self.owed and len(self.owed) >= OWED:
             return self.desk.count("dropped comparisons")   # it compares again
-        self.owed[sender] = [name for name in self.table if bucket(name) in differ]
+        self.owed[sender] = Owed(differ, [])
         self._ship_to(sender)
 
     def _pieces(self, sender: str, words: Pieces):
@@ -705,16 +715,20 @@
             self._ship_to(name)
 
     def _ship_to(self, to: str):
-        names, told = self.owed.pop(to), []
+        owed, told = self.owed.pop(to), []
         room = ROOM - len(msgpack.encode(Pieces(self.me, ()))) - 2
-        while names and len(told) < PIECES:
-            if names[-1] in self.table:
-                piece = self._piece(names[-1])
+        while (owed.names or owed.parts) and len(told) < PIECES:
+            if not owed.names:
+                part = owed.parts.pop()
+                owed.names = [name for name in self.table if bucket(name) == part]
+                continue
+            if owed.names[-1] in self.table:
+                piece = self._piece(owed.names[-1])
                 room -= len(msgpack.encode(piece))
                 if room < 0:
                     break
                 told.append(piece)
-            names.pop()
-        if names:
-            self.owed[to] = names       # at the end of the queue
+            owed.names.pop()
+        if owed.names or owed.parts:
+            self.owed[to] = owed        # at the end of the queue
         self.desk.send(to, Pieces(self.me, tuple(told)))
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -27,7 +27,7 @@
 
 COME_AGAIN = 0.5    # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
-MOST_CLOCKS = 64
+MOST_CLOCKS = 1024  # peers whose time is remembered between two looks: a majority of the ring has to fit
 LOOK = 10.0         # seconds between two looks at whether the own clock is the odd one
 KNOWN_PEERS = 4     # addresses kept of unidentified clients, as a multiple of the most agents there may be
 
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -16,6 +16,7 @@
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
+MOST_AGENTS = 1024      # as a fleet takes in by itself (Pact.most_agents)
 ZONES = 3
 FOUNDERS = 5
 
@@ -26,7 +27,7 @@
 
 
 class Copies(Strict):
-    agents: Annotated[int, Meta(ge=3, le=1000)] = 5
+    agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 5
     rate: Rate = 1.0        # requests an agent and second, each with a mark and of a tenant with a limit
     rest_s: Seconds = 10.0
     traffic_s: Seconds = 10.0
@@ -35,7 +36,7 @@
 
 
 class Days(Strict, rename={"requests": "lookups"}):
-    agents: Annotated[int, Meta(ge=3, le=50)] = 6
+    agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 6
     seconds: Seconds = 60.0
     quiet: Seconds = 90.0
     pause_s: Seconds = 4.0
@@ -45,7 +46,7 @@
 
 
 class Upgrade(Strict, rename={"requests": "lookups"}):
-    agents: Annotated[int, Meta(ge=3, le=100)] = 20
+    agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 20
     every_s: Seconds = 4.0      # between two restarts at least; each waits until the last has caught up
     cut: Literal["none", "halves", "zone"] = "none"
     cut_s: Seconds = 20.0
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -26,7 +26,10 @@
 from cartdeal.emulator.world import Unusable, World, agent_settings
 from cartdeal.rig.stands import HOST, DiscoveryService, Server
 
-MOST_AGENTS, MOST_SECONDS = 64, 300.0
+MOST_AGENTS = 1024
+MOST_SECONDS = 300.0
+LIVES = 16          # starts of one agent whose seeds are all different
+STARTED_AT_ONCE = 64    # more would wait for a processor for longer than READY
 READY = 20.0        # how long an agent may take to serve
 RESTART = 1.0       # how long a killed agent is away
 TAIL = 1.0          # after the longest deadline, when all must be answered
@@ -53,6 +56,11 @@
             raise Unusable(f"{key}: found {found!r}, wanted {most} at most on sockets")
 
 
+def agent_seed(seed: int, number: int, life: int) -> int:
+    """A seed of its own for each agent of each play and each of its first starts."""
+    return (seed * MOST_AGENTS + number) * LIVES + life
+
+
 class Agent:
     """One real agent: its process, its port, and the connections of the application beside it."""
 
@@ -67,7 +75,7 @@
         file = Path(rig.folder, f"{self.number}.json")
         file.write_text(json.dumps({
             "name": f"n{self.number}", "listen": f"{HOST}:0", "discovery": rig.list.address,
-            "seed": f"{rig.seed * 4096 + self.number * 16 + self.life:x}", "known": known,
+            "seed": f"{agent_seed(rig.seed, self.number, self.life):x}", "known": known,
             "limits": {"memory_mb": 192, "sockets": 1024},
             "settings": agent_settings(rig.world, self.number, self.zone)}))
         # A group of its own: a shell that starts more than one process must leave none behind.
@@ -134,7 +142,7 @@
                         self.add(zone)
                 for number in range(self.world.agents):
                     self.agents.append(Agent(self, number, number % len(self.world.zones)))
-                gevent.joinall([gevent.spawn(agent.start) for agent in self.agents], raise_error=True)
+                self.start_agents()
                 self.day()
             finally:
                 for agent in self.agents:
@@ -143,6 +151,11 @@
                     each.close()
         return self
 
+    def start_agents(self):
+        for first in range(0, len(self.agents), STARTED_AT_ONCE):
+            several = self.agents[first:first + STARTED_AT_ONCE]
+            gevent.joinall([gevent.spawn(agent.start) for agent in several], raise_error=True)
+
     def day(self):
         self.began, self.offset = monotonic(), time()
         works = []
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -17,6 +17,7 @@
 from cartdeal.emulator.servers import warmth
 
 HOST = "127.0.0.1"
+BACKLOG = 1024      # connections that wait to be accepted: those of all agents at once
 RESET = struct.pack("ii", 1, 0)
 BREAKS = ("nothing", "head", "body", "noise", "reset")     # where a broken answer ends
 
@@ -34,7 +35,7 @@
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind((HOST, self.port))
-        self.socket.listen(512)
+        self.socket.listen(BACKLOG)
         self.port = self.socket.getsockname()[1]
         self.works = [gevent.spawn(self.accept, self.socket)]
 
