--- a/cartdeal/__main__.py
+++ b/cartdeal/__main__.py
@@ -13,5 +13,6 @@
     if len(sys.argv) > 1:
         # Needs the laboratory's requirements; an agent is started without words.
         from cartdeal import cli
+
         cli.main(prog_name="cartdeal")
     sys.exit(main())
--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -22,11 +22,11 @@
 
 LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.NON_IDEMPOTENT: "u"}
 STATUSES = {"limited": 429, "turn_back": 503, "terminate": 502}
-LATE = 0.3          # beyond the fleet's own bound, when a request without a word is in doubt
-LOOK = 0.1          # seconds between looks for such
-LAST_WORDS = 0.15   # how long the last ones may take to be written
-STREAMS = 8         # one in so many descriptors is for streams to peers, and as many for those from them
-MEMORY = 0.1        # share of the memory for what waits for peers, and as much for what came of them by half
+LATE = 0.3  # beyond the fleet's own bound, when a request without a word is in doubt
+LOOK = 0.1  # seconds between looks for such
+LAST_WORDS = 0.15  # how long the last ones may take to be written
+STREAMS = 8  # one in so many descriptors is for streams to peers, and as many for those from them
+MEMORY = 0.1  # share of the memory for what waits for peers, and as much for what came of them by half
 
 log = logging.getLogger("cartdeal.fleet")
 
@@ -37,9 +37,10 @@
         self.config, self.after, self.listen = config, after, fleet.listen
         streams, share = config.limits.descriptors // STREAMS, MEMORY * config.limits.memory
         self.descriptors, self.memory = 2 * streams + 2, 2 * share
-        self.host = Host(fleet.pact, fleet.listen, Node, self.decided,
-                         Bounds(streams, int(share * 1e6), int(share * 1e6)))
-        self.open: dict[int, tuple[float, Question]] = {}   # until when a word has to come, in that order
+        self.host = Host(
+            fleet.pact, fleet.listen, Node, self.decided, Bounds(streams, int(share * 1e6), int(share * 1e6))
+        )
+        self.open: dict[int, tuple[float, Question]] = {}  # until when a word has to come, in that order
         settings = config.settings
         self.kinds = [
             (
@@ -51,14 +52,17 @@
             for kind in settings.request_classes
         ]
         longest = fleet.pact.longest_mark_s
-        self.longest = tuple({"i": inf, "d": longest - window, "u": longest}[repeat]
-                             for repeat, _, window, _ in self.kinds)
+        self.longest = tuple(
+            {"i": inf, "d": longest - window, "u": longest}[repeat] for repeat, _, window, _ in self.kinds
+        )
         self.verbs = {"admit": self.admit, "went": self.went, "settled": self.settled}
 
     def start(self):
         self.host.start()
-        log.info("in a fleet", extra={"fleet": self.host.pact.fleet, "agent": self.host.pact.name,
-                                      "port": self.host.port})
+        log.info(
+            "in a fleet",
+            extra={"fleet": self.host.pact.fleet, "agent": self.host.pact.name, "port": self.host.port},
+        )
         return [gevent.spawn(self.host.endure, self.watch)]
 
     # Effects
@@ -101,10 +105,10 @@
 
     def decided(self, ticket: int, word: str, wait: float, earlier_attempts):
         if self.open.pop(ticket, None) is None:
-            return      # answered, or its client has gone, while the fleet thought about it
+            return  # answered, or its client has gone, while the fleet thought about it
         if word == Verdict.PASS.value:
             node = self.host.node
-            shift = node.now - node.wall    # from the fleet's time to the agent's own
+            shift = node.now - node.wall  # from the fleet's time to the agent's own
             self.after(
                 "admitted",
                 ticket,
@@ -123,8 +127,11 @@
             now, pact = monotonic(), self.host.pact
             for number, question in [(each, asked) for each, (by, asked) in self.open.items() if by < now]:
                 log.warning("no word of the fleet", extra={"request_class": question.workload})
-                word = verdict.in_doubt(question, pact.on_doubt, pact.clients_mark) if question.marked \
+                word = (
+                    verdict.in_doubt(question, pact.on_doubt, pact.clients_mark)
+                    if question.marked
                     else Verdict.TURN_BACK
+                )
                 self.decided(number, word.value, 0.0, ())
 
     # The agent's life
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -13,7 +13,7 @@
 from cartdeal.settings import Settings
 
 Address = tuple[str, int]
-TAKEN_OVER = ("discovery", "seed", "known")    # on SIGHUP; the last two matter at a start only
+TAKEN_OVER = ("discovery", "seed", "known")  # on SIGHUP; the last two matter at a start only
 
 
 class Fault(Exception):
@@ -97,8 +97,10 @@
         ("weightKind", settings.weights, ("none", "nominal", "rough", "live")),
         ("feedback.how", settings.reports.how, ("none", "probe", "answers")),
     ]
-    wrong = [(f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
-             for key, word, known in words]
+    wrong = [
+        (f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
+        for key, word, known in words
+    ]
     wrong += [
         (
             "settings.feedback.how",
@@ -144,8 +146,14 @@
             )
         )
         for key, micros in (("goalTimeUs", kind.latency_target), ("timeLimitUs", kind.timeout_us)):
-            wrong.append((f"settings.workloads[{place}].{key}", micros, "more than 0",
-                          micros is not None and micros <= 0))
+            wrong.append(
+                (
+                    f"settings.workloads[{place}].{key}",
+                    micros,
+                    "more than 0",
+                    micros is not None and micros <= 0,
+                )
+            )
     for key, found, wanted, is_wrong in wrong:
         if is_wrong:
             raise Fault(f"{key}: found {found!r}, wanted {wanted}")
@@ -153,8 +161,11 @@
 
 def needs_restart(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
     """The keys that differ and that a running agent can't take over."""
-    return [key.encode_name for key in msgspec.structs.fields(ConfigurationFile)
-            if key.name not in TAKEN_OVER and getattr(old, key.name) != getattr(new, key.name)]
+    return [
+        key.encode_name
+        for key in msgspec.structs.fields(ConfigurationFile)
+        if key.name not in TAKEN_OVER and getattr(old, key.name) != getattr(new, key.name)
+    ]
 
 
 def read(environment=os.environ) -> AgentConfiguration:
--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -15,13 +15,13 @@
 from gevent import socket
 from gevent.event import Event
 
-HEAD_LIMIT = 16384      # the longest head of a message, with the interim ones ahead of it
-FRAMING = 8            # bytes round one byte of a body that a chunked message may take at most
-BODY_LIMIT = 65536      # the longest body
-READ = 4096            # room kept for one read
-HELD = 3               # times that a long body is held at most: in the buffer, by itself, with its head again
-STALLED = 10.0         # how long a peer may take to accept what is left of an answer
-THROWN = 1 << 20       # bytes that are thrown away behind the end of our sending, at most
+HEAD_LIMIT = 16384  # the longest head of a message, with the interim ones ahead of it
+FRAMING = 8  # bytes round one byte of a body that a chunked message may take at most
+BODY_LIMIT = 65536  # the longest body
+READ = 4096  # room kept for one read
+HELD = 3  # times that a long body is held at most: in the buffer, by itself, with its head again
+STALLED = 10.0  # how long a peer may take to accept what is left of an answer
+THROWN = 1 << 20  # bytes that are thrown away behind the end of our sending, at most
 
 
 class Message:
@@ -40,11 +40,11 @@
         )
 
 
-DEAF = bytearray(65536)     # where bytes go that nobody is to read
+DEAF = bytearray(65536)  # where bytes go that nobody is to read
 
 FRAMES = (b"content-length", b"transfer-encoding")
-BARE = (*range(100, 200), 204, 304)     # statuses of answers without a body
-SIZED = re.compile(rb"([0-9A-Fa-f]+)(?:;.*)?\r\n")     # the line ahead of a chunk
+BARE = (*range(100, 200), 204, 304)  # statuses of answers without a body
+SIZED = re.compile(rb"([0-9A-Fa-f]+)(?:;.*)?\r\n")  # the line ahead of a chunk
 # A name that some read as one of these and others don't.
 NEARLY = re.compile(rb"(?:content|transfer)[^a-z]*(?:length|encoding)")
 
@@ -81,7 +81,7 @@
 
     def __init__(self, most: int, long_bodies: int):
         self.most, self.used, self.closers, self.freed = most, 0, [], Event()
-        self.long_bodies = long_bodies      # bytes that are left
+        self.long_bodies = long_bodies  # bytes that are left
 
     def acquire(self, spare: int = 0) -> bool:
         while self.used + spare >= self.most:
@@ -100,39 +100,46 @@
     when the descriptor is free again.
     """
 
-    def __init__(self, sock, answers: bool, on_close=lambda connection: None, body_limit: int = BODY_LIMIT,
-                 budget: ConnectionBudget | None = None, until_close: bool = False,
-                 on_half_close=lambda connection: None):
+    def __init__(
+        self,
+        sock,
+        answers: bool,
+        on_close=lambda connection: None,
+        body_limit: int = BODY_LIMIT,
+        budget: ConnectionBudget | None = None,
+        until_close: bool = False,
+        on_half_close=lambda connection: None,
+    ):
         """`until_close`: whether an answer with neither length nor chunks is good, up to an orderly close."""
         self.sock, self.answers, self.on_close, self.body_limit = sock, answers, on_close, body_limit
         self.on_half_close = on_half_close
-        self.budget, self.claimed = budget, 0   # bytes of the room for long bodies ...
-        self.claims = 0                     # ... and those for the message that is coming
+        self.budget, self.claimed = budget, 0  # bytes of the room for long bodies ...
+        self.claims = 0  # ... and those for the message that is coming
         self.parser = (httptools.HttpResponseParser if answers else httptools.HttpRequestParser)(self)
         self.buffer = bytearray(READ)
         self.view = memoryview(self.buffer)
-        self.kept = 0               # bytes of the body so far, at the buffer's start
-        self.framing = 0            # bytes of the message so far that are no body, about
-        self.body_size = 0          # bytes of its body so far
-        self.headed = False         # whether its head is whole: what comes as a header then is a trailer
-        self.until_close, self.unbounded = until_close, False   # ... and whether the message is such a one
-        self.came = 0               # where in the buffer ends what has come
-        self.ahead = None           # what a read brought, from before the size of its first chunk on
-        self.line = b""             # what has come of a line of framing, over several reads
-        self.chunk = None           # bytes that a read brought of the chunk that is open
-        self.more = False           # whether more came than the answer that was waited for
-        self.deaf = False           # whether what comes is thrown away, unread, until the other side ends
-        self.midway = False         # whether a message has begun and is not whole
+        self.kept = 0  # bytes of the body so far, at the buffer's start
+        self.framing = 0  # bytes of the message so far that are no body, about
+        self.body_size = 0  # bytes of its body so far
+        self.headed = False  # whether its head is whole: what comes as a header then is a trailer
+        self.until_close, self.unbounded = until_close, False  # ... and whether the message is such a one
+        self.came = 0  # where in the buffer ends what has come
+        self.ahead = None  # what a read brought, from before the size of its first chunk on
+        self.line = b""  # what has come of a line of framing, over several reads
+        self.chunk = None  # bytes that a read brought of the chunk that is open
+        self.more = False  # whether more came than the answer that was waited for
+        self.deaf = False  # whether what comes is thrown away, unread, until the other side ends
+        self.midway = False  # whether a message has begun and is not whole
         self.message = Message()
-        self.whole = []             # messages that have come whole and were not taken yet
+        self.whole = []  # messages that have come whole and were not taken yet
         self.wrong = None
-        self.unsent = b""           # what the socket did not take at once
-        self.rest = None            # the greenlet that writes it
-        self.last = False           # whether to half-close once all is written
-        self.half_closed = False    # whether our sending has ended
-        self.thrown = 0             # bytes that came since and were thrown away
+        self.unsent = b""  # what the socket did not take at once
+        self.rest = None  # the greenlet that writes it
+        self.last = False  # whether to half-close once all is written
+        self.half_closed = False  # whether our sending has ended
+        self.thrown = 0  # bytes that came since and were thrown away
         self.closed = False
-        self.since = 0.0            # when it became idle, for its owner
+        self.since = 0.0  # when it became idle, for its owner
 
     def receive(self, wait: float | None) -> bool:
         """Waits for bytes and parses them; false at the end of the stream. Raises what the socket raises.
@@ -149,17 +156,17 @@
                 gevent.sleep(0)
             return bool(count) and not (self.half_closed and self.thrown > THROWN)
         self.fit()
-        count = self.sock.recv_into(self.view[self.kept:])
+        count = self.sock.recv_into(self.view[self.kept :])
         if not count and self.midway and self.unbounded:
-            self.on_message_complete()      # an orderly end; a reset has raised, and is none
+            self.on_message_complete()  # an orderly end; a reset has raised, and is none
         if not count or self.deaf:
             return bool(count)
         self.framing += count
         self.came = self.kept + count
         try:
-            self.parser.feed_data(self.view[self.kept:self.came])
+            self.parser.feed_data(self.view[self.kept : self.came])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as trouble:
-            if not (self.answers and self.whole):   # what follows a whole answer is no fault of its own
+            if not (self.answers and self.whole):  # what follows a whole answer is no fault of its own
                 raise self.wrong or Malformed(400, f"no HTTP: {trouble}") from None
             self.more = True
         if self.midway and self.message.headers.get(FRAMES[1]):
@@ -179,9 +186,9 @@
             size = READ
         if size != len(self.buffer):
             self.view.release()
-            kept = self.buffer[:self.kept]
+            kept = self.buffer[: self.kept]
             self.buffer = bytearray(size)
-            self.buffer[:self.kept] = kept
+            self.buffer[: self.kept] = kept
             self.view = memoryview(self.buffer)
 
     # What the parser finds
@@ -204,7 +211,7 @@
 
     def on_header(self, name: bytes, value: bytes):
         if self.headed:
-            return      # a trailer must not stand in for a header that has decided already
+            return  # a trailer must not stand in for a header that has decided already
         name, headers = name.lower(), self.message.headers
         # The parser leaves blanks behind a value. A tab behind a coding stays: the parser doesn't take it for
         # that coding then, and the message would be framed in two ways.
@@ -241,13 +248,13 @@
             self.chunk += len(part)
         self.check_size(end)
         # Behind the place where the parser reads: what stood there is parsed already.
-        self.view[self.kept:end] = part
+        self.view[self.kept : end] = part
         self.kept = end
 
     def on_chunk_header(self):
         self.chunk = 0
         if self.ahead is None:
-            self.ahead = bytes(self.view[self.kept:self.came])
+            self.ahead = bytes(self.view[self.kept : self.came])
 
     def on_chunk_complete(self):
         self.chunk = None
@@ -259,13 +266,13 @@
         size stands in the line ahead of these.
         """
         if self.ahead is not None and self.chunk is not None:
-            text = self.line + self.ahead[:len(self.ahead) - self.chunk]
-            sized = SIZED.fullmatch(text, text.rfind(b"\n", 0, -1) + 1)     # no match: a trailer
+            text = self.line + self.ahead[: len(self.ahead) - self.chunk]
+            sized = SIZED.fullmatch(text, text.rfind(b"\n", 0, -1) + 1)  # no match: a trailer
             if sized:
                 self.check_size(self.kept + int(sized[1], 16) - self.chunk)
         if self.chunk is None:
-            text = self.line + bytes(self.view[self.kept:self.came])
-            self.line = text[text.rfind(b"\n") + 1:]
+            text = self.line + bytes(self.view[self.kept : self.came])
+            self.line = text[text.rfind(b"\n") + 1 :]
         else:
             self.line, self.chunk = b"", 0
 
@@ -286,7 +293,7 @@
             self.claimed = self.claims = 0
 
     def fault(self, status: int, words: str) -> Malformed:
-        self.wrong = Malformed(status, words)       # the parser puts an error of its own round it
+        self.wrong = Malformed(status, words)  # the parser puts an error of its own round it
         return self.wrong
 
     def on_message_complete(self):
@@ -294,7 +301,7 @@
         if not 100 <= message.status < 200:
             self.framing = self.body_size = 0
         message.keep_alive = not self.unbounded and self.parser.should_keep_alive()
-        message.body = bytes(self.view[:self.kept])
+        message.body = bytes(self.view[: self.kept])
         self.kept = 0
         if not (self.answers and 100 <= message.status < 200):
             self.whole.append(message)
@@ -303,7 +310,7 @@
         """Takes the whole lines out of a body that is still coming, and moves the rest down."""
         end = self.buffer.rfind(b"\n", 0, self.kept) + 1
         text, rest = bytes(self.view[:end]), self.kept - end
-        self.view[:rest] = bytes(self.view[end:self.kept])
+        self.view[:rest] = bytes(self.view[end : self.kept])
         self.kept = rest
         return text.split(b"\n")[:-1]
 
@@ -320,7 +327,7 @@
         self.deaf |= last
         if not self.rest:
             try:
-                data = data[os.write(self.sock.fileno(), data):]
+                data = data[os.write(self.sock.fileno(), data) :]
             except BlockingIOError:
                 pass
             except OSError:
@@ -367,7 +374,7 @@
 
     def peer_ended(self) -> bool:
         """Whether the other side has closed or reset, though nobody may have read that yet."""
-        return self.shows(select.POLLRDHUP)     # with bytes unread before it, too
+        return self.shows(select.POLLRDHUP)  # with bytes unread before it, too
 
     def shows(self, event: int) -> bool:
         """Whether the socket shows one of poll's events, or an error, now."""
--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -15,8 +15,8 @@
 from cartdeal.agent.connection import Connection, Malformed
 
 PATH = "/registry/instances"
-LIST_LIMIT = 1 << 20     # the longest list, or line of one
-ANSWER = 3.0        # how long a call may take to the head of its answer, a list to its end
+LIST_LIMIT = 1 << 20  # the longest list, or line of one
+ANSWER = 3.0  # how long a call may take to the head of its answer, a list to its end
 # TCP does not tell that a service is gone. A watch has a whole line every 2 s, and what a silent one misses
 # counts as told 6 s after it fell silent. From its last line on, two calls have to fit into these: 3.0 of
 # silence, 0.75 for the balancer's longest first pause, 1.0 for a call that is accepted and not answered,
@@ -25,28 +25,28 @@
 # for some that have hung up. Only that one call is short: after it ANSWER holds, and the pauses grow.
 # From the moment a service that was away can be reached again 6 s are left, too: ANSWER for a call that just
 # missed it, 2.0 for the longest pause after it (CALL_TO_CALL of the schedule), and 1.0 for the next answer.
-SILENCE = 3.0       # from one whole line to the next, the first one from the head
-HASTE = 1.0         # in place of ANSWER for the call after a watch that fell silent, or after a move
+SILENCE = 3.0  # from one whole line to the next, the first one from the head
+HASTE = 1.0  # in place of ANSWER for the call after a watch that fell silent, or after a move
 
-SILENT = "silent"   # why a watch failed, where nothing came in time
+SILENT = "silent"  # why a watch failed, where nothing came in time
 
-UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)     # what may be wrong with a call
+UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)  # what may be wrong with a call
 
 log = logging.getLogger("cartdeal.discovery")
 
 
 class DiscoveryClient:
     def __init__(self, config, dispatch, version):
-        self.address, self.dispatch, self.version = config.discovery, dispatch, version     # version: a call
+        self.address, self.dispatch, self.version = config.discovery, dispatch, version  # version: a call
         self.watching = None
-        self.former = None      # the watch at the address before, until the one at the new address stands
-        self.anew = False       # whether the next watch is the first at its address
-        self.hasty = False      # whether the next call follows a watch that stood and fell silent, or a move
-        self.told = 0           # lists that watches have told
+        self.former = None  # the watch at the address before, until the one at the new address stands
+        self.anew = False  # whether the next watch is the first at its address
+        self.hasty = False  # whether the next call follows a watch that stood and fell silent, or a move
+        self.told = 0  # lists that watches have told
 
     def move(self, address):
         former, left = self.watching, self.former
-        if left and self.anew:      # nothing came from the one that is left: the one before it still tells
+        if left and self.anew:  # nothing came from the one that is left: the one before it still tells
             former, left = left, former
         if left:
             left.kill(block=False)
@@ -76,12 +76,12 @@
         except TimeoutError:
             words = SILENT
         except UNUSABLE as trouble:
-            words = str(trouble) or repr(trouble)   # no words would mean that it was let go
+            words = str(trouble) or repr(trouble)  # no words would mean that it was let go
         except Exception:
             log.exception("watch died")
         watch = gevent.getcurrent()
         if self.former is watch:
-            self.former = None      # its service was left: no failure of the one in its place
+            self.former = None  # its service was left: no failure of the one in its place
         elif self.watching is watch:
             self.watching = None
             if words:
@@ -103,7 +103,7 @@
                 self.dispatch("listed", found, False)
         except UNUSABLE as trouble:
             log.warning("list not had", extra={"reason": str(trouble)})
-            if not self.watching:   # else a watch that stands would be told as failed
+            if not self.watching:  # else a watch that stands would be told as failed
                 self.dispatch("watch_failed")
         finally:
             if connection:
@@ -131,7 +131,7 @@
                     if watch not in (self.watching, self.former):
                         return
                     found, current = decode_list(part) if part.strip() else None, watch is self.watching
-                    if current and (found or not self.anew):    # an empty line brings nothing to go by
+                    if current and (found or not self.anew):  # an empty line brings nothing to go by
                         self.stands()
                     if found:
                         self.told += 1
@@ -177,7 +177,7 @@
         try:
             return connection.receive(wait)
         except TimeoutError:
-            pass    # the loop's own clock may lag, and its timers come early then
+            pass  # the loop's own clock may lag, and its timers come early then
     try:
         return connection.receive(0.0)
     except BlockingIOError:
--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -22,11 +22,11 @@
 from cartdeal.agent.upstream import UpstreamPool
 
 LONGEST_WORDS = 256
-RESERVED = 32       # descriptors for the discovery service, the agents, the log and the loop itself
-AGAIN = 0.05        # pause before what died of a fault begins again
-OWN_MEMORY = 18.0   # megabytes that the agent holds before its first connection, with room to spare
-PER_CONNECTION = 0.03   # megabytes for one with its request or attempt, but for a long body
-LONG_BODIES = 0.4   # share of what is left of the memory that is for those
+RESERVED = 32  # descriptors for the discovery service, the agents, the log and the loop itself
+AGAIN = 0.05  # pause before what died of a fault begins again
+OWN_MEMORY = 18.0  # megabytes that the agent holds before its first connection, with room to spare
+PER_CONNECTION = 0.03  # megabytes for one with its request or attempt, but for a long body
+LONG_BODIES = 0.4  # share of what is left of the memory that is for those
 
 log = logging.getLogger("cartdeal.agent")
 
@@ -50,12 +50,19 @@
         self.discovery = DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
         self.datagrams = self.open_datagrams()
         self.verbs = {
-            "begun": self.front.begun, "refuse": self.front.refuse_request, "answer": self.front.answer,
-            "send_attempt": self.upstream.send_attempt, "cancel": self.upstream.cancel, "probe":
-            self.upstream.probe,
+            "begun": self.front.begun,
+            "refuse": self.front.refuse_request,
+            "answer": self.front.answer,
+            "send_attempt": self.upstream.send_attempt,
+            "cancel": self.upstream.cancel,
+            "probe": self.upstream.probe,
             "close_idle": self.upstream.close_idle,
-            "watch": self.discovery.watch, "fetch_servers": self.discovery.fetch_servers,
-            "wake": self.wake, "remind": self.remind, "tell": self.tell, "note": self.note,
+            "watch": self.discovery.watch,
+            "fetch_servers": self.discovery.fetch_servers,
+            "wake": self.wake,
+            "remind": self.remind,
+            "tell": self.tell,
+            "note": self.note,
         }
         if self.admission:
             self.verbs |= self.admission.verbs | {"withhold": self.withhold}
@@ -84,9 +91,13 @@
             config = configuration.read()
         except configuration.Fault as fault:
             return log.error("configuration refused", extra={"reason": str(fault)})
-        log.info("configuration read", extra={
-            "discovery": "{}:{}".format(*config.discovery),
-            "needs_restart": " ".join(configuration.needs_restart(self.config, config))})
+        log.info(
+            "configuration read",
+            extra={
+                "discovery": "{}:{}".format(*config.discovery),
+                "needs_restart": " ".join(configuration.needs_restart(self.config, config)),
+            },
+        )
         if config.discovery != self.config.discovery:
             self.config = replace(self.config, discovery=config.discovery)
             self.discovery.move(config.discovery)
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -23,25 +23,35 @@
 from cartdeal.settings import REPEATS, Settings
 from cartdeal.terms import Repeat
 
-GREET = 1.5         # how long an unidentified client may take from connecting to its first whole request
-STALL = 2.0         # how long a client may take over any other
-IDLE = 5.0          # how long a client's connection may stand idle
-LINGER = 0.5        # how long a client may go on sending, unread, after our side has ended
-LINGERING = 8       # one in so many connections may be such a client's
-SWEEP = 0.2         # seconds between looks for connections whose time is up
-UNIDENTIFIED = 4       # one in so many connections may be an unidentified client's ...
-CLIENTS = 0.6       # ... and this share a client's, while there are idle ones to close; servers need the rest
-LONGEST = 60.0      # what a client says it will wait is cut to this
-MARGIN = 0.01       # kept free of a request's time for the agent's own work
-AHEAD = 16          # requests that may wait on one connection for the answer to the one before
-
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 409: b"Conflict",
-           413: b"Content Too Large", 429: b"Too Many Requests", 431: b"Request Header Fields Too Large",
-           502: b"Bad Gateway", 503: b"Service Unavailable", 505: b"HTTP Version Not Supported"}
+GREET = 1.5  # how long an unidentified client may take from connecting to its first whole request
+STALL = 2.0  # how long a client may take over any other
+IDLE = 5.0  # how long a client's connection may stand idle
+LINGER = 0.5  # how long a client may go on sending, unread, after our side has ended
+LINGERING = 8  # one in so many connections may be such a client's
+SWEEP = 0.2  # seconds between looks for connections whose time is up
+UNIDENTIFIED = 4  # one in so many connections may be an unidentified client's ...
+CLIENTS = 0.6  # ... and this share a client's, while there are idle ones to close; servers need the rest
+LONGEST = 60.0  # what a client says it will wait is cut to this
+MARGIN = 0.01  # kept free of a request's time for the agent's own work
+AHEAD = 16  # requests that may wait on one connection for the answer to the one before
+
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    505: b"HTTP Version Not Supported",
+}
 WAIT = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)(m|u)")
 UNITS = {b"m": 1e3, b"u": 1e6}
 SESSION = re.compile(rb"(?:^|[;,])\s*sid=([^;,]*)")
-NAME = re.compile(rb"[!-+\--~]{1,200}")     # an id or a idempotency_key: visible, and no list
+NAME = re.compile(rb"[!-+\--~]{1,200}")  # an id or a idempotency_key: visible, and no list
 
 log = logging.getLogger("cartdeal.front")
 
@@ -52,8 +62,8 @@
     def __init__(self, sock, on_close, budget, on_half_close):
         super().__init__(sock, answers=False, on_close=on_close, budget=budget, on_half_close=on_half_close)
         self.request, self.waits, self.keep_alive, self.asked = 0, False, True, False
-        self.refused = None     # what came that ends the connection once all before it is answered
-        self.since = monotonic()    # when it came, was last asked on or answered, or was half-closed
+        self.refused = None  # what came that ends the connection once all before it is answered
+        self.since = monotonic()  # when it came, was last asked on or answered, or was half-closed
 
     def on_message_begin(self):
         super().on_message_begin()
@@ -93,11 +103,11 @@
         }
         self.tenants = {each.name.encode(): place for place, each in enumerate(self.settings.tenants)}
         self.clients: set[ClientConnection] = set()
-        self.lingering: dict[ClientConnection, None] = {}   # half-closed and not in `clients`, oldest first
+        self.lingering: dict[ClientConnection, None] = {}  # half-closed and not in `clients`, oldest first
         # the longest here first; those refused come last
         self.unidentified: dict[ClientConnection, None] = {}
         self.taking, self.ending, self.changed = True, False, Event()
-        self.closing = False    # whether a client between requests is closed at once
+        self.closing = False  # whether a client between requests is closed at once
         # The first closes what the others have half-closed.
         budget.closers += self.close_lingering, self.close_unidentified, self.close_idle
         self.listener = bound(socket.SOCK_STREAM, config.listen)
@@ -122,7 +132,7 @@
                     log.warning("accept failed", extra={"reason": str(trouble)})
                     gevent.sleep(0.05)
                 continue
-            gevent.sleep(0)     # hundreds that connect at once wait for those that have asked
+            gevent.sleep(0)  # hundreds that connect at once wait for those that have asked
 
     def admit(self):
         """Lets in the next who waits at the door; raises what the listener raises."""
@@ -261,7 +271,7 @@
         self.say(client, status, body, extra)
         if client.whole or client.refused:
             gevent.spawn(self.begin, client)
-        self.budget.freed.set()   # it may be closed now for one that waits at the door
+        self.budget.freed.set()  # it may be closed now for one that waits at the door
         self.changed.set()
 
     def say(self, client: ClientConnection, status: int, body: bytes = b"", extra: bytes = b""):
@@ -334,7 +344,7 @@
         while self.budget.acquire():
             try:
                 self.admit()
-            except OSError:     # none is left
+            except OSError:  # none is left
                 self.budget.release()
                 break
         self.listener.close()
@@ -347,7 +357,7 @@
     def close(self, pause: float):
         """Who asks again is answered with a close, who does not is closed after a pause."""
         self.ending = True
-        gevent.sleep(pause)     # to close at once would cross what busy clients have just sent
+        gevent.sleep(pause)  # to close at once would cross what busy clients have just sent
         self.closing = True
         self.close_between()
 
@@ -360,7 +370,12 @@
 
 def worded(status: int, body: bytes, extra: bytes) -> bytes:
     return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b\r\n%b" % (
-        status, REASONS[status], len(body), extra, body)
+        status,
+        REASONS[status],
+        len(body),
+        extra,
+        body,
+    )
 
 
 def hashed(key: bytes) -> int:
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -17,9 +17,9 @@
 from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, RequestClass, State
 
 STATES = {"active": State.READY, "leaving": State.DRAINING}
-ID_MEMORY = 5.0     # seconds for which a request's id is known, twice that at most
-MOST_ZONES = 64     # that are told apart, those of the settings among them
-OVERDUE = 0.02      # how long after its deadline a request that the balancer forgot is answered all the same
+ID_MEMORY = 5.0  # seconds for which a request's id is known, twice that at most
+MOST_ZONES = 64  # that are told apart, those of the settings among them
+OVERDUE = 0.02  # how long after its deadline a request that the balancer forgot is answered all the same
 
 
 class Progress(IntEnum):
@@ -39,9 +39,9 @@
     BROKEN = 1
     TIMED_OUT = 2
     GIVEN_UP = 3
-    SPOILT = 4      # what came back can't be read, or can in two ways
-    NO_CONNECTION = 5     # the agent's own limits left none for it
-    NOT_BEGUN = 6   # what it was decided on no longer held when its first byte was due
+    SPOILT = 4  # what came back can't be read, or can in two ways
+    NO_CONNECTION = 5  # the agent's own limits left none for it
+    NOT_BEGUN = 6  # what it was decided on no longer held when its first byte was due
 
 
 class AttemptResult(NamedTuple):
@@ -52,9 +52,9 @@
     took: float
     status: int = 0
     not_processed: bool = False
-    kind: bytes = b""       # the body's content type
+    kind: bytes = b""  # the body's content type
     body: bytes = b""
-    report: bytes = b""     # what the server says of its load
+    report: bytes = b""  # what the server says of its load
     detail: str = ""
 
     def outcome(self) -> Outcome:
@@ -63,7 +63,7 @@
             if self.status == 200:
                 return Outcome.COMPLETED
             if 400 <= self.status < 500:
-                return Outcome.UNUSABLE     # the request's fault, not the server's
+                return Outcome.UNUSABLE  # the request's fault, not the server's
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
         # neither is the server's doing
         if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION, FailureReason.NOT_BEGUN):
@@ -77,15 +77,15 @@
     """A request as the application asked it."""
 
     request_class: int
-    non_idempotent: bool        # its form promises less than its request class: it may run once at most
+    non_idempotent: bool  # its form promises less than its request class: it may run once at most
     tenant: int
     key: int
-    wait: float         # how long the client waits, from when its bytes were read
+    wait: float  # how long the client waits, from when its bytes were read
     repeat: bool
     method: bytes
     path: bytes
     id: bytes
-    idempotency_key: bytes         # by which servers know a repeat
+    idempotency_key: bytes  # by which servers know a repeat
     kind: bytes
     body: bytes
     tenant_name: bytes = b""  # the tenant as the client names it
@@ -94,10 +94,10 @@
 class PendingRequest:
     """A request that is not answered yet, or whose attempts are still out."""
 
-    waits = False       # for the gate's word
-    earlier_attempts: tuple = ()    # of Heed
-    sent = 0            # attempts that were let out, but for those that provably never ran
-    ran = served = False    # whether it may have run; whether its client had the answer
+    waits = False  # for the gate's word
+    earlier_attempts: tuple = ()  # of Heed
+    sent = 0  # attempts that were let out, but for those that provably never ran
+    ran = served = False  # whether it may have run; whether its client had the answer
 
     def __init__(self, asker, request: Request, deadline: float):
         self.asker, self.request, self.deadline = asker, request, deadline
@@ -142,16 +142,16 @@
         """`longest`: by request class, how long a request may last where a gate keeps marks; None: no
         gate."""
         self.config, self.now, self.longest = config, now, longest
-        self.boot = wall - now      # the one mapping between the list's clock and the agent's own
+        self.boot = wall - now  # the one mapping between the list's clock and the agent's own
         self.asked = []
         self.count = 0
-        self.end_at = inf           # when the agent is to have answered all
+        self.end_at = inf  # when the agent is to have answered all
         self.requests: dict[int, PendingRequest] = {}
         # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
         self.ids, self.ids_before, self.ids_until = set(), set(), now
         self.version = 0
-        self.named = 0      # servers so far: each gets an index of its own, which is never another's
-        self.indices: dict[bytes, int] = {}     # these two hold a server until the list says that it is gone
+        self.named = 0  # servers so far: each gets an index of its own, which is never another's
+        self.indices: dict[bytes, int] = {}  # these two hold a server until the list says that it is gone
         self.servers: dict[int, Known] = {}
         self.zones = {name: place for place, name in enumerate(config.settings.zones)}
         settings = config.settings.for_balancer(config.seed)
@@ -241,7 +241,7 @@
         pending.out -= 1
         outcome = result.outcome()
         if pending.chosen.pop(attempt, None) and outcome.never_ran:
-            pending.sent -= 1   # else its client would be left in doubt for nothing once its time is over
+            pending.sent -= 1  # else its client would be left in doubt for nothing once its time is over
         pending.ran = pending.ran or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.asker is not None:
             pending.served = True
@@ -313,7 +313,7 @@
         return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
 
     def regrouped(self, line) -> bool:
-        if line.state == "left":    # it may say no zone
+        if line.state == "left":  # it may say no zone
             return False
         index = self.indices.get(line.name.encode())
         known = self.balancer.servers.get(index)
@@ -328,12 +328,12 @@
         started = line.started / 1e3 - self.boot if line.started else 0.0
         known = Known(line.address, started)
         if self.servers.setdefault(index, known) != known:
-            self.close_idle(index)      # a kept connection to what stood there before would cost an attempt
+            self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
         state = STATES.get(line.state, State.DRAINING)
         zone = self.zone_of(line)
         if zone >= MOST_ZONES:
-            state = State.DRAINING      # among zones that are not told apart a repeat might run twice
+            state = State.DRAINING  # among zones that are not told apart a repeat might run twice
         return Listing(index, name, zone, 0, line.cell, state, line.weight, started)
 
     def zone_of(self, line) -> int:
@@ -429,7 +429,7 @@
         if pending and not all(
             each.group is Group.ALL and self.now < each.until for each in pending.earlier_attempts
         ):
-            return self.fail(request)   # its client would come again, to where it may run once more
+            return self.fail(request)  # its client would come again, to where it may run once more
         self.answer(request, 503, b"", b"", wait)
 
     def fail(self, request: int):
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -18,19 +18,19 @@
 from cartdeal.agent.connection import BindError
 from cartdeal.agent.effects import Effects
 
-STILL_OPEN = 0.6    # after being told to end, how long connections are taken
+STILL_OPEN = 0.6  # after being told to end, how long connections are taken
 LONGEST_WAIT = 3.0  # of the longest deadline the platform waits out so much before it kills
-ENDS = 0.4          # after that, when it ends: one that is killed loses what it owes
-LEAST_END = 0.7     # but no sooner than this: connections come for 0.4 s, and are to be left in order ...
-LATEST_ENDS = 0.6   # ... nor later than this after the longest deadline: it is killed 0.7 s after it
-CLOSES = 0.2        # before its end, when connections are taken no more, however short the deadlines
-LEAVES = 0.8        # before its end, when connections begin to be closed; until then they are of use
-LAST_ONES = 0.3     # and for how long after that one may still bring a request
-GOODBYE = 0.1       # before its end, when all that is still owed is terminated
+ENDS = 0.4  # after that, when it ends: one that is killed loses what it owes
+LEAST_END = 0.7  # but no sooner than this: connections come for 0.4 s, and are to be left in order ...
+LATEST_ENDS = 0.6  # ... nor later than this after the longest deadline: it is killed 0.7 s after it
+CLOSES = 0.2  # before its end, when connections are taken no more, however short the deadlines
+LEAVES = 0.8  # before its end, when connections begin to be closed; until then they are of use
+LAST_ONES = 0.3  # and for how long after that one may still bring a request
+GOODBYE = 0.1  # before its end, when all that is still owed is terminated
 
-SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT     # those that it handles
+SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT  # those that it handles
 
-LINES = 20          # log lines of one kind a second
+LINES = 20  # log lines of one kind a second
 
 log = logging.getLogger("cartdeal.agent")
 
@@ -43,7 +43,7 @@
 
     def __init__(self):
         super().__init__()
-        self.kinds: dict[tuple, list] = {}      # since when, how many lines, how many left out
+        self.kinds: dict[tuple, list] = {}  # since when, how many lines, how many left out
 
     def filter(self, record) -> bool:
         kind = self.kinds.setdefault((record.name, record.msg), [0.0, 0, 0])
@@ -75,6 +75,7 @@
         return None
     from cartdeal.fleet import configuration as fleet_configuration
     from cartdeal.fleet import errors
+
     try:
         return fleet_configuration.read(config)
     except errors.WrongConfiguration as trouble:
@@ -91,8 +92,9 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     handler = logging.StreamHandler(sys.stderr)
     handler.addFilter(RateLimitFilter())
-    handler.setFormatter(Logfmter(keys=["at", "level", "in"],
-                                  mapping={"at": "asctime", "level": "levelname", "in": "name"}))
+    handler.setFormatter(
+        Logfmter(keys=["at", "level", "in"], mapping={"at": "asctime", "level": "levelname", "in": "name"})
+    )
     logging.basicConfig(handlers=[handler], level=logging.INFO)
     try:
         config = configuration.read()
@@ -107,8 +109,10 @@
         return 1
     agents.append(agent)
     agent.start()
-    log.info("serving", extra={"agent": config.name, "port": agent.front.port,
-                                 "servers": len(config.known.entries)})
+    log.info(
+        "serving",
+        extra={"agent": config.name, "port": agent.front.port, "servers": len(config.known.entries)},
+    )
     told_to_end.wait()
     end_at = monotonic() + lasts(config.settings)
     log.info("ending", extra={"pending": agent.reducer.owes, "within": round(end_at - monotonic(), 3)})
@@ -124,4 +128,3 @@
     agent.front.finish()
     log.info("ended", extra={"pending": agent.reducer.owes})
     return 0
-
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -18,13 +18,13 @@
 from cartdeal.settings import load_of, seconds
 from cartdeal.terms import Load
 
-SPARE = 8           # one in so many descriptors is left to the application's connections
+SPARE = 8  # one in so many descriptors is left to the application's connections
 # a connection rests so long after an answer: what more belongs to that one shows by then
 REUSABLE_AFTER = 0.005
-POOLED_SHARE = 0.6          # share of the server's idle time after which a kept connection is closed
-CONNECT = 1.0       # bound on connecting where the deployment sets none
-PROBE = 2.0         # a probe may take this many times the bound on connecting
-SWEEP = 1.0         # seconds between looks for connections that have been idle too long
+POOLED_SHARE = 0.6  # share of the server's idle time after which a kept connection is closed
+CONNECT = 1.0  # bound on connecting where the deployment sets none
+PROBE = 2.0  # a probe may take this many times the bound on connecting
+SWEEP = 1.0  # seconds between looks for connections that have been idle too long
 
 Held = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
@@ -74,7 +74,7 @@
         self.pooled_for = POOLED_SHARE * (seconds(permissions.idle_limit) or 10.0)
         self.reports = config.settings.reports
         self.probe_path = b"/health/live" if self.reports.how == "none" else b"/stats"
-        self.idle: dict[int, list[Connection]] = {}     # by server: another at its address inherits nothing
+        self.idle: dict[int, list[Connection]] = {}  # by server: another at its address inherits nothing
         self.out: dict[tuple[int, int], Attempt] = {}
         budget.closers.append(self.close_oldest)
 
@@ -113,12 +113,25 @@
     # Greenlets
 
     def run_attempt(self, attempt, request_number, attempt_number, server, address, request, deadline):
-        result = self.exchange(attempt, server, address, deadline, lambda: written(request, deadline),
-                               lambda: self.may_begin(request_number, attempt_number, server))
+        result = self.exchange(
+            attempt,
+            server,
+            address,
+            deadline,
+            lambda: written(request, deadline),
+            lambda: self.may_begin(request_number, attempt_number, server),
+        )
         del self.out[request_number, attempt_number]
         if result.reason is not FailureReason.ANSWERED or result.status != 200:
-            log.info("attempt ended", extra={"request": request.id.decode("latin-1"), "address": address,
-                                          "outcome": result.outcome().value, "reason": result.detail})
+            log.info(
+                "attempt ended",
+                extra={
+                    "request": request.id.decode("latin-1"),
+                    "address": address,
+                    "outcome": result.outcome().value,
+                    "reason": result.detail,
+                },
+            )
         if result.reason is FailureReason.BROKEN:
             self.close_idle(server)  # they ended with it, or will: an attempt on one may never be repeated
         self.dispatch(
@@ -131,7 +144,7 @@
         text = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
         result = self.exchange(attempt, server, address, deadline, lambda: text)
         if result.reason in (FailureReason.BROKEN, FailureReason.TIMED_OUT):
-            self.close_idle(server)     # those to a silent machine stay silent, or break
+            self.close_idle(server)  # those to a silent machine stay silent, or break
         self.dispatch("probe_ended", server, result, self.load(result.body))
 
     def load(self, report: bytes) -> Load | None:
@@ -143,8 +156,9 @@
             return None
         return load_of(said.outstanding, said.throughput, said.backlog, said.recent_ms)
 
-    def exchange(self, attempt: Attempt, server: int, address: str, deadline: float, text,
-                 may_begin=lambda: True) -> AttemptResult:
+    def exchange(
+        self, attempt: Attempt, server: int, address: str, deadline: float, text, may_begin=lambda: True
+    ) -> AttemptResult:
         """Writes one request and reads its whole answer. Whatever goes wrong comes back in the result."""
         answer, attempt.begun = None, True
         try:
@@ -154,7 +168,7 @@
             attempt.connection = self.pooled(server, address)
             if attempt.connection is None:
                 attempt.connection = self.connect(address, deadline)
-                self.check(may_begin)   # it may have taken seconds to come up; nothing yields from here on
+                self.check(may_begin)  # it may have taken seconds to come up; nothing yields from here on
             self.write(attempt, text(), deadline, may_begin)
             answer = self.read(attempt, deadline)
             if answer is None:
@@ -202,7 +216,7 @@
         sock.settimeout(0.0)
         while rest:
             try:
-                rest = rest[sock.send(rest):]
+                rest = rest[sock.send(rest) :]
             except BlockingIOError:
                 socket.wait_write(sock.fileno(), left(deadline))
                 # The server begins with the last byte: one held up beyond a window must not come to it.
@@ -254,8 +268,9 @@
             sock.close()
             self.budget.release()
             raise
-        connection = Connection(sock, True, lambda connection: self.budget.release(), budget=self.budget,
-                                until_close=True)
+        connection = Connection(
+            sock, True, lambda connection: self.budget.release(), budget=self.budget, until_close=True
+        )
         connection.address = address
         return connection
 
@@ -284,7 +299,11 @@
     if not wait:
         raise TimeoutError
     head = b"%b %b HTTP/1.1\r\nHost: backend\r\nX-Request-ID: %b\r\nX-Timeout: %dm\r\n" % (
-        request.method, request.path, request.id, wait)
+        request.method,
+        request.path,
+        request.id,
+        wait,
+    )
     if request.idempotency_key:
         head += b"Idempotency-Key: %b\r\n" % request.idempotency_key
     if request.kind:
--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -28,8 +28,8 @@
         self.number, self.request_class, self.key, self.tally = number, request_class, key, tally
         self.deadline, self.value = deadline, value
         self.target_at = min(deadline, now + request_class.latency_target)
-        self.attempts, self.out = 0, {}    # attempts in flight: number -> server
-        self.traces = {}    # attempts that are out or may have run: number -> (server, when sent)
+        self.attempts, self.out = 0, {}  # attempts in flight: number -> server
+        self.traces = {}  # attempts that are out or may have run: number -> (server, when sent)
         self.tried, self.asked, self.ask_at, self.held_until = [], [], 0.0, 0.0
 
 
@@ -38,13 +38,13 @@
         self.index, self.first_limit, self.state, self.started = index, limit, State.GONE, -inf
         self.out, self.sends = {}, Fading(MEMORY, now)  # own attempts: (request, attempt) -> when sent
         self.weight, self.sized_at, self.crowded_until, self.summed_at = 1.0, -inf, -inf, -inf
-        self.askers, self.asked_at = {}, -inf    # requests that wait for the answer to a probe
+        self.askers, self.asked_at = {}, -inf  # requests that wait for the answer to a probe
         self.restart(now)
 
     def restart(self, now):
         self.limit, self.cut_at, self.rest_until = self.first_limit, now, now
-        self.fails, self.wins, self.flown = (Fading(MEMORY, now) for _ in "fwo")   # flown: seconds in flight
-        self.pace, self.heard = 0.0, now    # mean time to an answer; when the last one came
+        self.fails, self.wins, self.flown = (Fading(MEMORY, now) for _ in "fwo")  # flown: seconds in flight
+        self.pace, self.heard = 0.0, now  # mean time to an answer; when the last one came
         self.closed, self.silent, self.trial = True, False, False
         self.retry_at, self.backoff, self.tokens, self.refilled_at, self.said_at = now, 1.0, 0.0, now, 0.0
         # When attempts given up were sent; class -> failures in a row, until when and how long it passes by.
@@ -61,8 +61,14 @@
         self.tallies = [[Fading(MEMORY, now) for _ in range(4)] for _ in settings.request_classes]
         self.counter, self.servers, self.requests, self.held, self.filled = 0, {}, {}, {}, set()
         self.zones = [[] for _ in range(settings.zones)]
-        self.order = sorted(range(settings.zones), key=lambda zone: (
-            zone != settings.own_zone, mixed(crc32(b"%d/%d" % (settings.number, zone))), zone))
+        self.order = sorted(
+            range(settings.zones),
+            key=lambda zone: (
+                zone != settings.own_zone,
+                mixed(crc32(b"%d/%d" % (settings.number, zone))),
+                zone,
+            ),
+        )
         self.standing, self.failback_at = 0, now + FAILBACK  # standing: place in the order of zones
         self.arrivals, self.priority = Fading(MEMORY, now), Fading(MEMORY, now)
         self.tenants, self.like_rate = {}, {}  # by zone: last known sends a second to a warm one, by weight
@@ -88,7 +94,7 @@
         if fresh:
             self.watch.answered(now)
         for line in lines:
-            while line.zone >= len(self.zones):     # one that the settings don't name comes last of all
+            while line.zone >= len(self.zones):  # one that the settings don't name comes last of all
                 self.zones, self.order = [*self.zones, []], [*self.order, len(self.zones)]
             server = self.servers.get(line.server)
             if server is None:
@@ -116,7 +122,7 @@
 
     def size(self, server, weight, now):
         """What the list says, or the most that it said where what a server holds lowers it."""
-        if not 1e-3 <= weight <= 1e6:    # also what is no number at all
+        if not 1e-3 <= weight <= 1e6:  # also what is no number at all
             weight = server.weight
         elif self.settings.live_weights:
             # Taken as they come, such weights move the attempts of all agents to the same servers, and late.
@@ -153,7 +159,8 @@
         # A repeat has spent part of its time at its first try: served first, it makes new ones late too.
         value *= self.within_share(tenant, now) * (0.5 if repeat else 1.0)
         request = self.requests[number] = RoutedRequest(
-            number, kind, key or int(self.chance() * MASK), deadline, now, value, self.tallies[request_class])
+            number, kind, key or int(self.chance() * MASK), deadline, now, value, self.tallies[request_class]
+        )
         self.place(request, now)
 
     def worth(self, request_class, value, now):
@@ -211,10 +218,13 @@
         if members and members[0].zone in self.filled:
             return None  # nothing has ended since it was found full
         kind = request.request_class
-        safe = kind.repeat is Repeat.IDEMPOTENT     # these try open circuits first, singly
+        safe = kind.repeat is Repeat.IDEMPOTENT  # these try open circuits first, singly
         usable = [s for s in members if s.closed or s.trial and not s.out and (safe or now > s.retry_at)]
-        if not usable and not any(map(self.passes, self.order)) \
-                and members is self.zones[self.order[self.standing]]:
+        if (
+            not usable
+            and not any(map(self.passes, self.order))
+            and members is self.zones[self.order[self.standing]]
+        ):
             usable = members
         if not usable or any(s.zone == usable[0].zone for s in request.asked):
             return None
@@ -227,8 +237,13 @@
         even = EVEN * sum([self.has(s, now) for s in usable]) / size if self.pooled else inf
         for s in usable:
             busy, fills = len(s.out), len(s.out) + len(s.left)
-            if fills >= max(1.0 + self.pooled, s.limit) or now < s.rest_until or s in request.tried or (
-                    now < s.shuns.get(kind, NEVER)[1]) or not self.within_group(request, s, now):
+            if (
+                fills >= max(1.0 + self.pooled, s.limit)
+                or now < s.rest_until
+                or s in request.tried
+                or (now < s.shuns.get(kind, NEVER)[1])
+                or not self.within_group(request, s, now)
+            ):
                 continue
             if s.started and now - s.started < self.settings.cold_for:
                 like = self.like(s.zone, now) if like is None else like  # once a pick: all may be cold
@@ -341,16 +356,27 @@
         kind = request.request_class
         if not request.traces or kind.repeat is Repeat.IDEMPOTENT:
             return True
-        return kind.repeat is not Repeat.NON_IDEMPOTENT and all(now <= sent + kind.window - 0.05 and (
-            kind.group is Group.ALL or past.zone == server.zone
-            and (kind.group is Group.ZONE or past.cell == server.cell))
-            for past, sent in request.traces.values())
+        return kind.repeat is not Repeat.NON_IDEMPOTENT and all(
+            now <= sent + kind.window - 0.05
+            and (
+                kind.group is Group.ALL
+                or past.zone == server.zone
+                and (kind.group is Group.ZONE or past.cell == server.cell)
+            )
+            for past, sent in request.traces.values()
+        )
 
     def give_up(self, request, now):
         kind = request.request_class
-        safe = not request.traces or kind.repeat is Repeat.IDEMPOTENT or (
-            kind.repeat is Repeat.DEDUPLICATED and kind.group is Group.ALL
-            and all(now < sent + kind.window for _, sent in request.traces.values()))
+        safe = (
+            not request.traces
+            or kind.repeat is Repeat.IDEMPOTENT
+            or (
+                kind.repeat is Repeat.DEDUPLICATED
+                and kind.group is Group.ALL
+                and all(now < sent + kind.window for _, sent in request.traces.values())
+            )
+        )
         if safe:
             wait = min(self.settings.advises_wait, kind.latency_target * (0.2 + 0.3 * self.chance()))
             self.host.reject(request.number, wait)
@@ -405,8 +431,13 @@
         """An attempt ended without an answer: up to two further ones, none under overload."""
         over = request.traces and self.lacked.read(now) > 2 + ENOUGH * self.arrivals.amount
         more = request.attempts < min(3, self.settings.most_attempts) and now < request.target_at
-        if more and not over and any(
-                s not in request.tried and self.within_group(request, s, now) for s in sum(self.zones, [])):
+        if (
+            more
+            and not over
+            and any(
+                s not in request.tried and self.within_group(request, s, now) for s in sum(self.zones, [])
+            )
+        ):
             self.place(request, now, further=True)
         else:
             self.give_up(request, now)
@@ -449,8 +480,11 @@
                 self.doubt(server, request, now)
             if outcome is Outcome.TIMED_OUT:
                 self.cut(server, now)
-            if server.trial or (fails := server.fails.amount) >= DOUBT * 0.95 \
-                    and fails > FAILING * (fails + server.wins.read(now)):
+            if (
+                server.trial
+                or (fails := server.fails.amount) >= DOUBT * 0.95
+                and fails > FAILING * (fails + server.wins.read(now))
+            ):
                 self.open(server, now)
 
     def doubt(self, server, request, now, failed=1):
@@ -577,10 +611,17 @@
         # others overtake: they'd fill the room until their deadline, and the whole server would seem silent.
         for (number, attempt), sent in list(server.out.items()):
             request = self.requests.get(number)
-            if request and attempt in request.out and self.settings.may_cancel \
-                    and request.request_class.repeat is not Repeat.NON_IDEMPOTENT and (
-                    now < request.target_at if server.silent else
-                    server.heard > sent + patience and now > max(request.target_at, sent + 2 * patience)):
+            if (
+                request
+                and attempt in request.out
+                and self.settings.may_cancel
+                and request.request_class.repeat is not Repeat.NON_IDEMPOTENT
+                and (
+                    now < request.target_at
+                    if server.silent
+                    else server.heard > sent + patience and now > max(request.target_at, sent + 2 * patience)
+                )
+            ):
                 self.doubt(server, request, now)
                 self.host.cancel(number, attempt)
 
--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -156,7 +156,7 @@
         seat.balancer.attempt_ended(number, seat.index(name), outcome, attempt, took / 1e6, bool(final), load)
 
     def head_received(self, seat: Seat, body: bytes, place: int, tail: int):
-        wire.HEAD_RECEIVED.unpack_from(body, place)     # no decision waits for it
+        wire.HEAD_RECEIVED.unpack_from(body, place)  # no decision waits for it
 
     def client_disconnected(self, seat: Seat, body: bytes, place: int, tail: int):
         seat.balancer.client_disconnected(wire.ABANDONED.unpack_from(body, place)[1])
@@ -183,13 +183,24 @@
         lines = [line._replace(server=seat.index(line.name)) for line in self.tables[number]]
         if how != 3:
             here = {line.name for line in lines}
-            lines += [Listing(place, name, 0, 0, 0, State.GONE, 1.0, 0.0)
-                      for place, name in enumerate(seat.names) if name not in here]
+            lines += [
+                Listing(place, name, 0, 0, 0, State.GONE, 1.0, 0.0)
+                for place, name in enumerate(seat.names)
+                if name not in here
+            ]
         seat.balancer.listed(lines, how != 1)
 
     HANDLERS = {
-        16: launched, 17: head_received, 18: inbound, 19: peer, 21: ping_result, 22: ended,
-        23: roster_change, 24: client_disconnected, 25: elapsed, 26: stopped,
+        16: launched,
+        17: head_received,
+        18: inbound,
+        19: peer,
+        21: ping_result,
+        22: ended,
+        23: roster_change,
+        24: client_disconnected,
+        25: elapsed,
+        26: stopped,
     }
 
 
--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -22,6 +22,7 @@
 
     def invoke(self, context):
         from cartdeal.emulator.world import Unusable
+
         try:
             return super().invoke(context)
         except Unusable as trouble:
@@ -38,6 +39,7 @@
 def serve():
     """Run an agent, as PROXY_CONFIG says."""
     from cartdeal.agent import start
+
     sys.exit(start.main())
 
 
@@ -47,6 +49,7 @@
     """Check an agent's configuration FILE, and the fleet's that PROXY_FLEET names, and say at which key it is
     at fault."""
     from cartdeal.agent import configuration, start
+
     try:
         config = configuration.read({**os.environ, "PROXY_CONFIG": file})
         fleet = start.fleet_config(config)
@@ -72,6 +75,7 @@
     """Turn the configuration OLD, of an agent beside its client, into NEW, of an agent of a pool."""
     from cartdeal import migration
     from cartdeal.agent import configuration
+
     try:
         over = migration.load(extra) if extra else None
         made = migration.plan(old, areas, zone, agents, number, columns, over)
@@ -88,8 +92,10 @@
         click.echo(f"not carried over: {line}")
     for line in made.open:
         click.echo(f"to confirm: {line}")
-    click.echo(f"{new}: {'nothing written (dry run)' if dry_run else 'written'}, "
-               f"{'check: ' + made.fault if made.fault else 'passes check'}")
+    click.echo(
+        f"{new}: {'nothing written (dry run)' if dry_run else 'written'}, "
+        f"{'check: ' + made.fault if made.fault else 'passes check'}"
+    )
     sys.exit(bool(made.fault))
 
 
@@ -101,9 +107,11 @@
 def emulate(file, seeds, trace, cut):
     """Play the world in FILE; exit status 1 if a rule was broken."""
     from cartdeal.emulator import play, report, world
+
     found = world.read(file)
     if cut:
         from cartdeal.emulator.cut import cut_down
+
         left = cut_down(found, seeds[0])
         if left is None:
             return click.echo(f"seed {seeds[0]}: no rule was broken")
@@ -127,6 +135,7 @@
     """Play the world in FILE on sockets, with real agents; exit status 1 if a rule was broken."""
     from cartdeal.emulator import report, world
     from cartdeal.rig import play
+
     found, run = world.read(file), run or play.command(deploy)
     interruptible()
     sys.exit(report.play(lambda seed: play.Rig(found, seed, run).play(), seeds))
@@ -145,6 +154,7 @@
     """Play the experiment in FILE, of a world or of the fleet, and keep its TABLE (CSV); exit status 1 if a
     rule was broken."""
     from cartdeal.lab import experiment
+
     interruptible()
     rows = experiment.run(file, table, workers)
     click.echo(f"{table}: {len(rows)} rows")
@@ -157,6 +167,7 @@
 def compare(table, figures):
     """Print each variant of TABLE, and how it differs from the first on the same seeds."""
     from cartdeal.lab.compare import compared
+
     words, rows = columns(table, figures)
     click.echo(words)
     for figure in figures:
@@ -172,6 +183,7 @@
 def report(table, chart, figures):
     """Draw TABLE as CHART (.svg or .png), without playing anything."""
     from cartdeal.lab.chart import draw
+
     draw(*columns(table, figures), list(figures), chart)
     click.echo(chart)
 
@@ -179,6 +191,7 @@
 def columns(table, figures):
     from cartdeal.emulator.world import Unusable
     from cartdeal.lab.experiment import kept
+
     words, rows = kept(table)
     for figure in figures:
         if figure not in rows[0]:
--- a/cartdeal/emulator/clock.py
+++ b/cartdeal/emulator/clock.py
@@ -12,7 +12,7 @@
         self.now, self.due, self.order = 0.0, [], 0
 
     def at(self, time: float, do, *args):
-        self.order += 1     # of one moment, what was set first comes first
+        self.order += 1  # of one moment, what was set first comes first
         heappush(self.due, (max(time, self.now), self.order, do, args))
 
     def after(self, delay: float, do, *args):
--- a/cartdeal/emulator/cut.py
+++ b/cartdeal/emulator/cut.py
@@ -13,12 +13,12 @@
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.world import World
 
-MOST = 400      # plays
+MOST = 400  # plays
 
 
 class Cut(NamedTuple):
     world: World
-    arrivals: list          # (agent, which of its arrivals)
+    arrivals: list  # (agent, which of its arrivals)
     violation: Violation
     plays: int
 
@@ -38,7 +38,7 @@
         while size >= 1 and self.plays < MOST:
             at = 0
             while at < len(parts) and self.plays < MOST:
-                rest = parts[:at] + parts[at + size:]
+                rest = parts[:at] + parts[at + size :]
                 if test(rest):
                     parts = rest
                 else:
@@ -59,8 +59,9 @@
     if cutter.breaks(sooner, arrivals):
         world = sooner
     before = world
-    faults = cutter.shorter(list(world.fault),
-                            lambda rest: cutter.breaks(replace(before, fault=tuple(rest)), arrivals))
+    faults = cutter.shorter(
+        list(world.fault), lambda rest: cutter.breaks(replace(before, fault=tuple(rest)), arrivals)
+    )
     world = replace(world, fault=tuple(faults))
     arrivals = cutter.shorter(arrivals, lambda rest: cutter.breaks(world, rest))
     return Cut(world, arrivals, cutter.breaks(world, arrivals), cutter.plays)
--- a/cartdeal/emulator/judge.py
+++ b/cartdeal/emulator/judge.py
@@ -7,7 +7,7 @@
 from math import sqrt
 from typing import NamedTuple
 
-SLACK = 0.05        # after a deadline, as on sockets
+SLACK = 0.05  # after a deadline, as on sockets
 
 
 class Violation(NamedTuple):
@@ -28,7 +28,7 @@
     def __init__(self, agent, request_class, taken, limit):
         self.agent, self.request_class, self.taken, self.limit = agent, request_class, taken, limit
         self.answers, self.excused = [], False
-        self.attempts = {}     # number -> [server, zone, when, proved never to have run, out]
+        self.attempts = {}  # number -> [server, zone, when, proved never to have run, out]
 
 
 class Judge:
@@ -36,15 +36,15 @@
         self.world, self.violations = world, []
         self.cases: dict[str, Case] = {}
         self.kinds = {each.name: each for each in world.request_class}
-        self.told_at = {}       # (agent, server) -> since when it may be sent nothing new
-        self.changed = {}       # server -> when the discovery service knew
-        self.sent = defaultdict(deque)      # cold server -> (when, work)
-        self.calls = defaultdict(deque)     # cold server -> when requests came from agents told of its start
-        self.told_start = {}    # (agent, server) -> the start that the agent was told of, in seconds
+        self.told_at = {}  # (agent, server) -> since when it may be sent nothing new
+        self.changed = {}  # server -> when the discovery service knew
+        self.sent = defaultdict(deque)  # cold server -> (when, work)
+        self.calls = defaultdict(deque)  # cold server -> when requests came from agents told of its start
+        self.told_start = {}  # (agent, server) -> the start that the agent was told of, in seconds
         shares = sum(each.share for each in world.request_class)
         self.mean_work = sum(each.share * each.work_s for each in world.request_class) / shares
-        self.closest = {}       # cold server -> most requests in a span over what is allowed, of its life
-        self.fallen = set()     # (server, which bound)
+        self.closest = {}  # cold server -> most requests in a span over what is allowed, of its life
+        self.fallen = set()  # (server, which bound)
         self.taken = self.answered = self.excused = 0
 
     def break_(self, rule, at, about, words):
@@ -67,8 +67,15 @@
             self.break_(1, at, request, f"answered {at - case.limit:.3f} s after its deadline")
         kind = self.kinds[case.request_class]
         doubt = [attempt for attempt in case.attempts.values() if not attempt[3]]
-        if status in (429, 503) and doubt and (kind.repeat == "unsafe" or kind.repeat == "keyed" and (
-                kind.group != "all" or any(at > attempt[2] + kind.window_s for attempt in doubt))):
+        if (
+            status in (429, 503)
+            and doubt
+            and (
+                kind.repeat == "unsafe"
+                or kind.repeat == "keyed"
+                and (kind.group != "all" or any(at > attempt[2] + kind.window_s for attempt in doubt))
+            )
+        ):
             self.break_(2, at, request, f"rejected though an attempt at {doubt[0][0]} may have run")
 
     def attempt_sent(self, at, agent, request, number, server, zone):
@@ -83,8 +90,9 @@
                 continue
             if kind.repeat == "unsafe":
                 self.break_(2, at, request, f"attempt at {server} though one at {past} may have run")
-            elif kind.repeat == "keyed" and (at > sent + kind.window_s
-                                             or kind.group != "all" and there != zone):
+            elif kind.repeat == "keyed" and (
+                at > sent + kind.window_s or kind.group != "all" and there != zone
+            ):
                 self.break_(2, at, request, f"attempt at {server} out of group or window of {past}")
             elif out:
                 self.break_(2, at, request, f"attempt at {server} while one at {past} is out")
@@ -92,8 +100,9 @@
                 continue
             break
         case.attempts[number] = [server, zone, at, False, True]
-        told = min(self.told_at.get((agent, server), at),
-                   self.changed.get(server, at) + self.world.list.deemed_s)
+        told = min(
+            self.told_at.get((agent, server), at), self.changed.get(server, at) + self.world.list.deemed_s
+        )
         if at > told + self.world.drain_grace_s:
             self.break_(
                 3, at, request, f"attempt at {server}, {at - told:.3f} s after agent {agent} was told"
@@ -151,8 +160,13 @@
     def fell(self, at, server, most, what):
         if (server.name, what) not in self.fallen:
             self.fallen.add((server.name, what))
-            self.break_(4, at, server.name, f"over {most} {what} within {self.world.fall_s:g} s, "
-                        f"{at - server.started:.2f} s after its start")
+            self.break_(
+                4,
+                at,
+                server.name,
+                f"over {most} {what} within {self.world.fall_s:g} s, "
+                f"{at - server.started:.2f} s after its start",
+            )
 
     def close(self, at):
         for request, case in self.cases.items():
--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -19,8 +19,8 @@
 from cartdeal.emulator.world import World
 
 COUNTED = "shots", "crossings", "probes", "handshakes", "list calls"
-TAIL = 10.0         # how long after the last arrival a world goes on, so that all is answered
-RESTART = 1.0       # how long a killed agent is away
+TAIL = 10.0  # how long after the last arrival a world goes on, so that all is answered
+RESTART = 1.0  # how long a killed agent is away
 
 
 class DiscoveryService:
@@ -30,7 +30,7 @@
         self.fleet, self.clock, self.terms = fleet, fleet.clock, fleet.world.list
         self.lines, self.version, self.watchers = {}, 0, []
         self.free_at, self.down, self.later = 0.0, False, 0.0
-        self.calls = Counter()      # by second
+        self.calls = Counter()  # by second
 
     def whole(self) -> ServerList:
         return ServerList(self.version, True, tuple(self.lines.values()))
@@ -79,22 +79,23 @@
     def __init__(self, world: World, seed: int, make=Reducer, trace=None, only=None):
         self.world, self.seed, self.clock, self.trace = world, seed, Clock(), trace
         self.judge, self.count = Judge(world), Counter()
-        self.arrivals, self.only = [], only     # (agent, which of its arrivals); all, or these alone
+        self.arrivals, self.only = [], only  # (agent, which of its arrivals); all, or these alone
         self.random, self.works = chance(seed, "network"), chance(seed, "work")
-        self.cut = set()            # zones cut off from the others
+        self.cut = set()  # zones cut off from the others
         self.hot = 0.0
         self.offered = self.served = 0.0
-        self.took = []              # seconds from due to answer, of those completed
+        self.took = []  # seconds from due to answer, of those completed
         self.request_classes = list(accumulate(each.share for each in world.request_class))
-        self.popular = list(accumulate((1 + place) ** -world.clients.popularity
-                                       for place in range(world.clients.keys)))
+        self.popular = list(
+            accumulate((1 + place) ** -world.clients.popularity for place in range(world.clients.keys))
+        )
         self.servers, self.named = {}, 0
         self.list = DiscoveryService(self)
         for zone in range(len(world.zones)):
             for _ in range(world.servers.per_zone):
                 self.add(zone)
         self.stands = [Stand(self, number, number % len(world.zones), make) for number in range(world.agents)]
-        self.open = {}              # request -> request class, key, due, repeats so far, stand
+        self.open = {}  # request -> request class, key, due, repeats so far, stand
 
     # Servers
 
@@ -129,7 +130,7 @@
         return base * (1 + self.world.network.jitter * self.random.random())
 
     def reaches_list(self, stand) -> bool:
-        return stand.zone not in self.cut       # it stands outside of all zones
+        return stand.zone not in self.cut  # it stands outside of all zones
 
     # Clients
 
@@ -145,7 +146,7 @@
         self.arrivals.append(arrival)
         if self.only is not None and arrival not in self.only:
             return
-        if stand.lives:     # an application stops with its agent
+        if stand.lives:  # an application stops with its agent
             self.offered += self.world.request_class[request_class].priority
         self.ask(stand, request_class, key, self.clock.now, 0)
 
@@ -199,16 +200,21 @@
             return
         undo = {
             "crash": lambda s: (s.die(), lambda: self.rise(s))[1],
-            "slow": lambda s: self.set(s, "slow", size), "silent": lambda s: self.set(s, "silent", True),
-            "errors": lambda s: self.set(s, "errors", size), "resets": lambda s: self.set(s, "resets", size),
+            "slow": lambda s: self.set(s, "slow", size),
+            "silent": lambda s: self.set(s, "silent", True),
+            "errors": lambda s: self.set(s, "errors", size),
+            "resets": lambda s: self.set(s, "resets", size),
             "one_workload": lambda s: self.set(s, "spoilt", {fault.request_class: size}),
         }
         whole = {
-            "zone_cut": lambda: (self.cut.add(self.world.zones.index(fault.zone)),
-                                 lambda: self.cut.discard(self.world.zones.index(fault.zone)))[1],
+            "zone_cut": lambda: (
+                self.cut.add(self.world.zones.index(fault.zone)),
+                lambda: self.cut.discard(self.world.zones.index(fault.zone)),
+            )[1],
             "list_down": lambda: (self.list.go_down(), lambda: setattr(self.list, "down", False))[1],
             "list_late": lambda: self.set(self.list, "later", size),
-            "jump": lambda: self.set(self, "rush", size), "hot_key": lambda: self.set(self, "hot", size),
+            "jump": lambda: self.set(self, "rush", size),
+            "hot_key": lambda: self.set(self, "hot", size),
         }
         ends = [whole[kind]()] if kind in whole else [undo[kind](server) for server in met]
         for end in ends:
@@ -241,7 +247,7 @@
     def play(self):
         world = self.world
         shares = chance(self.seed, "shares")
-        apart = world.clients.unevenness ** 2
+        apart = world.clients.unevenness**2
         sizes = [shares.gammavariate(1 / apart, 1.0) if apart > 1e-4 else 1.0 for _ in self.stands]
         for stand, size in zip(self.stands, sizes, strict=True):
             random = chance(self.seed, f"client {stand.number}")
@@ -261,10 +267,14 @@
         mean = sum(loads) / len(loads)
         apart = sqrt(sum((load - mean) ** 2 for load in loads) / len(loads))
         return {
-            "lookups": self.count["requests"], "completed": self.count[200], "turned back": self.count[503],
-            "terminated": self.count[502], "served": round(self.served / max(self.offered, 1e-9), 4),
+            "lookups": self.count["requests"],
+            "completed": self.count[200],
+            "turned back": self.count[503],
+            "terminated": self.count[502],
+            "served": round(self.served / max(self.offered, 1e-9), 4),
             **{each: self.count[each] for each in COUNTED},
             "most list calls in a second": max(self.list.calls.values(), default=0),
             "unevenness of work": round(apart / max(mean, 1e-9), 3),
-            "lost with killed agents": self.judge.excused, "violations": len(self.judge.violations),
+            "lost with killed agents": self.judge.excused,
+            "violations": len(self.judge.violations),
         }
--- a/cartdeal/emulator/report.py
+++ b/cartdeal/emulator/report.py
@@ -33,4 +33,3 @@
     for each in took:
         histogram.record_value(max(1, int(each * 1e6)))
     return {f"p{each:g} ms": round(histogram.get_value_at_percentile(each) / 1e3, 1) for each in PERCENTILES}
-
--- a/cartdeal/emulator/servers.py
+++ b/cartdeal/emulator/servers.py
@@ -26,10 +26,10 @@
     def __init__(self, clock, terms, name, zone, speed, random, started=0.0):
         self.clock, self.terms, self.name, self.zone, self.speed = clock, terms, name, zone, speed
         self.random = random
-        self.started = started      # 0: long ago
+        self.started = started  # 0: long ago
         self.up, self.draining, self.life = True, False, 0
         self.slow, self.silent, self.errors, self.resets = 1.0, False, 0.0, 0.0
-        self.spoilt = {}            # request class -> share that fails
+        self.spoilt = {}  # request class -> share that fails
         self.waiting, self.running, self.open = deque(), 0, 0
         self.busy, self.served, self.turned_away, self.handshakes, self.probes = 0.0, 0, 0, 0, 0
 
--- a/cartdeal/emulator/stand.py
+++ b/cartdeal/emulator/stand.py
@@ -12,8 +12,8 @@
 from cartdeal.emulator.world import agent_settings
 from cartdeal.settings import Settings
 
-MARGIN = 0.01       # kept free of a request_id's time, as the front does
-IDLE = 6.0          # how long a connection is kept
+MARGIN = 0.01  # kept free of a request_id's time, as the front does
+IDLE = 6.0  # how long a connection is kept
 
 
 class Attempt:
@@ -26,7 +26,7 @@
 class Stand:
     def __init__(self, fleet, number, zone, make=Reducer):
         self.fleet, self.clock, self.number, self.zone = fleet, fleet.clock, number, zone
-        self.make, self.life, self.lives, self.came = make, 0, False, 0     # came: arrivals so far
+        self.make, self.life, self.lives, self.came = make, 0, False, 0  # came: arrivals so far
         self.known = ServerList()
         self.watching = False
         self.attempts, self.idle = {}, {}
@@ -74,7 +74,7 @@
     # What the reducer asks for
 
     def begun(self, request_id, number):
-        pass    # the fleet knows a request_id by its id
+        pass  # the fleet knows a request_id by its id
 
     def refuse(self, request_id, status, detail):
         self.fleet.answered(request_id, status, 0.0)
@@ -97,7 +97,7 @@
         self.fleet.list.call(self)
 
     def close_idle(self, index):
-        pass    # the emulated network tells no more of a connection than of its server
+        pass  # the emulated network tells no more of a connection than of its server
 
     def tell(self, agent, detail):
         pass
@@ -131,9 +131,10 @@
         )
         fleet.count["shots"] += 1
         fleet.count["crossings"] += attempt.server.zone != self.zone
-        end = lambda result: self.ended(number, count, index, result)    # noqa: E731
-        fleet.judge.attempt_sent(self.clock.now, self.number, attempt.name, count, address,
-                              fleet.world.zones[attempt.server.zone])
+        end = lambda result: self.ended(number, count, index, result)  # noqa: E731
+        fleet.judge.attempt_sent(
+            self.clock.now, self.number, attempt.name, count, address, fleet.world.zones[attempt.server.zone]
+        )
         self.connect(attempt, end)
 
     def connect(self, attempt, end, probe=False):
@@ -143,7 +144,7 @@
         self.clock.at(max(now, attempt.deadline), self.late, attempt, end)
         attempt.life, attempt.connected = server.life, self.take_idle(server)
         way = fleet.way(self.zone, server.zone)
-        if way is None:     # cut off: nothing comes back
+        if way is None:  # cut off: nothing comes back
             return self.clock.after(terms.connect_s, self.broken, attempt, end, "never came up", True)
         if not server.up or not attempt.connected and server.open >= server.terms.connections:
             return self.clock.after(2 * way, self.broken, attempt, end, "refused", True)
@@ -248,14 +249,18 @@
         attempt = Attempt("", None, server, self.clock.now + 2 * self.fleet.world.network.connect_s)
         server.probes += 1
         self.fleet.count["probes"] += 1
-        self.connect(attempt, lambda result: self.lives and life == self.life
-                     and self.dispatch("probe_ended", index, result), probe=True)
+        self.connect(
+            attempt,
+            lambda result: self.lives and life == self.life and self.dispatch("probe_ended", index, result),
+            probe=True,
+        )
 
     # The list
 
     def told(self, line):
         self.fleet.judge.agent_told(
-            self.clock.now, self.number, line.name, line.state == "active", line.started / 1e3)
+            self.clock.now, self.number, line.name, line.state == "active", line.started / 1e3
+        )
 
     def heard(self, server_list: ServerList | None):
         """Of a call or a watch; None: it failed."""
--- a/cartdeal/emulator/world.py
+++ b/cartdeal/emulator/world.py
@@ -29,38 +29,38 @@
 class Servers(Strict):
     per_zone: Count = 6
     cores: Count = 2
-    waiting: Annotated[int, Meta(ge=0, le=100_000)] = 16    # room beyond the cores
-    connections: Count = 400        # held at most
-    handshake_s: Some = 0.001       # work of a new connection
+    waiting: Annotated[int, Meta(ge=0, le=100_000)] = 16  # room beyond the cores
+    connections: Count = 400  # held at most
+    handshake_s: Some = 0.001  # work of a new connection
     probe_s: Some = 0.001
     cold_from: Share = 0.4
     cold_s: More = 8.0
-    spread: Share = 0.0             # of their speeds
-    on_cancel: Literal["nothing", "waiting"] = "waiting"    # what a cancel takes back
-    crowded_from: More = 1e6        # requests held from which on work takes longer ...
-    crowded_by: Some = 0.0          # ... by this share for each further one
+    spread: Share = 0.0  # of their speeds
+    on_cancel: Literal["nothing", "waiting"] = "waiting"  # what a cancel takes back
+    crowded_from: More = 1e6  # requests held from which on work takes longer ...
+    crowded_by: Some = 0.0  # ... by this share for each further one
 
 
 class Network(Strict):
-    same_s: Some = 0.0002           # one way, inside a zone
+    same_s: Some = 0.0002  # one way, inside a zone
     cross_s: Some = 0.001
     jitter: Share = 0.1
-    connect_s: More = 0.25          # a connection that is not up by then isn't
-    loss: Share = 0.0               # of connections reset after the last byte of a request
+    connect_s: More = 0.25  # a connection that is not up by then isn't
+    loss: Share = 0.0  # of connections reset after the last byte of a request
 
 
 class DiscoveryService(Strict):
-    late_s: Some = 1.0              # from a change to when it is told
+    late_s: Some = 1.0  # from a change to when it is told
     calls_per_s: More = 200.0
-    timeout_s: More = 1.0           # a call that would wait longer is turned away
-    deemed_s: More = 10.0           # told by then, whether it came or not
+    timeout_s: More = 1.0  # a call that would wait longer is turned away
+    deemed_s: More = 10.0  # told by then, whether it came or not
 
 
 class Clients(Strict):
-    per_s: More = 100.0             # requests of all agents together
-    unevenness: Some = 0.5          # spread of agents' shares, as a deviation over the mean
+    per_s: More = 100.0  # requests of all agents together
+    unevenness: Some = 0.5  # spread of agents' shares, as a deviation over the mean
     keys: Count = 500
-    popularity: Some = 0.9          # exponent by which keys differ
+    popularity: Some = 0.9  # exponent by which keys differ
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
     pause_s: More = 0.1
 
@@ -78,8 +78,21 @@
     spread: Literal["fixed", "exponential"] = "exponential"
 
 
-KINDS = ("crash", "slow", "silent", "errors", "zone_cut", "list_down", "list_late", "kill", "replace", "jump",
-         "hot_key", "resets", "one_workload")
+KINDS = (
+    "crash",
+    "slow",
+    "silent",
+    "errors",
+    "zone_cut",
+    "list_down",
+    "list_late",
+    "kill",
+    "replace",
+    "jump",
+    "hot_key",
+    "resets",
+    "one_workload",
+)
 
 
 class Fault(Strict, rename={"request_class": "workload"}):
@@ -90,7 +103,7 @@
     lasts_s: More = 5.0
     part: Share = 0.2
     zone: str = ""
-    size: Some = 1.0        # times slower or busier, seconds later, or a share, by kind
+    size: Some = 1.0  # times slower or busier, seconds later, or a share, by kind
     request_class: str = ""
 
 
@@ -117,18 +130,38 @@
 def agent_settings(world: World, number: int, zone: int) -> dict:
     """What an agent of this world finds in its configuration."""
     return {
-        "areas": world.zones, "az": zone, "myNumber": number, "groupSize": world.agents,
+        "areas": world.zones,
+        "az": zone,
+        "myNumber": number,
+        "groupSize": world.agents,
         "discovery": "on_request",
-        "caps": {"maxShots": world.most_attempts, "cancel": world.cancels, "probes": world.probes,
-                 "retryAfter": True, "maxRetryAfterUs": 2e6,
-                 "connectTimeoutUs": world.network.connect_s * 1e6},
+        "caps": {
+            "maxShots": world.most_attempts,
+            "cancel": world.cancels,
+            "probes": world.probes,
+            "retryAfter": True,
+            "maxRetryAfterUs": 2e6,
+            "connectTimeoutUs": world.network.connect_s * 1e6,
+        },
         "fees": {"crossZone": world.crossing_fee, "probe": world.probing_fee},
-        "rules": {"askEveryUs": world.list.deemed_s * 1e6, "coldFrom": world.servers.cold_from,
-                  "coldUs": world.servers.cold_s * 1e6, "fallUs": world.fall_s * 1e6},
-        "workloads": [{"name": each.name, "idempotency": each.repeat, "group": each.group,
-                       "repeatWindowUs": each.window_s * 1e6, "goalTimeUs": each.goal_s * 1e6,
-                       "timeLimitUs": each.limit_s * 1e6, "importance": each.priority}
-                      for each in world.request_class],
+        "rules": {
+            "askEveryUs": world.list.deemed_s * 1e6,
+            "coldFrom": world.servers.cold_from,
+            "coldUs": world.servers.cold_s * 1e6,
+            "fallUs": world.fall_s * 1e6,
+        },
+        "workloads": [
+            {
+                "name": each.name,
+                "idempotency": each.repeat,
+                "group": each.group,
+                "repeatWindowUs": each.window_s * 1e6,
+                "goalTimeUs": each.goal_s * 1e6,
+                "timeLimitUs": each.limit_s * 1e6,
+                "importance": each.priority,
+            }
+            for each in world.request_class
+        ],
     }
 
 
@@ -147,20 +180,48 @@
     except msgspec.ValidationError as trouble:
         raise Unusable(str(trouble)) from None
     names = [each.name for each in world.request_class]
-    wrong = [("workload", names, "at least one, each with a name of its own", len(set(names)) != len(names)
-              or not names), ("zones", world.zones, "at least one, each with a name of its own",
-                              len(set(world.zones)) != len(world.zones) or not world.zones)]
+    wrong = [
+        (
+            "workload",
+            names,
+            "at least one, each with a name of its own",
+            len(set(names)) != len(names) or not names,
+        ),
+        (
+            "zones",
+            world.zones,
+            "at least one, each with a name of its own",
+            len(set(world.zones)) != len(world.zones) or not world.zones,
+        ),
+    ]
     for place, each in enumerate(world.fault):
         at = f"fault[{place}]"
         wrong += [
-            (f"{at}.begins_s", each.begins_s, f"a time within the {world.seconds:g} s of the world",
-             each.begins_s >= world.seconds),
-            (f"{at}.zone", each.zone, f"one of {', '.join(world.zones)}",
-             (each.zone or each.kind == "zone_cut") and each.zone not in world.zones),
-            (f"{at}.workload", each.request_class, f"one of {', '.join(names)}",
-             (each.request_class or each.kind == "one_workload") and each.request_class not in names),
-            (f"{at}.size", each.size, "1 at most for this kind",
-             each.kind in ("errors", "hot_key", "resets", "one_workload") and each.size > 1)]
+            (
+                f"{at}.begins_s",
+                each.begins_s,
+                f"a time within the {world.seconds:g} s of the world",
+                each.begins_s >= world.seconds,
+            ),
+            (
+                f"{at}.zone",
+                each.zone,
+                f"one of {', '.join(world.zones)}",
+                (each.zone or each.kind == "zone_cut") and each.zone not in world.zones,
+            ),
+            (
+                f"{at}.workload",
+                each.request_class,
+                f"one of {', '.join(names)}",
+                (each.request_class or each.kind == "one_workload") and each.request_class not in names,
+            ),
+            (
+                f"{at}.size",
+                each.size,
+                "1 at most for this kind",
+                each.kind in ("errors", "hot_key", "resets", "one_workload") and each.size > 1,
+            ),
+        ]
     for key, found_there, wanted, is_wrong in wrong:
         if is_wrong:
             raise Unusable(f"{key}: found {found_there!r}, wanted {wanted}")
--- a/cartdeal/fleet/buckets.py
+++ b/cartdeal/fleet/buckets.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct
 
-STEPS = 16          # rings that are remembered; older ones count as unknown, and with them nothing is lent
-CRUMB = 1e-9        # what is less than this is rounding
+STEPS = 16  # rings that are remembered; older ones count as unknown, and with them nothing is lent
+CRUMB = 1e-9  # what is less than this is rounding
 
 
 def waterfill(total: float, wants: list[float]) -> list[float]:
@@ -56,7 +56,7 @@
     """
 
     def __init__(self, start: float, fence: float, share_in):
-        self.fence, self.share_in = fence, share_in     # share_in(ring, key) -> share, 0 to 1
+        self.fence, self.share_in = fence, share_in  # share_in(ring, key) -> share, 0 to 1
         self.steps = [Step(0, None, start)]
 
     @property
@@ -115,7 +115,7 @@
 
     def __init__(self):
         self.sequence, self.demand, self.heard, self.loans = 0, 0.0, -inf, []
-        self.rate = self.burst = 0.0    # the most of any of its loans: it may use one of them, at most
+        self.rate = self.burst = 0.0  # the most of any of its loans: it may use one of them, at most
 
 
 class Given(Struct):
@@ -132,13 +132,13 @@
     wait: float = 0.0
 
 
-PERIOD, REFILL, PIECE = 1, 2, 3     # Given.how; 0: nothing
-ASK_ANY, ASK_WHOLE, ASK_PIECE = 0, 1, 2     # what a holder can use: anything, whole amounts, no standing loan
+PERIOD, REFILL, PIECE = 1, 2, 3  # Given.how; 0: nothing
+ASK_ANY, ASK_WHOLE, ASK_PIECE = 0, 1, 2  # what a holder can use: anything, whole amounts, no standing loan
 
-RESERVE = 1 / 16    # of the rate, never lent: it fills the bucket, for newcomers
-ROOM = 0.75         # of its demand is lent to a holder as a rate; the rest it draws as it comes
-CROWD = 16          # with more holders, who wants what is counted once in an eighth of a lease
-PIECEMEAL = 5.0     # with fewer tokens for each holder, of burst or in a lease, they are lent singly
+RESERVE = 1 / 16  # of the rate, never lent: it fills the bucket, for newcomers
+ROOM = 0.75  # of its demand is lent to a holder as a rate; the rest it draws as it comes
+CROWD = 16  # with more holders, who wants what is counted once in an eighth of a lease
+PIECEMEAL = 5.0  # with fewer tokens for each holder, of burst or in a lease, they are lent singly
 
 
 class Bucket:
@@ -149,16 +149,16 @@
     def __init__(self, key: bytes, limit, tenure: Tenure, pact, version: int):
         self.key, self.tenure, self.version = key, tenure, version
         self.lease, self.drift, self.period_s = pact.lease_s, 1 + pact.clock_drift, pact.period_s
-        self.counted_s = self.lease * self.drift + 0.01     # the slowest clock's lease
+        self.counted_s = self.lease * self.drift + 0.01  # the slowest clock's lease
         self.holders: dict[tuple[str, int], Holder] = {}
-        self.out_rate = self.out_burst = 0.0    # on loan
+        self.out_rate = self.out_burst = 0.0  # on loan
         self.expiries: list[tuple[float, tuple[str, int]]] = []
         self.crowd, self.counted_at, self.water, self.wanted = 0, -inf, inf, 0.0
         self.tokens = self.ready = 0.0
         self.step, self.at, self.period = tenure.steps[0].number, tenure.steps[0].at, -1
-        self.ends = inf                 # of the period
+        self.ends = inf  # of the period
         self.piecemeal = False
-        self.rival = ((), -inf)         # who is preferred for parts of a token, since when
+        self.rival = ((), -inf)  # who is preferred for parts of a token, since when
         self.limited(limit)
 
     def limited(self, limit):
@@ -186,7 +186,7 @@
 
     def fill(self, to: float):
         steps = self.tenure.steps
-        if self.step < steps[0].number:     # rings went by unseen: what it held may be another owner's now
+        if self.step < steps[0].number:  # rings went by unseen: what it held may be another owner's now
             self.tokens = self.ready = 0.0
             self.step, self.at = steps[0].number, max(self.at, steps[0].at)
         for step in steps:
@@ -246,9 +246,11 @@
         return found
 
     def tidy(self, now: float):
-        for key in [key for key, holder in self.holders.items()
-                    if not any(loan.until > self.at for loan in holder.loans)
-                    and holder.heard < now - 2 * self.lease]:
+        for key in [
+            key
+            for key, holder in self.holders.items()
+            if not any(loan.until > self.at for loan in holder.loans) and holder.heard < now - 2 * self.lease
+        ]:
             self.keep(self.holders.pop(key), [])
         # Sums that are kept up by differences drift off, if by little.
         self.out_rate = sum(holder.rate for holder in self.holders.values())
@@ -311,8 +313,9 @@
         parts = waterfill((1 - RESERVE) * rate, [self.want(each, rate) for each in active])
         self.water, self.wanted = max(parts), sum(parts)
         enough = (1.5 if self.piecemeal else 1.0) * PIECEMEAL
-        self.piecemeal = (self.burst < enough * (self.crowd + 1)
-                          or self.rate * self.lease < enough * self.crowd)
+        self.piecemeal = (
+            self.burst < enough * (self.crowd + 1) or self.rate * self.lease < enough * self.crowd
+        )
 
     def piece(self, who, ask, room, top) -> Given:
         """Single tokens, for requests that wait: no rate, and a cap of just what was given."""
@@ -355,8 +358,11 @@
         fair = max(1, -(-int(self.ready) // 2))
         tokens = min(int(self.ready), max(-int(-ask.waits // 1), min(-int(-ask.want // 1), fair)))
         if tokens < 1:
-            return Given(wait=max(ends - now, 0.0) if share * self.rate * self.period_s >= 1
-                         else max((1 - self.tokens) / max(share * self.rate, 1e-6), ends - now))
+            return Given(
+                wait=max(ends - now, 0.0)
+                if share * self.rate * self.period_s >= 1
+                else max((1 - self.tokens) / max(share * self.rate, 1e-6), ends - now)
+            )
         self.ready -= tokens
         had = sum(loan.whole for loan in holder.loans)
         self.keep(holder, [loan for loan in holder.loans if not loan.whole])
--- a/cartdeal/fleet/clocks.py
+++ b/cartdeal/fleet/clocks.py
@@ -8,8 +8,8 @@
 
 from cartdeal.fleet.errors import ClockAhead
 
-MOST_COUNT = 1 << 31        # stamps in one millisecond; then the next millisecond is taken early
-MOST_HEARD = 1024           # peers whose clocks are remembered; the one heard least lately is forgotten
+MOST_COUNT = 1 << 31  # stamps in one millisecond; then the next millisecond is taken early
+MOST_HEARD = 1024  # peers whose clocks are remembered; the one heard least lately is forgotten
 
 
 class Stamp(Struct, frozen=True, array_like=True, order=True):
@@ -26,7 +26,7 @@
     def __init__(self, name: str, most_ahead_s: float):
         self.name, self.most_ahead_ms = name, round(most_ahead_s * 1000)
         self.last = Stamp(0, 0, name)
-        self.heard = {}         # peer -> ms that its clock was ahead of ours when last heard
+        self.heard = {}  # peer -> ms that its clock was ahead of ours when last heard
 
     def tick(self, wall: float) -> Stamp:
         """A stamp greater than all given out or heard; `wall` in seconds."""
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -21,13 +21,24 @@
 FILE, NAME, LISTEN, ADDRESS = "PROXY_FLEET", "PROXY_FLEET_NAME", "PROXY_FLEET_LISTEN", "PROXY_FLEET_ADDRESS"
 WORD = re.compile(r"[A-Za-z0-9._-]{1,64}")
 PLACE = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
-LEAST_KEY = 16      # bytes
+LEAST_KEY = 16  # bytes
 LONGEST_FILE = 1 << 20
 
 # What a running agent takes over from a file that is read again. With others it would count or vote otherwise
 # than what it told its peers.
-TAKEN_OVER = ("seeds", "limits", "on_doubt", "limit_doubt", "clients_mark", "wait_s", "capacity",
-              "hold_version", "damp_s", "damp_share", "step_share")
+TAKEN_OVER = (
+    "seeds",
+    "limits",
+    "on_doubt",
+    "limit_doubt",
+    "clients_mark",
+    "wait_s",
+    "capacity",
+    "hold_version",
+    "damp_s",
+    "damp_share",
+    "step_share",
+)
 
 Address = tuple[str, int]
 
@@ -53,8 +64,10 @@
 
 def number(low, high, kinds=(int, float)):
     what = "a whole number" if kinds is int else "a number"
-    return (f"{what} from {low:g} to {high:g}",
-            lambda found: isinstance(found, kinds) and not isinstance(found, bool) and low <= found <= high)
+    return (
+        f"{what} from {low:g} to {high:g}",
+        lambda found: isinstance(found, kinds) and not isinstance(found, bool) and low <= found <= high,
+    )
 
 
 def one_of(*words):
@@ -62,8 +75,7 @@
 
 
 def place(least=1):
-    return ("an address in numbers such as '10.0.0.5:7946'",
-            lambda found: address(found, least) is not None)
+    return ("an address in numbers such as '10.0.0.5:7946'", lambda found: address(found, least) is not None)
 
 
 def table(wanted):
@@ -71,22 +83,38 @@
 
 
 KEYS = {
-    "fleet": word(), "name": word(), "zone": word(),
-    "listen": place(0), "address": place(),
+    "fleet": word(),
+    "name": word(),
+    "zone": word(),
+    "listen": place(0),
+    "address": place(),
     "key": (f"text of {LEAST_KEY} characters or more", lambda found: isinstance(found, str)),
     "key_file": ("the path of a file with the key", lambda found: isinstance(found, str) and bool(found)),
     "seeds": table("a table of agents' names and addresses"),
     "limits": table("a table for each tenant, with rate and burst"),
     "capacity": number(0.01, 1e6),
-    "copies": number(1, 9, int), "write_by": number(1, 9, int), "read_by": number(1, 9, int),
-    "on_doubt": one_of("turn_back", "terminate"), "limit_doubt": one_of("turn_back", "serve"),
+    "copies": number(1, 9, int),
+    "write_by": number(1, 9, int),
+    "read_by": number(1, 9, int),
+    "on_doubt": one_of("turn_back", "terminate"),
+    "limit_doubt": one_of("turn_back", "serve"),
     "clients_mark": ("true or false", lambda found: isinstance(found, bool)),
-    "wait_s": number(0.001, 5), "lease_s": number(0.2, 600), "period_s": number(0.05, 3600),
-    "longest_mark_s": number(0.1, 3600), "clock_ahead_s": number(0.01, 60), "clock_drift": number(0, 0.2),
-    "tick_s": number(0.01, 5), "probe_s": number(0.05, 60), "suspect_s": number(0.1, 600),
-    "damp_s": number(0, 3600), "damp_share": number(0, 1), "step_share": number(0.01, 1),
-    "most_agents": number(1, 10_000, int), "most_records": number(100, 10_000_000, int),
-    "most_marks_a_session": number(1, 1000, int), "most_hints": number(10, 1_000_000, int),
+    "wait_s": number(0.001, 5),
+    "lease_s": number(0.2, 600),
+    "period_s": number(0.05, 3600),
+    "longest_mark_s": number(0.1, 3600),
+    "clock_ahead_s": number(0.01, 60),
+    "clock_drift": number(0, 0.2),
+    "tick_s": number(0.01, 5),
+    "probe_s": number(0.05, 60),
+    "suspect_s": number(0.1, 600),
+    "damp_s": number(0, 3600),
+    "damp_share": number(0, 1),
+    "step_share": number(0.01, 1),
+    "most_agents": number(1, 10_000, int),
+    "most_records": number(100, 10_000_000, int),
+    "most_marks_a_session": number(1, 1000, int),
+    "most_hints": number(10, 1_000_000, int),
     "most_waiting": number(1, 100_000, int),
     "hold_version": number(0, 1000, int),
 }
@@ -133,10 +161,17 @@
     reached = found | ({} if LISTEN not in environment else {"address": None})
     reached = chosen(path, reached, environment, "address", ADDRESS, seeds.get(name, listen))
     pact = Pact(
-        **{key: value for key, value in found.items()
-           if key not in ("name", "listen", "address", "key", "key_file", "limits", "zone")},
-        name=name, address=reached, key=the_key(path, found), zone=found.get("zone", zone_of(config)),
-        limits={tenant: Limit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()})
+        **{
+            key: value
+            for key, value in found.items()
+            if key not in ("name", "listen", "address", "key", "key_file", "limits", "zone")
+        },
+        name=name,
+        address=reached,
+        key=the_key(path, found),
+        zone=found.get("zone", zone_of(config)),
+        limits={tenant: Limit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()},
+    )
     agree(path, pact, listen, config)
     return FleetConfiguration(pact, address(listen, 0))
 
@@ -172,21 +207,41 @@
     wrong = [
         ("seeds", len(seeds), "at least one agent that founds the fleet", not seeds),
         ("seeds", len(seeds), f"most_agents at most, {pact.most_agents}", len(seeds) > pact.most_agents),
-        ("address", pact.address, "an address that peers can reach, where listen has none",
-         pact.address.startswith("0.")),
-        (f"seeds.{pact.name}", seeds.get(pact.name), f"the address of this agent, {pact.address}",
-         seeds.get(pact.name, pact.address) != pact.address),
+        (
+            "address",
+            pact.address,
+            "an address that peers can reach, where listen has none",
+            pact.address.startswith("0."),
+        ),
+        (
+            f"seeds.{pact.name}",
+            seeds.get(pact.name),
+            f"the address of this agent, {pact.address}",
+            seeds.get(pact.name, pact.address) != pact.address,
+        ),
         ("write_by", pact.write_by, f"copies at most, {pact.copies}", pact.write_by > pact.copies),
         ("read_by", pact.read_by, f"copies at most, {pact.copies}", pact.read_by > pact.copies),
-        ("write_by", f"{pact.write_by} and read_by {pact.read_by}", f"over copies ({pact.copies}) together: "
-         "else who reads may miss what was written", pact.write_by + pact.read_by <= pact.copies),
+        (
+            "write_by",
+            f"{pact.write_by} and read_by {pact.read_by}",
+            f"over copies ({pact.copies}) together: else who reads may miss what was written",
+            pact.write_by + pact.read_by <= pact.copies,
+        ),
         ("wait_s", pact.wait_s, f"lease_s at most, {pact.lease_s:g}", pact.wait_s > pact.lease_s),
-        ("tick_s", pact.tick_s, f"a quarter of lease_s at most, {pact.lease_s / 4:g}",
-         pact.tick_s > pact.lease_s / 4),
+        (
+            "tick_s",
+            pact.tick_s,
+            f"a quarter of lease_s at most, {pact.lease_s / 4:g}",
+            pact.tick_s > pact.lease_s / 4,
+        ),
         ("tick_s", pact.tick_s, f"probe_s at most, {pact.probe_s:g}", pact.tick_s > pact.probe_s),
         ("suspect_s", pact.suspect_s, f"probe_s or more, {pact.probe_s:g}", pact.suspect_s < pact.probe_s),
-        ("hold_version", pact.hold_version, f"0 or a version from {pact.reads[0]} to {pact.reads[1]}",
-         pact.hold_version and not pact.reads[0] <= pact.hold_version <= pact.reads[1]),
+        (
+            "hold_version",
+            pact.hold_version,
+            f"0 or a version from {pact.reads[0]} to {pact.reads[1]}",
+            pact.hold_version and not pact.reads[0] <= pact.hold_version <= pact.reads[1],
+        ),
     ]
     for name, at in seeds.items():
         other = by_address.setdefault(at, name)
@@ -194,13 +249,20 @@
     tenants = [each.name for each in config.settings.tenants]
     for tenant in pact.limits:
         known = ", ".join(tenants) or "none"
-        wrong.append((f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}",
-                      tenant not in tenants))
+        wrong.append(
+            (f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}", tenant not in tenants)
+        )
     for kind in config.settings.request_classes:
         keyed = REPEATS.get(kind.repeat) is Repeat.DEDUPLICATED
         needs = seconds(kind.window) * keyed + kind.timeout
-        wrong.append(("longest_mark_s", pact.longest_mark_s, f"{needs:g} or more for workload {kind.name}: "
-                      "else what it did is forgotten too soon", pact.longest_mark_s < needs))
+        wrong.append(
+            (
+                "longest_mark_s",
+                pact.longest_mark_s,
+                f"{needs:g} or more for workload {kind.name}: else what it did is forgotten too soon",
+                pact.longest_mark_s < needs,
+            )
+        )
     for key, found, wanted, is_wrong in wrong:
         if is_wrong:
             raise fault(f"{path}: {key}", found, wanted)
--- a/cartdeal/fleet/days.py
+++ b/cartdeal/fleet/days.py
@@ -9,21 +9,49 @@
 from cartdeal.fleet.memory import Memory, Weather
 from cartdeal.fleet.verdict import Question
 
-LIMITS = {"shop": Limit(60.0, 60.0), "deli": Limit(1.5, 2.0)}      # one lent by rates, one by single tokens
+LIMITS = {"shop": Limit(60.0, 60.0), "deli": Limit(1.5, 2.0)}  # one lent by rates, one by single tokens
 SHOP = Question(tenant="shop", workload="w")
-PRESSED = 1.4       # times its limit, as often do clients of the shop ask
-SESSIONS = 40       # that clients share, so that their marks stand side by side
-FAULTS = {          # kind -> how often, beside the others
-    "kill": 5, "flap": 1, "mass": 1, "stop": 3, "leave": 2, "join": 2, "cut": 3, "deafen": 3, "weather": 3,
-    "capacity": 1, "skew": 1}
+PRESSED = 1.4  # times its limit, as often do clients of the shop ask
+SESSIONS = 40  # that clients share, so that their marks stand side by side
+FAULTS = {  # kind -> how often, beside the others
+    "kill": 5,
+    "flap": 1,
+    "mass": 1,
+    "stop": 3,
+    "leave": 2,
+    "join": 2,
+    "cut": 3,
+    "deafen": 3,
+    "weather": 3,
+    "capacity": 1,
+    "skew": 1,
+}
 
 
 class Day:
-    def __init__(self, seed: int, agents: int, seconds: float, pause_s: float, requests: float, upgrade: bool,
-                 apart: float, terms: dict):
+    def __init__(
+        self,
+        seed: int,
+        agents: int,
+        seconds: float,
+        pause_s: float,
+        requests: float,
+        upgrade: bool,
+        apart: float,
+        terms: dict,
+    ):
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(agents)}
-        pact = Pact(**{"fleet": "day", "name": "", "key": b"k" * 32, "seeds": seeds, "limits": LIMITS,
-                       "longest_mark_s": 15.0, **terms})
+        pact = Pact(
+            **{
+                "fleet": "day",
+                "name": "",
+                "key": b"k" * 32,
+                "seeds": seeds,
+                "limits": LIMITS,
+                "longest_mark_s": 15.0,
+                **terms,
+            }
+        )
         self.fleet = fleet = Memory(pact, seed)
         self.fates, self.people = chance(seed, "day/faults"), chance(seed, "day/clients")
         self.seconds, self.pause_s, self.requests, self.upgrade = seconds, pause_s, requests, upgrade
@@ -32,9 +60,13 @@
         self.patient: list[str] = []
         self.joined, self.at, self.log = 0, 0.0, []
         for number in range(agents):
-            place = fleet.add(f"a{number}", zone=f"z{number % 3}", start=False,
-                              capacity=self.fates.choice([1.0, 1.0, 2.0, 4.0]),
-                              **({"reads": (1, 1)} if upgrade else {}))
+            place = fleet.add(
+                f"a{number}",
+                zone=f"z{number % 3}",
+                start=False,
+                capacity=self.fates.choice([1.0, 1.0, 2.0, 4.0]),
+                **({"reads": (1, 1)} if upgrade else {}),
+            )
             place.rate = 1.0 + apart * self.fates.random()
             place.skew = self.fates.choice([0.0, 0.0, 0.0, 0.2, -0.2, 10.0, -10.0])
             fleet.clock.at(self.fates.random(), place.start)
@@ -128,8 +160,12 @@
     def weather(self, name):
         fates = self.fates
         self.fleet.weather = Weather(
-            lose=0.3 * fates.random(), double=0.2 * fates.random(), jitter_s=fates.choice([0.002, 0.02, 0.1]),
-            late=0.1 * fates.random(), late_s=5.0)
+            lose=0.3 * fates.random(),
+            double=0.2 * fates.random(),
+            jitter_s=fates.choice([0.002, 0.02, 0.1]),
+            late=0.1 * fates.random(),
+            late_s=5.0,
+        )
         self.wrote("weather", self.fleet.weather)
         self.after(fates.uniform(2.0, 12.0), setattr, self.fleet, "weather", Weather())
 
@@ -158,7 +194,7 @@
         group = people.choice(["all", "zone", "cell"]) if repeat == "d" else "all"
         window = people.uniform(0.5, 8.0) if repeat == "d" else 0.0
         takes = people.choice([0.02, 0.05, 0.5, 1.5])
-        if people.random() < 0.2:       # a client that doesn't wait for its answer, and comes again
+        if people.random() < 0.2:  # a client that doesn't wait for its answer, and comes again
             takes = people.choice([0.02, 1.0, 8.0])
             patience = takes * people.uniform(0.3, 0.7)
         else:
@@ -168,8 +204,15 @@
         limit = fleet.pact.longest_mark_s - window
         tries = min(people.randrange(1, 5), int(limit / (patience + 0.8)))
         question = Question(
-            tenant=tenant, session=f"{people.randrange(SESSIONS):02}", key=f"k{number}", repeat=repeat,
-            group=group, window_s=window, limit_s=limit, workload="w")
+            tenant=tenant,
+            session=f"{people.randrange(SESSIONS):02}",
+            key=f"k{number}",
+            repeat=repeat,
+            group=group,
+            window_s=window,
+            limit_s=limit,
+            workload="w",
+        )
         agents = list(fleet.places)
         fleet.intend(question, people.sample(agents, len(agents)), tries, takes, patience)
         fleet.clock.after(people.expovariate(self.requests), self.client)
@@ -183,7 +226,7 @@
     def play(self, quiet: float) -> dict:
         fleet, clock = self.fleet, self.fleet.clock
         founded = fleet.until(fleet.one_ring, 30.0)
-        fleet.run(fleet.pact.longest_mark_s + 3.0)     # until nothing of before its founding may be due
+        fleet.run(fleet.pact.longest_mark_s + 3.0)  # until nothing of before its founding may be due
         self.at = clock.now
         clock.after(0.0, self.client)
         clock.after(0.0, self.shopper)
@@ -210,8 +253,11 @@
     def settled(self) -> bool:
         """One ring, of all that run, in the newest version that all read and the operator allows."""
         ring, version = next(iter(self.fleet.nodes().values())).ring, self.fleet.pact.hold_version or 2
-        return (self.fleet.one_ring() and set(ring.names) == set(self.fleet.nodes())
-                and (ring.written, ring.phase) == (version, "steady"))
+        return (
+            self.fleet.one_ring()
+            and set(ring.names) == set(self.fleet.nodes())
+            and (ring.written, ring.phase) == (version, "steady")
+        )
 
     def judged(self, founded, clients, quiet) -> dict:
         fleet, judge = self.fleet, self.fleet.judge
@@ -236,25 +282,45 @@
         found, waits = list(judge.close()), sorted(fleet.waits)
         alive, messages = len(fleet.places) * fleet.clock.now, fleet.count["messages"]
         return {
-            "seed": fleet.seed, "agents": len(fleet.places), "violations": len(found), "found": found,
-            "lookups": fleet.intents, "served": self.served(self.patient[:asked]),
+            "seed": fleet.seed,
+            "agents": len(fleet.places),
+            "violations": len(found),
+            "found": found,
+            "lookups": fleet.intents,
+            "served": self.served(self.patient[:asked]),
             "served_after": self.served(self.patient[asked:]),
             "shop_after": round(shop / 20.0 / LIMITS["shop"].rate, 4),
             "waited_p50": round(waits[len(waits) // 2], 4),
             "waited_p99": round(waits[len(waits) * 99 // 100], 4),
-            "founded_s": round(founded, 2), "one_ring_s": round(one_ring, 2), "equal_s": round(equal, 2),
-            "messages": round(messages / alive, 2), "bytes": round(sum(fleet.bytes.values()) / alive, 1),
-            "marks": len(judge.marks), "marks_lost": lost,
-            "over_limit": round(max(map(judge.over, judge.limits)), 3), "rings": len(judge.shown),
-            "notes": dict(sorted(fleet.noted.items()))}
+            "founded_s": round(founded, 2),
+            "one_ring_s": round(one_ring, 2),
+            "equal_s": round(equal, 2),
+            "messages": round(messages / alive, 2),
+            "bytes": round(sum(fleet.bytes.values()) / alive, 1),
+            "marks": len(judge.marks),
+            "marks_lost": lost,
+            "over_limit": round(max(map(judge.over, judge.limits)), 3),
+            "rings": len(judge.shown),
+            "notes": dict(sorted(fleet.noted.items())),
+        }
 
     def served(self, intents) -> float:
         """Of requests whose clients wait for their answers; tenants ask for more than their limits."""
         return round(sum("completed" in self.fleet.outcomes[each] for each in intents) / len(intents), 4)
 
 
-def day(seed: int, agents: int = 6, seconds: float = 60.0, *, quiet: float = 90.0, pause_s: float = 4.0,
-        requests: float = 20.0, upgrade: bool = False, apart: float = 0.001, **terms) -> dict:
+def day(
+    seed: int,
+    agents: int = 6,
+    seconds: float = 60.0,
+    *,
+    quiet: float = 90.0,
+    pause_s: float = 4.0,
+    requests: float = 20.0,
+    upgrade: bool = False,
+    apart: float = 0.001,
+    **terms,
+) -> dict:
     """Figures of one day. `pause_s`: between faults, on average; `requests`: a second; `upgrade`: the program
     is brought up agent by agent, and one rolled back; `apart`: share by which monotonic clocks differ;
     `terms`: further keys of the operator file. "found" lists what the judge found; "one_ring_s" and "equal_s"
--- a/cartdeal/fleet/epochs.py
+++ b/cartdeal/fleet/epochs.py
@@ -19,16 +19,16 @@
 from cartdeal.fleet import errors
 from cartdeal.fleet.ring import MOST_EPOCH, Damper, Ring, Seat, Step, plan, sound, step, stepped
 
-FAR = 1 << 20           # epochs ahead of the own one that are no honest agent's
+FAR = 1 << 20  # epochs ahead of the own one that are no honest agent's
 MOST_BALLOT = 1 << 40
-UNHEARD = 255           # an age in e.vouched: not heard of within the lease
-AGES = 200              # steps of age in a lease
-REUSED = 0.05           # seconds for which the ages of vouches, once counted, are said again
-OWED = 1024             # askers of one epoch that wait until this agent has learnt it
-MOST_TWINS = 64         # rings of one epoch that are told of
-FOUNDERS = 8            # so many of the seeds that are there, by name, ask all seeds for a ring
-PATIENCE = 5            # leases for which the next step waits until the seats have caught up with this one
-STUCK_S = 30.0          # this long without a majority of the ring's seats, and an operator is told
+UNHEARD = 255  # an age in e.vouched: not heard of within the lease
+AGES = 200  # steps of age in a lease
+REUSED = 0.05  # seconds for which the ages of vouches, once counted, are said again
+OWED = 1024  # askers of one epoch that wait until this agent has learnt it
+MOST_TWINS = 64  # rings of one epoch that are told of
+FOUNDERS = 8  # so many of the seeds that are there, by name, ask all seeds for a ring
+PATIENCE = 5  # leases for which the next step waits until the seats have caught up with this one
+STUCK_S = 30.0  # this long without a majority of the ring's seats, and an operator is told
 
 
 class Ask(Struct, frozen=True, tag="e.ask", array_like=True):
@@ -140,7 +140,7 @@
     step: Step
     gone: tuple[str, ...]
     until: float
-    again: float                            # when those that are silent are asked once more
+    again: float  # when those that are silent are asked once more
     promises: dict[str, tuple | None] = {}  # voter -> (ballot, step) it had accepted
     refused: dict[str, str] = {}
     accepting: bool = False
@@ -151,13 +151,13 @@
     def __init__(self, desk, pact):
         self.desk, self.pact = desk, pact
         seeds = sorted(pact.seeds)
-        self.ground = Ring(0, tuple(Seat(name, "", 1.0) for name in seeds))     # its names vote for epoch 1
+        self.ground = Ring(0, tuple(Seat(name, "", 1.0) for name in seeds))  # its names vote for epoch 1
         self.ring: Ring | None = None
-        self.former: Ring | None = None     # the ring of the epoch before, None before the second
-        self.since = desk.now               # when the ring was learnt
-        self.version = 0                    # goes up when the ring changes
+        self.former: Ring | None = None  # the ring of the epoch before, None before the second
+        self.since = desk.now  # when the ring was learnt
+        self.version = 0  # goes up when the ring changes
         self.begun = desk.now
-        self.unit = ceil(pact.lease_s * 1000 / AGES)    # ms
+        self.unit = ceil(pact.lease_s * 1000 / AGES)  # ms
         self.live: dict = {}
         self.damper = Damper(pact)
         self.last_step: Step | None = None
@@ -166,7 +166,7 @@
         self.search, self.blank = 0.0, {}
         self.short, self.looked, self.told_stuck = 0.0, desk.now, False
         self.round = 0
-        self.targets: dict[str, int] = {}   # whom to ask for vouches -> asked in vain so often
+        self.targets: dict[str, int] = {}  # whom to ask for vouches -> asked in vain so often
         self.renew()
 
     def renew(self):
@@ -180,7 +180,7 @@
         self.rounds: dict[int, float] = {}
         self.ask_round, self.eager = -inf, 0.1
         self.heard_at: list[float] = [-inf] * len(self.base.seats)
-        self.kth, self.kth_old = -inf, False    # since when a majority has vouched; it only grows
+        self.kth, self.kth_old = -inf, False  # since when a majority has vouched; it only grows
         self.aged, self.last_ages = -inf, b""
         self.owed: dict[str, Vouch] = {}
         self.place = {name: place for place, name in enumerate(self.base.names)}
@@ -253,15 +253,19 @@
         now, names = self.desk.now, self.ground.names
         if self.desk.name not in self.place or not self.remembers:
             return None
-        fresh = [name for name in names
-                 if name == self.desk.name or now - self.blank.get(name, -inf) <= 2 * self.pact.lease_s]
+        fresh = [
+            name
+            for name in names
+            if name == self.desk.name or now - self.blank.get(name, -inf) <= 2 * self.pact.lease_s
+        ]
         late = now - self.begun >= 2 * self.pact.lease_s + self.pact.damp_s
         if len(fresh) < self.ground.majority or len(fresh) < len(names) and not late:
             return None
         seats = [Seat(peer.name, peer.zone, float(peer.capacity)) for _, peer in sorted(self.live.items())]
         written = max((peer.reads[0] for peer in self.live.values()), default=1)
-        new = Ring(1, tuple(seats[:self.pact.most_agents]), max(1, written),
-                   founded_ms=int(self.desk.wall * 1e3))
+        new = Ring(
+            1, tuple(seats[: self.pact.most_agents]), max(1, written), founded_ms=int(self.desk.wall * 1e3)
+        )
         return new if sound(new, self.pact.most_agents) else None
 
     def seek(self):
@@ -294,11 +298,11 @@
         rank, unit = there.index(self.desk.name), max(0.3, 3 * self.pact.tick_s)
         if self.accepted is None and now < self.needed + unit * min(rank, 8):
             return
-        if rank > 8 or self.accepted:       # any of them may; they draw lots who goes first
+        if rank > 8 or self.accepted:  # any of them may; they draw lots who goes first
             many = len(there) if self.accepted else len(there) - 8
             if self.desk.random.random() * many * unit > self.pact.tick_s:
                 return
-        if self.accepted:                   # to be ended, whoever is there: nobody is unseated by that
+        if self.accepted:  # to be ended, whoever is there: nobody is unseated by that
             self.begin(self.accepted[1], ())
         else:
             wanted = step(base, self.need)
@@ -347,7 +351,7 @@
         attempt = self.attempt
         if attempt is None or words.number != attempt.number or sender not in self.place:
             return self.desk.count("dropped answer to no ballot")
-        if self.desk.now >= attempt.until:      # stopped meanwhile, or slow: nobody counts on this ballot now
+        if self.desk.now >= attempt.until:  # stopped meanwhile, or slow: nobody counts on this ballot now
             return self.give_up()
         if isinstance(words, Refuse):
             self.refused(attempt, sender, words)
@@ -379,7 +383,7 @@
         elif len(attempt.promises) >= self.base.majority:
             attempt.accepting = True
             before = [each for each in attempt.promises.values() if each is not None]
-            if before:      # it may be decided already: no other ring may be
+            if before:  # it may be decided already: no other ring may be
                 attempt.step = max(before, key=lambda each: each[0])[1]
             attempt.again = self.desk.now
             if self.desk.name in attempt.promises:
@@ -403,7 +407,7 @@
         elif ballot < self.promised:
             why = "older"
         elif any(name in self.live and self.live[name].state == 0 for name in gone):
-            why = "live"        # one witness is not enough to unseat an agent
+            why = "live"  # one witness is not enough to unseat an agent
         if why:
             return Refuse(base.epoch, base.digest, number, self.promised[0], why)
         self.promised = ballot
@@ -492,15 +496,22 @@
 
     def choose_targets(self, ring):
         others = len(ring.seats) - (self.desk.name in self.place)
-        many = min(others, ring.majority + 1 - (self.desk.name in self.place),
-                   ceil(1.5 * sqrt(len(ring.seats))) + 2)
-        kept = {name: vain for name, vain in self.targets.items()
-                if name in self.place and name in self.live and vain < 2}
+        many = min(
+            others, ring.majority + 1 - (self.desk.name in self.place), ceil(1.5 * sqrt(len(ring.seats))) + 2
+        )
+        kept = {
+            name: vain
+            for name, vain in self.targets.items()
+            if name in self.place and name in self.live and vain < 2
+        }
         self.targets = dict(list(kept.items())[:many])
-        for where in (self.live, ()):       # first those that are live, then any
+        for where in (self.live, ()):  # first those that are live, then any
             if len(self.targets) < many:
-                left = [name for name in ring.names if name != self.desk.name and name not in self.targets
-                        and (not where or name in where)]
+                left = [
+                    name
+                    for name in ring.names
+                    if name != self.desk.name and name not in self.targets and (not where or name in where)
+                ]
                 more = self.desk.random.sample(left, min(len(left), many - len(self.targets)))
                 self.targets |= dict.fromkeys(more, 0)
 
@@ -516,8 +527,9 @@
         if now >= self.aged:
             self.aged = then = now + REUSED
             floor, scale = then - self.pact.lease_s, (1 + self.pact.clock_drift) * 1000 / self.unit
-            self.last_ages = bytes([int((then - at) * scale) + 1 if at > floor else UNHEARD
-                                    for at in self.heard_at])
+            self.last_ages = bytes(
+                [int((then - at) * scale) + 1 if at > floor else UNHEARD for at in self.heard_at]
+            )
         return self.last_ages
 
     def vouched(self, sender, words: Vouched):
@@ -595,7 +607,7 @@
             if isinstance(words, Vouch) and len(self.owed) < OWED:
                 self.owed[sender] = words
             self.ask(sender)
-        elif base.epoch:        # twins: each asks, each tells
+        elif base.epoch:  # twins: each asks, each tells
             if isinstance(words, Ask):
                 self.tell(sender, words)
             self.ask(sender)
--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -104,8 +104,10 @@
 class RingStuck(Trouble):
     """A majority of the ring's seats has been away for long: no other ring can be agreed."""
 
-    do = ("start agents under the names that are away, on any machine; if that can't be, stop the whole "
-          "fleet and start it again: it founds itself anew and has forgotten what it shared")
+    do = (
+        "start agents under the names that are away, on any machine; if that can't be, stop the whole "
+        "fleet and start it again: it founds itself anew and has forgotten what it shared"
+    )
 
 
 class NotFounded(Trouble):
--- a/cartdeal/fleet/host.py
+++ b/cartdeal/fleet/host.py
@@ -22,23 +22,23 @@
 from cartdeal.fleet.configuration import address as place
 from cartdeal.fleet.errors import TooLong, Trouble, UnknownWords
 
-CONNECT = 1.0       # how long a connection to a peer may take
-STALLED = 2.0       # how long a peer may take to accept what is written
-FIRST_PAUSE, LONGEST_PAUSE = 0.1, 3.0   # between tries to connect, by chance 0.5 to 1.5 times that
-STALE = 5.0         # what has waited for so long is not sent any more: who asked has given up
-IDLE = 30.0         # after which a stream that carries nothing is closed by the one that writes ...
-SILENT = 90.0       # ... and by the one that reads
-GREET = 2.0         # how long a connection may take to its first message
-STRANGERS = 1024    # connections that have brought none yet
-BACKLOG = 1024      # connections that wait to be accepted
-QUEUE = 1024        # messages that wait for one peer
-BATCH = 65536       # bytes written at once, or little more
-READ = 65536        # bytes read at once
-TURN = 16           # datagrams read before the others have a turn
-NOTED = 1024        # faults of peers that are remembered as told
-AGAIN = 0.05        # pause before what died of a fault begins again
-REPORT = 60.0       # seconds between lines of figures
-DOORS = 20          # tries to find one port for both kinds of socket
+CONNECT = 1.0  # how long a connection to a peer may take
+STALLED = 2.0  # how long a peer may take to accept what is written
+FIRST_PAUSE, LONGEST_PAUSE = 0.1, 3.0  # between tries to connect, by chance 0.5 to 1.5 times that
+STALE = 5.0  # what has waited for so long is not sent any more: who asked has given up
+IDLE = 30.0  # after which a stream that carries nothing is closed by the one that writes ...
+SILENT = 90.0  # ... and by the one that reads
+GREET = 2.0  # how long a connection may take to its first message
+STRANGERS = 1024  # connections that have brought none yet
+BACKLOG = 1024  # connections that wait to be accepted
+QUEUE = 1024  # messages that wait for one peer
+BATCH = 65536  # bytes written at once, or little more
+READ = 65536  # bytes read at once
+TURN = 16  # datagrams read before the others have a turn
+NOTED = 1024  # faults of peers that are remembered as told
+AGAIN = 0.05  # pause before what died of a fault begins again
+REPORT = 60.0  # seconds between lines of figures
+DOORS = 20  # tries to find one port for both kinds of socket
 
 log = logging.getLogger("cartdeal.fleet")
 
@@ -71,9 +71,9 @@
         self.pact, self.decided, self.bounds = pact, decided, bounds or Bounds()
         self.random, self.figured = Random(), Counter()
         self.events, self.busy = deque(), False
-        self.roads: OrderedDict[tuple, Road] = OrderedDict()    # the one least lately used first
+        self.roads: OrderedDict[tuple, Road] = OrderedDict()  # the one least lately used first
         self.waiting = self.half = 0
-        self.readers: dict = {}     # greenlet of each connection from a peer -> [socket, known, last heard]
+        self.readers: dict = {}  # greenlet of each connection from a peer -> [socket, known, last heard]
         self.told: OrderedDict[tuple, float] = OrderedDict()
         self.verbs = {"send": self.send, "decided": decided, "note": self.note}
         self.node = make(pact, self.random.getrandbits(64), monotonic(), time())
@@ -142,12 +142,23 @@
     def report(self):
         while True:
             gevent.sleep(REPORT * (0.9 + 0.2 * self.random.random()))
-            log.info("figures", extra={"words": " ".join(f"{key.replace(' ', '_')}={value}"
-                                                         for key, value in sorted(self.figures().items()))})
+            log.info(
+                "figures",
+                extra={
+                    "words": " ".join(
+                        f"{key.replace(' ', '_')}={value}" for key, value in sorted(self.figures().items())
+                    )
+                },
+            )
 
     def figures(self) -> dict:
-        return {**self.node.figures(), **self.figured, "streams out": len(self.roads),
-                "streams in": len(self.readers), "bytes waiting": self.waiting}
+        return {
+            **self.node.figures(),
+            **self.figured,
+            "streams out": len(self.roads),
+            "streams in": len(self.readers),
+            "bytes waiting": self.waiting,
+        }
 
     def note(self, kind: str, about: dict):
         log.info(kind, extra={"words": " ".join(f"{key}={value}" for key, value in about.items())})
@@ -167,7 +178,7 @@
         if words.DATAGRAM:
             try:
                 self.words.sendto(self.stamped(raw), at)
-            except OSError:     # a full buffer is one, too: a datagram may be lost
+            except OSError:  # a full buffer is one, too: a datagram may be lost
                 self.figured["dropped datagrams"] += 1
         else:
             self.queue(at, raw)
@@ -276,7 +287,7 @@
         while True:
             turn += 1
             if not turn % TURN:
-                gevent.sleep(0)     # one that sends without pause must not have the agent for itself
+                gevent.sleep(0)  # one that sends without pause must not have the agent for itself
             try:
                 text, peer = self.words.recvfrom(wire.LONGEST_DATAGRAM + 1)
             except BlockingIOError:
@@ -302,7 +313,7 @@
                 least.kill(block=False)
             reader = gevent.spawn(self.read, sock, peer)
             self.readers[reader] = [sock, False, monotonic()]
-            gevent.sleep(0)     # what it has said already is read before the next one may take its place
+            gevent.sleep(0)  # what it has said already is read before the next one may take its place
 
     def read(self, sock, peer):
         state, frames, half = self.readers[gevent.getcurrent()], wire.Frames(), 0
@@ -379,7 +390,7 @@
                 raise
             continue
         listener.listen(BACKLOG)
-        words.settimeout(0.0)   # what is sent in the middle of an event must never wait
+        words.settimeout(0.0)  # what is sent in the middle of an event must never wait
         return words, listener
 
 
@@ -399,7 +410,7 @@
     """Whether the peer has closed it: the first words written after that would be lost without a sign."""
     sock.settimeout(0.0)
     try:
-        return sock.recv(1) is not None     # it never says anything on it; if it does, it is none of ours
+        return sock.recv(1) is not None  # it never says anything on it; if it does, it is none of ours
     except BlockingIOError:
         return False
     except OSError:
--- a/cartdeal/fleet/judge.py
+++ b/cartdeal/fleet/judge.py
@@ -15,12 +15,15 @@
 from cartdeal.fleet.ring import Ring, Seat, least, owners, stepped
 
 HAIR = 1e-6
-SAMPLE = 300        # keys that are looked at when a ring changes
-SETTLE = 6.0        # seconds in which one that comes back gets its copies again
-ALLOWANCE = 0.06    # of the keys, for looking at so few
-STEPS = {           # (raised, phase) -> what may follow within the version; "narrow" has no way back
-    "steady": ("steady", "widen"), "widen": ("widen", "move", "steady"),
-    "move": ("move", "narrow", "widen"), "narrow": ("narrow",)}
+SAMPLE = 300  # keys that are looked at when a ring changes
+SETTLE = 6.0  # seconds in which one that comes back gets its copies again
+ALLOWANCE = 0.06  # of the keys, for looking at so few
+STEPS = {  # (raised, phase) -> what may follow within the version; "narrow" has no way back
+    "steady": ("steady", "widen"),
+    "widen": ("widen", "move", "steady"),
+    "move": ("move", "narrow", "widen"),
+    "narrow": ("narrow",),
+}
 
 
 class Ran(NamedTuple):
@@ -44,34 +47,34 @@
     def __init__(self, pact: Pact):
         self.pact, self.limits = pact, pact.limits
         self.violations: list[str] = []
-        self.intents: dict[str, tuple] = {}             # intent -> (repeat, group, window)
+        self.intents: dict[str, tuple] = {}  # intent -> (repeat, group, window)
         self.ran: dict[str, list[Ran]] = defaultdict(list)
         self.told: dict[str, list] = defaultdict(list)  # intent -> (at, agent, verdict)
-        self.served: dict[str, list[float]] = defaultdict(list)     # tenant -> when a request of it went on
+        self.served: dict[str, list[float]] = defaultdict(list)  # tenant -> when a request of it went on
         # Processes
         self.starts: dict[str, list[float]] = defaultdict(list)
         self.deaths: list[tuple[float, str]] = []
         self.programs: dict[str, tuple[int, int]] = {}  # agent -> versions that its program reads
-        self.lives: dict[tuple[str, int], int] = {}     # (agent, life) -> number of the start that used it
+        self.lives: dict[tuple[str, int], int] = {}  # (agent, life) -> number of the start that used it
         # Rings, as they are said: by digest
         seeds = tuple(Seat(name, "", 1.0) for name in sorted(pact.seeds))
         self.rings = {Ring(0, seeds).digest: Ring(0, seeds)}
         self.base: dict[bytes, bytes] = {}
-        self.ballots: dict[tuple, bytes] = {}           # (base, number, proposer) -> ring
+        self.ballots: dict[tuple, bytes] = {}  # (base, number, proposer) -> ring
         self.votes: dict[bytes, dict[str, None]] = defaultdict(dict)
-        self.shown: dict[bytes, float] = {}             # rings that agents act by, since when
+        self.shown: dict[bytes, float] = {}  # rings that agents act by, since when
         self.ring_of: dict[str, bytes] = {}
         self.last_shown: dict[bytes, dict[str, float]] = defaultdict(dict)
-        self.founded = 0            # when the newest fleet was
+        self.founded = 0  # when the newest fleet was
         self.by_epoch: dict[int, bytes] = {}
         # Marks
-        self.fixed: dict[str, tuple] = {}               # mark -> what never changes of it
+        self.fixed: dict[str, tuple] = {}  # mark -> what never changes of it
         self.claims: dict[tuple[str, int, int], tuple[str, str, str, int]] = {}
-        self.latest: dict[tuple[str, str, str], str] = {}   # (agent, record, key of the request) -> mark
+        self.latest: dict[tuple[str, str, str], str] = {}  # (agent, record, key of the request) -> mark
         self.writers: dict[str, dict[str, None]] = defaultdict(dict)
         self.marks: dict[tuple[str, str], Written] = {}
         self.until: dict[str, int] = {}
-        self.unreached = -1.0       # when a message last met a cut, or an agent that was stopped
+        self.unreached = -1.0  # when a message last met a cut, or an agent that was stopped
 
     def violated(self, words: str):
         self.violations.append(words)
@@ -95,8 +98,10 @@
                     f"{intent}: non-idempotent, ran {apart:.3f} s apart at {past.agent} and {agent}"
                 )
             elif apart > window + HAIR or not same:
-                self.violated(f"{intent}: deduplicated, ran {apart:.3f} s apart at {past.agent} and {agent}, "
-                              f"{past.zone}/{past.cell} and {zone}/{cell}")
+                self.violated(
+                    f"{intent}: deduplicated, ran {apart:.3f} s apart at {past.agent} and {agent}, "
+                    f"{past.zone}/{past.cell} and {zone}/{cell}"
+                )
         before.append(Ran(at, zone, cell, agent))
 
     def answered(self, intent: str, at: float, agent: str, verdict: str):
@@ -194,22 +199,28 @@
 
     def forgotten(self, mark) -> bool:
         """Whether all that went by a ring have ended since: what was agreed is gone with them."""
-        return all(any(name == agent and at >= last for at, name in self.deaths)
-                   for agent, last in self.last_shown[mark].items())
+        return all(
+            any(name == agent and at >= last for at, name in self.deaths)
+            for agent, last in self.last_shown[mark].items()
+        )
 
     def stepped(self, at, former: Ring, ring: Ring):
         was, now = (former.written, former.phase), (ring.written, ring.phase)
         if was == now or not former.epoch:
             return
         target, step = former.written + 1, f"epoch {ring.epoch}: from {was[0]} {was[1]} to {now[0]} {now[1]}"
-        if not (now[0] == was[0] and now[1] in STEPS[was[1]] or now == (target, "steady") and
-                was[1] == "narrow"):
+        if not (
+            now[0] == was[0] and now[1] in STEPS[was[1]] or now == (target, "steady") and was[1] == "narrow"
+        ):
             return self.violated(f"{step}: no such step")
         if (now[1], was[1]) in (("steady", "widen"), ("widen", "move")):
             return
         # One that has just been started by an older program is not known of yet.
-        able = [name for name in former.names if self.programs[name][1] >= target
-                or at - self.starts[name][-1] < 5.0]
+        able = [
+            name
+            for name in former.names
+            if self.programs[name][1] >= target or at - self.starts[name][-1] < 5.0
+        ]
         needed = len(former.seats) if now[1] == "narrow" else len(former.seats) // 2 + 1
         if len(able) < needed:
             self.violated(f"{step}: {len(able)} of {len(former.seats)} can read {target}")
@@ -221,8 +232,9 @@
             key = f"s/{number}".encode()
             here, there = owners(former, key, 1)[0], owners(ring, key, 1)[0]
             moves += here != there
-            if here != there and all(former.by_name.get(name) == ring.by_name.get(name)
-                                     for name in (here, there)):
+            if here != there and all(
+                former.by_name.get(name) == ring.by_name.get(name) for name in (here, there)
+            ):
                 return self.violated(f"epoch {ring.epoch}: a key moved from {here} to {there}, which stayed")
         share = least(former, ring)
         if moves / SAMPLE > 2 * share / (1 + share) + ALLOWANCE:
@@ -252,7 +264,7 @@
         by = self.latest.get((agent, record, key))
         ring = self.rings.get(self.ring_of.get(agent, b""))
         if by is None and ring is not None and len(ring.seats) == 1:
-            return      # nobody to tell
+            return  # nobody to tell
         has = {**self.writers[by], **({agent: None} if by in own_copy else {})}
         need = quorum(self.pact, ring)[1] if ring else self.pact.write_by
         if len(has) < need:
@@ -282,8 +294,9 @@
             back = next((start for start in self.starts[agent] if start >= at), until) + SETTLE
             if back >= since:
                 down.append((max(at, since), back, agent))
-        return max((len({name for begin, end, name in down if begin <= at <= end}) for at, _, _ in down),
-                   default=0)
+        return max(
+            (len({name for begin, end, name in down if begin <= at <= end}) for at, _, _ in down), default=0
+        )
 
     # At the end
 
@@ -330,5 +343,7 @@
 
     def equal(self, copies: dict[str, bytes], what: str):
         if len(set(copies.values())) > 1:
-            self.violated(f"{what}: copies differ: " + ", ".join(
-                f"{name} {value.hex()[:8]}" for name, value in sorted(copies.items())))
+            self.violated(
+                f"{what}: copies differ: "
+                + ", ".join(f"{name} {value.hex()[:8]}" for name, value in sorted(copies.items()))
+            )
--- a/cartdeal/fleet/lending.py
+++ b/cartdeal/fleet/lending.py
@@ -44,11 +44,11 @@
 )
 from cartdeal.fleet.ring import owners
 
-OWN_TURNS = 16          # messages to the own owner's part in one event; what is left waits for the next tick
-MOST_A_MESSAGE = 200    # tenants in one message; more go in the next
+OWN_TURNS = 16  # messages to the own owner's part in one event; what is left waits for the next tick
+MOST_A_MESSAGE = 200  # tenants in one message; more go in the next
 MOST_TOKENS = 1e9
-LEAST_WAIT = 0.05       # seconds: what is told to come back sooner only comes in vain
-QUIET = 2               # leases without a request, after which a loan is given back
+LEAST_WAIT = 0.05  # seconds: what is told to come back sooner only comes in vain
+QUIET = 2  # leases without a request, after which a loan is given back
 
 
 class Ask(Struct, frozen=True, array_like=True):
@@ -145,7 +145,7 @@
 
     def __init__(self):
         self.sequence, self.asked, self.silent = 0, -inf, False
-        self.more = False       # whether the owner may have more than it gave
+        self.more = False  # whether the owner may have more than it gave
 
 
 class Ward:
@@ -157,9 +157,9 @@
         self.loans: dict[str, Held] = {}
         self.lines: dict[str, Line] = {}
         self.waiting: deque[tuple[int, float]] = deque()
-        self.used = self.told = -inf    # told: when an owner last said for certain what there is
+        self.used = self.told = -inf  # told: when an owner last said for certain what there is
         self.dry_until, self.hint, self.due = -inf, 0.0, inf
-        self.how = 0                    # the kind of loan that came last
+        self.how = 0  # the kind of loan that came last
         self.asked = -inf
 
     @property
@@ -209,13 +209,13 @@
         self.fence = pact.lease_s * (2 + 4 * drift + 0.1)
         self.tenure = Tenure(desk.now, self.fence, self.share_in)
         self.ring, self.version, self.parting = None, pact.reads[0], False
-        self.wards: dict[str, Ward] = {}        # used lately here
-        self.queue: dict[str, None] = {}        # tenants with requests that wait
+        self.wards: dict[str, Ward] = {}  # used lately here
+        self.queue: dict[str, None] = {}  # tenants with requests that wait
         self.waits = 0
         self.due: list[tuple[float, str]] = []
-        self.buckets: dict[str, Bucket] = {}    # of limits this agent owns a part of: no more than limits
+        self.buckets: dict[str, Bucket] = {}  # of limits this agent owns a part of: no more than limits
         self.numbers = self.sequences = 0
-        self.lives: dict[str, int] = {}         # of owners, as they said
+        self.lives: dict[str, int] = {}  # of owners, as they said
         self.outbox: dict[str, tuple[list[Ask], list[Back]]] = {}
         self.sweep: list[str] = []
         self.served, self.denied = Counter(), Counter()
@@ -306,7 +306,7 @@
         if ward.pending(now - self.pact.wait_s):
             return
         more = [name for name, line in ward.lines.items() if line.more] if ward.waiting else ()
-        if more:    # these had all that was asked for, but more came to wait meanwhile
+        if more:  # these had all that was asked for, but more came to wait meanwhile
             return self.ask(ward, now, more)
         if ward.waiting or ward.hint and ward.how != PIECE and ward.level(now) < 1:
             pause = min(max(ward.hint, LEAST_WAIT), self.pact.lease_s / 3)
@@ -355,10 +355,16 @@
             ward.asked = now
             demand = ward.demand.now(now) / len(names_all)
             keep = 1 / len(names_all) + demand * (
-                self.pact.period_s / 4 if ward.how == PERIOD else self.pact.lease_s)
+                self.pact.period_s / 4 if ward.how == PERIOD else self.pact.lease_s
+            )
             mode = ASK_PIECE if self.parting else ASK_ANY if self.pact.reads[1] >= 2 else ASK_WHOLE
-            words = {"waits": float(len(ward.waiting)), "want": keep, "demand": demand,
-                     "had": ward.had.now(now), "mode": mode}
+            words = {
+                "waits": float(len(ward.waiting)),
+                "want": keep,
+                "demand": demand,
+                "had": ward.had.now(now),
+                "mode": mode,
+            }
             held = ward.loans.get(name)
             if held is not None and held.life == self.lives.get(name):
                 back = 0.0
@@ -368,10 +374,15 @@
                 # The answer's tokens must find room under the cap that the owner counts, whenever they come.
                 room = max(held.most - held.level, 0.0)
                 held.top = held.level + min(held.rate * self.pact.tick_s, room / 2)
-                words |= {"holds": held.number, "most": held.most, "top": held.top, "back": back,
-                          "want": max(keep - held.level, 0.0)}
+                words |= {
+                    "holds": held.number,
+                    "most": held.most,
+                    "top": held.top,
+                    "back": back,
+                    "want": max(keep - held.level, 0.0),
+                }
             elif held is not None:
-                del ward.loans[name]    # from an earlier life of its owner
+                del ward.loans[name]  # from an earlier life of its owner
             self.box(name)[0].append(Ask(ward.tenant, line.sequence, **words))
 
     def answered(self, sender, life, answer: Answer, now) -> Ward | None:
@@ -505,8 +516,10 @@
             rate, burst = bucket.out_rate, bucket.out_burst
             share, _ = self.tenure.share(bucket.key, now)
             lent[tenant] = {"rate": round(rate, 3), "burst": round(burst, 3)}
-            unlent[tenant] = {"rate": round(max(share * bucket.rate - rate, 0.0), 3),
-                              "tokens": round(bucket.ready if bucket.version == 1 else bucket.tokens, 3)}
+            unlent[tenant] = {
+                "rate": round(max(share * bucket.rate - rate, 0.0), 3),
+                "tokens": round(bucket.ready if bucket.version == 1 else bucket.tokens, 3),
+            }
         return {"lent": lent, "unlent": unlent, "denied": dict(self.denied)}
 
     # As an owner
@@ -520,14 +533,16 @@
         found = self.buckets.get(tenant)
         if found is None:
             found = self.buckets[tenant] = Bucket(
-                f"u/{tenant}".encode(), self.pact.limits[tenant], self.tenure, self.pact, self.version)
+                f"u/{tenant}".encode(), self.pact.limits[tenant], self.tenure, self.pact, self.version
+            )
         period = int((now - self.start) / self.pact.period_s)
         found.touch(now, period, self.start + period * self.pact.period_s, self.version)
         return found
 
     def asked(self, sender, life, same_life: bool, ask: Ask, lends: bool, now) -> Answer | None:
         if ask.tenant not in self.pact.limits or not fits(
-                ask.most, ask.top, ask.back, ask.waits, ask.want, ask.demand, ask.had):
+            ask.most, ask.top, ask.back, ask.waits, ask.want, ask.demand, ask.had
+        ):
             self.desk.count("dropped ask")
             return Answer(ask.tenant, ask.sequence, False, wait=self.pact.lease_s)
         if not lends:
@@ -545,8 +560,18 @@
         self.numbers += 1
         given: Given = bucket.lend(sender, life, holder, ask, now, self.numbers)
         return Answer(
-            ask.tenant, ask.sequence, True, given.number, given.how, given.rate, given.burst, given.tokens,
-            given.left, given.period, min(given.wait, MOST_TOKENS))
+            ask.tenant,
+            ask.sequence,
+            True,
+            given.number,
+            given.how,
+            given.rate,
+            given.burst,
+            given.tokens,
+            given.left,
+            given.period,
+            min(given.wait, MOST_TOKENS),
+        )
 
     def returned(self, sender, life, back: Back, now):
         bucket = self.buckets.get(back.tenant)
--- a/cartdeal/fleet/members.py
+++ b/cartdeal/fleet/members.py
@@ -34,28 +34,28 @@
 from cartdeal.fleet.desk import Desk, Pact
 from cartdeal.fleet.errors import TwoUnderOneName
 
-ROOM = 1_100            # bytes of a message: the wire puts its own around it
-NAME, ADDRESS = 64, 128     # bytes at most; a zone is bounded as a name is
-PIECES = 64             # in one message at most
-HELPERS = 3             # asked to ping in one's stead
-WITNESSES = 4           # kept and passed on for one accused
-DIRECT = 0.4            # share of a probe's time after which helpers are asked, and a helper gives up
-RELAYS = 1024           # pings in others' stead that are out at once
-SLOWEST = 3.0           # how many times suspect_s a suspicion with one witness lasts
-WORST = 4               # local health: a probe takes up to 1 + WORST times as long
-KEPT = 60.0             # seconds the gone are kept after the last sign of them: old gossip raises none
-FRESH = 15.0            # seconds for which one that came back from the gone is no witness
-REACH = 2.0             # seconds between two attempts to reach one that is gone, or an absent seed
-COMPARE = 5.0           # seconds between two comparisons of the whole table with a peer
+ROOM = 1_100  # bytes of a message: the wire puts its own around it
+NAME, ADDRESS = 64, 128  # bytes at most; a zone is bounded as a name is
+PIECES = 64  # in one message at most
+HELPERS = 3  # asked to ping in one's stead
+WITNESSES = 4  # kept and passed on for one accused
+DIRECT = 0.4  # share of a probe's time after which helpers are asked, and a helper gives up
+RELAYS = 1024  # pings in others' stead that are out at once
+SLOWEST = 3.0  # how many times suspect_s a suspicion with one witness lasts
+WORST = 4  # local health: a probe takes up to 1 + WORST times as long
+KEPT = 60.0  # seconds the gone are kept after the last sign of them: old gossip raises none
+FRESH = 15.0  # seconds for which one that came back from the gone is no witness
+REACH = 2.0  # seconds between two attempts to reach one that is gone, or an absent seed
+COMPARE = 5.0  # seconds between two comparisons of the whole table with a peer
 BUCKETS, BYTES = 16, 4  # parts of the table that are compared, bytes of digest for each
-SHIPPED = 2             # messages of table pieces, and as many warnings, a tick at most
-OWED = 1024             # peers that are owed pieces at once
-WARNINGS = 1024         # that wait at once
-STRANGERS = 1024        # that have still to answer a ping ...
-GREETED = 1.0           # ... and seconds until they are pinged again
-QUIET = 3               # probes' time without a word from anyone, after which nothing new is told of oneself
-GAP = 10                # ticks missed at a stretch after which this agent was stopped, rather than late
-FIRST_ASK, LAST_ASK = 0.25, 4.0     # seconds between two rounds of asking seeds
+SHIPPED = 2  # messages of table pieces, and as many warnings, a tick at most
+OWED = 1024  # peers that are owed pieces at once
+WARNINGS = 1024  # that wait at once
+STRANGERS = 1024  # that have still to answer a ping ...
+GREETED = 1.0  # ... and seconds until they are pinged again
+QUIET = 3  # probes' time without a word from anyone, after which nothing new is told of oneself
+GAP = 10  # ticks missed at a stretch after which this agent was stopped, rather than late
+FIRST_ASK, LAST_ASK = 0.25, 4.0  # seconds between two rounds of asking seeds
 
 
 class State(IntEnum):
@@ -77,7 +77,7 @@
     capacity: float
     reads: tuple[int, int]
     moved: int
-    caught: int = 0     # the epoch of which it has caught up with all that it keeps
+    caught: int = 0  # the epoch of which it has caught up with all that it keeps
 
 
 class Told(Struct, frozen=True, array_like=True):
@@ -164,7 +164,7 @@
     peer: Peer
     number: int
     began: float
-    patience: float     # seconds until it has failed
+    patience: float  # seconds until it has failed
     helpers: tuple[str, ...] = ()
     asked: bool = False
     nacks: int = 0
@@ -192,16 +192,27 @@
 def fits(peer: Peer) -> bool:
     """Whether each field is in its range (nan is in none)."""
     low, high = peer.reads
-    return (0 < len(peer.name.encode()) <= NAME and len(peer.address.encode()) <= ADDRESS
-            and len(peer.zone.encode()) <= NAME and 0 <= peer.life < 1 << 62 and 0 <= peer.turn < 1 << 40
-            and 0 <= peer.state <= State.LEFT and 0 < peer.capacity <= 1e6 and 0 < low <= high <= 1_000
-            and 0 <= peer.moved <= 1_000 and 0 <= peer.caught < 1 << 53)
+    return (
+        0 < len(peer.name.encode()) <= NAME
+        and len(peer.address.encode()) <= ADDRESS
+        and len(peer.zone.encode()) <= NAME
+        and 0 <= peer.life < 1 << 62
+        and 0 <= peer.turn < 1 << 40
+        and 0 <= peer.state <= State.LEFT
+        and 0 < peer.capacity <= 1e6
+        and 0 < low <= high <= 1_000
+        and 0 <= peer.moved <= 1_000
+        and 0 <= peer.caught < 1 << 53
+    )
 
 
 def sound(told: tuple[Told, ...]) -> bool:
     return len(told) <= PIECES and all(
-        fits(each.peer) and len(each.by) <= WITNESSES
-        and all(0 < len(name.encode()) <= NAME for name in each.by) for each in told)
+        fits(each.peer)
+        and len(each.by) <= WITNESSES
+        and all(0 < len(name.encode()) <= NAME for name in each.by)
+        for each in told
+    )
 
 
 def bucket(name: str) -> int:
@@ -221,20 +232,29 @@
 
     def __init__(self, desk: Desk, pact: Pact):
         self.desk, self.pact, self.name = desk, pact, desk.name
-        self.version, self.health, self.trouble = 1, 0, None    # trouble: the last TwoUnderOneName
-        mine = Peer(self.name, desk.address, desk.life, 0, State.ALIVE, pact.zone, pact.capacity, pact.reads,
-                    pact.reads[0])
+        self.version, self.health, self.trouble = 1, 0, None  # trouble: the last TwoUnderOneName
+        mine = Peer(
+            self.name,
+            desk.address,
+            desk.life,
+            0,
+            State.ALIVE,
+            pact.zone,
+            pact.capacity,
+            pact.reads,
+            pact.reads[0],
+        )
         self.table: dict[str, Peer] = {self.name: mine}
-        self.cases: dict[str, Case] = {}        # of SUSPECT and GONE ones, by name
-        self.kept: dict[str, float] = {}        # GONE and LEFT ones: when they are forgotten
-        self.back: dict[str, float] = {}        # when one came back from the gone
-        self.warned: dict[str, float] = {}      # when an accused was last told of it
-        self.news: dict[str, tuple[int, int]] = {}      # name: (times sent, minus its place in time)
+        self.cases: dict[str, Case] = {}  # of SUSPECT and GONE ones, by name
+        self.kept: dict[str, float] = {}  # GONE and LEFT ones: when they are forgotten
+        self.back: dict[str, float] = {}  # when one came back from the gone
+        self.warned: dict[str, float] = {}  # when an accused was last told of it
+        self.news: dict[str, tuple[int, int]] = {}  # name: (times sent, minus its place in time)
         self.warnings: dict[str, Told] = {}
-        self.owed: dict[str, Owed] = {}         # by name of the peer
+        self.owed: dict[str, Owed] = {}  # by name of the peer
         self.relays: dict[int, Relay] = {}
         self.strangers: dict[str, Stranger] = {}
-        self.wish: dict = {}    # what is to be said of itself when it hears anyone again
+        self.wish: dict = {}  # what is to be said of itself when it hears anyone again
         self.round: list[str] = []
         self.probe: Probe | None = None
         self.number, self.place, self.higher = desk.random.getrandbits(40), 0, 0
@@ -243,8 +263,14 @@
         self.probe_at = desk.now + pact.probe_s * desk.random.random()
         self.reach_at, self.compare_at, self.pause = inf, inf, FIRST_ASK
         self.sorted: dict[str, Peer] | None = None
-        self.reply = {Ping: self._ping, Ack: self._ack, Nack: self._nack, Ask: self._ask,
-                      Compare: self._compare, Pieces: self._pieces}
+        self.reply = {
+            Ping: self._ping,
+            Ack: self._ack,
+            Nack: self._nack,
+            Ask: self._ask,
+            Compare: self._compare,
+            Pieces: self._pieces,
+        }
 
     # What the node asks
 
@@ -269,8 +295,11 @@
     def live(self) -> dict[str, Peer]:
         """ALIVE and SUSPECT, self included, sorted by name. Not to be written: the same until a change."""
         if self.sorted is None:
-            self.sorted = {name: self.table[name] for name in sorted(self.table)
-                           if self.table[name].state <= State.SUSPECT}
+            self.sorted = {
+                name: self.table[name]
+                for name in sorted(self.table)
+                if self.table[name].state <= State.SUSPECT
+            }
         return self.sorted
 
     def size(self) -> int:
@@ -303,7 +332,7 @@
         now = self.desk.now
         self._woke(now - self.ticked)
         self.ticked = self.seen = now
-        if self.desk.life > self.me.life:   # the node took a higher one: what was said of the former is over
+        if self.desk.life > self.me.life:  # the node took a higher one: what was said of the former is over
             self._put(replace(self.me, life=self.desk.life, turn=0))
             self._spread(self.name)
         self.about_me()
@@ -340,14 +369,17 @@
                 self._say(relay.asker, Nack, relay.number)
 
     def _suspicions(self, now: float):
-        over = [name for name, case in self.cases.items() if self.table[name].state == State.SUSPECT
-                and now - case.since >= self._patience(len(case.by))]
+        over = [
+            name
+            for name, case in self.cases.items()
+            if self.table[name].state == State.SUSPECT and now - case.since >= self._patience(len(case.by))
+        ]
         for name in over:
             case = self.cases[name]
             # One witness is enough only where there is nobody left that could be a second.
             if len(case.by) < 2 and any(other != name for other in self._others(State.ALIVE)):
                 continue
-            if self.name not in case.by:    # it has waited out its own time, which is a witness to the others
+            if self.name not in case.by:  # it has waited out its own time, which is a witness to the others
                 case.by = [self.name, *case.by][:WITNESSES]
             self._put(replace(self.table[name], state=State.GONE))
             self.kept[name] = now + KEPT
@@ -370,14 +402,14 @@
                 probe.asked = True
                 helpers = [each for each in self._others(State.ALIVE) if each != peer.name]
                 probe.helpers = tuple(self._some(helpers, HELPERS))
-                self._say(peer.name, Ping, probe.number)    # a second chance: one datagram may be lost
-                for name in probe.helpers:      # with what it is accused of: it may not have counted
+                self._say(peer.name, Ping, probe.number)  # a second chance: one datagram may be lost
+                for name in probe.helpers:  # with what it is accused of: it may not have counted
                     self._say(name, Ask, probe.number, peer.name, about=peer.name)
             if now >= probe.began + probe.patience:
                 probe.done = True
                 self.misses += 1
                 if probe.nacks < len(probe.helpers) or not probe.helpers:
-                    self._worse(1)      # helpers are silent as well: it may be this agent that is deaf
+                    self._worse(1)  # helpers are silent as well: it may be this agent that is deaf
                 known = self.table.get(peer.name)
                 # A turn that went up meanwhile is a sign of life that came some other way.
                 same = known and (known.life, known.turn) == (peer.life, peer.turn)
@@ -482,7 +514,7 @@
         elif not stranger and len(self.strangers) >= STRANGERS:
             self.desk.count("dropped unidentified clients")
         elif not stranger:
-            if known and peer.life > self.table[peer.name].life:    # started anew, maybe at another address
+            if known and peer.life > self.table[peer.name].life:  # started anew, maybe at another address
                 self._put(replace(self.table[peer.name], address=peer.address))
             self.number += 1
             self.strangers[peer.name] = Stranger(peer, self.number, self.desk.now + GREETED)
@@ -494,8 +526,12 @@
 
     def _ack(self, sender: str, words: Ack):
         probe = self.probe
-        if probe and probe.number == words.number and not probe.done and (
-                sender == probe.peer.name or sender in probe.helpers):
+        if (
+            probe
+            and probe.number == words.number
+            and not probe.done
+            and (sender == probe.peer.name or sender in probe.helpers)
+        ):
             probe.done = True
             self.misses = 0
             self._worse(-1)
@@ -522,14 +558,17 @@
         if len(words.digests) != BUCKETS * BYTES:
             return self.desk.count("dropped out of range")
         mine = self._digests()
-        differ = [place for place in range(BUCKETS)
-                  if mine[place * BYTES:][:BYTES] != words.digests[place * BYTES:][:BYTES]]
+        differ = [
+            place
+            for place in range(BUCKETS)
+            if mine[place * BYTES :][:BYTES] != words.digests[place * BYTES :][:BYTES]
+        ]
         if not differ:
             return
         if not words.answer:
             self._say(sender, Compare, mine, True)
         if sender not in self.owed and len(self.owed) >= OWED:
-            return self.desk.count("dropped comparisons")   # it compares again
+            return self.desk.count("dropped comparisons")  # it compares again
         self.owed[sender] = Owed(differ, [])
         self._ship_to(sender)
 
@@ -547,7 +586,7 @@
         known = self.table.get(peer.name)
         if known is None:
             if peer.state >= State.GONE:
-                return      # it would be passed round for ever by those that forget it at different times
+                return  # it would be passed round for ever by those that forget it at different times
             if not self._room():
                 return
             self._enter(peer)
@@ -572,12 +611,19 @@
         if (said.address, said.zone) != (mine.address, mine.zone):
             found = f"{mine.address} in zone {mine.zone!r}, {said.address} in zone {said.zone!r}"
             self.trouble = TwoUnderOneName(self.name, found)
-            self.desk.note("two agents under one name", what=self.trouble.what, found=self.trouble.found,
-                           do=self.trouble.do)
+            self.desk.note(
+                "two agents under one name",
+                what=self.trouble.what,
+                found=self.trouble.found,
+                do=self.trouble.do,
+            )
         if said.life > mine.life:
             self.higher = max(self.higher, said.life)
-        elif (said.address, said.zone) == (mine.address, mine.zone) and mine.state == State.ALIVE and (
-                said.turn > mine.turn or said.turn == mine.turn and said.state != State.ALIVE):
+        elif (
+            (said.address, said.zone) == (mine.address, mine.zone)
+            and mine.state == State.ALIVE
+            and (said.turn > mine.turn or said.turn == mine.turn and said.state != State.ALIVE)
+        ):
             if said.state != State.ALIVE:
                 self._worse(1)
                 self.desk.count("refutations")
@@ -615,13 +661,17 @@
         if known.state == State.ALIVE:
             self._put(replace(known, state=State.SUSPECT))
             self.desk.count("suspicions")
-            self.desk.count("accusations", int(mine))   # those of them that are this agent's own
+            self.desk.count("accusations", int(mine))  # those of them that are this agent's own
         self._spread(name)
 
     def _counts(self, witness: str, accused: str) -> bool:
         peer = self.table.get(witness)
-        return (peer is not None and peer.state <= State.SUSPECT and witness not in (accused, self.name)
-                and self.desk.now - self.back.get(witness, -inf) >= FRESH)
+        return (
+            peer is not None
+            and peer.state <= State.SUSPECT
+            and witness not in (accused, self.name)
+            and self.desk.now - self.back.get(witness, -inf) >= FRESH
+        )
 
     def _warn(self, told: Told):
         name, now = told.peer.name, self.desk.now
@@ -638,8 +688,16 @@
         self.version += shown(old) != shown(peer)
 
     def _forget(self, name: str):
-        for each in (self.table, self.cases, self.kept, self.back, self.warned, self.warnings, self.news,
-                     self.owed):
+        for each in (
+            self.table,
+            self.cases,
+            self.kept,
+            self.back,
+            self.warned,
+            self.warnings,
+            self.news,
+            self.owed,
+        ):
             each.pop(name, None)
 
     def _room(self) -> bool:
@@ -703,7 +761,7 @@
                 told.append(piece)
             elif name != self.name:
                 continue
-            self.news[name] = (sent + 1, place)     # of itself, each message tells anyway
+            self.news[name] = (sent + 1, place)  # of itself, each message tells anyway
             if sent + 1 >= most:
                 del self.news[name]
         self.desk.send(to, kind(*fields, self.me, tuple(told)))
@@ -730,5 +788,5 @@
                 told.append(piece)
             owed.names.pop()
         if owed.names or owed.parts:
-            self.owed[to] = owed        # at the end of the queue
+            self.owed[to] = owed  # at the end of the queue
         self.desk.send(to, Pieces(self.me, tuple(told)))
--- a/cartdeal/fleet/memory.py
+++ b/cartdeal/fleet/memory.py
@@ -17,8 +17,8 @@
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.verdict import Question
 
-IN_SOCKETS = 2_000      # messages that the sockets of a stopped agent hold
-CELLS = 2               # of each zone, where servers stand
+IN_SOCKETS = 2_000  # messages that the sockets of a stopped agent hold
+CELLS = 2  # of each zone, where servers stand
 
 
 class Weather(msgspec.Struct):
@@ -28,8 +28,8 @@
     double: float = 0.0
     least_s: float = 0.001
     jitter_s: float = 0.002
-    late: float = 0.0           # so many messages ...
-    late_s: float = 5.0         # ... come up to so late
+    late: float = 0.0  # so many messages ...
+    late_s: float = 5.0  # ... come up to so late
 
 
 class Client(NamedTuple):
@@ -50,10 +50,10 @@
         self.fleet, self.pact = fleet, pact
         self.node: Node | None = None
         self.starts, self.stopped, self.held = 0, False, []
-        self.rate, self.skew = 1.0, 0.0     # of its monotonic clock; of its wall clock
+        self.rate, self.skew = 1.0, 0.0  # of its monotonic clock; of its wall clock
         self.born = 0.0
         self.tickets: dict[int, tuple] = {}
-        self.asked: dict[int, float] = {}   # tickets that wait for the fleet's word, since when
+        self.asked: dict[int, float] = {}  # tickets that wait for the fleet's word, since when
         self.issued = 0
 
     @property
@@ -136,9 +136,9 @@
         self.random, self.fates = chance(seed, "fleet"), chance(seed, "weather")
         self.weather = weather or Weather()
         self.judge = Judge(pact)
-        self.makers = {}        # name -> what makes its node, in place of Node
+        self.makers = {}  # name -> what makes its node, in place of Node
         self.places: dict[str, Place] = {}
-        self.cuts: set[tuple[str, str]] = set()     # (from, to) that nothing passes
+        self.cuts: set[tuple[str, str]] = set()  # (from, to) that nothing passes
         self.count, self.noted, self.notes = Counter(), Counter(), []
         self.bytes = Counter()
         self.outcomes: dict[str, list[str]] = {}
@@ -148,8 +148,9 @@
     # Agents
 
     def add(self, name: str, zone: str = "", start: bool = True, **changes) -> Place:
-        pact = msgspec.structs.replace(self.pact, name=name, address=f"10.0.0.1:{len(self.places) + 1}",
-                                       zone=zone, **changes)
+        pact = msgspec.structs.replace(
+            self.pact, name=name, address=f"10.0.0.1:{len(self.places) + 1}", zone=zone, **changes
+        )
         self.places[name] = place = Place(self, pact)
         if start:
             place.start()
@@ -297,8 +298,9 @@
             self.judge.went_on(client.question.tenant, self.clock.now)
             if client.question.marked:
                 key = f"s/{client.question.session}"
-                self.judge.marked(place.pact.name, self.clock.now, key, client.question.key,
-                                  self.marks_at(place.node, key))
+                self.judge.marked(
+                    place.pact.name, self.clock.now, key, client.question.key, self.marks_at(place.node, key)
+                )
             return self.clock.after(0.0, self.send_attempt, place, place.node, ticket, earlier_attempts)
         del place.tickets[ticket]
         self.judge.answered(client.intent, self.clock.now, place.pact.name, verdict)
@@ -353,8 +355,10 @@
         return {name: place.node for name, place in self.places.items() if place.runs}
 
     def one_ring(self) -> bool:
-        rings = {node.ring and (node.ring.epoch, node.ring.seats, node.ring.written, node.ring.phase)
-                 for node in self.nodes().values()}
+        rings = {
+            node.ring and (node.ring.epoch, node.ring.seats, node.ring.written, node.ring.phase)
+            for node in self.nodes().values()
+        }
         return len(rings) == 1 and None not in rings
 
     def until(self, found, most_s: float, step_s: float = 0.1) -> float:
@@ -372,8 +376,10 @@
 
     def copies(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the marks in each session that it keeps."""
-        return {name: {key: self.marks_at(node, key) for key in sorted(node.replica.store) if key[:2] == "s/"}
-                for name, node in self.nodes().items()}
+        return {
+            name: {key: self.marks_at(node, key) for key in sorted(node.replica.store) if key[:2] == "s/"}
+            for name, node in self.nodes().items()
+        }
 
     def lost(self) -> int:
         """Marks that no agent has any more, and that are not over by any clock; the judge looks why."""
@@ -383,5 +389,9 @@
     def equal_copies(self) -> bool:
         """Whether each two agents have the same bytes of what both own."""
         nodes = self.nodes()
-        return all(a.replica.digest_all(x) == b.replica.digest_all(y)
-                   for y, a in nodes.items() for x, b in nodes.items() if y < x)
+        return all(
+            a.replica.digest_all(x) == b.replica.digest_all(y)
+            for y, a in nodes.items()
+            for x, b in nodes.items()
+            if y < x
+        )
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -25,11 +25,11 @@
 from cartdeal.fleet.replica import Replica
 from cartdeal.fleet.verdict import Question, Verdict, earlier, in_doubt, judge, may_repeat, may_turn_back
 
-COME_AGAIN = 0.5    # seconds after which one rejected in doubt may come again, 1.5 times that at most
+COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
 MOST_CLOCKS = 1024  # peers whose time is remembered between two looks: a majority of the ring has to fit
-LOOK = 10.0         # seconds between two looks at whether the own clock is the odd one
-KNOWN_PEERS = 4     # addresses kept of unidentified clients, as a multiple of the most agents there may be
+LOOK = 10.0  # seconds between two looks at whether the own clock is the odd one
+KNOWN_PEERS = 4  # addresses kept of unidentified clients, as a multiple of the most agents there may be
 
 
 class Waiting:
@@ -39,8 +39,8 @@
 
     def __init__(self, question: Question, until: float):
         self.question, self.until = question, until
-        self.by, self.mark = "", None   # its own mark, once it is claimed
-        self.step = "spend"             # then "claim" or "denied", and "open"
+        self.by, self.mark = "", None  # its own mark, once it is claimed
+        self.step = "spend"  # then "claim" or "denied", and "open"
         self.limit_wait = 0.0
 
 
@@ -51,9 +51,9 @@
         self.name, self.address = pact.name, pact.address
         self.random = Random(f"{seed}/{pact.name}/{int(wall * 1e3)}")
         self.life = int(wall * 1e3) << 16 | self.random.getrandbits(16)
-        self.count_ = 0                 # requests so far; with the life, no number is ever given out twice
+        self.count_ = 0  # requests so far; with the life, no number is ever given out twice
         self.waiting: dict[int, Waiting] = {}
-        self.open = 0                   # of these, how many still wait for the fleet's word
+        self.open = 0  # of these, how many still wait for the fleet's word
         self.addresses: dict[str, str] = {}
         # By peer: whether it goes by a ring; how far its clock was ahead of `now`, at most, since the last
         # look.
@@ -64,13 +64,20 @@
         self.epochs = Epochs(self, pact)
         self.replica = Replica(self, pact, self.clock, self.claimed, self.sure)
         self.lending = Lending(self, pact, self.spent, self.sure)
-        self.parts = {kind: part for module, part in (
-            (members, self.members), (epochs, self.epochs), (replica, self.replica), (lending, self.lending))
-            for kind in module.WORDS}
+        self.parts = {
+            kind: part
+            for module, part in (
+                (members, self.members),
+                (epochs, self.epochs),
+                (replica, self.replica),
+                (lending, self.lending),
+            )
+            for kind in module.WORDS
+        }
         self.ring = None
         self.fenced = self.held_late = self.caught_up = False
         self.is_leaving = False
-        self.served = Counter()         # by tenant, already told to the owners
+        self.served = Counter()  # by tenant, already told to the owners
         self.members.join()
 
     # What the host sets
@@ -109,10 +116,10 @@
             return self.count("dropped own name")
         peer = self.members.table.get(sender)
         if peer and life < peer.life and part is not self.members:
-            return self.count("dropped old life")   # members answer with the life that is known
+            return self.count("dropped old life")  # members answer with the life that is known
         in_ring = part is self.epochs and getattr(words, "has", 1) > 0
         if not self.timely(sender, wall_ms, in_ring) and part is self.replica:
-            return      # what it stamps can't be believed; that it is there, and what ring it has, can
+            return  # what it stamps can't be believed; that it is there, and what ring it has, can
         if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.pact.most_agents:
             self.addresses[sender] = address
         part.heard(sender, words)
@@ -128,7 +135,7 @@
             new = in_ring and not had[0]
             self.clocks[sender] = had[0] or in_ring, offset if new else max(had[1], offset)
         if self.ring is None:
-            return True     # of no standing yet
+            return True  # of no standing yet
         try:
             self.clock.hear(Stamp(wall_ms, 0, sender), self.wall)
         except errors.ClockAhead as trouble:
@@ -151,8 +158,10 @@
         seats = self.ring.by_name
         offsets = [offset for name, (_, offset) in self.clocks.items() if name in seats]
         far = self.pact.clock_ahead_s
-        odd = max(sum(each - self.offset > far for each in offsets),
-                  sum(self.offset - each > far for each in offsets))
+        odd = max(
+            sum(each - self.offset > far for each in offsets),
+            sum(self.offset - each > far for each in offsets),
+        )
         if 2 * odd > len(seats):
             self.go_by(offsets)
         self.look_at, self.clocks = self.now + LOOK, {}
@@ -166,7 +175,7 @@
             self.clock = self.replica.clock = HybridClock(self.name, self.pact.clock_ahead_s)
 
     def tick(self):
-        if self.now - self.ticked > LOOK / 4:       # stopped: what came in meanwhile is old
+        if self.now - self.ticked > LOOK / 4:  # stopped: what came in meanwhile is old
             self.look_at, self.clocks = self.now + LOOK, {}
         self.ticked = self.now
         if self.ring is not None and self.now >= self.look_at:
@@ -301,7 +310,7 @@
         if ok and not question.marked:
             return self.settle(ticket, each, Verdict.PASS)
         if question.marked and self.now >= each.until:
-            return self.doubt(ticket, each)     # no time is left to ask for its marks
+            return self.doubt(ticket, each)  # no time is left to ask for its marks
         each.limit_wait = wait_s
         if ok:
             each.step = "claim"
@@ -312,8 +321,9 @@
             each.step = "denied"
             self.replica.read(ticket, f"s/{question.session}", each.until)
         else:
-            self.settle(ticket, each, Verdict.LIMITED if sure else Verdict.TURN_BACK,
-                        wait_s or self.come_again())
+            self.settle(
+                ticket, each, Verdict.LIMITED if sure else Verdict.TURN_BACK, wait_s or self.come_again()
+            )
 
     def claimed(self, ticket: int, marks: tuple[Mark, ...], sure: bool):
         each = self.waiting.get(ticket)
@@ -321,7 +331,7 @@
             return
         question, wall_ms = each.question, int(self.wall * 1e3)
         slack, marking = int(self.pact.clock_ahead_s * 1e3), self.pact.clients_mark
-        if not sure or self.fenced:     # fenced, it can't read all that the owners told it
+        if not sure or self.fenced:  # fenced, it can't read all that the owners told it
             return self.doubt(ticket, each)
         if self.young and may_repeat(question, marking) and not earlier(question, marks, marking):
             return self.doubt(ticket, each)
@@ -369,10 +379,18 @@
         now_ms = int(self.wall * 1e3)
         lasts = question.window_s + question.limit_s if question.repeat == "d" else self.pact.longest_mark_s
         return Mark(
-            by=f"{self.name}/{self.life}/{self.count_}", key=question.key, repeat=question.repeat,
-            group=question.group, window_ms=int(question.window_s * 1e3), places=(),
-            certainty=int(Certainty.CLAIMED), sent_ms=now_ms, workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.pact.longest_mark_s)), extra={})
+            by=f"{self.name}/{self.life}/{self.count_}",
+            key=question.key,
+            repeat=question.repeat,
+            group=question.group,
+            window_ms=int(question.window_s * 1e3),
+            places=(),
+            certainty=int(Certainty.CLAIMED),
+            sent_ms=now_ms,
+            workload=question.workload,
+            until_ms=now_ms + int(1e3 * min(lasts, self.pact.longest_mark_s)),
+            extra={},
+        )
 
     def refine(self, each: Waiting, **changes):
         mark = each.mark
@@ -392,8 +410,15 @@
     def figures(self) -> dict:
         ring = self.ring
         return {
-            "epoch": ring.epoch if ring else 0, "seats": len(ring.seats) if ring else 0,
-            "written": ring.written if ring else 0, "phase": ring.phase if ring else "",
+            "epoch": ring.epoch if ring else 0,
+            "seats": len(ring.seats) if ring else 0,
+            "written": ring.written if ring else 0,
+            "phase": ring.phase if ring else "",
             "fenced": self.fenced,
-            "live": len(self.members.live()), "sure": self.sure(), "waiting": self.open,
-            **self.replica.figures(), **self.lending.figures(), **self.figured}
+            "live": len(self.members.live()),
+            "sure": self.sure(),
+            "waiting": self.open,
+            **self.replica.figures(),
+            **self.lending.figures(),
+            **self.figured,
+        }
--- a/cartdeal/fleet/ranges.py
+++ b/cartdeal/fleet/ranges.py
@@ -27,9 +27,9 @@
 from cartdeal.fleet.ring import Ring, owners
 
 RANGES = 64
-ALL = (1 << RANGES) - 1     # a bit for each range
-DEEPEST = 8                 # neighbouring epochs through which a key is followed back
-MOST_KEYS = 10_000          # caught up with one by one, before their range was; the oldest is forgotten
+ALL = (1 << RANGES) - 1  # a bit for each range
+DEEPEST = 8  # neighbouring epochs through which a key is followed back
+MOST_KEYS = 10_000  # caught up with one by one, before their range was; the oldest is forgotten
 
 FIRST, RESTARTED, GAINING = "first", "restarted", "gaining"
 
@@ -49,17 +49,27 @@
     caught up by the former ring, or is by this one. `clean`: who knows no other life of ours.
     """
 
-    def __init__(self, name: str, pact, ring: Ring, former: Ring | None, way: str, since: float, start: float,
-                 before: "Era | None"):
+    def __init__(
+        self,
+        name: str,
+        pact,
+        ring: Ring,
+        former: Ring | None,
+        way: str,
+        since: float,
+        start: float,
+        before: "Era | None",
+    ):
         self.name, self.copies, self.ring, self.former, self.way = name, pact.copies, ring, former, way
         self.before = before if before and before.depth < DEEPEST else None
         self.depth = 1 + (self.before.depth if self.before else 0)
         self.n, self.w, self.r = quorum(pact, ring)
         self.former_n, self.former_w, _ = quorum(pact, former) if former else (0, 0, 0)
         self.others = tuple(each for each in ring.names if each != name)
-        self.ready_at = start + pact.lease_s * (1 + pact.clock_drift)   # when a restarted one may be told
+        self.ready_at = start + pact.lease_s * (1 + pact.clock_drift)  # when a restarted one may be told
         self.over_at = since + (1 + pact.clock_drift) * (
-            pact.longest_mark_s + 2 * pact.clock_ahead_s + pact.lease_s)
+            pact.longest_mark_s + 2 * pact.clock_ahead_s + pact.lease_s
+        )
         self.was: dict[str, int] = {}
         self.now: dict[str, int] = {}
         self.clean: dict[str, None] = {}
@@ -103,7 +113,7 @@
             lacking = [ALL & ~told.get(each, 0) for each in sources]
             if self.way == GAINING and self.name in self.former.by_name:
                 lacking.append(ALL & ~self.before.ranges(now) if self.before else ALL)
-            over = [ALL] + [0] * (missing + 1)      # by count: ranges that so many or more have not told of
+            over = [ALL] + [0] * (missing + 1)  # by count: ranges that so many or more have not told of
             for each in lacking:
                 for count in range(missing, -1, -1):
                     over[count + 1] |= over[count] & each
@@ -116,8 +126,11 @@
             return True
         if self.way == FIRST:
             return self.enough(key, (), self.clean, now)
-        return self.enough(key, *([each for each, bits in told.items() if bits >> place & 1]
-                                  for told in (self.was, self.now)), now)
+        return self.enough(
+            key,
+            *([each for each, bits in told.items() if bits >> place & 1] for told in (self.was, self.now)),
+            now,
+        )
 
     def enough(self, key: str, was, now_too, now: float) -> bool:
         """Whether it is enough that these told of a key; `was`, `now_too` as above, for this key alone."""
@@ -133,9 +146,12 @@
 
     def was_caught_up(self, key: str, now: float) -> bool:
         """Whether we count as a source for what was written by the former ring."""
-        return (self.before is not None and self.former is not None
-                and self.name in owners(self.former, raw_of(key), self.copies)
-                and self.before.caught_up(key, now))
+        return (
+            self.before is not None
+            and self.former is not None
+            and self.name in owners(self.former, raw_of(key), self.copies)
+            and self.before.caught_up(key, now)
+        )
 
     def was_whole(self, now: float) -> int:
         """The same for whole ranges, a bit for each."""
--- a/cartdeal/fleet/records.py
+++ b/cartdeal/fleet/records.py
@@ -19,13 +19,13 @@
 
 from cartdeal.fleet.errors import BadRecord, ClockAhead
 
-MOST_PLACES = 32            # of one mark; with more, ELSEWHERE says that the rest is forgotten
-ELSEWHERE = ("*", -1)       # it may have been at any place
-KEPT_PERIODS = 16           # of a tenant's use; older are dropped: at 250 agents a record is full
-MOST_COUNTS = 4096          # of a tenant's use; the newest are kept
-MOST_PARTS = 1024           # of a tenant's limit; those that last longest are kept
-MOST_UNKNOWN = 32 * 1024    # bytes of unknown fields in a record; more makes it full
-GROUPS = ("all", "zone", "cell")        # from the widest to the narrowest
+MOST_PLACES = 32  # of one mark; with more, ELSEWHERE says that the rest is forgotten
+ELSEWHERE = ("*", -1)  # it may have been at any place
+KEPT_PERIODS = 16  # of a tenant's use; older are dropped: at 250 agents a record is full
+MOST_COUNTS = 4096  # of a tenant's use; the newest are kept
+MOST_PARTS = 1024  # of a tenant's limit; those that last longest are kept
+MOST_UNKNOWN = 32 * 1024  # bytes of unknown fields in a record; more makes it full
+GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
 
 # Fields of a session that say again, in another form, what its marks say. Version 1 has reserved these names:
 # old agents, which can't read them, leave them out of digests, and keep one copy, so that it can't grow.
@@ -37,9 +37,9 @@
 class Certainty(IntEnum):
     """What is known of a request that a mark stands for; it is only ever gained."""
 
-    CLAIMED = 0         # may be sent at any moment
-    SENT = 1            # may have run
-    NEVER_RAN = 2       # surely not run; one that sends again takes a new mark
+    CLAIMED = 0  # may be sent at any moment
+    SENT = 1  # may have run
+    NEVER_RAN = 2  # surely not run; one that sends again takes a new mark
     ANSWERED = 3
 
 
@@ -48,15 +48,15 @@
 
     by: str
     key: str
-    repeat: str                                 # "d": deduplicated, "u": non-idempotent
-    group: str                                  # where servers deduplicate together: one of GROUPS
-    window_ms: int                              # how long they do
-    places: tuple[tuple[str, int], ...] = ()    # (zone, cell) of each attempt, sorted
+    repeat: str  # "d": deduplicated, "u": non-idempotent
+    group: str  # where servers deduplicate together: one of GROUPS
+    window_ms: int  # how long they do
+    places: tuple[tuple[str, int], ...] = ()  # (zone, cell) of each attempt, sorted
     certainty: int = Certainty.CLAIMED
-    sent_ms: int = 0                            # wall clock
-    until_ms: int = 0                           # wall clock; the mark goes then
+    sent_ms: int = 0  # wall clock
+    until_ms: int = 0  # wall clock; the mark goes then
     workload: str = ""
-    extra: dict = {}                            # unknown fields
+    extra: dict = {}  # unknown fields
 
     def __post_init__(self):
         places = _places(self.places)
@@ -72,15 +72,20 @@
 class Session(Struct):
     """Where a session's requests went. `beyond`: the version it takes to read it whole, if this isn't it."""
 
-    marks: dict[str, Mark] = {}     # by -> mark
-    extra: dict = {}                # unknown fields
+    marks: dict[str, Mark] = {}  # by -> mark
+    extra: dict = {}  # unknown fields
     beyond: int = 0
 
     def open_marks(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[Mark, ...]:
         """The marks of a request that still bind a repeat: not over by the slowest clock, and may have
         run."""
-        return tuple(mark for _, mark in sorted(self.marks.items()) if mark.key == key
-                     and mark.certainty != Certainty.NEVER_RAN and mark.until_ms + slack_ms > wall_ms)
+        return tuple(
+            mark
+            for _, mark in sorted(self.marks.items())
+            if mark.key == key
+            and mark.certainty != Certainty.NEVER_RAN
+            and mark.until_ms + slack_ms > wall_ms
+        )
 
     def full(self, most_marks: int) -> bool:
         """Whether it can take no further mark; merging takes all the same, so that no copy loses one."""
@@ -90,8 +95,8 @@
 class Use(Struct):
     """What a tenant was served, by whom and when, and the parts of its limit that are lent."""
 
-    counts: dict[tuple[str, int, int], int] = {}            # (agent, life, period) -> served; single writers
-    parts: dict[str, tuple[int, float, float]] = {}         # holder -> (until period, rate, burst)
+    counts: dict[tuple[str, int, int], int] = {}  # (agent, life, period) -> served; single writers
+    parts: dict[str, tuple[int, float, float]] = {}  # holder -> (until period, rate, burst)
     extra: dict = {}
     beyond: int = 0
 
@@ -142,10 +147,18 @@
     if a is b or a == b and not (a.extra or b.extra):
         return a
     return Mark(
-        max(a.by, b.by), max(a.key, b.key), max(a.repeat, b.repeat), max(a.group, b.group, key=GROUPS.index),
-        min(a.window_ms, b.window_ms), a.places + b.places, max(a.certainty, b.certainty),
-        min(a.sent_ms, b.sent_ms), max(a.until_ms, b.until_ms), max(a.workload, b.workload),
-        _merge_extra(a.extra, b.extra))
+        max(a.by, b.by),
+        max(a.key, b.key),
+        max(a.repeat, b.repeat),
+        max(a.group, b.group, key=GROUPS.index),
+        min(a.window_ms, b.window_ms),
+        a.places + b.places,
+        max(a.certainty, b.certainty),
+        min(a.sent_ms, b.sent_ms),
+        max(a.until_ms, b.until_ms),
+        max(a.workload, b.workload),
+        _merge_extra(a.extra, b.extra),
+    )
 
 
 def trimmed(use: Use) -> Use:
@@ -215,8 +228,11 @@
     """What `theirs` lacks: merged into it, it gives the same as the whole record would."""
     both = merge(theirs, record)
     if isinstance(both, Session):
-        marks = {by: mark for by, mark in record.marks.items()
-                 if by not in theirs.marks or differ(both.marks[by].fields(), theirs.marks[by].fields())}
+        marks = {
+            by: mark
+            for by, mark in record.marks.items()
+            if by not in theirs.marks or differ(both.marks[by].fields(), theirs.marks[by].fields())
+        }
         return Session(marks, record.extra, record.beyond)
     counts = {which: served for which, served in both.counts.items() if theirs.counts.get(which) != served}
     parts = {holder: part for holder, part in both.parts.items() if theirs.parts.get(holder) != part}
