--- a/cartdeal/fleet/replica.py
+++ b/cartdeal/fleet/replica.py
@@ -22,21 +22,21 @@
 from cartdeal.fleet.records import Mark, Record, Session, Use
 from cartdeal.fleet.ring import Ring, owners
 
-PIECE = 32 * 1024           # bytes of records in one message; one record alone may have more
-LARGEST = 200 * 1024        # bytes of one record that is sent
-PAGE = 400                  # digests in one message
-LONGEST_KEY = 600           # characters
-MOST_ITEMS = 2_000          # in a message that comes in
-AGAIN = 0.25                # seconds after which what was not answered is asked again
-LONGEST_PAUSE = 5.0         # between two tries at an owner that doesn't answer
-COMPARE = 1.0               # seconds between two comparisons with a co-owner
-TRIES = 4                   # of one step in a comparison
-TALKS = 8                   # comparisons at once
-MOST_ASKED = 128            # seats that are all asked for whole ranges; in a larger ring it goes key by key
-PLACED = 2_000              # records a tick whose owners are found anew; fewer where there are many seats
-MOVED, SWEPT = 200, 1_000   # records a tick whose form is changed, or whose marks are dropped
-WARM = 4_096                # records kept as objects, too, as reading one takes longer than all else
-LEARN = 1.0                 # seconds for which an owner goes on asking for one key
+PIECE = 32 * 1024  # bytes of records in one message; one record alone may have more
+LARGEST = 200 * 1024  # bytes of one record that is sent
+PAGE = 400  # digests in one message
+LONGEST_KEY = 600  # characters
+MOST_ITEMS = 2_000  # in a message that comes in
+AGAIN = 0.25  # seconds after which what was not answered is asked again
+LONGEST_PAUSE = 5.0  # between two tries at an owner that doesn't answer
+COMPARE = 1.0  # seconds between two comparisons with a co-owner
+TRIES = 4  # of one step in a comparison
+TALKS = 8  # comparisons at once
+MOST_ASKED = 128  # seats that are all asked for whole ranges; in a larger ring it goes key by key
+PLACED = 2_000  # records a tick whose owners are found anew; fewer where there are many seats
+MOVED, SWEPT = 200, 1_000  # records a tick whose form is changed, or whose marks are dropped
+WARM = 4_096  # records kept as objects, too, as reading one takes longer than all else
+LEARN = 1.0  # seconds for which an owner goes on asking for one key
 
 
 class Claim(Struct, frozen=True, array_like=True, tag="r.claim"):
@@ -186,8 +186,22 @@
 class Open:
     """A claim or read that has not been answered, or not by all owners."""
 
-    __slots__ = ("ticket", "key", "by", "mark", "until", "owners", "wrote", "read", "known", "turn", "need",
-                 "asked_at", "epoch", "ended")
+    __slots__ = (
+        "ticket",
+        "key",
+        "by",
+        "mark",
+        "until",
+        "owners",
+        "wrote",
+        "read",
+        "known",
+        "turn",
+        "need",
+        "asked_at",
+        "epoch",
+        "ended",
+    )
 
 
 class Own:
@@ -211,8 +225,21 @@
 class Talk:
     """A comparison with one peer, step by step; `was`, `now`: what its end counts for."""
 
-    __slots__ = ("number", "words", "sent_at", "tries", "counts", "was", "now", "todo", "place", "after",
-                 "end", "want", "theirs")
+    __slots__ = (
+        "number",
+        "words",
+        "sent_at",
+        "tries",
+        "counts",
+        "was",
+        "now",
+        "todo",
+        "place",
+        "after",
+        "end",
+        "want",
+        "theirs",
+    )
 
     def __init__(self):
         self.number, self.words, self.sent_at, self.tries, self.counts = 0, None, 0.0, 0, False
@@ -235,38 +262,38 @@
         self.start = desk.now
         self.ring: Ring | None = None
         self.era: Era | None = None
-        self.newest = 0             # epoch that anyone spoke of
-        self.vouched = False        # our ring was, at least once since the start
-        self.count = 0              # numbers given out
+        self.newest = 0  # epoch that anyone spoke of
+        self.vouched = False  # our ring was, at least once since the start
+        self.count = 0  # numbers given out
         self.slack_ms = int(pact.clock_ahead_s * 1e3)
-        self.lives: dict[str, tuple[int, bool]] = {}    # of a peer: one of them, and whether there is another
+        self.lives: dict[str, tuple[int, bool]] = {}  # of a peer: one of them, and whether there is another
         # Owner
         self.store: dict[str, Kept] = {}
         self.ranges: list[dict[str, Kept]] = [{} for _ in range(RANGES)]
-        self.warm: dict[str, Record] = {}       # never changed in place
-        self.sums: dict[str, list[int]] = {}    # peer -> digest by range of what both own
-        self.left: dict[str, list[int]] = {}    # peer -> how many records by range it owns and we only keep
-        self.unplaced: list[int] = []           # ranges whose owners by this ring are yet to be found
+        self.warm: dict[str, Record] = {}  # never changed in place
+        self.sums: dict[str, list[int]] = {}  # peer -> digest by range of what both own
+        self.left: dict[str, list[int]] = {}  # peer -> how many records by range it owns and we only keep
+        self.unplaced: list[int] = []  # ranges whose owners by this ring are yet to be found
         self.due: list[tuple[int, str]] = []
         self.stage = (1, "steady")
-        self.old_form = 0                       # records not in the form written now
+        self.old_form = 0  # records not in the form written now
         self.to_move: list[int] = []
         self.learning: dict[str, Learning] = {}
         # Asker
         self.open: dict[int, Open] = {}
         self.mine: dict[str, Own] = {}
-        self.uses: dict[str, Use] = {}      # own counts of the last periods, by tenant
-        self.coming: dict[str, Use] = {}    # others' counts, merged into the store once a second
-        self.used: dict[str, None] = {}     # of these, which have grown since they were told
+        self.uses: dict[str, Use] = {}  # own counts of the last periods, by tenant
+        self.coming: dict[str, Use] = {}  # others' counts, merged into the store once a second
+        self.used: dict[str, None] = {}  # of these, which have grown since they were told
         self.lines: dict[str, Line] = {}
-        self.handing: dict[str, dict[str, None]] = {}   # key no longer ours -> new owners to be given it
+        self.handing: dict[str, dict[str, None]] = {}  # key no longer ours -> new owners to be given it
         self.was_full = False
         # Comparisons
         self.talks: dict[str, Talk] = {}
-        self.asked: dict[str, tuple[float, float]] = {}     # source -> when to ask again, and the pause
+        self.asked: dict[str, tuple[float, float]] = {}  # source -> when to ask again, and the pause
         self.compare_at = self.start + COMPARE * desk.random.random()
         self.sweep_at = self.use_at = self.start
-        self.parting: dict[str, None] | None = None     # co-owners to compare with before the end
+        self.parting: dict[str, None] | None = None  # co-owners to compare with before the end
 
     @property
     def wall_ms(self) -> int:
@@ -339,7 +366,7 @@
         if self.era.way == GAINING and len(self.era.sources) > MOST_ASKED:
             here = self.ring.by_name
             before = [each for each in owners(self.era.former, raw_of(key), self.pact.copies) if each in here]
-            if before[:1] == [self.name]:       # one of the former owners gives it to the new ones, unasked
+            if before[:1] == [self.name]:  # one of the former owners gives it to the new ones, unasked
                 gainers = [each for each in kept.owners if each not in before]
                 if gainers:
                     self.handing[key] = dict.fromkeys(gainers)
@@ -390,8 +417,9 @@
             record = schema.decode(key[0], raw, self.pact.reads[1])
         except BadRecord:
             return self.desk.count("dropped bad record")
-        trouble = records.too_far(record, self.wall_ms, int(self.pact.longest_mark_s * 1e3), self.slack_ms,
-                                  self.pact.period_s)
+        trouble = records.too_far(
+            record, self.wall_ms, int(self.pact.longest_mark_s * 1e3), self.slack_ms, self.pact.period_s
+        )
         if trouble:
             self.desk.note("clock ahead", words=str(trouble))
             return self.desk.count("dropped clock ahead")
@@ -468,7 +496,7 @@
             record = records.expired(self.record(key), wall_ms, self.slack_ms)
             kept.due = 0
             if isinstance(record, Session) and not record.marks:
-                self.drop(key)      # what a newer program wrote and this one can't read is over by now, too
+                self.drop(key)  # what a newer program wrote and this one can't read is over by now, too
             else:
                 self.put(key, record)
 
@@ -485,7 +513,7 @@
             old = [key for key, kept in self.ranges[place].items() if kept.stage != self.stage][:most]
             for key in old:
                 if not self.put(key, self.record(key)):
-                    self.drop(key)      # no agent would read it
+                    self.drop(key)  # no agent would read it
             most -= len(old)
             if most > 0:
                 self.to_move.pop()
@@ -541,7 +569,7 @@
         raw, each.turn = b"", 0
         if each.by:
             own = self.mine.get(each.key)
-            if own:     # earlier marks that not all have yet go along
+            if own:  # earlier marks that not all have yet go along
                 raw, each.turn = self.sendable(each.key, own.record) or b"", own.turn
             raw = raw or self.sendable(each.key, Session({each.by: each.mark})) or b""
         words = Claim(number, self.life, each.epoch, each.key, each.by, raw)
@@ -574,7 +602,7 @@
         if words.caught_up:
             each.read[sender] = None
         if self.desk.now > each.until:
-            return self.close(words.number)     # we were stopped: what came in meanwhile may be of any age
+            return self.close(words.number)  # we were stopped: what came in meanwhile may be of any age
         if not each.ended and len(each.wrote) >= each.need[0] and len(each.read) >= each.need[1]:
             self.end(each, True)
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
@@ -753,7 +781,7 @@
         for key, turn in out.items():
             if key in refused:
                 line.keys.pop(key, None)
-                line.keys[key] = None       # after all others
+                line.keys[key] = None  # after all others
             else:
                 self.has(key, sender, turn)
                 if sender in self.handing.get(key, ()):
@@ -829,7 +857,7 @@
             if full:
                 self.desk.count("marks full")
         elif key in self.store and self.store[key].stage != self.stage:
-            self.put(key, had)      # moved when read
+            self.put(key, had)  # moved when read
         if not self.caught_up(key):
             self.learn(key, (asker, words.number, words.life, words.by))
         return self.answer(words.number, words.life, key, words.by, had, wrote, full)
@@ -946,8 +974,13 @@
 
     def answered(self, sender: str, words, to) -> Talk | None:
         talk = self.talks.get(sender)
-        if (talk is None or words.number != talk.number or words.life != self.life
-                or type(talk.words) is not to or words.epoch != self.ring.epoch):
+        if (
+            talk is None
+            or words.number != talk.number
+            or words.life != self.life
+            or type(talk.words) is not to
+            or words.epoch != self.ring.epoch
+        ):
             return self.desk.count("dropped late answer")
         return talk
 
@@ -961,8 +994,10 @@
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
         here = era.ranges(now) if self.name in self.ring.by_name else 0
         former, knew = era.former.epoch if era.former else 0, self.lives.get(sender, (0, True))[1]
-        self.desk.send(sender, Seen(
-            words.number, words.life, words.epoch, former, era.was_whole(now), here, left, knew, sums))
+        self.desk.send(
+            sender,
+            Seen(words.number, words.life, words.epoch, former, era.was_whole(now), here, left, knew, sums),
+        )
 
     def heard_seen(self, sender: str, words: Seen):
         talk = self.answered(sender, words, Look)
@@ -972,7 +1007,7 @@
         if words.knew and era.way == FIRST:
             era.restarted()
             for each in self.talks.values():
-                each.counts = False     # asked before a lease was over
+                each.counts = False  # asked before a lease was over
         elif era.way == FIRST and sender in era.others:
             era.clean[sender] = None
         talk.was = words.was if era.former and words.former == era.former.epoch else 0
@@ -1013,8 +1048,11 @@
 
     def shared(self, peer: str, place: int, after: str, ours: bool = False) -> list[str]:
         """Keys of a range that a peer owns, in order; `ours`: that we do, too."""
-        return sorted(key for key, kept in self.ranges[place].items()
-                      if key > after and peer in kept.owners and (not ours or self.name in kept.owners))
+        return sorted(
+            key
+            for key, kept in self.ranges[place].items()
+            if key > after and peer in kept.owners and (not ours or self.name in kept.owners)
+        )
 
     def heard_list(self, sender: str, words: Enumerate):
         if not self.timely(sender, words) or self.unplaced or not 0 <= words.place < RANGES:
@@ -1027,16 +1065,25 @@
         talk = self.answered(sender, words, Enumerate)
         if talk is None or len(words.entries) > PAGE or not words.end and not words.entries:
             return
-        theirs = {key: digest for key, digest in words.entries
-                  if key > talk.after and range_of(key) == talk.place and self.name in self.owners(key)}
+        theirs = {
+            key: digest
+            for key, digest in words.entries
+            if key > talk.after and range_of(key) == talk.place and self.name in self.owners(key)
+        }
         last = words.entries[-1][0] if words.entries else ""
         if not words.end and last <= talk.after:
             return self.talks.pop(sender, None) and None
-        talk.want = [key for key, digest in theirs.items()
-                     if key not in self.store or self.store[key].digest[:8] != digest]
+        talk.want = [
+            key
+            for key, digest in theirs.items()
+            if key not in self.store or self.store[key].digest[:8] != digest
+        ]
         talk.theirs = {key: theirs[key] for key in talk.want}
-        lacks = [key for key in self.shared(sender, talk.place, talk.after, ours=True)
-                 if key not in theirs and (words.end or key <= last)]
+        lacks = [
+            key
+            for key in self.shared(sender, talk.place, talk.after, ours=True)
+            if key not in theirs and (words.end or key <= last)
+        ]
         self.give(sender, lacks)
         talk.after, talk.end = last, words.end
         self.go_on(sender, talk)
@@ -1070,21 +1117,21 @@
             if raw:
                 piece.append((key, raw))
                 size += len(raw) + len(key)
-        if count:       # else it can't have that record: it must not take it for one that is over
+        if count:  # else it can't have that record: it must not take it for one that is over
             self.desk.send(sender, Brought(words.number, words.life, words.epoch, count, tuple(piece)))
 
     def heard_brought(self, sender: str, words: Brought):
         talk = self.answered(sender, words, Fetch)
         if talk is None or not 0 < words.count <= len(talk.want):
             return
-        asked, talk.want = talk.want[:words.count], talk.want[words.count:]
+        asked, talk.want = talk.want[: words.count], talk.want[words.count :]
         brought, back = dict(words.records[:PAGE]), []
         for key in asked:
             if key not in brought:
                 continue
             record = self.read_in(key, brought[key])
             if record is None or not self.merge(key, record):
-                talk.was = talk.now = 0     # no room, or refused: it can't count as caught up with
+                talk.was = talk.now = 0  # no room, or refused: it can't count as caught up with
                 continue
             kept = self.store.get(key)
             if kept and kept.digest[:8] != talk.theirs[key] and {sender, self.name} <= set(kept.owners):
@@ -1105,8 +1152,14 @@
         for number, each in list(self.open.items()):
             if not each.ended and now >= each.asked_at + AGAIN:
                 each.asked_at = now
-                self.ask_owners(number, [name for name in each.owners
-                                         if name not in each.read or each.by and name not in each.wrote])
+                self.ask_owners(
+                    number,
+                    [
+                        name
+                        for name in each.owners
+                        if name not in each.read or each.by and name not in each.wrote
+                    ],
+                )
         self.place()
         self.sweep(SWEPT)
         self.move()
@@ -1157,14 +1210,14 @@
             if era.way == FIRST:
                 finished = source in era.clean
             elif len(era.sources) > MOST_ASKED:
-                finished = source in era.now    # the records; who counts as a source is asked key by key
+                finished = source in era.now  # the records; who counts as a source is asked key by key
             else:
                 finished = (era.was if era.way == GAINING else era.now).get(source, 0) == ALL
             again_at, pause = self.asked.get(source, (0.0, AGAIN))
             if not finished and now >= again_at:
                 pause = min(2 * pause, LONGEST_PAUSE * max(1.0, len(era.sources) / 32))
                 if era.way == RESTARTED and now < era.ready_at:
-                    again_at = max(era.ready_at, now + AGAIN)   # its records now, its word then
+                    again_at = max(era.ready_at, now + AGAIN)  # its records now, its word then
                 else:
                     again_at = now + pause * (0.75 + 0.5 * self.desk.random.random())
                 self.asked[source] = (again_at, pause)
@@ -1231,10 +1284,16 @@
     def figures(self) -> dict:
         era = self.era
         return {
-            "records": len(self.store), "hints": len(self.mine), "hints_for": len(self.lines),
-            "claims": sum(not each.ended for each in self.open.values()), "learning": len(self.learning),
-            "caught_up": era.ranges(self.desk.now).bit_count() if era else 0, "comparing": len(self.talks),
-            "old_form": self.old_form, "moved": self.moved}
+            "records": len(self.store),
+            "hints": len(self.mine),
+            "hints_for": len(self.lines),
+            "claims": sum(not each.ended for each in self.open.values()),
+            "learning": len(self.learning),
+            "caught_up": era.ranges(self.desk.now).bit_count() if era else 0,
+            "comparing": len(self.talks),
+            "old_form": self.old_form,
+            "moved": self.moved,
+        }
 
     def heard(self, sender: str, words):
         while self.open:
@@ -1250,7 +1309,16 @@
 
 
 HANDLERS = {
-    Claim: Replica.heard_claim, Told: Replica.heard_told, Give: Replica.heard_give, Took: Replica.heard_took,
-    Look: Replica.heard_look, Seen: Replica.heard_seen, Enumerate: Replica.heard_list,
-    Enumerated: Replica.heard_listed, Fetch: Replica.heard_fetch, Brought: Replica.heard_brought,
-    Know: Replica.heard_know, Known: Replica.heard_known}
+    Claim: Replica.heard_claim,
+    Told: Replica.heard_told,
+    Give: Replica.heard_give,
+    Took: Replica.heard_took,
+    Look: Replica.heard_look,
+    Seen: Replica.heard_seen,
+    Enumerate: Replica.heard_list,
+    Enumerated: Replica.heard_listed,
+    Fetch: Replica.heard_fetch,
+    Brought: Replica.heard_brought,
+    Know: Replica.heard_know,
+    Known: Replica.heard_known,
+}
--- a/cartdeal/fleet/ring.py
+++ b/cartdeal/fleet/ring.py
@@ -17,8 +17,8 @@
 MOST_EPOCH = 1 << 40
 MOST_CAPACITY = 1e6
 LONGEST_NAME = 100
-CACHED = 8192       # keys whose owners a ring remembers; the first in goes first out
-HALF = 0.5          # of what a seat is to have, an agent takes on at most so much in one epoch, then the rest
+CACHED = 8192  # keys whose owners a ring remembers; the first in goes first out
+HALF = 0.5  # of what a seat is to have, an agent takes on at most so much in one epoch, then the rest
 MASK = (1 << 64) - 1
 LANE = 128
 
@@ -74,11 +74,20 @@
 def sound(ring: Ring, most: int) -> bool:
     """Whether a ring that came from outside can be used; `most`: seats at most."""
     names = [seat.name for seat in ring.seats]
-    return (0 < ring.epoch < MOST_EPOCH and 0 < len(names) <= most and ring.phase in PHASES
-            and 0 <= ring.written < 1 << 20 and 0 <= ring.founded_ms < 1 << 53
-            and all(a < b for a, b in pairwise(names))
-            and all(0 < len(seat.name) <= LONGEST_NAME and len(seat.zone) <= LONGEST_NAME
-                    and 0 < seat.capacity <= MOST_CAPACITY for seat in ring.seats))     # NaN is not over 0
+    return (
+        0 < ring.epoch < MOST_EPOCH
+        and 0 < len(names) <= most
+        and ring.phase in PHASES
+        and 0 <= ring.written < 1 << 20
+        and 0 <= ring.founded_ms < 1 << 53
+        and all(a < b for a, b in pairwise(names))
+        and all(
+            0 < len(seat.name) <= LONGEST_NAME
+            and len(seat.zone) <= LONGEST_NAME
+            and 0 < seat.capacity <= MOST_CAPACITY
+            for seat in ring.seats
+        )
+    )  # NaN is not over 0
 
 
 # Owners
@@ -121,9 +130,10 @@
         best.sort(key=lambda place: (waits[place], self.names[place]))
         if len(best) < n:
             rest = set(best)
-            more = sorted((wait, self.names[place], place)
-                          for place, wait in enumerate(waits) if place not in rest)
-            best += [place for _, _, place in more[:n - len(best)]]
+            more = sorted(
+                (wait, self.names[place], place) for place, wait in enumerate(waits) if place not in rest
+            )
+            best += [place for _, _, place in more[: n - len(best)]]
         return tuple(self.names[place] for place in best[:n])
 
     def waits(self, key: bytes) -> list[float]:
@@ -133,8 +143,10 @@
         x = ((x ^ x >> 30) & low) * 0xBF58476D1CE4E5B9 & low
         x = ((x ^ x >> 27) & low) * 0x94D049BB133111EB & low
         bits = ((x ^ x >> 31) & low).to_bytes(16 * len(self.turns), "little")
-        return [log((u + 0.5) * 2.0 ** -64) * turn
-                for u, turn in zip(unpack(f"<{len(bits) // 8}Q", bits)[::2], self.turns, strict=True)]
+        return [
+            log((u + 0.5) * 2.0**-64) * turn
+            for u, turn in zip(unpack(f"<{len(bits) // 8}Q", bits)[::2], self.turns, strict=True)
+        ]
 
 
 def owners(ring: Ring, key: bytes, n: int) -> tuple[str, ...]:
@@ -149,8 +161,10 @@
 def least(old: Ring, new: Ring) -> float:
     """The share of keys that must change their first owner, whatever way owners are found (0 to 1)."""
     was, now = old.by_name, new.by_name
-    return sum(max(0.0, seat.capacity / new.capacity - (
-        was[name].capacity / old.capacity if name in was else 0.0)) for name, seat in now.items())
+    return sum(
+        max(0.0, seat.capacity / new.capacity - (was[name].capacity / old.capacity if name in was else 0.0))
+        for name, seat in now.items()
+    )
 
 
 def moved(old: Ring, new: Ring) -> float:
@@ -162,8 +176,11 @@
     was, now = old.by_name, new.by_name
     gone = sum(seat.capacity for name, seat in was.items() if name not in now)
     come = sum(seat.capacity for name, seat in now.items() if name not in was)
-    kept = sorted((seat.capacity / was[name].capacity, was[name].capacity, seat.capacity)
-                  for name, seat in now.items() if name in was)
+    kept = sorted(
+        (seat.capacity / was[name].capacity, was[name].capacity, seat.capacity)
+        for name, seat in now.items()
+        if name in was
+    )
     before, after, same = gone, come + sum(new for _, _, new in kept), 0.0
     for _, had, has in kept:
         before, after = before + had, after - has
@@ -180,8 +197,13 @@
     """
     stay = tuple(seat for seat in old.seats if seat.name in wanted)
     if not stay:
-        return Ring(old.epoch + 1, tuple(wanted[name] for name in sorted(wanted)), old.written, old.phase,
-                    old.founded_ms)
+        return Ring(
+            old.epoch + 1,
+            tuple(wanted[name] for name in sorted(wanted)),
+            old.written,
+            old.phase,
+            old.founded_ms,
+        )
     left = old if len(stay) == len(old.seats) else Ring(old.epoch, stay)
     room = max(step_share, 0.01) - (1 - left.capacity / old.capacity)
 
@@ -212,17 +234,23 @@
     epoch: int
     base: bytes
     gone: tuple[str, ...]
-    seats: tuple[Seat, ...]     # those that are new or differ
+    seats: tuple[Seat, ...]  # those that are new or differ
     written: int
     phase: str
-    founded_ms: int = 0         # in the first one
+    founded_ms: int = 0  # in the first one
 
 
 def step(old: Ring, new: Ring) -> Step:
     was = old.by_name
-    return Step(new.epoch, old.digest, tuple(name for name in old.names if name not in new.by_name),
-                tuple(seat for seat in new.seats if was.get(seat.name) != seat), new.written, new.phase,
-                0 if old.epoch else new.founded_ms)
+    return Step(
+        new.epoch,
+        old.digest,
+        tuple(name for name in old.names if name not in new.by_name),
+        tuple(seat for seat in new.seats if was.get(seat.name) != seat),
+        new.written,
+        new.phase,
+        0 if old.epoch else new.founded_ms,
+    )
 
 
 def stepped(old: Ring, taken: Step) -> Ring:
@@ -232,8 +260,13 @@
     seats = old.by_name | {seat.name: seat for seat in taken.seats}
     for name in taken.gone:
         seats.pop(name, None)
-    return Ring(taken.epoch, tuple(seats[name] for name in sorted(seats)), taken.written, taken.phase,
-                old.founded_ms if old.epoch else taken.founded_ms)
+    return Ring(
+        taken.epoch,
+        tuple(seats[name] for name in sorted(seats)),
+        taken.written,
+        taken.phase,
+        old.founded_ms if old.epoch else taken.founded_ms,
+    )
 
 
 # Damping
@@ -288,8 +321,11 @@
         seen, missed = {}, {}
         for name, peer in live.items():
             sight = self.seen.get(name)
-            if (not sight or sight.life != peer.life
-                    or abs(peer.capacity - sight.capacity) > self.share * sight.capacity):
+            if (
+                not sight
+                or sight.life != peer.life
+                or abs(peer.capacity - sight.capacity) > self.share * sight.capacity
+            ):
                 sight = Sight(peer.life, peer.capacity, self.watched)
             seen[name] = sight
         for name in ring.names:
--- a/cartdeal/fleet/schema.py
+++ b/cartdeal/fleet/schema.py
@@ -25,10 +25,10 @@
 VERSIONS = (1, 2)
 PHASES = ("steady", "widen", "move", "narrow")
 
-MOST_BYTES = 1 << 18        # of one record
-MOST_MARKS = 1024           # of one session: far more than an owner takes in, as copies of many merge
+MOST_BYTES = 1 << 18  # of one record
+MOST_MARKS = 1024  # of one session: far more than an owner takes in, as copies of many merge
 MOST_DEPTH = 8
-MOST_TEXT = 512             # characters of a name or key
+MOST_TEXT = 512  # characters of a name or key
 MOST_NUMBER = 1 << 53
 MOST_LIFE = 1 << 63
 
@@ -40,6 +40,7 @@
 
 # Bytes
 
+
 def encode(kind: str, record: Record, written: int, phase: str, knows: int = VERSIONS[-1]) -> bytes:
     """The record in the form that the fleet writes now, if this program knows it; equal records, equal bytes.
 
@@ -58,7 +59,7 @@
             text["by"] = _grouped(marks)
     else:
         text["counts"] = [[*which, record.counts[which]] for which in sorted(record.counts)]
-        if record.parts:        # whatever is written now: a step back must not lose what is on loan
+        if record.parts:  # whatever is written now: a step back must not lose what is on loan
             text["parts"] = records.part_fields(record)
     raw = records.encoder.encode(text)
     if len(raw) > MOST_BYTES:
@@ -84,7 +85,7 @@
         for each in marks:
             _add(record, _mark(each))
         by = _mapped(text.pop("by", {}), "by", MOST_MARKS) if knows >= 2 else {}
-        if by and records.differ(by, _grouped(marks)):      # else they say the same: reading one will do
+        if by and records.differ(by, _grouped(marks)):  # else they say the same: reading one will do
             for name, each in _ungrouped(by):
                 _add(record, _mark(each, name))
         record.extra = text
@@ -107,6 +108,7 @@
 
 # Steps
 
+
 def forms(written: int, phase: str) -> tuple[int, ...]:
     """The versions written now, ascending."""
     return {"move": (written, written + 1), "narrow": (written + 1,)}.get(phase, (written,))
@@ -172,6 +174,7 @@
 
 # Checks: nothing that comes from a peer is used before it went through here.
 
+
 def _opened(raw: bytes) -> dict:
     if len(raw) > MOST_BYTES:
         raise BadRecord("a record", f"{len(raw)} bytes")
@@ -244,6 +247,7 @@
 
 # Marks and parts
 
+
 def _grouped(marks: list[dict]) -> dict:
     by = {}
     for each in marks:
@@ -282,10 +286,18 @@
             _whole(each[1], "cell")
         places.append((_text(each[0], "zone"), each[1]))
     return Mark(
-        _text(own["by"], "by", 1), _text(own["key"], "key"), _among(own["repeat"], "repeat", ("d", "u")),
-        _among(own["group"], "group", records.GROUPS), _whole(own["window_ms"], "window_ms"), tuple(places),
-        Certainty(_whole(own["certainty"], "certainty", max(Certainty))), _whole(own["sent_ms"], "sent_ms"),
-        _whole(own["until_ms"], "until_ms"), _text(own["workload"], "workload"), value)
+        _text(own["by"], "by", 1),
+        _text(own["key"], "key"),
+        _among(own["repeat"], "repeat", ("d", "u")),
+        _among(own["group"], "group", records.GROUPS),
+        _whole(own["window_ms"], "window_ms"),
+        tuple(places),
+        Certainty(_whole(own["certainty"], "certainty", max(Certainty))),
+        _whole(own["sent_ms"], "sent_ms"),
+        _whole(own["until_ms"], "until_ms"),
+        _text(own["workload"], "workload"),
+        value,
+    )
 
 
 def _add(record: Session, mark: Mark):
--- a/cartdeal/fleet/verdict.py
+++ b/cartdeal/fleet/verdict.py
@@ -11,21 +11,21 @@
 
 from cartdeal.fleet.records import Certainty, Mark
 
-SPARE_MS = 50       # of a window kept free, as the balancer does, for the attempt to arrive
+SPARE_MS = 50  # of a window kept free, as the balancer does, for the attempt to arrive
 
 
 class Question(Struct, frozen=True, kw_only=True):
     """A request, as far as the fleet has to know it."""
 
     tenant: str = ""
-    session: str = ""           # the session's hash, in hex; "" where it has none
-    key: str = ""               # what tells a repeat: the idempotency key, or a digest of what is asked
-    repeat: str = "i"           # idempotent, (d)eduplicated, (u)nrepeatable
+    session: str = ""  # the session's hash, in hex; "" where it has none
+    key: str = ""  # what tells a repeat: the idempotency key, or a digest of what is asked
+    repeat: str = "i"  # idempotent, (d)eduplicated, (u)nrepeatable
     group: str = "all"
     window_s: float = 0.0
-    limit_s: float = 1.0        # of its deadline, what is left
+    limit_s: float = 1.0  # of its deadline, what is left
     workload: str = ""
-    retried: bool = False       # whether the client marked it as a repeat
+    retried: bool = False  # whether the client marked it as a repeat
 
     @property
     def marked(self) -> bool:
@@ -56,8 +56,11 @@
     """The marks of requests that this one may repeat and that may have run."""
     found = []
     for mark in marks:
-        if mark.key != question.key or mark.workload != question.workload \
-                or mark.certainty == Certainty.NEVER_RAN:
+        if (
+            mark.key != question.key
+            or mark.workload != question.workload
+            or mark.certainty == Certainty.NEVER_RAN
+        ):
             continue
         if question.repeat == "u" and not question.retried:
             # Without a key of its own, a request that says the same may be a new one: where clients mark
@@ -83,7 +86,7 @@
         if mark.group == "all":
             earlier_attempts.append(Elsewhere("", -1, "all", until))
         elif not mark.places:
-            return Verdict.TERMINATE, ()    # it may have gone anywhere, and where is not known any more
+            return Verdict.TERMINATE, ()  # it may have gone anywhere, and where is not known any more
         else:
             earlier_attempts += [Elsewhere(zone, cell, mark.group, until) for zone, cell in mark.places]
     return Verdict.PASS, tuple(dict.fromkeys(earlier_attempts))
@@ -92,14 +95,14 @@
 def may_turn_back(question: Question, marks, wall_ms: int, slack_ms: int, clients_mark: bool) -> bool:
     """Whether a client may be told to come again, as the balancer's own rule has it."""
     return all(
-        question.repeat == "d" and mark.group == "all"
-        and wall_ms <= mark.sent_ms + mark.window_ms - slack_ms
-        for mark in earlier(question, marks, clients_mark))
+        question.repeat == "d" and mark.group == "all" and wall_ms <= mark.sent_ms + mark.window_ms - slack_ms
+        for mark in earlier(question, marks, clients_mark)
+    )
 
 
 def may_repeat(question: Question, clients_mark: bool) -> bool:
     """Whether it may be the repeat of one that nobody here knows of."""
-    everywhere = question.repeat == "d" and question.group == "all"     # any server would drop a repeat
+    everywhere = question.repeat == "d" and question.group == "all"  # any server would drop a repeat
     return question.retried or not (clients_mark or everywhere)
 
 
--- a/cartdeal/fleet/wire.py
+++ b/cartdeal/fleet/wire.py
@@ -14,13 +14,13 @@
 
 from cartdeal.fleet.errors import TooLong, UnknownWords, Unreadable, WrongDigest, WrongFleet, WrongVersion
 
-VERSION = 1         # of the envelope; what words are in it, their tags say
-SEAL = 16           # bytes of the digest that are sent
-LONGEST_DATAGRAM = 1400     # fits one packet on common networks
-LONGEST_WORDS = 1200        # in a datagram
+VERSION = 1  # of the envelope; what words are in it, their tags say
+SEAL = 16  # bytes of the digest that are sent
+LONGEST_DATAGRAM = 1400  # fits one packet on common networks
+LONGEST_WORDS = 1200  # in a datagram
 LONGEST_FRAME = 512 * 1024
-ENVELOPE = 1024     # the most that version, digest and envelope add to the words
-HEADER = 4          # bytes of a frame's length
+ENVELOPE = 1024  # the most that version, digest and envelope add to the words
+HEADER = 4  # bytes of a frame's length
 PARTS = ("members", "epochs", "replica", "lending", "node")
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -31,8 +31,8 @@
     sender: Name
     life: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
     address: Annotated[str, Meta(max_length=64)]
-    wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]   # the sender's time of the fleet
-    words: msgspec.Raw      # not looked into before the digest is known to be right
+    wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]  # the sender's time of the fleet
+    words: msgspec.Raw  # not looked into before the digest is known to be right
 
 
 ENVELOPES = msgspec.msgpack.Decoder(Envelope)
@@ -43,7 +43,7 @@
 def tongue() -> msgspec.msgpack.Decoder:
     """Reads the words of all parts; made at the first message, so that a part may import this module."""
     kinds = [kind for part in PARTS for kind in getattr(import_module(f"cartdeal.fleet.{part}"), "WORDS", ())]
-    return msgspec.msgpack.Decoder(Union[tuple(kinds)])     # noqa: UP007
+    return msgspec.msgpack.Decoder(Union[tuple(kinds)])  # noqa: UP007
 
 
 def encode(pact, sender: str, life: int, address: str, wall_ms: int, words: Struct) -> bytes:
@@ -74,14 +74,14 @@
         raise Unreadable("a message", f"{len(text)} bytes")
     if text[0] != VERSION:
         raise WrongVersion("a message's envelope", text[0])
-    body = text[1 + SEAL:]
+    body = text[1 + SEAL :]
     try:
         envelope = ENVELOPES.decode(body)
     except UNREADABLE as trouble:
         raise Unreadable("a message's envelope", trouble) from None
     if envelope.fleet != pact.fleet:
         raise WrongFleet("a message's fleet", envelope.fleet)
-    if not hmac.compare_digest(seal(pact.key, body), text[1:1 + SEAL]):
+    if not hmac.compare_digest(seal(pact.key, body), text[1 : 1 + SEAL]):
         raise WrongDigest(f"a message under the name {envelope.sender!r}", "another digest")
     try:
         words = tongue().decode(envelope.words)
@@ -111,7 +111,7 @@
         rest, whole, at = self.rest, [], 0
         rest += more
         while len(rest) - at >= HEADER:
-            size = int.from_bytes(rest[at:at + HEADER], "big")
+            size = int.from_bytes(rest[at : at + HEADER], "big")
             if not size or size > self.most:
                 self.spoilt, self.rest = True, bytearray()
                 if not size:
@@ -119,7 +119,7 @@
                 raise TooLong("a frame", f"{size} bytes, {self.most} at most")
             if len(rest) - at < HEADER + size:
                 break
-            whole.append(bytes(rest[at + HEADER:at + HEADER + size]))
+            whole.append(bytes(rest[at + HEADER : at + HEADER + size]))
             at += HEADER + size
         del rest[:at]
         return whole
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -22,17 +22,24 @@
 from cartdeal.emulator.world import Unusable
 from cartdeal.rig.stands import HOST, Listener, said
 
-AGENTS = 3          # with the fleet; as many without
-READY = 60.0        # until all serve and the fleet knows its sessions
+AGENTS = 3  # with the fleet; as many without
+READY = 60.0  # until all serve and the fleet knows its sessions
 PORT = re.compile(rb"msg=serving .*\bport=(\d+)")
 HERE = Path(__file__).parents[2]
 # One that founds a fleet knows nothing of the sessions before it, for as long as a mark may last.
 FLEET = {"longest_mark_s": 6.0, "damp_s": 1.0}
 KINDS = [
     {"name": "read", "idempotency": "safe", "goalTimeUs": 600000, "timeLimitUs": 2000000},
-    {"name": "submit", "idempotency": "keyed", "group": "all", "repeatWindowUs": 4000000,
-     "goalTimeUs": 1000000, "timeLimitUs": 2000000},
-    {"name": "close", "idempotency": "unsafe", "goalTimeUs": 1200000, "timeLimitUs": 3000000}]
+    {
+        "name": "submit",
+        "idempotency": "keyed",
+        "group": "all",
+        "repeatWindowUs": 4000000,
+        "goalTimeUs": 1000000,
+        "timeLimitUs": 2000000,
+    },
+    {"name": "close", "idempotency": "unsafe", "goalTimeUs": 1200000, "timeLimitUs": 3000000},
+]
 
 
 class Server(Listener):
@@ -51,23 +58,51 @@
         self.name, self.connection = f"n{number}", None
         folder, zone = pairs.folder, number % AGENTS
         file = Path(folder, f"{number}{'f' * bool(seeds)}.json")
-        file.write_text(json.dumps({
-            "name": self.name, "listen": f"{HOST}:0", "discovery": pairs.list.address,
-            "seed": f"{pairs.seed * 64 + number:x}", "known": pairs.known,
-            "settings": {"areas": ["a", "b", "c"], "az": zone, "discovery": "on_request", "groupSize": AGENTS,
-                         "workloads": KINDS, "tenants": [{"name": "shop"}],
-                         "rules": {"askEveryUs": 600_000_000}}}))
+        file.write_text(
+            json.dumps(
+                {
+                    "name": self.name,
+                    "listen": f"{HOST}:0",
+                    "discovery": pairs.list.address,
+                    "seed": f"{pairs.seed * 64 + number:x}",
+                    "known": pairs.known,
+                    "settings": {
+                        "areas": ["a", "b", "c"],
+                        "az": zone,
+                        "discovery": "on_request",
+                        "groupSize": AGENTS,
+                        "workloads": KINDS,
+                        "tenants": [{"name": "shop"}],
+                        "rules": {"askEveryUs": 600_000_000},
+                    },
+                }
+            )
+        )
         env = {"PROXY_CONFIG": str(file), "PATH": os.environ["PATH"], "PYTHONPATH": str(HERE)}
         if seeds:
             terms = {"fleet": "lab", "name": self.name, "key": "k" * 32, "listen": seeds[self.name], **FLEET}
             operator_file = file.with_suffix(".toml")
-            operator_file.write_text("\n".join([
-                *(f"{key} = {json.dumps(value)}" for key, value in terms.items()), "[seeds]",
-                *(f"{name} = {json.dumps(at)}" for name, at in seeds.items()),
-                "[limits.shop]", "rate = 100000.0", "burst = 50000.0", ""]))
+            operator_file.write_text(
+                "\n".join(
+                    [
+                        *(f"{key} = {json.dumps(value)}" for key, value in terms.items()),
+                        "[seeds]",
+                        *(f"{name} = {json.dumps(at)}" for name, at in seeds.items()),
+                        "[limits.shop]",
+                        "rate = 100000.0",
+                        "burst = 50000.0",
+                        "",
+                    ]
+                )
+            )
             env["PROXY_FLEET"] = str(operator_file)
-        self.process = subprocess.Popen([sys.executable, "-m", "cartdeal", "serve"], cwd=HERE, env=env,
-                                        stderr=subprocess.PIPE, start_new_session=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "cartdeal", "serve"],
+            cwd=HERE,
+            env=env,
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+        )
         pairs.agents.append(self)
         with gevent.Timeout(READY, Unusable(f"{self.name}: found none that serves within {READY:g} s")):
             while not (found := PORT.search(line := self.process.stderr.readline())):
@@ -121,10 +156,22 @@
         self.before = signal.signal(signal.SIGTERM, self.end)
         try:
             self.stands = [Server() for _ in range(6)]
-            self.known = {"rev": 1, "all": True, "targets": [
-                {"uid": f"s{place}", "endpoint": each.address, "az": "abc"[place % 3], "pod_group": 0,
-                 "state": "active", "capacity_hint": 1.0, "boot_ms": 0}
-                for place, each in enumerate(self.stands)]}
+            self.known = {
+                "rev": 1,
+                "all": True,
+                "targets": [
+                    {
+                        "uid": f"s{place}",
+                        "endpoint": each.address,
+                        "az": "abc"[place % 3],
+                        "pod_group": 0,
+                        "state": "active",
+                        "capacity_hint": 1.0,
+                        "boot_ms": 0,
+                    }
+                    for place, each in enumerate(self.stands)
+                ],
+            }
             self.list = Server(json.dumps(self.known).encode())
             self.stands.append(self.list)
             seeds = {f"n{number}": f"{HOST}:{free_port()}" for number in range(AGENTS)}
@@ -157,17 +204,20 @@
     def head(self, kind: str) -> bytes:
         self.asked += 1
         path, method = kind.replace("limited", "read"), "POST" if kind in ("submit", "close") else "GET"
-        return (f"{method} /{path}/{self.asked} HTTP/1.1\r\nHost: x\r\nX-Request-ID: r{self.asked}\r\n"
-                f"Cookie: sid=c{self.asked % 50}\r\nX-Timeout: 1900m\r\n"
-                + "X-Tenant-ID: shop\r\n" * (kind == "limited")
-                + f"Idempotency-Key: k{self.asked}\r\n" * (kind == "submit")
-                + "Content-Length: 0\r\n" * (method == "POST") + "\r\n").encode()
+        return (
+            f"{method} /{path}/{self.asked} HTTP/1.1\r\nHost: x\r\nX-Request-ID: r{self.asked}\r\n"
+            f"Cookie: sid=c{self.asked % 50}\r\nX-Timeout: 1900m\r\n"
+            + "X-Tenant-ID: shop\r\n" * (kind == "limited")
+            + f"Idempotency-Key: k{self.asked}\r\n" * (kind == "submit")
+            + "Content-Length: 0\r\n" * (method == "POST")
+            + "\r\n"
+        ).encode()
 
     def measure(self, kind: str, requests: int) -> dict:
         """Milliseconds; the share completed is of the side with the fleet."""
         sides, took, good = {"on": self.on, "off": self.off}, {"on": [], "off": []}, 0
         dice = Random(self.seed)
-        for turn in range(-requests // 10, requests):     # the first ones warm both up
+        for turn in range(-requests // 10, requests):  # the first ones warm both up
             for side in dice.sample(("on", "off"), 2):
                 status, seconds = sides[side][turn % AGENTS].ask(self.head(kind))
                 if turn >= 0:
@@ -176,8 +226,11 @@
         row = {}
         for part in 50, 99:
             at = {side: percentile(each, part) for side, each in took.items()}
-            row |= {f"off p{part} ms": at["off"], f"on p{part} ms": at["on"],
-                    f"added p{part} ms": round(at["on"] - at["off"], 3)}
+            row |= {
+                f"off p{part} ms": at["off"],
+                f"on p{part} ms": at["on"],
+                f"added p{part} ms": round(at["on"] - at["off"], 3),
+            }
         return row | {"lookups": requests, "completed": round(good / requests, 4)}
 
 
--- a/cartdeal/lab/baselines.py
+++ b/cartdeal/lab/baselines.py
@@ -46,5 +46,9 @@
         return able[self.turn % len(able)]
 
 
-POLICIES = {"cartdeal": Reducer, "random": Random, "least_in_flight": LeastInFlight,
-            "round_robin": RoundRobin}
+POLICIES = {
+    "cartdeal": Reducer,
+    "random": Random,
+    "least_in_flight": LeastInFlight,
+    "round_robin": RoundRobin,
+}
--- a/cartdeal/lab/chart.py
+++ b/cartdeal/lab/chart.py
@@ -14,8 +14,9 @@
 
 
 def draw(words: str, rows: list[dict], figures: list[str], to):
-    chart, panels = pyplot.subplots(1, len(figures), figsize=(1.5 + 4 * len(figures), 3.6), squeeze=False,
-                                    layout="constrained")
+    chart, panels = pyplot.subplots(
+        1, len(figures), figsize=(1.5 + 4 * len(figures), 3.6), squeeze=False, layout="constrained"
+    )
     for panel, figure in zip(panels[0], figures, strict=True):
         values = by_variant(rows, figure)
         for place, (name, mean, aside, *_) in enumerate(compared(rows, figure)):
--- a/cartdeal/lab/experiment.py
+++ b/cartdeal/lab/experiment.py
@@ -27,14 +27,14 @@
 class Variant(Strict):
     name: str
     policy: str = "cartdeal"
-    set: dict = msgspec.field(default_factory=dict)     # dotted keys of the world; keys of the play
+    set: dict = msgspec.field(default_factory=dict)  # dotted keys of the world; keys of the play
 
 
 class Experiment(Strict):
     seeds: tuple[int, ...]
     variant: tuple[Variant, ...]
     world: str = ""
-    play: str = ""          # of the fleet (fleets.py), in place of a world
+    play: str = ""  # of the fleet (fleets.py), in place of a world
 
 
 def read(path) -> tuple[Experiment, list]:
@@ -44,25 +44,57 @@
         experiment = msgspec.convert(found, Experiment)
         plays = ", ".join(fleets.PLAYS)
         wrong = [
-            ("world", experiment.world, f"one of world (a file) and play ({plays})",
-             bool(experiment.world) == bool(experiment.play)),
-            ("play", experiment.play, f"one of {plays}",
-             experiment.play and experiment.play not in fleets.PLAYS),
-            ("seeds", experiment.seeds, "two or more, each once",
-             len(set(experiment.seeds)) < max(2, len(experiment.seeds))),
-            ("variant", [each.name for each in experiment.variant], "one or more, each of its own name",
-             len({each.name for each in experiment.variant}) < max(1, len(experiment.variant)))]
-        wrong += [(f"variant[{place}].policy", each.policy, f"one of {', '.join(POLICIES)}",
-                   each.policy not in POLICIES) for place, each in enumerate(experiment.variant)]
-        wrong += [(f"variant[{place}].policy", each.policy, "none where the fleet is played",
-                   experiment.play and each.policy != "cartdeal")
-                  for place, each in enumerate(experiment.variant)]
+            (
+                "world",
+                experiment.world,
+                f"one of world (a file) and play ({plays})",
+                bool(experiment.world) == bool(experiment.play),
+            ),
+            (
+                "play",
+                experiment.play,
+                f"one of {plays}",
+                experiment.play and experiment.play not in fleets.PLAYS,
+            ),
+            (
+                "seeds",
+                experiment.seeds,
+                "two or more, each once",
+                len(set(experiment.seeds)) < max(2, len(experiment.seeds)),
+            ),
+            (
+                "variant",
+                [each.name for each in experiment.variant],
+                "one or more, each of its own name",
+                len({each.name for each in experiment.variant}) < max(1, len(experiment.variant)),
+            ),
+        ]
+        wrong += [
+            (
+                f"variant[{place}].policy",
+                each.policy,
+                f"one of {', '.join(POLICIES)}",
+                each.policy not in POLICIES,
+            )
+            for place, each in enumerate(experiment.variant)
+        ]
+        wrong += [
+            (
+                f"variant[{place}].policy",
+                each.policy,
+                "none where the fleet is played",
+                experiment.play and each.policy != "cartdeal",
+            )
+            for place, each in enumerate(experiment.variant)
+        ]
         for key, found_there, wanted, is_wrong in wrong:
             if is_wrong:
                 raise Unusable(f"{key}: found {found_there!r}, wanted {wanted}")
         if experiment.play:
-            return experiment, [fleets.made(experiment.play, each.set, f"variant[{place}].set")
-                                for place, each in enumerate(experiment.variant)]
+            return experiment, [
+                fleets.made(experiment.play, each.set, f"variant[{place}].set")
+                for place, each in enumerate(experiment.variant)
+            ]
         file = Path(path).parent / experiment.world
         base = tomllib.loads(file.read_text())
         return experiment, [varied(base, each, place) for place, each in enumerate(experiment.variant)]
@@ -96,8 +128,11 @@
 def run(path, to, workers: int) -> list[dict]:
     experiment, played = read(path)
     do, code = fleets.one if experiment.play else one, commit()
-    jobs = [(variant.name, what, experiment.play or variant.policy, seed)
-            for variant, what in zip(experiment.variant, played, strict=True) for seed in experiment.seeds]
+    jobs = [
+        (variant.name, what, experiment.play or variant.policy, seed)
+        for variant, what in zip(experiment.variant, played, strict=True)
+        for seed in experiment.seeds
+    ]
     pool = ProcessPoolExecutor(workers, mp_context=get_context("spawn"))
     try:
         rows = [future.result() for future in [pool.submit(do, *job) for job in jobs]]
@@ -108,8 +143,11 @@
         raise
     pool.shutdown()
     made_of = f"play {experiment.play}" if experiment.play else experiment.world
-    keep(to, rows, f"commit {code}, {Path(path).name}, {made_of}, seeds "
-         + " ".join(map(str, experiment.seeds)))
+    keep(
+        to,
+        rows,
+        f"commit {code}, {Path(path).name}, {made_of}, seeds " + " ".join(map(str, experiment.seeds)),
+    )
     return rows
 
 
@@ -122,9 +160,11 @@
 
 def commit() -> str:
     """Of the code that is being played; `+` where it differs from it."""
+
     def git(*words):
         here = Path(__file__).parents[1]
         return subprocess.run(["git", *words], capture_output=True, text=True, cwd=here).stdout.strip()
+
     return (git("rev-parse", "--short", "HEAD") or "unknown") + "+" * bool(git("status", "--short", "."))
 
 
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -16,7 +16,7 @@
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
-MOST_AGENTS = 1024      # as a fleet takes in by itself (Pact.most_agents)
+MOST_AGENTS = 1024  # as a fleet takes in by itself (Pact.most_agents)
 ZONES = 3
 FOUNDERS = 5
 
@@ -28,7 +28,7 @@
 
 class Copies(Strict):
     agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 5
-    rate: Rate = 1.0        # requests an agent and second, each with a mark and of a tenant with a limit
+    rate: Rate = 1.0  # requests an agent and second, each with a mark and of a tenant with a limit
     rest_s: Seconds = 10.0
     traffic_s: Seconds = 10.0
     cut_s: Seconds = 20.0
@@ -47,17 +47,17 @@
 
 class Upgrade(Strict, rename={"requests": "lookups"}):
     agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 20
-    every_s: Seconds = 4.0      # between two restarts at least; each waits until the last has caught up
+    every_s: Seconds = 4.0  # between two restarts at least; each waits until the last has caught up
     cut: Literal["none", "halves", "zone"] = "none"
     cut_s: Seconds = 20.0
-    requests: Rate = 40.0                # a second, of all agents, without a limit
-    limit: Rate = 20.0                  # a second, of a tenant that asks for twice that
+    requests: Rate = 40.0  # a second, of all agents, without a limit
+    limit: Rate = 20.0  # a second, of a tenant that asks for twice that
     most_s: Seconds = 90.0
 
 
 class Added(Strict, rename={"requests": "lookups"}):
     kind: Literal["read", "limited", "submit", "close"] = "read"
-    requests: Annotated[int, Meta(ge=10, le=1_000_000)] = 2000   # with the fleet, and as many without
+    requests: Annotated[int, Meta(ge=10, le=1_000_000)] = 2000  # with the fleet, and as many without
 
 
 def made(play: str, found: dict, at: str):
@@ -88,6 +88,7 @@
 def ring(terms: Ring, seed: int) -> dict:
     """By event: keys moved over the least possible, and at its end the fullest one's load over its share."""
     from cartdeal.lab.rings import EVENTS, measure
+
     found = {event: measure(terms.way, seed, terms.agents, event) for event in EVENTS}
     row = {"agents": terms.agents}
     row |= {f"{event}: moved over least": float(each["moved_over_least"]) for event, each in found.items()}
@@ -118,8 +119,10 @@
             self.bytes_by_tag[type(words).__struct_config__.tag] += self.bytes[node.name] - before
 
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
-    fleet, fates = Counted(Pact(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed), \
-        chance(seed, "starts")
+    fleet, fates = (
+        Counted(Pact(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
+        chance(seed, "starts"),
+    )
     fleet.bytes_by_tag = Counter()
     for number in range(agents):
         place = fleet.add(f"a{number}", zone=f"z{number % ZONES}", start=False, **terms)
@@ -138,8 +141,16 @@
     """Whether each of these completes requests with marks. One that founds a fleet knows nothing of what was
     before it for as long as a mark may last."""
     from cartdeal.fleet.verdict import Question
-    asked = [fleet.intend(Question(tenant="", session=f"probe {fleet.intents}", key="k", repeat="u",
-                                   limit_s=2.0, workload="w"), [name]) for name in names]
+
+    asked = [
+        fleet.intend(
+            Question(
+                tenant="", session=f"probe {fleet.intents}", key="k", repeat="u", limit_s=2.0, workload="w"
+            ),
+            [name],
+        )
+        for name in names
+    ]
     fleet.run(0.5)
     return all("completed" in fleet.outcomes[each] for each in asked)
 
@@ -147,6 +158,7 @@
 def unequal(fleet) -> tuple[int, int]:
     """Of how many records some owner lacks what another has; how many there are."""
     from cartdeal.fleet import records
+
     copies: dict[str, list] = {}
     wanted = {}
     for name, node in fleet.nodes().items():
@@ -184,6 +196,7 @@
     """Messages and bytes are an agent's in a second; times are from the start, and from when the cut ends."""
     from cartdeal.fleet.desk import Limit
     from cartdeal.fleet.verdict import Question
+
     agents, coming = terms.agents, terms.rate * terms.agents
     fleet = memory(seed, agents, {"shop": Limit(2 * coming, coming)})
     people, names = chance(seed, "people"), list(fleet.places)
@@ -192,14 +205,18 @@
     def client():
         if going[0]:
             session = f"{people.randrange(10 * agents)}"
-            question = Question(tenant="shop", session=session, key=f"k{fleet.intents}", repeat="u",
-                                limit_s=2.0, workload="w")
+            question = Question(
+                tenant="shop", session=session, key=f"k{fleet.intents}", repeat="u", limit_s=2.0, workload="w"
+            )
             intents.append(fleet.intend(question, [people.choice(names)]))
             fleet.clock.after(people.expovariate(coming), client)
 
     def share(since) -> float:
-        return round(sum("completed" in fleet.outcomes[each] for each in intents[since:])
-                     / max(1, len(intents) - since), 3)
+        return round(
+            sum("completed" in fleet.outcomes[each] for each in intents[since:])
+            / max(1, len(intents) - since),
+            3,
+        )
 
     started = fleet.until(lambda: whole_ring(fleet), terms.most_s, 0.25)
     known = started + fleet.until(lambda: answers(fleet, names[:FOUNDERS]), terms.most_s, 0.5)
@@ -219,12 +236,19 @@
     equal = fleet.until(lambda: unequal(fleet)[0] == 0 and whole_ring(fleet), terms.most_s, 0.25)
     found = fleet.judge.close()
     return {
-        "agents": agents, "one ring s": round(started, 2), "marks answered s": round(known, 2),
+        "agents": agents,
+        "one ring s": round(started, 2),
+        "marks answered s": round(known, 2),
         **{f"rest: {key}": value for key, value in rest.items()},
         **{f"traffic: {key}": value for key, value in busy.items()},
-        "traffic: completed": served, "cut: completed": cut_served, "unequal records when it ends": wrong,
-        "records": records, "equal s": round(equal, 2), "simulated s": round(healed + equal, 1),
-        "violations": len(found)}
+        "traffic: completed": served,
+        "cut: completed": cut_served,
+        "unequal records when it ends": wrong,
+        "records": records,
+        "equal s": round(equal, 2),
+        "simulated s": round(healed + equal, 1),
+        "violations": len(found),
+    }
 
 
 # Days
@@ -232,8 +256,17 @@
 
 def days(terms: Days, seed: int) -> dict:
     from cartdeal.fleet.days import day
-    row = day(seed, terms.agents, terms.seconds, quiet=terms.quiet, pause_s=terms.pause_s,
-              requests=terms.requests, upgrade=terms.upgrade, apart=terms.apart)
+
+    row = day(
+        seed,
+        terms.agents,
+        terms.seconds,
+        quiet=terms.quiet,
+        pause_s=terms.pause_s,
+        requests=terms.requests,
+        upgrade=terms.upgrade,
+        apart=terms.apart,
+    )
     return {key: value for key, value in row.items() if key not in ("seed", "found", "notes")}
 
 
@@ -246,14 +279,22 @@
     Budget: what the limited tenant got of its rate. Times are from the first restart."""
     from cartdeal.fleet.desk import Limit
     from cartdeal.fleet.verdict import Question
+
     fleet = memory(seed, terms.agents, {"shop": Limit(terms.limit, terms.limit)}, reads=(1, 1))
     people, names, judge = chance(seed, "people"), list(fleet.places), fleet.judge
     open_, lost = [], {}
 
     def free():
         repeat = people.choice(("i", "d", "u"))
-        question = Question(tenant="", session=f"{people.randrange(200)}", key=f"k{fleet.intents}",
-                            repeat=repeat, window_s=4.0 * (repeat == "d"), limit_s=2.0, workload="w")
+        question = Question(
+            tenant="",
+            session=f"{people.randrange(200)}",
+            key=f"k{fleet.intents}",
+            repeat=repeat,
+            window_s=4.0 * (repeat == "d"),
+            limit_s=2.0,
+            workload="w",
+        )
         open_.append((fleet.clock.now, fleet.intend(question, people.sample(names, 3), tries=3)))
         fleet.clock.after(people.expovariate(terms.requests), free)
 
@@ -277,8 +318,10 @@
         return round(passed / (terms.limit * (until - since)), 3)
 
     def written() -> bool:
-        return whole_ring(fleet) and all((node.ring.written, node.ring.phase) == (2, "steady")
-                                         and node.replica.moved == 2 for node in fleet.nodes().values())
+        return whole_ring(fleet) and all(
+            (node.ring.written, node.ring.phase) == (2, "steady") and node.replica.moved == 2
+            for node in fleet.nodes().values()
+        )
 
     fleet.until(lambda: whole_ring(fleet) and answers(fleet, names), terms.most_s, 0.5)
     fleet.run(5.0)
@@ -289,8 +332,13 @@
     begun, waited = fleet.clock.now, 0
     for turn, name in enumerate(names):
         if turn == len(names) // 2 and terms.cut != "none":
-            parts = [names[::2], names[1::2]] if terms.cut == "halves" else [
-                [each for each in names if (int(each[1:]) % ZONES == 0) is side] for side in (True, False)]
+            parts = (
+                [names[::2], names[1::2]]
+                if terms.cut == "halves"
+                else [
+                    [each for each in names if (int(each[1:]) % ZONES == 0) is side] for side in (True, False)
+                ]
+            )
             fleet.cut(*parts)
             fleet.clock.after(terms.cut_s, fleet.heal)
         at, place = fleet.clock.now, fleet.places[name]
@@ -306,13 +354,21 @@
     fleet.run(20.0)
     found = judge.close()
     return {
-        "agents": terms.agents, "served before": served(calm, begun), "served": served(begun, rolled),
-        "served after": served(end, end + 18.0), "budget before": budget(calm, begun),
-        "budget": budget(begun, end), "budget after": budget(end, end + 20.0),
-        "over limit": round(max(0.0, judge.over("shop")), 3), "marks": len(judge.marks),
-        "marks lost": len(lost), "longest restart s": round(waited, 1),
-        "last restarted s": round(rolled - begun, 1), "written everywhere s": round(rolled - begun + new, 1),
-        "violations": len(found)}
+        "agents": terms.agents,
+        "served before": served(calm, begun),
+        "served": served(begun, rolled),
+        "served after": served(end, end + 18.0),
+        "budget before": budget(calm, begun),
+        "budget": budget(begun, end),
+        "budget after": budget(end, end + 20.0),
+        "over limit": round(max(0.0, judge.over("shop")), 3),
+        "marks": len(judge.marks),
+        "marks lost": len(lost),
+        "longest restart s": round(waited, 1),
+        "last restarted s": round(rolled - begun, 1),
+        "written everywhere s": round(rolled - begun + new, 1),
+        "violations": len(found),
+    }
 
 
 # What it adds to a request
@@ -321,9 +377,15 @@
 def added(terms: Added, seed: int) -> dict:
     """Three real agents with the fleet and three without, asked in turns by one client at a time."""
     from cartdeal.lab.added import Pairs
+
     with Pairs(seed) as pairs:
         return pairs.measure(terms.kind, terms.requests)
 
 
-PLAYS = {"ring": (Ring, ring), "copies": (Copies, copies), "days": (Days, days),
-         "upgrade": (Upgrade, upgrade), "added": (Added, added)}
+PLAYS = {
+    "ring": (Ring, ring),
+    "copies": (Copies, copies),
+    "days": (Days, days),
+    "upgrade": (Upgrade, upgrade),
+    "added": (Added, added),
+}
--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -14,18 +14,20 @@
 from cartdeal.fleet.desk import Pact
 from cartdeal.fleet.ring import Damper, Ring, Seat, least, moved, number, owners, plan
 
-KEYS = 50_000           # for loads
-COPIED = 1_500          # keys, for copies
-POINTS = 5              # on the circle for one of capacity; 160 for an agent of 32
+KEYS = 50_000  # for loads
+COPIED = 1_500  # keys, for copies
+POINTS = 5  # on the circle for one of capacity; 160 for an agent of 32
 EVENTS = ("join", "leave", "capacity", "turnover", "flapping", "wobble")
-STEP = 0.5              # seconds between two looks of the damper
+STEP = 0.5  # seconds between two looks of the damper
 
 
 def fleet(seed: int, agents: int) -> dict[str, Seat]:
     """Capacities of 1 to 64, as many between 1 and 2 as between 32 and 64; three zones."""
     dice = Random(f"{seed} {agents}")
-    return {name: Seat(name, f"z{place % 3}", float(round(2 ** dice.uniform(0, 6))))
-            for place, name in enumerate(f"agent-{place:04}" for place in range(agents))}
+    return {
+        name: Seat(name, f"z{place % 3}", float(round(2 ** dice.uniform(0, 6))))
+        for place, name in enumerate(f"agent-{place:04}" for place in range(agents))
+    }
 
 
 def story(event: str, seats: dict[str, Seat], seed: int) -> list[tuple[float, dict[str, Seat]]]:
@@ -36,18 +38,21 @@
         return [(0.0, rest), (10.0, seats)]
     if event == "leave":
         return [(0.0, seats), (10.0, rest)]
-    if event == "capacity":     # of the largest, to a half
+    if event == "capacity":  # of the largest, to a half
         return [(0.0, seats), (10.0, seats | {name: Seat(name, largest.zone, largest.capacity / 2)})]
-    if event == "turnover":     # three join in one step while the largest fails
+    if event == "turnover":  # three join in one step while the largest fails
         names = sorted(rest)[:3]
         return [(0.0, {each: seat for each, seat in seats.items() if each not in names}), (10.0, rest)]
-    if event == "flapping":     # the largest, 30 times in a minute
+    if event == "flapping":  # the largest, 30 times in a minute
         return [(0.0, seats)] + [(10.0 + turn, seats if turn % 2 else rest) for turn in range(60)]
-    dice = Random(seed)         # each a tenth up or down, every second for ten seconds
+    dice = Random(seed)  # each a tenth up or down, every second for ten seconds
 
     def wobbling():
-        return {each: Seat(each, seat.zone, seat.capacity * dice.choice((0.9, 1.1)))
-                for each, seat in seats.items()}
+        return {
+            each: Seat(each, seat.zone, seat.capacity * dice.choice((0.9, 1.1)))
+            for each, seat in seats.items()
+        }
+
     return [(0.0, seats), *((10.0 + turn, wobbling()) for turn in range(10)), (20.0, seats)]
 
 
@@ -64,8 +69,10 @@
     rings, quiet, left = [ring], 0, list(told)
     while now <= last or quiet < 8 * pact.damp_s:
         if left and left[0][0] <= now:
-            live = {name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, life=1)
-                    for name, seat in left.pop(0)[1].items()}
+            live = {
+                name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, life=1)
+                for name, seat in left.pop(0)[1].items()
+            }
         new = plan(ring, damper.wanted(live, ring, now), pact.step_share)
         if new is not ring:
             rings.append(new)
@@ -98,12 +105,12 @@
 
     def shares(self) -> dict[str, float]:
         """Of the circle, by name."""
-        arcs = np.diff(self.spot, prepend=self.spot[-1]).astype(float) / 2.0 ** 64     # wraps round the end
+        arcs = np.diff(self.spot, prepend=self.spot[-1]).astype(float) / 2.0**64  # wraps round the end
         return dict(zip(self.names, np.bincount(self.whose, arcs, len(self.names)), strict=True))
 
     def moved(self, new: "Circle") -> float:
         ends = np.unique(np.concatenate([self.spot, new.spot]))
-        arcs = np.diff(ends, prepend=ends[-1]).astype(float) / 2.0 ** 64
+        arcs = np.diff(ends, prepend=ends[-1]).astype(float) / 2.0**64
         place = {name: n for n, name in enumerate(new.names)}
         renamed = np.array([place.get(name, -1) for name in self.names])
         return float(arcs[renamed[self.owner(ends)] != new.owner(ends)].sum())
@@ -122,7 +129,7 @@
         x = part[:, None] ^ salts[None, :]
         x = (x ^ x >> np.uint64(30)) * np.uint64(0xBF58476D1CE4E5B9)
         x = (x ^ x >> np.uint64(27)) * np.uint64(0x94D049BB133111EB)
-        found.append((np.log(((x ^ x >> np.uint64(31)) + 0.5) * 2.0 ** -64) * turns).argmin(axis=1))
+        found.append((np.log(((x ^ x >> np.uint64(31)) + 0.5) * 2.0**-64) * turns).argmin(axis=1))
     return np.concatenate(found)
 
 
@@ -171,8 +178,15 @@
     counted = dict(zip(names, np.bincount(held, minlength=len(names)) / KEYS, strict=True))
     fair = [end[name].capacity for name in names]
     thrown = np.random.default_rng(seed).multinomial(KEYS, np.array(fair) / sum(fair)) / KEYS
-    return {"variant": variant, "seed": seed, "agents": agents, "event": event,
-            "moved_over_least": round(went / floor, 3), "fullest_over_fair": round(fullest(shares, end), 3),
-            "fullest_of_keys": round(fullest(counted, end), 3),
-            "fullest_by_chance": round(fullest(dict(zip(names, thrown, strict=True)), end), 3),
-            "copies_over_least": copies, "epochs": len(rings) - 1}
+    return {
+        "variant": variant,
+        "seed": seed,
+        "agents": agents,
+        "event": event,
+        "moved_over_least": round(went / floor, 3),
+        "fullest_over_fair": round(fullest(shares, end), 3),
+        "fullest_of_keys": round(fullest(counted, end), 3),
+        "fullest_by_chance": round(fullest(dict(zip(names, thrown, strict=True)), end), 3),
+        "copies_over_least": copies,
+        "epochs": len(rings) - 1,
+    }
--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -17,7 +17,7 @@
 
 # What makes the new shape: key of the settings, its value.
 SHAPE = {"family": "proxy", "discovery": "pushed", "weightKind": "live"}
-GONE = {    # settings that the new shape has no use for, and why
+GONE = {  # settings that the new shape has no use for, and why
     ("caps", "probes"): "servers may not be probed",
     ("fees", "probe"): "servers may not be probed",
     ("rules", "askEveryUs"): "the list comes unasked",
@@ -27,10 +27,10 @@
 
 
 class Plan(NamedTuple):
-    text: bytes             # of the new file
-    lost: list[str]         # what was not carried over, by key, with the reason
-    open: list[str]         # what the operator has to fill in or confirm, by key
-    fault: str              # what keeps it from passing `check`; empty if nothing does
+    text: bytes  # of the new file
+    lost: list[str]  # what was not carried over, by key, with the reason
+    open: list[str]  # what the operator has to fill in or confirm, by key
+    fault: str  # what keeps it from passing `check`; empty if nothing does
 
 
 def fault(key, found, wanted):
@@ -57,8 +57,11 @@
 
 
 def has_new_shape(settings: dict) -> bool:
-    return all(settings.get(key) == word for key, word in SHAPE.items()) \
-        and part(settings, "feedback").get("how") == "answers" and not part(settings, "caps").get("probes")
+    return (
+        all(settings.get(key) == word for key, word in SHAPE.items())
+        and part(settings, "feedback").get("how") == "answers"
+        and not part(settings, "caps").get("probes")
+    )
 
 
 def check_number(settings: dict):
@@ -73,8 +76,9 @@
     settings = part(old, "settings")
     if has_new_shape(settings):
         return None
-    configuration.decode(json.dumps(old).encode(), path, dict.fromkeys(
-        ("PROXY_LISTEN", "PROXY_DISCOVERY"), "127.0.0.1:0"))
+    configuration.decode(
+        json.dumps(old).encode(), path, dict.fromkeys(("PROXY_LISTEN", "PROXY_DISCOVERY"), "127.0.0.1:0")
+    )
     check_number(settings)
     old_areas = settings.get("areas", [])
     own = old_areas[settings.get("az", 0)] if old_areas else ""
@@ -106,8 +110,10 @@
         if given is not None:
             new[key] = given
         else:
-            still.append(f"settings.{key}: {new.get(key, 'none')!r} was counted among agents beside their "
-                         f"clients; say what it is in the pool ({option})")
+            still.append(
+                f"settings.{key}: {new.get(key, 'none')!r} was counted among agents beside their "
+                f"clients; say what it is in the pool ({option})"
+            )
     new |= over or {}
     if "workloads" not in (over or {}):
         still.append(
@@ -133,7 +139,7 @@
     except Fault as found:
         trouble = str(found)
     if not trouble:
-        check_number(new)   # numbers, by now: what was laid over may be of any type
+        check_number(new)  # numbers, by now: what was laid over may be of any type
     return Plan(text, lost, still, trouble)
 
 
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -28,13 +28,13 @@
 
 MOST_AGENTS = 1024
 MOST_SECONDS = 300.0
-LIVES = 16          # starts of one agent whose seeds are all different
-STARTED_AT_ONCE = 64    # more would wait for a processor for longer than READY
-READY = 20.0        # how long an agent may take to serve
-RESTART = 1.0       # how long a killed agent is away
-TAIL = 1.0          # after the longest deadline, when all must be answered
+LIVES = 16  # starts of one agent whose seeds are all different
+STARTED_AT_ONCE = 64  # more would wait for a processor for longer than READY
+READY = 20.0  # how long an agent may take to serve
+RESTART = 1.0  # how long a killed agent is away
+TAIL = 1.0  # after the longest deadline, when all must be answered
 COUNTED = "shots", "crossings", "probes", "list calls", "late clients", "faults logged"
-UNPLAYABLE = ("zone_cut",)      # loopback has no zones to cut
+UNPLAYABLE = ("zone_cut",)  # loopback has no zones to cut
 PORT = re.compile(rb"msg=serving .*\bport=(\d+)")
 ANSWERS = 200, 502, 503
 METHODS = {"safe": "GET"}
@@ -73,15 +73,26 @@
         self.life += 1
         known = {"rev": rig.list.version, "all": True, "targets": list(rig.list.lines.values())}
         file = Path(rig.folder, f"{self.number}.json")
-        file.write_text(json.dumps({
-            "name": f"n{self.number}", "listen": f"{HOST}:0", "discovery": rig.list.address,
-            "seed": f"{agent_seed(rig.seed, self.number, self.life):x}", "known": known,
-            "limits": {"memory_mb": 192, "sockets": 1024},
-            "settings": agent_settings(rig.world, self.number, self.zone)}))
+        file.write_text(
+            json.dumps(
+                {
+                    "name": f"n{self.number}",
+                    "listen": f"{HOST}:0",
+                    "discovery": rig.list.address,
+                    "seed": f"{agent_seed(rig.seed, self.number, self.life):x}",
+                    "known": known,
+                    "limits": {"memory_mb": 192, "sockets": 1024},
+                    "settings": agent_settings(rig.world, self.number, self.zone),
+                }
+            )
+        )
         # A group of its own: a shell that starts more than one process must leave none behind.
-        self.process = subprocess.Popen(["/bin/sh", "-c", rig.run], stderr=subprocess.PIPE,
-                                        start_new_session=True,
-                                        env={"PROXY_CONFIG": str(file), "PATH": "/usr/bin:/bin"})
+        self.process = subprocess.Popen(
+            ["/bin/sh", "-c", rig.run],
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+            env={"PROXY_CONFIG": str(file), "PATH": "/usr/bin:/bin"},
+        )
         with gevent.Timeout(READY):
             while not (found := PORT.search(line := self.process.stderr.readline())):
                 if not line:
@@ -120,10 +131,11 @@
         self.offered = self.served = 0.0
         self.rush, self.hot, self.took, self.named, self.requests = 1.0, 0.0, [], 0, 0
         self.request_classes = list(accumulate(each.share for each in world.request_class))
-        self.popular = list(accumulate((1 + place) ** -world.clients.popularity
-                                       for place in range(world.clients.keys)))
+        self.popular = list(
+            accumulate((1 + place) ** -world.clients.popularity for place in range(world.clients.keys))
+        )
         self.kinds = {each.name: each for each in world.request_class}
-        self.asked_by = {}      # request -> agent
+        self.asked_by = {}  # request -> agent
         self.servers, self.agents = {}, []
 
     @property
@@ -153,7 +165,7 @@
 
     def start_agents(self):
         for first in range(0, len(self.agents), STARTED_AT_ONCE):
-            several = self.agents[first:first + STARTED_AT_ONCE]
+            several = self.agents[first : first + STARTED_AT_ONCE]
             gevent.joinall([gevent.spawn(agent.start) for agent in several], raise_error=True)
 
     def day(self):
@@ -194,8 +206,14 @@
             for each in case.attempts.values():
                 each[4] = False
             self.count["crossings"] += agent.zone != server.zone
-        self.judge.attempt_sent(self.now, agent.number if agent else None, request, attempt, server.name,
-                             self.world.zones[server.zone])
+        self.judge.attempt_sent(
+            self.now,
+            agent.number if agent else None,
+            request,
+            attempt,
+            server.name,
+            self.world.zones[server.zone],
+        )
 
     def told(self, line):
         for agent in self.agents:
@@ -220,10 +238,13 @@
     def ask(self, agent, kind, key, due):
         self.requests += 1
         request, life, late = f"r{self.requests}", agent.life, self.now - due
-        head = (f"{METHODS.get(kind.repeat, 'POST')} /{kind.name}/{key} HTTP/1.1\r\n"
-                f"X-Request-ID: {request}\r\nCookie: sid={key}\r\n"
-                f"X-Timeout: {kind.limit_s * 1e3:.0f}m\r\nContent-Length: 0\r\n"
-                + f"Idempotency-Key: {request}\r\n" * (kind.repeat == "keyed") + "\r\n")
+        head = (
+            f"{METHODS.get(kind.repeat, 'POST')} /{kind.name}/{key} HTTP/1.1\r\n"
+            f"X-Request-ID: {request}\r\nCookie: sid={key}\r\n"
+            f"X-Timeout: {kind.limit_s * 1e3:.0f}m\r\nContent-Length: 0\r\n"
+            + f"Idempotency-Key: {request}\r\n" * (kind.repeat == "keyed")
+            + "\r\n"
+        )
         self.asked_by[request] = agent
         self.judge.request_taken(self.now, agent.number, request, kind.name, self.now + kind.limit_s)
         connection, message = self.kept(agent), None
@@ -238,10 +259,10 @@
                 return
             message = self.exchange(connection, head, kind)
         if not message:
-            return      # unanswered: the judge says so, unless the agent was killed
+            return  # unanswered: the judge says so, unless the agent was killed
         self.judge.request_answered(self.now, request, message.status)
         self.count[message.status] += 1
-        if message.status not in ANSWERS:   # 409: it had read the request when it closed, and so had taken it
+        if message.status not in ANSWERS:  # 409: it had read the request when it closed, and so had taken it
             self.judge.break_(1, self.now, request, f"answered {message.status}, which is no answer to it")
         if message.status == 200:
             if message.body != b"done " + request.encode():
@@ -288,8 +309,11 @@
     def begin(self, fault, place):
         random, kind, size = chance(self.seed, f"fault {place}"), fault.kind, fault.size
         zone = self.world.zones.index(fault.zone) if fault.zone else None
-        here = self.agents if kind == "kill" else [
-            each for each in self.servers.values() if not each.draining and zone in (None, each.zone)]
+        here = (
+            self.agents
+            if kind == "kill"
+            else [each for each in self.servers.values() if not each.draining and zone in (None, each.zone)]
+        )
         met = random.sample(here, min(len(here), max(1, round(fault.part * len(here)))))
         if kind == "kill":
             for agent in met:
@@ -306,8 +330,9 @@
 
     def whole(self, kind):
         """Whom such a fault meets that is no single server's."""
-        return {"list_down": [self.list], "list_late": [self.list],
-                "jump": [self], "hot_key": [self]}.get(kind)
+        return {"list_down": [self.list], "list_late": [self.list], "jump": [self], "hot_key": [self]}.get(
+            kind
+        )
 
     def meet(self, kind, size, request_class, it):
         if kind == "crash":
@@ -316,9 +341,13 @@
         if kind == "list_down":
             it.go_down()
             return lambda: setattr(it, "down", False)
-        name, value = {"silent": ("silent", True), "one_workload": ("spoilt", {request_class: size}),
-                       "list_late": ("later", size), "jump": ("rush", size),
-                       "hot_key": ("hot", size)}.get(kind, (kind, size))
+        name, value = {
+            "silent": ("silent", True),
+            "one_workload": ("spoilt", {request_class: size}),
+            "list_late": ("later", size),
+            "jump": ("rush", size),
+            "hot_key": ("hot", size),
+        }.get(kind, (kind, size))
         before = getattr(it, name)
         setattr(it, name, value)
         return lambda: setattr(it, name, before)
@@ -333,7 +362,12 @@
 
     def figures(self) -> dict:
         return {
-            "lookups": self.requests, "completed": self.count[200], "turned back": self.count[503],
-            "terminated": self.count[502], "served": round(self.served / max(self.offered, 1e-9), 4),
+            "lookups": self.requests,
+            "completed": self.count[200],
+            "turned back": self.count[503],
+            "terminated": self.count[502],
+            "served": round(self.served / max(self.offered, 1e-9), 4),
             **{each: self.count[each] for each in COUNTED},
-            "lost with killed agents": self.judge.excused, "violations": len(self.judge.violations)}
+            "lost with killed agents": self.judge.excused,
+            "violations": len(self.judge.violations),
+        }
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -17,9 +17,9 @@
 from cartdeal.emulator.servers import warmth
 
 HOST = "127.0.0.1"
-BACKLOG = 1024      # connections that wait to be accepted: those of all agents at once
+BACKLOG = 1024  # connections that wait to be accepted: those of all agents at once
 RESET = struct.pack("ii", 1, 0)
-BREAKS = ("nothing", "head", "body", "noise", "reset")     # where a broken answer ends
+BREAKS = ("nothing", "head", "body", "noise", "reset")  # where a broken answer ends
 
 
 def said(status: int, body: bytes = b"", extra: bytes = b"") -> bytes:
@@ -135,7 +135,8 @@
             way = self.random.choice(BREAKS)
             self.rig.count[f"broken off: {way}"] += 1
             connection.sock.sendall(
-                {"head": whole[:20], "body": whole[:-3], "noise": b"\xff no HTTP\r\n\r\n"}.get(way, b""))
+                {"head": whole[:20], "body": whole[:-3], "noise": b"\xff no HTTP\r\n\r\n"}.get(way, b"")
+            )
             return reset(connection) if way in ("reset", "nothing") else connection.close()
         failing = max(self.errors, self.spoilt.get(kind, 0.0))
         connection.sock.sendall(said(500) if self.random.random() < failing else whole)
@@ -149,9 +150,15 @@
         self.listen()
 
     def line(self, state="active") -> dict:
-        return {"uid": self.name, "endpoint": self.address, "az": self.rig.world.zones[self.zone],
-                "pod_group": 0, "state": state, "capacity_hint": 1.0,
-                "boot_ms": int(self.rig.wall(self.started) * 1e3) if self.started else 0}
+        return {
+            "uid": self.name,
+            "endpoint": self.address,
+            "az": self.rig.world.zones[self.zone],
+            "pod_group": 0,
+            "state": state,
+            "capacity_hint": 1.0,
+            "boot_ms": int(self.rig.wall(self.started) * 1e3) if self.started else 0,
+        }
 
 
 class DiscoveryService(Listener):
--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -9,9 +9,9 @@
 from cartdeal.terms import BalancerSettings, Group, Load, Repeat, RequestClass, Tenant
 
 REPEATS = {"safe": Repeat.IDEMPOTENT, "keyed": Repeat.DEDUPLICATED, "unsafe": Repeat.NON_IDEMPOTENT}
-COLUMNS = ("outstanding", "throughput", "backlog", "recent_ms")     # of a report, as load_of takes them
+COLUMNS = ("outstanding", "throughput", "backlog", "recent_ms")  # of a report, as load_of takes them
 GROUPS = {group.value: group for group in Group}
-LEAST_PRIORITY = 1e-6   # priorities are divided by their mean, which must not be 0
+LEAST_PRIORITY = 1e-6  # priorities are divided by their mean, which must not be 0
 
 
 class ClassSettings(msgspec.Struct):
@@ -137,7 +137,8 @@
 def load_of(held, served, waiting, millis) -> Load:
     """A report as it was said; what no server can mean counts as not said."""
     held, served, waiting, millis = (
-        each if each is not None and 0 <= each < 1e9 else None for each in (held, served, waiting, millis))
+        each if each is not None and 0 <= each < 1e9 else None for each in (held, served, waiting, millis)
+    )
     return Load(held, served, waiting, None if millis is None else millis / 1e3)
 
 
--- a/cartdeal/terms.py
+++ b/cartdeal/terms.py
@@ -51,7 +51,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNUSABLE = "unusable"   # the server can make nothing of the request, and would not again
+    UNUSABLE = "unusable"  # the server can make nothing of the request, and would not again
 
     @property
     def never_ran(self) -> bool:
@@ -64,7 +64,7 @@
     window: float
     latency_target: float
     priority: float
-    name: str = ""      # told apart by it where all else is alike
+    name: str = ""  # told apart by it where all else is alike
 
 
 class Tenant(NamedTuple):
@@ -88,9 +88,9 @@
     """What a server says of itself; None where it does not say."""
 
     held: float | None = None
-    served: float | None = None     # a second
+    served: float | None = None  # a second
     waiting: float | None = None
-    took: float | None = None       # seconds to serve one lately, without waiting
+    took: float | None = None  # seconds to serve one lately, without waiting
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,9 +116,9 @@
     cold_from: float
     cold_for: float
     cold_span: float
-    pooled: bool            # clients reach any agent of a pool, in place of one of their own
-    worst_class: float   # how much the worst-served request class counts beside the whole
-    live_weights: bool      # the list's weights are lowered by what servers hold
+    pooled: bool  # clients reach any agent of a pool, in place of one of their own
+    worst_class: float  # how much the worst-served request class counts beside the whole
+    live_weights: bool  # the list's weights are lowered by what servers hold
 
 
 class Host(Protocol):
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -60,29 +60,46 @@
     CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
     DOES = {
         "unusable": answer(400),
-        "error": answer(500), "full": answer(503, extra=NOT_RUN), "over": answer(504, extra=NOT_RUN),
-        "busy": answer(503), "odd": answer(302), "garbage": b"what is this\r\n\r\n",
+        "error": answer(500),
+        "full": answer(503, extra=NOT_RUN),
+        "over": answer(504, extra=NOT_RUN),
+        "busy": answer(503),
+        "odd": answer(302),
+        "garbage": b"what is this\r\n\r\n",
         "interim": b"HTTP/1.1 100 Continue\r\n\r\n" + answer(200, b"after all"),
         "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nthr\r\n2\r\nee\r\n0\r\n\r\n",
-        "long": answer(200, bytes(70000)), "closing": answer(200, b"bye", b"Connection: close\r\n"),
+        "long": answer(200, bytes(70000)),
+        "closing": answer(200, b"bye", b"Connection: close\r\n"),
         # Good answers with more than belongs to them.
-        "twice": answer(200, b"one") * 2, "noisy": answer(200, b"one") + b"\x00 noise", "trailing": CHUNKED
-        + b"3\r\none\r\n0\r\nX-Not-Processed: 1\r\n\r\n", "hints": b"HTTP/1.1 103 H\r\nX: 1\r\n\r\n" * 3
-        + answer(200, b"one"), "unread": answer(200, b"one", b"X-Server-Load: {\r\nX-Server-Load: 1\r\n"),
+        "twice": answer(200, b"one") * 2,
+        "noisy": answer(200, b"one") + b"\x00 noise",
+        "trailing": CHUNKED + b"3\r\none\r\n0\r\nX-Not-Processed: 1\r\n\r\n",
+        "hints": b"HTTP/1.1 103 H\r\nX: 1\r\n\r\n" * 3 + answer(200, b"one"),
+        "unread": answer(200, b"one", b"X-Server-Load: {\r\nX-Server-Load: 1\r\n"),
         # Spoilt ones: the connection stays open, and nothing more comes on it.
         "both": HEAD + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n",
         "endless": HEAD + b"X: " + bytes([120]) * 20000,
         "huge": HEAD + b"Content-Length: 3000000000\r\n\r\none",
-        "negative": HEAD + b"Content-Length: -3\r\n\r\none", "other": HEAD + b"Content_Length: 3\r\n\r\none",
+        "negative": HEAD + b"Content-Length: -3\r\n\r\none",
+        "other": HEAD + b"Content_Length: 3\r\n\r\none",
         "lists": HEAD + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\none",
         "old": HEAD.replace(b"1.1", b"1.0") + b"Content-Length: 3\r\n\r\none",
-        "chunks": CHUNKED + b"-3\r\none", "nothings": CHUNKED + b"1;" + bytes([120]) * 20000,
-        "waits": b"HTTP/1.1 100 C\r\nX: 1\r\n\r\n" * 2000, "upgrade": b"HTTP/1.1 101 U\r\nUpgrade: x\r\n"
-        b"Connection: upgrade\r\n\r\none", "gzip": HEAD + b"Transfer-Encoding: gzip\r\n\r\none",
+        "chunks": CHUNKED + b"-3\r\none",
+        "nothings": CHUNKED + b"1;" + bytes([120]) * 20000,
+        "waits": b"HTTP/1.1 100 C\r\nX: 1\r\n\r\n" * 2000,
+        "upgrade": b"HTTP/1.1 101 U\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\none",
+        "gzip": HEAD + b"Transfer-Encoding: gzip\r\n\r\none",
         # With neither length nor chunks: an orderly end ends them, a reset doesn't.
-        "open": HEAD + b"\r\none", "empty": HEAD + b"\r\n", "torn": HEAD + b"\r\none",
-        "flood": HEAD + b"\r\n" + bytes(70000), "unending": HEAD + b"\r\none",
-        "half": answer(200, bytes(100))[:-50], "end": b"", "reset": b"", "silent": b"", "wait": b"",
+        "open": HEAD + b"\r\none",
+        "empty": HEAD + b"\r\n",
+        "torn": HEAD + b"\r\none",
+        "flood": HEAD + b"\r\n" + bytes(70000),
+        "unending": HEAD + b"\r\none",
+        "half": answer(200, bytes(100))[:-50],
+        "end": b"",
+        "reset": b"",
+        "silent": b"",
+        "wait": b"",
     }
     ENDS = ("half", "end", "reset", "closing", "open", "empty", "torn")
 
@@ -91,8 +108,16 @@
         super().__init__(port)
 
     def line(self, **more) -> dict:
-        return {"uid": self.name, "endpoint": self.address, "az": "a", "model": "toy", "pod_group": 0,
-                "state": "active", "capacity_hint": 1.0, "boot_ms": 0} | more
+        return {
+            "uid": self.name,
+            "endpoint": self.address,
+            "az": "a",
+            "model": "toy",
+            "pod_group": 0,
+            "state": "active",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        } | more
 
     def play(self, connection: Connection, message):
         path, _, query = message.path.partition(b"?")
@@ -106,7 +131,7 @@
             said = answer(200, b"waited")
         if does == "dribble":
             for place in range(len(said)):
-                connection.sock.sendall(said[place:place + 1])
+                connection.sock.sendall(said[place : place + 1])
                 gevent.sleep(0)
         elif said:
             connection.sock.sendall(said)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -25,15 +25,30 @@
 from examples.toy import DiscoveryService, Server
 
 PORT = re.compile(rb"msg=serving .*port=(\d+)")
-LIMIT = 30.0        # seconds until what has to happen counts as never happening
+LIMIT = 30.0  # seconds until what has to happen counts as never happening
 IDS = count(1)
-QUICK = dict(lease_s=0.6, probe_s=0.1, suspect_s=0.5, damp_s=0.5, tick_s=0.05, wait_s=0.25,
-             longest_mark_s=6.0, clock_ahead_s=0.25)
+QUICK = dict(
+    lease_s=0.6,
+    probe_s=0.1,
+    suspect_s=0.5,
+    damp_s=0.5,
+    tick_s=0.05,
+    wait_s=0.25,
+    longest_mark_s=6.0,
+    clock_ahead_s=0.25,
+)
 KINDS = [
     {"name": "read", "idempotency": "safe", "goalTimeUs": 600000, "timeLimitUs": 2000000},
-    {"name": "submit", "idempotency": "keyed", "group": "all", "repeatWindowUs": 4000000,
-     "goalTimeUs": 1000000, "timeLimitUs": 2000000},
-    {"name": "close", "idempotency": "unsafe", "goalTimeUs": 1200000, "timeLimitUs": 3000000}]
+    {
+        "name": "submit",
+        "idempotency": "keyed",
+        "group": "all",
+        "repeatWindowUs": 4000000,
+        "goalTimeUs": 1000000,
+        "timeLimitUs": 2000000,
+    },
+    {"name": "close", "idempotency": "unsafe", "goalTimeUs": 1200000, "timeLimitUs": 3000000},
+]
 
 
 def eventually(found, why, limit=LIMIT):
@@ -68,7 +83,7 @@
     def fate(self, text) -> list[float]:
         """After which delays the message goes on, once for each: none where it is lost."""
         world, random = self.world, self.world.random
-        sender = msgspec.msgpack.decode(text[1 + wire.SEAL:])[1]
+        sender = msgspec.msgpack.decode(text[1 + wire.SEAL :])[1]
         if (sender, self.name) in world.cuts or random.random() < world.lose:
             return []
         return [random.random() * world.delay for _ in range(1 + (random.random() < world.double))]
@@ -118,22 +133,39 @@
         ports = world.free_port()
         folder = world.folder
         file = folder / f"{self.name}.json"
-        file.write_text(json.dumps({
-            "name": self.name, "listen": "127.0.0.1:0", "discovery": world.list.address,
-            "seed": f"{next(IDS):x}",
-            "known": {"rev": 1, "all": True, "targets": list(world.list.lines.values())},
-            "settings": {"areas": ["a", "b", "c"], "az": "abc".index(self.zone), "discovery": "on_request",
-                         "groupSize": 3, "workloads": KINDS, "tenants": [{"name": "shop", "quotaPerS": 20}],
-                         "caps": {"maxShots": 3, "retryAfter": True, "maxRetryAfterUs": 2000000},
-                         "rules": {"askEveryUs": 10000000}}}))
+        file.write_text(
+            json.dumps(
+                {
+                    "name": self.name,
+                    "listen": "127.0.0.1:0",
+                    "discovery": world.list.address,
+                    "seed": f"{next(IDS):x}",
+                    "known": {"rev": 1, "all": True, "targets": list(world.list.lines.values())},
+                    "settings": {
+                        "areas": ["a", "b", "c"],
+                        "az": "abc".index(self.zone),
+                        "discovery": "on_request",
+                        "groupSize": 3,
+                        "workloads": KINDS,
+                        "tenants": [{"name": "shop", "quotaPerS": 20}],
+                        "caps": {"maxShots": 3, "retryAfter": True, "maxRetryAfterUs": 2000000},
+                        "rules": {"askEveryUs": 10000000},
+                    },
+                }
+            )
+        )
         fleet = folder / f"{self.name}.toml"
         fleet.write_text(world.operator_file(self, ports, **changes))
         self.relay.to = ("127.0.0.1", ports)
         self.lines, self.port = [], 0
         words = [sys.executable, "-B", "-m", "cartdeal", "serve"]
         self.process = subprocess.Popen(
-            words, cwd=Path(__file__).parents[1], stderr=subprocess.PIPE, start_new_session=True,
-            env={"PROXY_CONFIG": str(file), "PROXY_FLEET": str(fleet), "PATH": os.environ["PATH"]})
+            words,
+            cwd=Path(__file__).parents[1],
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+            env={"PROXY_CONFIG": str(file), "PROXY_FLEET": str(fleet), "PATH": os.environ["PATH"]},
+        )
         gevent.spawn(self.read, self.process)
         return self
 
@@ -178,7 +210,7 @@
 
     def __exit__(self, *_):
         for each in self.agents:
-            print(f"--- {each.name}", *each.lines[-40:], sep="\n")     # pytest shows it where a test fails
+            print(f"--- {each.name}", *each.lines[-40:], sep="\n")  # pytest shows it where a test fails
         for each in self.agents:
             each.stop()
         for each in [self.list, *self.servers]:
@@ -190,11 +222,27 @@
             return sock.getsockname()[1]
 
     def operator_file(self, agent, port, **changes) -> str:
-        terms = dict(fleet="tests", name=agent.name, listen=f"127.0.0.1:{port}", key="k" * 32,
-                     address=f"127.0.0.1:{agent.relay.port}", zone=agent.zone, **self.terms) | changes
+        terms = (
+            dict(
+                fleet="tests",
+                name=agent.name,
+                listen=f"127.0.0.1:{port}",
+                key="k" * 32,
+                address=f"127.0.0.1:{agent.relay.port}",
+                zone=agent.zone,
+                **self.terms,
+            )
+            | changes
+        )
         seeds = {each.name: f"127.0.0.1:{each.relay.port}" for each in self.agents[:3]}
-        return "\n".join([*(f"{key} = {json.dumps(value)}" for key, value in terms.items()), "[seeds]",
-                          *(f'{name} = "{address}"' for name, address in seeds.items()), self.limits])
+        return "\n".join(
+            [
+                *(f"{key} = {json.dumps(value)}" for key, value in terms.items()),
+                "[seeds]",
+                *(f'{name} = "{address}"' for name, address in seeds.items()),
+                self.limits,
+            ]
+        )
 
     def start(self):
         for each in self.agents:
@@ -215,8 +263,13 @@
         """One request; its status, body and headers, or 0 where the connection broke off."""
         sock = socket.create_connection(("127.0.0.1", agent.port))
         connection = Connection(sock, answers=True)
-        head = [f"{method} {path} HTTP/1.1", "Host: x", f"X-Request-ID: r{next(IDS)}",
-                f"Cookie: sid={session}", "X-Timeout: 2900m"]
+        head = [
+            f"{method} {path} HTTP/1.1",
+            "Host: x",
+            f"X-Request-ID: r{next(IDS)}",
+            f"Cookie: sid={session}",
+            "X-Timeout: 2900m",
+        ]
         head += [f"Idempotency-Key: {key}"] * bool(key) + [f"X-Tenant-ID: {tenant}"] * bool(tenant)
         head += ["X-Retried: 1"] * retried + ["Content-Length: 0"] * (method == "POST")
         try:
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -21,7 +21,7 @@
 ONCE = READ._replace(repeat=Repeat.NON_IDEMPOTENT, priority=3.0)
 MARKED = READ._replace(repeat=Repeat.DEDUPLICATED, group=Group.ZONE, window=2.0)
 MARKED_ALL = MARKED._replace(group=Group.ALL)
-IDS = count(1)      # every request has an id of its own
+IDS = count(1)  # every request has an id of its own
 
 
 class Scene:
@@ -58,8 +58,10 @@
 
     def list(self, servers, state=State.READY, started=0.0, whole=True, weight=1.0):
         """Servers are written as a letter for the name and a digit for the zone."""
-        lines = [Listing(ord(name), name.encode(), int(zone), 0, 0, state, weight, started)
-                 for name, zone in servers.split()]
+        lines = [
+            Listing(ord(name), name.encode(), int(zone), 0, 0, state, weight, started)
+            for name, zone in servers.split()
+        ]
         self.balancer.listed(lines, whole)
 
     def say(self, text):
@@ -142,20 +144,45 @@
 # The agent: stations to start it at, and a deployment of toys round it.
 
 SETTINGS = {
-    "areas": ["a", "b"], "az": 0, "myNumber": 0, "groupSize": 2, "discovery": "on_request",
-    "caps": {"maxShots": 3, "cancel": True, "retryAfter": True, "maxRetryAfterUs": 2000000, "peers": True,
-             "connectTimeoutUs": 250000, "idleCloseUs": 30000000},
+    "areas": ["a", "b"],
+    "az": 0,
+    "myNumber": 0,
+    "groupSize": 2,
+    "discovery": "on_request",
+    "caps": {
+        "maxShots": 3,
+        "cancel": True,
+        "retryAfter": True,
+        "maxRetryAfterUs": 2000000,
+        "peers": True,
+        "connectTimeoutUs": 250000,
+        "idleCloseUs": 30000000,
+    },
     "rules": {"askEveryUs": 10000000, "coldFrom": 0.2, "coldUs": 10000000, "fallUs": 2000000},
     "workloads": [
         {"name": "read", "idempotency": "safe", "goalTimeUs": 1000000, "timeLimitUs": 2000000},
-        {"name": "mark", "idempotency": "keyed", "group": "all", "repeatWindowUs": 4000000,
-         "goalTimeUs": 1000000, "timeLimitUs": 2000000},
-        {"name": "once", "idempotency": "unsafe", "goalTimeUs": 1000000, "timeLimitUs": 2000000}]}
+        {
+            "name": "mark",
+            "idempotency": "keyed",
+            "group": "all",
+            "repeatWindowUs": 4000000,
+            "goalTimeUs": 1000000,
+            "timeLimitUs": 2000000,
+        },
+        {"name": "once", "idempotency": "unsafe", "goalTimeUs": 1000000, "timeLimitUs": 2000000},
+    ],
+}
 
 
 def config_file(**more):
-    return {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
-            "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS} | more
+    return {
+        "name": "n0",
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "seed": "7",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "settings": SETTINGS,
+    } | more
 
 
 def agent_config(folder, **more):
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -34,16 +34,26 @@
 @pytest.mark.parametrize("key, attempts", [(None, 1), ("k", 2)])
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_deduplicated_request_is_sent_again_only_with_the_key_that_tells_a_repeat(
-        deploy, method, key, attempts):
+    deploy, method, key, attempts
+):
     deployment = deploy(servers=2)
     assert deployment.ask("/mark/x?do=reset", method, Idempotency_Key=key)[0] in (502, 503)
     assert len(deployment.seen()) == attempts
 
 
-@pytest.mark.parametrize("group, window, status, attempts", [
-    ("all", None, 502, 1), ("all", 0, 502, 1), ("all", 1, 502, 1), ("all", 4000000, 503, 2),
-    # Of a group that is not named, or not known, no server is known to drop a repeat of another cell's.
-    (None, 4000000, 502, 1), ("rack", 4000000, 502, 1), ("zone", 4000000, 502, 1)])
+@pytest.mark.parametrize(
+    "group, window, status, attempts",
+    [
+        ("all", None, 502, 1),
+        ("all", 0, 502, 1),
+        ("all", 1, 502, 1),
+        ("all", 4000000, 503, 2),
+        # Of a group that is not named, or not known, no server is known to drop a repeat of another cell's.
+        (None, 4000000, 502, 1),
+        ("rack", 4000000, 502, 1),
+        ("zone", 4000000, 502, 1),
+    ],
+)
 def test_window_that_is_missing_or_over_and_groups(deploy, group, window, status, attempts):
     settings = SETTINGS | {"workloads": [workload(group=group, repeatWindowUs=window)]}
     deployment = deploy(servers=2, settings=settings)
@@ -71,7 +81,7 @@
     assert deployment.ask() == (200, b"s0 ")
     server, upstream = deployment.servers[0], deployment.agent.upstream
     kept = upstream.idle[0][0]
-    kept.since -= 0.09      # no sweep has come by since; the server may have left it by now
+    kept.since -= 0.09  # no sweep has come by since; the server may have left it by now
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ") and kept.closed
     assert kept not in upstream.idle.get(0, ()) and len(server.seen) == 2
 
@@ -81,7 +91,7 @@
     idle, asked = [deployment.connect() for _ in range(40)], []
     for _ in range(10):
         asked.append(deployment.connect())
-        asked[-1].sock.sendall(worded())    # what is silent as long as others are may be closed for them
+        asked[-1].sock.sendall(worded())  # what is silent as long as others are may be closed for them
     assert [answered(connection) for connection in asked] == [(200, b"s0 ")] * 10
     for connection in idle + asked:
         connection.close()
@@ -89,8 +99,11 @@
 
 @pytest.mark.parametrize("millis", [20, 50])
 def test_request_of_little_time_is_answered_when_its_server_is_silent(deploy, millis):
-    settings = SETTINGS | {"workloads": [workload("read", idempotency="safe", goalTimeUs=millis * 500,
-                                                  timeLimitUs=millis * 1000)]}
+    settings = SETTINGS | {
+        "workloads": [
+            workload("read", idempotency="safe", goalTimeUs=millis * 500, timeLimitUs=millis * 1000)
+        ]
+    }
     deployment = deploy(settings=settings)
     assert deployment.ask("/read/x?do=silent", X_Timeout=f"{millis}m")[0] in (502, 503)
     assert deployment.ask("/read/x", X_Timeout=f"{millis}m")[0] == 200
@@ -114,8 +127,12 @@
     settings = SETTINGS | {"areas": ["a", "b"], "workloads": [workload(group="zone", repeatWindowUs=4000000)]}
     deployment = deploy(servers=2, settings=settings)
     reducer = deployment.agent.reducer
-    deployment.service.tell(*(line | {"az": zone} for line, zone in
-                              zip(list(deployment.service.lines.values()), zones, strict=True)))
+    deployment.service.tell(
+        *(
+            line | {"az": zone}
+            for line, zone in zip(list(deployment.service.lines.values()), zones, strict=True)
+        )
+    )
     while reducer.version < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k")[0] == 502
@@ -130,14 +147,16 @@
         gevent.sleep(0.002)
     servers = reducer.balancer.servers.values()
     assert len(reducer.zones) == MOST_ZONES and len(reducer.balancer.zones) == MOST_ZONES + 1
-    assert sum(each.state is State.READY for each in servers) == MOST_ZONES - 1    # s0 among them; no zone b
+    assert sum(each.state is State.READY for each in servers) == MOST_ZONES - 1  # s0 among them; no zone b
     assert deployment.ask()[0] == 200
 
 
 @pytest.mark.parametrize("family", ["mesh", "proxy"])
 def test_class_of_no_importance_is_served_and_leaves_nothing(deploy, family):
-    settings = SETTINGS | {"family": family, "workloads": [workload("read", idempotency="safe",
-                                                                       importance=0)]}
+    settings = SETTINGS | {
+        "family": family,
+        "workloads": [workload("read", idempotency="safe", importance=0)],
+    }
     deployment = deploy(settings=settings)
     for does in ("serve", "full", "reset", "serve"):
         assert deployment.ask(f"/read/x?do={does}")[0] == (200 if does == "serve" else 503)
@@ -150,8 +169,10 @@
     balancer = deployment.agent.reducer.balancer
     place = balancer.place
     balancer.place = lambda request, now, **more: (
-        values.setdefault(name, []).append(request.value), place(request, now, **more))
-    for name in ("y",) * 10 + ("x", None) * 3:      # one with no name counts as the first
+        values.setdefault(name, []).append(request.value),
+        place(request, now, **more),
+    )
+    for name in ("y",) * 10 + ("x", None) * 3:  # one with no name counts as the first
         deployment.ask(X_Tenant_Id=name)
     assert values == {"y": [0.1] * 10, "x": [1.0] * 3, None: [1.0] * 3}
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -91,7 +91,7 @@
     scene = Scene("a0 e1")
     scene.serve(range(1, 9))
     for number in (10, 11, 9):
-        scene.take(number, 3)       # a keeps these for good
+        scene.take(number, 3)  # a keeps these for good
     for number in range(12, 40):
         if "cancel" not in "".join(scene.lines):
             scene.serve([number], took=0.09)
@@ -111,11 +111,11 @@
     assert scene.balancer.held and scene.balancer.strain.read(scene.now) > 2.0
     scene.wait(0.02)
     scene.end(1, Outcome.RESET)
-    while scene.balancer.requests[1].attempts < 2:      # room comes soon: that is no overload
+    while scene.balancer.requests[1].attempts < 2:  # room comes soon: that is no overload
         scene.end(next(n for n, each in scene.balancer.requests.items() if each.out))
     for number in range(20, 60):
         scene.take(number)
-    scene.wait(0.5)                                 # now most have found none
+    scene.wait(0.5)  # now most have found none
     first = next(n for n, each in scene.balancer.requests.items() if each.out)
     scene.end(first, Outcome.RESET)
     assert first not in scene.balancer.requests
@@ -138,9 +138,16 @@
 def test_no_second_effect():
     lines = []
     for kind, outcome, pause in [
-            (1, Outcome.TIMED_OUT, 0), (1, Outcome.FULL, 0), (1, Outcome.CANCELLED, 0),
-            (1, Outcome.NOT_CONNECTED, 0), (2, Outcome.ERROR, 0), (2, Outcome.ERROR, 2.5),
-            (3, Outcome.RESET, 0), (3, Outcome.RESET, 2.5), (0, Outcome.ERROR, 0)]:
+        (1, Outcome.TIMED_OUT, 0),
+        (1, Outcome.FULL, 0),
+        (1, Outcome.CANCELLED, 0),
+        (1, Outcome.NOT_CONNECTED, 0),
+        (2, Outcome.ERROR, 0),
+        (2, Outcome.ERROR, 2.5),
+        (3, Outcome.RESET, 0),
+        (3, Outcome.RESET, 2.5),
+        (0, Outcome.ERROR, 0),
+    ]:
         scene = Scene(may_cancel=False, may_probe=False)
         scene.take(1, kind, limit=9.0)
         scene.balancer.requests[1].target_at += 9
@@ -329,11 +336,13 @@
     assert all(server.closed for server in scene.balancer.servers.values())
 
 
-@pytest.mark.parametrize("agents, pooled, least", [(2, False, 1.0), (20, False, 1.0), (2, True, 1.0),
-                                                   (20, True, 0.2)])
+@pytest.mark.parametrize(
+    "agents, pooled, least", [(2, False, 1.0), (20, False, 1.0), (2, True, 1.0), (20, True, 0.2)]
+)
 def test_late_answers_leave_the_agents_of_a_pool_a_few_attempts_together(agents, pooled, least):
-    scene = Scene("a0 " + " ".join(f"{chr(98 + n)}1" for n in range(20)), agents=agents, may_probe=False,
-                  pooled=pooled)
+    scene = Scene(
+        "a0 " + " ".join(f"{chr(98 + n)}1" for n in range(20)), agents=agents, may_probe=False, pooled=pooled
+    )
     for request, took in enumerate([0.01] * 9 + [0.4] * 40):
         scene.take(request)
         scene.wait(took)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -28,13 +28,19 @@
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
     file = tmp_path / "agent.json"
-    file.write_text(json.dumps(config_file(discovery=f"127.0.0.1:{port}", known={},
-                                           limits={"memory_mb": 192, "sockets": LEAST})))
+    file.write_text(
+        json.dumps(
+            config_file(discovery=f"127.0.0.1:{port}", known={}, limits={"memory_mb": 192, "sockets": LEAST})
+        )
+    )
     log = tmp_path / "log"
     with log.open("wb") as to:
         process = subprocess.Popen(
-            [sys.executable, "-m", "cartdeal"], stderr=to, env={**os.environ, "PROXY_CONFIG": str(file)},
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST, LEAST)))
+            [sys.executable, "-m", "cartdeal"],
+            stderr=to,
+            env={**os.environ, "PROXY_CONFIG": str(file)},
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST, LEAST)),
+        )
     with gevent.Timeout(40):
         until(lambda: b"msg=serving" in log.read_bytes())
         front = int(log.read_bytes().split(b"msg=serving")[1].split(b"port=")[1].split()[0])
@@ -45,8 +51,7 @@
 
 # How many of the 32 connections they hold at once at the least.
 @pytest.mark.parametrize("clients, held", [("asked", 15), ("silent", 6), ("midway", 28)])
-def test_idle_clients_leave_discovery_servers_and_a_client_that_works_their_descriptors(
-        agent, clients, held):
+def test_idle_clients_leave_discovery_servers_and_a_client_that_works_their_descriptors(agent, clients, held):
     process, front, port, log = agent
     descriptors = Path(f"/proc/{process.pid}/fd")
     before, idle = len(list(descriptors.iterdir())), []
@@ -60,7 +65,7 @@
     server, service = Server("s0"), DiscoveryService(port)
     service.lines = {"s0": server.line()}
     until(lambda: b"1 lines in all" in log.read_bytes())
-    if clients != "midway":     # those in the middle of a request are not idle: they keep their time for it
+    if clients != "midway":  # those in the middle of a request are not idle: they keep their time for it
         asked = Client(socket.create_connection(("127.0.0.1", front)), answers=True)
         asked.sock.sendall(worded())
         assert answered(asked) == (200, b"s0 ")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,8 +15,8 @@
 from tests.scene import SETTINGS, Deployment, agent_config, until
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-TOLD = 6.0      # what a silent watch misses counts as told so long after it fell silent
-NEVER_UP = [(1e9, None)]    # not even the connection comes up
+TOLD = 6.0  # what a silent watch misses counts as told so long after it fell silent
+NEVER_UP = [(1e9, None)]  # not even the connection comes up
 REFUSED, WORDLESS = [(0.0, ConnectionRefusedError(111, "refused"))], [(0.0, ConnectionResetError())]
 
 
@@ -66,7 +66,7 @@
         text = self.script.pop(0)[1]
         if callable(text):
             return text(self.world)
-        view[:len(text)] = text
+        view[: len(text)] = text
         return len(text)
 
     def close(self):
@@ -79,15 +79,25 @@
     The calls are answered by `scripts`, and those after them by `service`, which is given the time.
     """
 
-    def __init__(self, folder, monkeypatch, *scripts, chance=None, seed="7", known=({},),
-                 service=lambda now: [], **settings):
+    def __init__(
+        self,
+        folder,
+        monkeypatch,
+        *scripts,
+        chance=None,
+        seed="7",
+        known=({},),
+        service=lambda now: [],
+        **settings,
+    ):
         self.now, self.scripts, self.due, self.order = 100.0, list(scripts), [], 0
         self.calls, self.failed, self.attempts, self.heard = [], [], [], []
         self.service = service
         self.sink = os.open(os.devnull, os.O_WRONLY)
         monkeypatch.setattr(discovery, "monotonic", lambda: self.now)
-        monkeypatch.setattr(discovery, "socket", SimpleNamespace(
-            socket=lambda *kind: Sock(self), AF_INET=0, SOCK_STREAM=0))
+        monkeypatch.setattr(
+            discovery, "socket", SimpleNamespace(socket=lambda *kind: Sock(self), AF_INET=0, SOCK_STREAM=0)
+        )
         known = {"rev": 3, "all": True, "targets": [server("s0") | each for each in known]}
         settings = SETTINGS | {"discovery": "pushed"} | settings
         config = agent_config(folder, seed=seed, known=known, settings=settings)
@@ -152,12 +162,15 @@
             each.discovery.watching.kill()
 
 
-STOOD = [(0.0, LIST), (2.0, BEAT), (4.0, BEAT)]     # and falls silent
+STOOD = [(0.0, LIST), (2.0, BEAT), (4.0, BEAT)]  # and falls silent
 LAST = 104.0
 
 
-@pytest.mark.parametrize("first", [[], NEVER_UP, [(0.1, HEAD[:20]), (0.9, HEAD[20:40])]],
-                         ids=["accepted", "never up", "half a head"])
+@pytest.mark.parametrize(
+    "first",
+    [[], NEVER_UP, [(0.1, HEAD[:20]), (0.9, HEAD[20:40])]],
+    ids=["accepted", "never up", "half a head"],
+)
 @pytest.mark.parametrize("chance", [0.0, 0.999999])
 def test_two_calls_fit_in_after_a_silent_watch_the_first_one_never_answered(world, first, chance):
     new = [(0.0, HEAD + told(9, server("s1", state="leaving")))]
@@ -165,7 +178,7 @@
     played.play(LAST + TOLD)
     (_, one), (_, two), (at, three) = played.calls[:3]
     assert at - LAST <= 5.5 and played.reducer.version == 9
-    assert one.endswith("after=3") and two.endswith("after=4") and two == three     # all that was missed
+    assert one.endswith("after=3") and two.endswith("after=4") and two == three  # all that was missed
     played.take(1)
     assert not played.attempts
 
@@ -187,24 +200,36 @@
     assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 2.0, 10 / 3]) and set(map(round, pauses[5:])) == {3}
 
 
-OUTAGES = {"accepted": [], "never up": NEVER_UP, "refused": REFUSED, "no words": WORDLESS,
-           "half a head": [(0.1, HEAD[:20])],
-           "turned away": [(0.2, b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")],
-           "head alone": [(0.1, HEAD)], "answered late": [(2.9, b"HTTP/1.1 503 Down\r\n")]}
+OUTAGES = {
+    "accepted": [],
+    "never up": NEVER_UP,
+    "refused": REFUSED,
+    "no words": WORDLESS,
+    "half a head": [(0.1, HEAD[:20])],
+    "turned away": [(0.2, b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")],
+    "head alone": [(0.1, HEAD)],
+    "answered late": [(2.9, b"HTTP/1.1 503 Down\r\n")],
+}
 BACK = HEAD + told(9, server("s1"))
 
 
 @pytest.mark.parametrize("outage", OUTAGES.values(), ids=OUTAGES)
-@pytest.mark.parametrize("settings", [
-    {}, {"discovery": "on_request"}, {"rules": SETTINGS["rules"] | {"askEveryUs": 60_000_000}}],
-    ids=["pushed", "asked for", "asked for seldom"])
+@pytest.mark.parametrize(
+    "settings",
+    [{}, {"discovery": "on_request"}, {"rules": SETTINGS["rules"] | {"askEveryUs": 60_000_000}}],
+    ids=["pushed", "asked for", "asked for seldom"],
+)
 def test_change_is_had_6_s_after_discovery_is_back_whatever_failed_before(world, outage, settings):
     for place in range(30):
         back = LAST + 3.0 + 1.3 * place
         for chance in (0.0, 0.5, 0.999999):
             # A call that began before it was back goes on as it did then; the next has its answer late.
-            played = world(STOOD, chance=chance, **settings, service=lambda now, back=back:
-                           outage if now < back else [(0.9, BACK)])
+            played = world(
+                STOOD,
+                chance=chance,
+                **settings,
+                service=lambda now, back=back: outage if now < back else [(0.9, BACK)],
+            )
             played.play(back + TOLD)
             assert any(at <= back + TOLD and version == 9 for at, version in played.heard), (back, chance)
 
@@ -213,8 +238,11 @@
     for outage, most in ((REFUSED, 16), ([], 11)):
         calls = []
         for seed in range(200):
-            played = world(STOOD, seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
-                           service=lambda now, outage=outage: outage if now < 150 else [(0.9, BACK)])
+            played = world(
+                STOOD,
+                seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
+                service=lambda now, outage=outage: outage if now < 150 else [(0.9, BACK)],
+            )
             played.play(150 + TOLD)
             assert any(at <= 150 + TOLD and version == 9 for at, version in played.heard)
             calls.append([at for at, _ in played.calls])
@@ -234,6 +262,7 @@
 
 def test_refused_calls_do_not_put_off_the_call_after_a_watch_that_ended_early(world):
     """Refusals for 4 s, a watch that stands for 1.6 s and ends in place of telling: the next call is soon."""
+
     def service(now):
         return OUTAGES["turned away"] if now < 108 else [(0.0, LIST), (1.6, b"")]
 
@@ -245,7 +274,7 @@
 
 
 @pytest.mark.parametrize("ahead", [b"", told(5, server("s2"))], ids=["its first list", "a change"])
-@pytest.mark.parametrize("rest", [b"", chunk(b"{\"rev\": 9")], ids=["whole", "half a line behind"])
+@pytest.mark.parametrize("rest", [b"", chunk(b'{"rev": 9')], ids=["whole", "half a line behind"])
 def test_list_that_comes_together_with_the_end_of_its_watch_counts(world, ahead, rest):
     first, last = (HEAD + ahead, 6) if ahead else (HEAD, 4)
     line = told(last, server("s1", state="leaving"), whole=True)
@@ -275,27 +304,36 @@
     assert played.reducer.ready and max(map(float.__sub__, begun[1:], begun)) < 1.51 and len(begun) < 12
 
 
-@pytest.mark.parametrize("first, until, answer", [
-    (REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["turned away"], 7.5, 0.9), ([], 0.0, 2.9)],
-    ids=["down", "deaf", "full", "slow"])
+@pytest.mark.parametrize(
+    "first, until, answer",
+    [(REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["turned away"], 7.5, 0.9), ([], 0.0, 2.9)],
+    ids=["down", "deaf", "full", "slow"],
+)
 def test_nine_in_ten_agents_that_know_no_server_are_ready_within_10_s(world, first, until, answer):
     late = 0
     for seed in range(200):
-        played = world(seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}", known=(),
-                       service=lambda now: first if now < 100 + until else [(answer, BACK)])
+        played = world(
+            seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
+            known=(),
+            service=lambda now: first if now < 100 + until else [(answer, BACK)],
+        )
         played.play(111.0)
         late += not any(at <= 110.0 for at, _ in played.heard)
     assert late <= 20
 
 
-@pytest.mark.parametrize("script, fails", [
-    ([], discovery.ANSWER),
-    ([(n / 2, HEAD[n:n + 1]) for n in range(60)], discovery.ANSWER),
-    ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE),
-    ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE),
-    ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE),
-    ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE),
-], ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"])
+@pytest.mark.parametrize(
+    "script, fails",
+    [
+        ([], discovery.ANSWER),
+        ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.ANSWER),
+        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE),
+        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE),
+    ],
+    ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"],
+)
 def test_watch_without_whole_lines_is_broken_however_much_it_trickles(world, script, fails):
     played = world(script, [(0.0, HEAD + BEAT)])
     played.play(100.0 + fails + 2.0)
@@ -304,17 +342,24 @@
 
 def late(by):
     """The whole agent stands still while its lines come."""
+
     def stall(world):
         world.now += by
         raise TimeoutError
+
     return stall
 
 
-@pytest.mark.parametrize("script", [
-    [(0.0, LIST)] + [(2.9 * n, BEAT) for n in range(1, 21)],
-    [(0.0, LIST), (1.0, late(20.0)), (2.0, BEAT), (22.0, BEAT)] + [(2.0 * n, BEAT) for n in range(12, 31)],
-    [(0.0, LIST), (1.0, late(0.0)), (1.5, late(0.0))] + [(2.0 * n, BEAT) for n in range(1, 31)],
-], ids=["lines late", "agent late", "timers early"])
+@pytest.mark.parametrize(
+    "script",
+    [
+        [(0.0, LIST)] + [(2.9 * n, BEAT) for n in range(1, 21)],
+        [(0.0, LIST), (1.0, late(20.0)), (2.0, BEAT), (22.0, BEAT)]
+        + [(2.0 * n, BEAT) for n in range(12, 31)],
+        [(0.0, LIST), (1.0, late(0.0)), (1.5, late(0.0))] + [(2.0 * n, BEAT) for n in range(1, 31)],
+    ],
+    ids=["lines late", "agent late", "timers early"],
+)
 def test_watch_that_is_only_late_is_not_opened_anew(world, script):
     played = world(script)
     played.play(155.0)
@@ -330,14 +375,14 @@
         all_ += sum(at < LAST + 20.0 for at, _ in played.calls[1:])
     # Spread over half a second, where in a fleet the beats of its watches are spread over two more.
     assert max(sum(at <= each < at + 0.05 for each in firsts) for at in firsts) < 40
-    assert all_ <= 200 * 5      # five each: from one call to the next it must not be over 5 s
+    assert all_ <= 200 * 5  # five each: from one call to the next it must not be over 5 s
 
 
 def test_list_that_the_agent_has_counts_from_its_first_moment_and_right_after_an_outage(world):
     changed = HEAD + told(5, server("s0", state="leaving"), server("s2"))
     played = world([], [(0.0, changed)], known=(server("s0"), server("s1", state="leaving")))
     played.take(1)
-    played.play(100.1)      # the first call is not answered, the second one is
+    played.play(100.1)  # the first call is not answered, the second one is
     played.take(2)
     played.play(104.0)
     played.take(3)
@@ -346,11 +391,11 @@
 
 def test_service_moved_to_is_asked_at_once_and_again_in_time_for_all_it_has(world):
     played = world([(0.0, LIST)], [], [(0.0, HEAD + told(2, server("s2"), whole=True))], chance=0.999999)
-    played.discovery.watching.join()       # the old one fell silent, and a pause is on
+    played.discovery.watching.join()  # the old one fell silent, and a pause is on
     moved = played.now
     played.discovery.move(("127.0.0.1", 2))
     played.dispatch("discovery_moved")
-    played.play(moved + 4.0)    # what changed counts by then
+    played.play(moved + 4.0)  # what changed counts by then
     assert [path[-7:] for _, path in played.calls[1:3]] == ["after=0"] * 2 and played.calls[1][0] == moved
     assert played.calls[2][0] < moved + 3.8 and played.reducer.version == 2
 
@@ -362,10 +407,12 @@
     assert len(played.calls) == 1 and played.reducer.version == 9
 
 
-@pytest.mark.parametrize("script", [[], NEVER_UP, [(n / 2, b"HTTP/1.1 200 OK"[n:n + 1]) for n in range(15)]])
+@pytest.mark.parametrize(
+    "script", [[], NEVER_UP, [(n / 2, b"HTTP/1.1 200 OK"[n : n + 1]) for n in range(15)]]
+)
 def test_whole_list_is_had_in_time_or_not_at_all(world, script):
     played = world(script)
-    played.discovery.watching.kill()    # before its call: the script is the list's
+    played.discovery.watching.kill()  # before its call: the script is the list's
     gevent.spawn(played.discovery.run_fetch).join()
     assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.ANSWER)
 
@@ -374,12 +421,13 @@
     assert discovery.decode_list(b'{"rev": 2, "targets": []}') == ServerList(2)
     with pytest.raises(discovery.Fault):
         discovery.decode_list(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
-    line, = discovery.decode_list(json.dumps({"targets": [server("s")]}).encode()).entries
+    (line,) = discovery.decode_list(json.dumps({"targets": [server("s")]}).encode()).entries
     assert line == ServerEntry("s", "127.0.0.1:1", "a")
 
 
 # Two watches during a move, on sockets: stand-in services that say each thing when the test lets them.
 
+
 @pytest.fixture
 def moved(tmp_path):
     """A deployment whose watch stands; `move` gives it another service, which says nothing by itself."""
@@ -408,7 +456,7 @@
 
 def test_change_from_the_service_that_was_left_does_not_stand_for_the_new_one(moved):
     there = moved.move(down=True)
-    until(lambda: not moved.discovery.watching)     # refused, and a pause is on
+    until(lambda: not moved.discovery.watching)  # refused, and a pause is on
     moved.old.tell(server("s7", state="active"))
     until(lambda: b"s7" in moved.reducer.indices)
     assert not moved.reducer.balancer.watch.watching
@@ -421,9 +469,11 @@
 def test_no_change_of_the_service_that_was_left_comes_on_top_of_the_new_ones_list(moved, first):
     there = moved.move()
     whole = there.server_list(list(there.lines.values()), True) + b"\n"
-    both = [lambda: moved.old.tell(server("s7", state="active")),
-            lambda: there.write(there.watches[0], whole)]
-    for say in both if first == "old" else both[::-1]:      # both lie there before the agent reads either
+    both = [
+        lambda: moved.old.tell(server("s7", state="active")),
+        lambda: there.write(there.watches[0], whole),
+    ]
+    for say in both if first == "old" else both[::-1]:  # both lie there before the agent reads either
         say()
     until(lambda: not moved.old.open)
     assert b"s7" not in moved.reducer.indices and moved.reducer.version == 1
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,20 +17,29 @@
 from cartdeal.terms import State
 
 HARD = {
-    "seconds": 14.0, "agents": 12, "clients": {"per_s": 120.0, "retries": 1, "unevenness": 1.0},
+    "seconds": 14.0,
+    "agents": 12,
+    "clients": {"per_s": 120.0, "retries": 1, "unevenness": 1.0},
     "workload": [
-        {"name": "read", "share": 0.5}, {"name": "mark", "repeat": "keyed", "goal_s": 1.0, "limit_s": 3.0},
-        {"name": "once", "repeat": "unsafe", "share": 0.6, "goal_s": 1.2, "limit_s": 3.0}],
+        {"name": "read", "share": 0.5},
+        {"name": "mark", "repeat": "keyed", "goal_s": 1.0, "limit_s": 3.0},
+        {"name": "once", "repeat": "unsafe", "share": 0.6, "goal_s": 1.2, "limit_s": 3.0},
+    ],
     "fault": [
         {"kind": "resets", "begins_s": 1.0, "lasts_s": 9.0, "part": 0.5, "size": 0.2},
         {"kind": "replace", "begins_s": 3.0, "lasts_s": 4.0, "part": 0.5},
         {"kind": "silent", "begins_s": 6.0, "lasts_s": 3.0, "part": 0.2},
         {"kind": "kill", "begins_s": 5.0, "part": 0.4},
-        {"kind": "list_late", "begins_s": 2.0, "lasts_s": 6.0, "size": 1.0}],
+        {"kind": "list_late", "begins_s": 2.0, "lasts_s": 6.0, "size": 1.0},
+    ],
 }
 # Its limits keep the module under the usual multiple here even with no ramp, so this world allows less.
 COLD = {
-    "seconds": 12.0, "agents": 30, "zones": ["a"], "fall_multiple": 0.7, "clients": {"per_s": 120.0},
+    "seconds": 12.0,
+    "agents": 30,
+    "zones": ["a"],
+    "fall_multiple": 0.7,
+    "clients": {"per_s": 120.0},
     "servers": {"per_zone": 6, "cores": 2, "cold_from": 0.1, "cold_s": 10.0, "waiting": 60},
     "fault": [{"kind": "replace", "begins_s": 4.0, "lasts_s": 0.5, "part": 0.5}],
 }
@@ -42,6 +51,7 @@
 
 # Theory
 
+
 def waits(cores, load, count=60_000):
     """Times from arrival to the start of work, at one server with Poisson arrivals and exponential work."""
     clock, terms = Clock(), worlds.Servers(cores=cores, waiting=100_000)
@@ -55,8 +65,13 @@
     def arrive(left):
         count_held()
         came = clock.now
-        server.take(Job(random.expovariate(1.0), lambda status: times.append(clock.now - came),
-                        lambda: found.append(clock.now - came)))
+        server.take(
+            Job(
+                random.expovariate(1.0),
+                lambda status: times.append(clock.now - came),
+                lambda: found.append(clock.now - came),
+            )
+        )
         if left:
             clock.after(random.expovariate(load * cores), arrive, left - 1)
 
@@ -72,10 +87,10 @@
 def test_waiting_times_agree_with_erlang_and_with_little(cores, load):
     found, held, by_little = waits(cores, load)
     offered = cores * load
-    queue = offered ** cores / factorial(cores) / (1 - load)
-    waiting = queue / (queue + sum(offered ** k / factorial(k) for k in range(cores)))
+    queue = offered**cores / factorial(cores) / (1 - load)
+    waiting = queue / (queue + sum(offered**k / factorial(k) for k in range(cores)))
     expected = waiting / (cores - offered)
-    batches = [sum(found[n:n + 2000]) / 2000 for n in range(0, 60_000, 2000)]     # batch means
+    batches = [sum(found[n : n + 2000]) / 2000 for n in range(0, 60_000, 2000)]  # batch means
     mean = sum(batches) / len(batches)
     error = sqrt(sum((each - mean) ** 2 for each in batches) / (len(batches) - 1) / len(batches))
     assert abs(mean - expected) < 3 * error
@@ -85,7 +100,7 @@
 def test_requests_in_equal_requests_out_and_the_rules_are_kept():
     fleet = play(HARD)
     judge = fleet.judge
-    assert not judge.violations and judge.excused       # agents were killed with requests open
+    assert not judge.violations and judge.excused  # agents were killed with requests open
     assert judge.taken == judge.answered + judge.excused == fleet.count["requests"] > 1000
     assert fleet.count[200] + fleet.count[503] + fleet.count[502] == judge.answered
     assert min(fleet.count[each] for each in (200, 502, 503, "crossings", "handshakes", "list calls")) > 0
@@ -93,15 +108,25 @@
 
 
 def test_same_seed_same_trace_in_another_process_with_another_hash_seed():
-    words = ("import zlib; from tests.test_emulator import *; trace = []; play(HARD, 9, trace=trace);"
-             "print(zlib.crc32(repr(trace).encode()), len(trace))")
-    said = {subprocess.run([sys.executable, "-c", words], env={**os.environ, "PYTHONHASHSEED": seed},
-                           capture_output=True, check=True).stdout for seed in ("1", "2")}
+    words = (
+        "import zlib; from tests.test_emulator import *; trace = []; play(HARD, 9, trace=trace);"
+        "print(zlib.crc32(repr(trace).encode()), len(trace))"
+    )
+    said = {
+        subprocess.run(
+            [sys.executable, "-c", words],
+            env={**os.environ, "PYTHONHASHSEED": seed},
+            capture_output=True,
+            check=True,
+        ).stdout
+        for seed in ("1", "2")
+    }
     assert len(said) == 1 and int(said.pop().split()[1]) > 1000
 
 
 # The judge
 
+
 class DrainIgnored(Reducer):
     def listing(self, line):
         found = super().listing(line)
@@ -171,10 +196,21 @@
             super().send_attempt(request, server, until)
 
 
-@pytest.mark.parametrize("breakage, world, rule", [
-    (DrainIgnored, HARD, 3), (GoneIgnored, HARD, 3), (SentAgain, HARD, 2), (RejectedInDoubt, HARD, 2),
-    (BothAtOnce, HARD, 2), (TwoAnswers, HARD, 1), (Forgotten, HARD, 1), (Overdue, HARD, 1),
-    (SentAfterAnswer, HARD, 1), (NoRamp, COLD, 4)])
+@pytest.mark.parametrize(
+    "breakage, world, rule",
+    [
+        (DrainIgnored, HARD, 3),
+        (GoneIgnored, HARD, 3),
+        (SentAgain, HARD, 2),
+        (RejectedInDoubt, HARD, 2),
+        (BothAtOnce, HARD, 2),
+        (TwoAnswers, HARD, 1),
+        (Forgotten, HARD, 1),
+        (Overdue, HARD, 1),
+        (SentAfterAnswer, HARD, 1),
+        (NoRamp, COLD, 4),
+    ],
+)
 def test_judge_finds_a_planted_fault_and_names_its_rule(breakage, world, rule):
     found = play(world, make=breakage).judge.violations
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
@@ -198,6 +234,7 @@
 
 # The command
 
+
 def emulate(*words):
     words = [sys.executable, "-m", "cartdeal", "emulate", *words]
     return subprocess.run(words, capture_output=True, text=True)
--- a/tests/test_fleet_admission.py
+++ b/tests/test_fleet_admission.py
@@ -15,8 +15,16 @@
 from tests.test_reducer import Desk
 
 WORKLOADS = SETTINGS["workloads"] + [
-    {"name": name, "idempotency": "keyed", "group": group, "repeatWindowUs": 4000000, "goalTimeUs": 1000000,
-     "timeLimitUs": 2000000} for name, group in (("zoned", "zone"), ("celled", "cell"))]
+    {
+        "name": name,
+        "idempotency": "keyed",
+        "group": group,
+        "repeatWindowUs": 4000000,
+        "goalTimeUs": 1000000,
+        "timeLimitUs": 2000000,
+    }
+    for name, group in (("zoned", "zone"), ("celled", "cell"))
+]
 READ, MARK, ONCE, ZONED, CELLED = range(5)
 SERVERS = [("a1", "a", 1), ("a2", "a", 2), ("b1", "b", 1), ("b2", "b", 2)]
 LONGEST = (float("inf"), 26.0, 30.0, 26.0, 26.0)
@@ -26,9 +34,14 @@
     """The reducer's desk with a gate whose word the test gives."""
 
     def __init__(self, folder, servers=SERVERS):
-        known = {"rev": 1, "all": True, "targets": [
-            {"uid": name, "endpoint": f"127.0.0.1:{place + 1}", "az": zone, "pod_group": cell}
-            for place, (name, zone, cell) in enumerate(servers)]}
+        known = {
+            "rev": 1,
+            "all": True,
+            "targets": [
+                {"uid": name, "endpoint": f"127.0.0.1:{place + 1}", "az": zone, "pod_group": cell}
+                for place, (name, zone, cell) in enumerate(servers)
+            ],
+        }
         at = agent_config(folder, known=known, settings=SETTINGS | {"workloads": WORKLOADS})
         self.lines, self.at, self.told = [], {}, []
         self.reducer = Reducer(at, 100.0, 1100.0, LONGEST)
@@ -136,15 +149,22 @@
     assert desk.of("settled") == [[1, "maybe"]]
 
 
-@pytest.mark.parametrize("request_class, group, places, allowed", [
-    (MARK, "all", [("", -1)], {0, 1, 2, 3}),
-    (ZONED, "zone", [("b", 1)], {2, 3}), (ZONED, "zone", [("a", 1)], {0, 1}),
-    (CELLED, "cell", [("b", 2)], {3}), (CELLED, "cell", [("a", 1)], {0}),
-    (ZONED, "zone", [("a", 1), ("b", 1)], set()), (ZONED, "zone", [("elsewhere", 1)], set()),
-    (ONCE, "all", [], {0, 1, 2, 3}),
-])
+@pytest.mark.parametrize(
+    "request_class, group, places, allowed",
+    [
+        (MARK, "all", [("", -1)], {0, 1, 2, 3}),
+        (ZONED, "zone", [("b", 1)], {2, 3}),
+        (ZONED, "zone", [("a", 1)], {0, 1}),
+        (CELLED, "cell", [("b", 2)], {3}),
+        (CELLED, "cell", [("a", 1)], {0}),
+        (ZONED, "zone", [("a", 1), ("b", 1)], set()),
+        (ZONED, "zone", [("elsewhere", 1)], set()),
+        (ONCE, "all", [], {0, 1, 2, 3}),
+    ],
+)
 def test_a_repeat_goes_only_where_the_earlier_one_allows_and_finds_the_way(
-        tmp_path, request_class, group, places, allowed):
+    tmp_path, request_class, group, places, allowed
+):
     went = set()
     for key in range(8):
         desk = GateDesk(tmp_path)
@@ -216,6 +236,7 @@
 
 # The gate itself, over a scripted node
 
+
 class Scripted:
     """Gives the words that a test lays down, by request class; with none, it is silent."""
 
@@ -277,15 +298,32 @@
 def test_what_the_fleet_is_asked_of_a_request(deploy):
     deployment, node = deploy()
     body = b"sheet"
-    deployment.ask("/mark/1", "POST", body, Idempotency_Key="k1", Cookie="sid=7f", X_Tenant_Id="y",
-                   X_Retried="1", X_Timeout="1500m")
+    deployment.ask(
+        "/mark/1",
+        "POST",
+        body,
+        Idempotency_Key="k1",
+        Cookie="sid=7f",
+        X_Tenant_Id="y",
+        X_Retried="1",
+        X_Timeout="1500m",
+    )
     for _ in "ab":
         deployment.ask("/once/1", "POST", body, Cookie="sid=7f")
-    deployment.ask("/mark/1", "POST", body)     # without its key it promises nothing
+    deployment.ask("/mark/1", "POST", body)  # without its key it promises nothing
     deployment.ask("/read/1")
     mark, once, again, bare, read = [each[2] for each in node.got if each[0] == "ask"]
-    assert mark == Question(tenant="y", session=f"{hashed(b'7f'):016x}", key="k1", repeat="d", group="all",
-                            window_s=4.0, limit_s=mark.limit_s, workload="mark", retried=True)
+    assert mark == Question(
+        tenant="y",
+        session=f"{hashed(b'7f'):016x}",
+        key="k1",
+        repeat="d",
+        group="all",
+        window_s=4.0,
+        limit_s=mark.limit_s,
+        workload="mark",
+        retried=True,
+    )
     assert 1.3 < mark.limit_s <= 1.5
     assert (once.repeat, once.tenant, once.key, once.session) == ("u", "", again.key, mark.session)
     assert (bare.repeat, bare.window_s, len(bare.key)) == ("u", 0.0, 32) and bare.key != once.key
@@ -295,8 +333,10 @@
     assert [each[1:] for each in node.got if each[0] == "went"][0] == (1, "a", 0)
 
 
-@pytest.mark.parametrize("word, status, pause", [
-    (("limited", 0.7), 429, b"0.700"), (("turn_back", 0.5), 503, b"0.500"), (("terminate",), 502, None)])
+@pytest.mark.parametrize(
+    "word, status, pause",
+    [(("limited", 0.7), 429, b"0.700"), (("turn_back", 0.5), 503, b"0.500"), (("terminate",), 502, None)],
+)
 def test_the_fleets_no_reaches_the_client_and_no_server(deploy, word, status, pause):
     deployment, node = deploy()
     node.words["once"] = word
@@ -304,18 +344,22 @@
     assert asked(deployment, "/read/1") == (200, None)
 
 
-@pytest.mark.parametrize("pact, path, headers, status", [
-    (PACT, "/read/1", {}, 503), (PACT, "/once/1", {}, 503),
-    (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a"}, 503),
-    (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a", "X_Retried": "1"}, 502),
-    (replace(PACT, clients_mark=True, on_doubt="terminate"), "/once/1", {"Cookie": "sid=a"}, 502),
-])
+@pytest.mark.parametrize(
+    "pact, path, headers, status",
+    [
+        (PACT, "/read/1", {}, 503),
+        (PACT, "/once/1", {}, 503),
+        (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a"}, 503),
+        (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a", "X_Retried": "1"}, 502),
+        (replace(PACT, clients_mark=True, on_doubt="terminate"), "/once/1", {"Cookie": "sid=a"}, 502),
+    ],
+)
 @pytest.mark.parametrize("broken", [False, True])
 def test_a_fleet_without_a_word_costs_a_request_a_bounded_wait(deploy, pact, path, headers, status, broken):
     deployment, node = deploy(pact)
     node.words.clear()
     if broken:
-        node.ask = None     # an error in the middle of the event
+        node.ask = None  # an error in the middle of the event
     assert asked(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
     assert not deployment.seen() and not deployment.agent.admission.open and deployment.agent.reducer.now
     deployment.agent.admission.host.dispatch("word", 1, "pass")
@@ -332,7 +376,7 @@
     deployment.agent.admission.host.dispatch(
         "word", 1, "pass", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
-    earlier_attempts, = deployment.agent.reducer.requests[1].earlier_attempts
+    (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
     assert answered(waiting) == (200, b"s0 ")
     until(lambda: node.got[-1] == ("ended", 1, "answered"))
@@ -379,7 +423,7 @@
         assert caplog.messages[-2] == said and not [each for each in node.got if each[0] == "reread"]
     file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
     deployment.agent.reread()
-    (_, pact), = [each for each in node.got if each[0] == "reread"]
+    ((_, pact),) = [each for each in node.got if each[0] == "reread"]
     assert (pact.wait_s, pact.copies, pact.seeds) == (0.2, 3, {"n1": "127.0.0.1:8"})
     assert caplog.records[-2].needs_restart == "zone copies" and deployment.agent.admission.host.pact == pact
 
@@ -398,7 +442,11 @@
 
 def test_digest_tells_apart_where_one_part_ends_and_the_next_begins():
     base = Request(0, True, 0, 0, 1.0, False, b"POST", b"/a", b"", b"", b"", b"b")
-    others = [base, base._replace(path=b"/ab", body=b""), base._replace(path=b"/", body=b"ab"),
-              base._replace(method=b"POS", path=b"T/a")]
+    others = [
+        base,
+        base._replace(path=b"/ab", body=b""),
+        base._replace(path=b"/", body=b"ab"),
+        base._replace(method=b"POS", path=b"T/a"),
+    ]
     assert len({digest(each) for each in others}) == 4
     assert digest(base) == digest(base._replace(id=b"7", repeat=True))
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -20,7 +20,14 @@
 
 
 def test_the_same_seed_gives_the_same_day_in_every_process():
-    said = [subprocess.run([sys.executable, "-c", SAY], capture_output=True, text=True, check=True,
-                           env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path),
-                                "PYTHONHASHSEED": str(number)}).stdout for number in (1, 2)]
+    said = [
+        subprocess.run(
+            [sys.executable, "-c", SAY],
+            capture_output=True,
+            text=True,
+            check=True,
+            env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path), "PYTHONHASHSEED": str(number)},
+        ).stdout
+        for number in (1, 2)
+    ]
     assert said[0] == said[1] and "one_ring_s" in said[0]
--- a/tests/test_fleet_epochs.py
+++ b/tests/test_fleet_epochs.py
@@ -36,15 +36,22 @@
     def start(self, name, capacity=1.0):
         self.turn += 1
         pact = Pact(fleet="f", name=name, seeds=self.seeds, **self.more)
-        desk = SimpleNamespace(now=self.now, wall=1e9 + self.now, name=name, life=self.turn,
-                               random=Random(f"{name} {self.turn}"))
+        desk = SimpleNamespace(
+            now=self.now, wall=1e9 + self.now, name=name, life=self.turn, random=Random(f"{name} {self.turn}")
+        )
         self.counts[name] = Counter()
         desk.send = lambda to, words: self.send(name, to, words)
         desk.note = lambda kind, **about: self.notes.append((name, kind))
         desk.count = lambda what, more=1: self.counts[name].update({what: more})
-        self.peers[name] = SimpleNamespace(name=name, zone=f"z{len(self.peers) % 3}", capacity=capacity,
-                                           state=0, life=self.turn, reads=(1, 2),
-                                           caught=1 << 40)
+        self.peers[name] = SimpleNamespace(
+            name=name,
+            zone=f"z{len(self.peers) % 3}",
+            capacity=capacity,
+            state=0,
+            life=self.turn,
+            reads=(1, 2),
+            caught=1 << 40,
+        )
         self.agents[name] = agent = self.make(desk, pact)
         self.at(0.1 * self.random.random(), self.tick, name, agent)
 
@@ -77,8 +84,14 @@
             self.at(0.1, self.tick, name, agent)
             if name not in self.stopped:
                 agent.desk.now = self.now
-                agent.tick({each: self.peers[each] for each in sorted(self.peers)
-                            if (name, each) not in self.unseen}, lambda ring, live: self.written)
+                agent.tick(
+                    {
+                        each: self.peers[each]
+                        for each in sorted(self.peers)
+                        if (name, each) not in self.unseen
+                    },
+                    lambda ring, live: self.written,
+                )
                 self.judge(name, agent)
 
     def go_on(self, name):
@@ -122,7 +135,8 @@
 
     def settled(self):
         return self.agreed(self.agents) and all(
-            agent.sure() and agent.need is None for agent in self.agents.values())
+            agent.sure() and agent.need is None for agent in self.agents.values()
+        )
 
     def agreed(self, names):
         held = [agent.ring for agent in self.agents.values()]
@@ -204,7 +218,7 @@
     assert not sure(net) and {agent.ring.epoch for agent in net.agents.values()} == {1}
     net.run(40)
     assert sorted(net.notes) == [("d", "ring stuck"), ("e", "ring stuck")]
-    net.start("a")      # what the note asks for: an agent under one of the names
+    net.start("a")  # what the note asks for: an agent under one of the names
     assert net.run(30, net.settled) and net.agreed("ade")
 
 
@@ -237,12 +251,12 @@
     net = settled()
     net.stopped["c"] = []
     net.run(20)
-    assert net.agents["a"].ring.names == ABC        # the table of members still has it
+    assert net.agents["a"].ring.names == ABC  # the table of members still has it
     agent = net.agents["c"]
     agent.desk.now = net.now
     assert not agent.sure()
     net.go_on("c")
-    assert not agent.sure()     # by answers to what it asked before
+    assert not agent.sure()  # by answers to what it asked before
     net.run(1)
     assert agent.sure()
 
@@ -331,12 +345,19 @@
     agent.heard("b", epochs.Vouch(1 << 30, b"", 1))
     agent.heard("b", epochs.Whole(Ring(1 << 30, ring.seats), step(ring, ring)))
     assert counts["dropped far epoch"] == 2
-    for seats in [(two, one), (one, one), (), (Seat("x", "", 0.0),), (Seat("x", "", float("nan")),),
-                  (Seat("x", "", 2e6),), (Seat("", "", 1.0),)]:
+    for seats in [
+        (two, one),
+        (one, one),
+        (),
+        (Seat("x", "", 0.0),),
+        (Seat("x", "", float("nan")),),
+        (Seat("x", "", 2e6),),
+        (Seat("", "", 1.0),),
+    ]:
         former = Ring(7, seats)
         agent.heard("b", epochs.Whole(former, step(former, Ring(8, ring.seats))))
         bad = msgspec.structs.replace(step(ring, ring), epoch=2, seats=seats, gone=() if seats else ABC)
-        if seats not in [(two, one), (one, one)]:       # these are put in order, which makes them sound
+        if seats not in [(two, one), (one, one)]:  # these are put in order, which makes them sound
             agent.heard("b", epochs.Next(bad))
             agent.heard("b", epochs.Accept(1, ring.digest, 5, bad))
     assert counts["dropped malformed ring"] == 17 and agent.ring is ring and not agent.accepted_higher
@@ -360,7 +381,7 @@
     net.start("b")
     net.sent.clear(), net.bytes.clear()
     assert net.run(20, lambda: "b" in net.agents["a05"].ring.by_name)
-    assert sum(net.bytes.values()) < 61 * 20 * 4000     # the whole ring went to the one that had none
+    assert sum(net.bytes.values()) < 61 * 20 * 4000  # the whole ring went to the one that had none
 
 
 class Forgetful(Epochs):
@@ -387,8 +408,10 @@
             self.decided(attempt.step)
 
 
-@pytest.mark.parametrize("make, splits, stales", [
-    (Epochs, False, False), (Forgetful, True, True), (Rash, True, True), (Loose, False, True)])
+@pytest.mark.parametrize(
+    "make, splits, stales",
+    [(Epochs, False, False), (Forgetful, True, True), (Rash, True, True), (Loose, False, True)],
+)
 def test_the_judge_sees_each_planted_breakage(make, splits, stales):
     split, stale = [], []
     for seed in range(30):
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -45,20 +45,27 @@
     assert wire.decode(PACT, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
 
 
-@pytest.mark.parametrize("text, kind", [
-    (wire.encode(msgspec.structs.replace(PACT, fleet="g"), "a", 1, "", 9, Hail("x")), errors.WrongFleet),
-    (wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x")), errors.WrongDigest),
-    (b"\x02" + wire.encode(PACT, "a", 1, "", 9, Hail("x"))[1:], errors.WrongVersion),
-    (wire.encode(PACT, "a", 1, "", 9, Hail("x"))[:-1], errors.Unreadable),
-    (bytes(wire.LONGEST_FRAME + 1), errors.TooLong),
-    (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.Unreadable),
-    (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.Unreadable),
-    (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
-    (sealed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
-    (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"), errors.Unreadable),    # too deep
-    (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"), errors.Unreadable),
-    (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.Unreadable),
-], ids=range(12))
+@pytest.mark.parametrize(
+    "text, kind",
+    [
+        (wire.encode(msgspec.structs.replace(PACT, fleet="g"), "a", 1, "", 9, Hail("x")), errors.WrongFleet),
+        (
+            wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x")),
+            errors.WrongDigest,
+        ),
+        (b"\x02" + wire.encode(PACT, "a", 1, "", 9, Hail("x"))[1:], errors.WrongVersion),
+        (wire.encode(PACT, "a", 1, "", 9, Hail("x"))[:-1], errors.Unreadable),
+        (bytes(wire.LONGEST_FRAME + 1), errors.TooLong),
+        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.Unreadable),
+        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.Unreadable),
+        (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
+        (sealed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
+        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"), errors.Unreadable),  # too deep
+        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"), errors.Unreadable),
+        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.Unreadable),
+    ],
+    ids=range(12),
+)
 def test_each_refusal_is_a_type_of_its_own(text, kind):
     with pytest.raises(kind) as trouble:
         wire.decode(PACT, text)
@@ -192,8 +199,12 @@
 
 def test_an_event_that_comes_of_an_effect_is_played_after_it(hosts):
     seen = []
-    a = hosts("a", decided=lambda ticket, *rest: seen.append(ticket) or ticket < 3 and (
-        a.dispatch("decide", ticket + 2), seen.append(-ticket)))
+    a = hosts(
+        "a",
+        decided=lambda ticket, *rest: seen.append(ticket)
+        or ticket < 3
+        and (a.dispatch("decide", ticket + 2), seen.append(-ticket)),
+    )
     a.dispatch("decide", 1)
     assert seen == [1, -1, 3]
 
@@ -205,10 +216,18 @@
     assert "event failed" in caplog.text and len(b.readers) == 1
 
 
-@pytest.mark.parametrize("text, kind", [
-    (bytes(4), "Unreadable"), (b"\xff" * 8, "TooLong"), (wire.framed(b"x" * 60), "WrongVersion"),
-    (wire.framed(wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x"))),
-     "WrongDigest")])
+@pytest.mark.parametrize(
+    "text, kind",
+    [
+        (bytes(4), "Unreadable"),
+        (b"\xff" * 8, "TooLong"),
+        (wire.framed(b"x" * 60), "WrongVersion"),
+        (
+            wire.framed(wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x"))),
+            "WrongDigest",
+        ),
+    ],
+)
 def test_a_bad_peer_costs_its_own_stream_alone_and_is_told_once(hosts, caplog, text, kind):
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(b"x"))
@@ -287,7 +306,7 @@
 def test_what_waited_is_stamped_when_it_goes_out(hosts):
     a, b, times = hosts("a"), hosts("b"), []
     b.node.heard = lambda sender, life, address, wall_ms, words: times.append(wall_ms)
-    a.roads[("127.0.0.1", b.port)] = road = Road(("127.0.0.1", b.port))     # nobody writes it yet
+    a.roads[("127.0.0.1", b.port)] = road = Road(("127.0.0.1", b.port))  # nobody writes it yet
     say(a, b, Load(b"x"))
     gevent.sleep(0.3)
     before = int(time.time() * 1e3)
--- a/tests/test_fleet_lending.py
+++ b/tests/test_fleet_lending.py
@@ -24,7 +24,7 @@
     def __init__(self, net, name, life):
         self.net, self.name, self.life, self.counted = net, name, life, Counter()
         self.random, self.address = Random(f"{net.seed}/{name}/{life}"), ""
-        self.quick = net.random.uniform(1, 1 + net.pact.clock_drift)    # this clock against the judge's
+        self.quick = net.random.uniform(1, 1 + net.pact.clock_drift)  # this clock against the judge's
         self.ahead = net.random.uniform(-1e6, 1e6)
 
     @property
@@ -33,7 +33,7 @@
 
     @property
     def wall(self):
-        return self.net.random.uniform(0, 1e9)      # may be anything, for all that is decided
+        return self.net.random.uniform(0, 1e9)  # may be anything, for all that is decided
 
     def send(self, to, words):
         self.net.carry(self.name, to, words)
@@ -112,10 +112,11 @@
                     agent.sure_until = max(agent.sure_until, asked + self.pact.lease_s)
                 elif not agent.stopped and self.random.random() < 0.7:
                     agent.learn(self.rings)
+
             if agent.ring is not self.rings[-1]:
                 self.at(self.now + took, hears)
             else:
-                hears()     # the answer counts from here on: it may be decided otherwise a moment later
+                hears()  # the answer counts from here on: it may be decided otherwise a moment later
         self.at(self.now + self.random.uniform(0.1, 0.6), partial(self.vouch, agent))
 
     def carry(self, sender, to, words):
@@ -144,6 +145,7 @@
             for sender, text in agent.queue if self.agents[name] is agent else ():
                 agent.part.heard(sender, WIRE.decode(text))
             agent.queue = []
+
         self.at(self.now + seconds, goes_on)
 
     def request(self, name, tenant="t"):
@@ -154,7 +156,7 @@
             agent.part.spend(ticket, tenant, agent.desk.now + self.pact.wait_s)
 
     def spent(self, ticket, ok, wait_s, sure):
-        asked, name = self.waiting.pop(ticket)      # a second answer is a KeyError
+        asked, name = self.waiting.pop(ticket)  # a second answer is a KeyError
         assert ok or wait_s > 0
         self.answers.append((self.now, name, ok, wait_s, sure, self.now - asked))
 
@@ -187,7 +189,7 @@
     """Everything at once: loss, doubles, lateness, cuts, stops, restarts, rings in quick succession."""
     chance = Random(f"rough {seed}")
     limit = chance.choice((Limit(20.0, 60.0), Limit(5.0, 40.0), Limit(50.0, 20.0), Limit(2.0, 3.0)))
-    names = "abcdef"[:chance.randint(2, 6)]
+    names = "abcdef"[: chance.randint(2, 6)]
     net = Net(names, seed, kind, **{"limit": limit, "clock_drift": 0.05, **about})
     net.lost, net.doubled, net.late = (chance.choice((0.0, 0.05, 0.3)) for _ in range(3))
     for name in names:
@@ -207,12 +209,17 @@
         elif what == 6:
             net.at(when, net.turn)
         else:
-            cuts = {(name, other)} if what == 3 else {(name, "majority")} if what == 4 else {
-                ends for each in (*names, "majority") for ends in ((name, each), (each, name))}
+            cuts = (
+                {(name, other)}
+                if what == 3
+                else {(name, "majority")}
+                if what == 4
+                else {ends for each in (*names, "majority") for ends in ((name, each), (each, name))}
+            )
             net.at(when, partial(net.cut.update, cuts))
             net.at(when + long, partial(net.cut.difference_update, cuts))
     net.run(until + 8)
-    assert not net.waiting      # each request is answered, whatever comes
+    assert not net.waiting  # each request is answered, whatever comes
     return net
 
 
@@ -236,6 +243,7 @@
         for held in ward.loans.values() if ward else ():
             held.until = 1e18
         return ward
+
     part.answered = answered
 
 
@@ -248,6 +256,7 @@
         found = real(*about)
         found.counted_s = 0.3
         return found
+
     part.bucket = bucket
 
 
@@ -258,11 +267,13 @@
 def gap_overlooked(part):
     def learn(ring, former, now, real=part.tenure.learn):
         real(ring, former, now) if part.tenure.step.ring is None else part.tenure.add(ring, now)
+
     part.tenure.learn = learn
 
 
 def twice(part):
     """What comes doubled is taken twice: answers, and loans given back."""
+
     def answered(sender, life, answer, now, real=part.answered):
         line = part.wards[answer.tenant].lines.get(sender) if answer.tenant in part.wards else None
         if line and not line.sequence:
@@ -271,6 +282,7 @@
 
     def returned(sender, life, back, now):
         part.bucket(back.tenant, now).tokens += back.tokens
+
     part.answered, part.returned = answered, returned
 
 
@@ -279,12 +291,20 @@
         part = Lending(*about)
         fault(part)
         return part
+
     return make
 
 
-@pytest.mark.parametrize("fault, seeds", [
-    (no_lease, (20, 57)), (no_fence, (8, 59)), (no_book, (8, 57)), (never_unsure, (250,)),
-    (twice, (118, 33))])
+@pytest.mark.parametrize(
+    "fault, seeds",
+    [
+        (no_lease, (20, 57)),
+        (no_fence, (8, 59)),
+        (no_book, (8, 57)),
+        (never_unsure, (250,)),
+        (twice, (118, 33)),
+    ],
+)
 def test_a_planted_fault_is_found(fault, seeds):
     assert any(rough(seed, planted(fault)).over() > 0 for seed in seeds)
 
@@ -308,9 +328,17 @@
     assert cut_off_while_another_owned(Lending) <= 0 < cut_off_while_another_owned(planted(gap_overlooked))
 
 
-@pytest.mark.parametrize("limit, version", [
-    (Limit(30, 30), 2), (Limit(100, 300), 2), (Limit(5, 10), 2), (Limit(1, 5), 2), (Limit(30, 30), 1),
-    (Limit(2, 3), 1)])
+@pytest.mark.parametrize(
+    "limit, version",
+    [
+        (Limit(30, 30), 2),
+        (Limit(100, 300), 2),
+        (Limit(5, 10), 2),
+        (Limit(1, 5), 2),
+        (Limit(30, 30), 1),
+        (Limit(2, 3), 1),
+    ],
+)
 def test_a_steady_uneven_tenant_gets_nine_tenths(limit, version):
     net = Net("abcde", limit=limit, version=version)
     end = 10 + 600 / limit.rate if limit.rate < 30 else 25
@@ -318,7 +346,7 @@
         net.load(name, part * limit.rate, 0, end)
     net.run(end)
     assert net.served(8, end) >= 0.9 * limit.rate * (end - 8)
-    assert sum(net.sent.values()) < 50 * 5 * end        # messages: so many an agent and second
+    assert sum(net.sent.values()) < 50 * 5 * end  # messages: so many an agent and second
 
 
 def test_a_fresh_fleet_is_unsure_and_a_quiet_agent_is_served_in_a_round_trip():
@@ -330,7 +358,7 @@
     assert net.answers[-1][-1] <= 0.004
     net.run(27)
     sent = net.sent.copy()
-    net.run(60)     # its loan was let go, so nothing is renewed
+    net.run(60)  # its loan was let go, so nothing is renewed
     assert net.sent == sent and all(not agent.part.wards for agent in net.agents.values())
 
 
@@ -351,14 +379,19 @@
 def test_cut_off_an_agent_answers_in_time_and_says_so():
     net = Net("abcd", limit=Limit(50.0, 50.0))
     net.load("d", 30, 0, 20)
-    net.at(10, partial(net.cut.update, {ends for name in ("a", "b", "c", "majority")
-                                        for ends in (("d", name), (name, "d"))}))
+    net.at(
+        10,
+        partial(
+            net.cut.update,
+            {ends for name in ("a", "b", "c", "majority") for ends in (("d", name), (name, "d"))},
+        ),
+    )
     net.run(20)
     mine = net.agents["d"].part
     late = [each for each in net.answers if each[0] > 14.5]
     assert len(late) > 100 and not any(ok or sure for _, _, ok, _, sure, _ in late)
     assert max(took for *_, took in late) <= net.pact.wait_s + 2 * net.pact.tick_s
-    mine.pact = replace(mine.pact, most_waiting=0)      # full: turned away at once, counted
+    mine.pact = replace(mine.pact, most_waiting=0)  # full: turned away at once, counted
     net.request("d")
     assert net.answers[-1][2] is False and mine.desk.counted["lending full"] == 1
 
@@ -377,8 +410,13 @@
 
 
 def test_an_answer_in_flight_finds_room_under_the_cap():
-    bucket = buckets.Bucket(b"u/t", Limit(30.0, 30.0), buckets.Tenure(0.0, 0.0, lambda ring, key: 1.0), Pact(
-        fleet="f", name="a"), 2)
+    bucket = buckets.Bucket(
+        b"u/t",
+        Limit(30.0, 30.0),
+        buckets.Tenure(0.0, 0.0, lambda ring, key: 1.0),
+        Pact(fleet="f", name="a"),
+        2,
+    )
     bucket.tenure.learn(Ring(1, ()), None, 0.0)
     bucket.tenure.prove(10.0)
     bucket.touch(10.0, 10, 10.0, 2)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -23,7 +23,7 @@
 
     def __init__(self, net, name, life, port):
         self.net, self.name, self.life, self.address = net, name, life, f"10.0.0.1:{port}"
-        self.called = dict(net.seeds)       # by where it called from last
+        self.called = dict(net.seeds)  # by where it called from last
         self.random, self.notes, self.counts = Random(f"{net.seed} {name} {life}"), [], Counter()
 
     def send(self, to, words):
@@ -124,11 +124,13 @@
         began, net.gone = net.now, {}
         for _ in range(90):
             net.run(0.1)
-            assert count == 5 or not any(agent.health for agent in net.agents.values())     # nacks came
+            assert count == 5 or not any(agent.health for agent in net.agents.values())  # nacks came
         took += [at - began for at in net.gone.values()]
     took.sort()
-    print(f"{count}: {sum(each) / count:.2f} messages (at most {max(each):.2f}), {size:.0f} bytes an agent "
-          f"and second; found after p50 {took[len(took) // 2]:.2f} s, at most {took[-1]:.2f} s")
+    print(
+        f"{count}: {sum(each) / count:.2f} messages (at most {max(each):.2f}), {size:.0f} bytes an agent "
+        f"and second; found after p50 {took[len(took) // 2]:.2f} s, at most {took[-1]:.2f} s"
+    )
     assert sum(each) / count < 4 and max(each) < 5.5 and size < 260
     assert len(took) == 3 * (count - 2) and took[-1] < 8
 
@@ -170,14 +172,22 @@
     assert [agents[0].size(), agents[2].size()] == [2, 2]
 
 
-@pytest.mark.parametrize("count, cut, apart", [
-    (5, lambda a, b: a + b == "n003n004", 0), (3, lambda a, b: a + b == "n000n001", 0), (2, deaf("n001"), 1),
-    (20, deaf("n019"), 1), (5, lambda a, b: a == "n004", 1), (5, lambda a, b: a == "n001", 1)])
+@pytest.mark.parametrize(
+    "count, cut, apart",
+    [
+        (5, lambda a, b: a + b == "n003n004", 0),
+        (3, lambda a, b: a + b == "n000n001", 0),
+        (2, deaf("n001"), 1),
+        (20, deaf("n019"), 1),
+        (5, lambda a, b: a == "n004", 1),
+        (5, lambda a, b: a == "n001", 1),
+    ],
+)
 def test_one_way_cut_makes_nobody_flap(count, cut, apart):
     net = Net(4)
     agents = net.fleet(count)
     net.cut = cut
-    one = agents[1 if cut("n001", "n000") else -1]      # whose capacity wobbles all the time
+    one = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
     for i in range(112):
         one.about_me(capacity=1.0 + i % 2)
         net.run(0.25)
@@ -206,7 +216,7 @@
         net.arrive(*each)
     net.run(3)
     assert {agent.size() for agent in agents} == {10} and not net.gone and not agents[4].cases
-    word = Told(replace(agents[2].me, state=State.SUSPECT), ("n004",))      # of one that came back just now
+    word = Told(replace(agents[2].me, state=State.SUSPECT), ("n004",))  # of one that came back just now
     told(agents[0], "n004", word)
     assert agents[0].table["n002"].state == (State.ALIVE if seconds == 30 else State.SUSPECT)
     net.run(2)
@@ -214,7 +224,7 @@
         net.run(0.01)
     told(agents[4], "n001", Told(replace(agents[2].me, state=State.SUSPECT), ("n001", "n003")))
     turn, missed = agents[4].me.turn, agents[4].probe.peer.name
-    net.now += seconds      # and what came meanwhile is lost
+    net.now += seconds  # and what came meanwhile is lost
     agents[4].tick()
     assert agents[4].table["n002"].state == State.SUSPECT and agents[4].me.turn > turn
     assert missed == "n002" or agents[4].table[missed].state == State.ALIVE
@@ -225,10 +235,10 @@
     first = net.fleet(5)[0]
     net.start("n004", life=7)
     net.run(3)
-    told(first, "n004", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))   # the former
+    told(first, "n004", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))  # the former
     assert first.table["n003"].state == State.ALIVE
     assert first.table["n004"].life == 7 and net.states("n004") == {State.ALIVE}
-    agent = net.start("n004", life=5)      # its clock was set back
+    agent = net.start("n004", life=5)  # its clock was set back
     net.run(3)
     assert agent.knew_life() == 7 and first.table["n004"].life == 7 and not first.knew_life()
     agent.desk.life = 8
@@ -239,7 +249,7 @@
     agent = net.start("n004", life=9, port=77)
     net.run(3)
     assert net.states("n004") == {State.ALIVE} and agent.size() == 5
-    mine = agent.me     # and another of the same life at another place
+    mine = agent.me  # and another of the same life at another place
     told(agent, "n000", Told(replace(mine, address="10.0.0.9:9", turn=9)))
     assert agent.me == mine and agent.trouble.what == "n004" and "10.0.0.9:9" in agent.trouble.found
     assert agent.desk.notes[-1] == "two agents under one name"
@@ -258,7 +268,7 @@
     assert first.table["n005"].state == State.GONE
     told(first, "n001", Told(replace(agents[4].me, state=State.SUSPECT), ("n001",)))
     net.run(0.2)
-    assert agents[4].me.turn == 1       # told at once
+    assert agents[4].me.turn == 1  # told at once
     net.run(5)
     assert agents[5].me.turn > accused.turn and net.states("n005") == {State.ALIVE}
 
@@ -269,7 +279,7 @@
     late = net.agents.pop("n004").me
     net.run(15)
     told(first, "n001", Told(late))
-    told(first, "n001", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))   # no witness
+    told(first, "n001", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))  # no witness
     assert net.states("n004") == {State.GONE} and first.table["n003"].state == State.ALIVE
     net.run(75)
     told(first, "n001", Told(replace(late, state=State.GONE), ("n001", "n002")))
@@ -302,8 +312,16 @@
 
 def test_out_of_range_is_dropped_and_the_table_is_bounded():
     agent = Net().fleet(3)[0]
-    for wrong in ({"capacity": nan}, {"zone": "z" * 65}, {"turn": -1}, {"state": 9}, {"reads": (2, 1)},
-                  {"address": "a" * 200}, {"life": 1 << 62}, {"moved": -1}):
+    for wrong in (
+        {"capacity": nan},
+        {"zone": "z" * 65},
+        {"turn": -1},
+        {"state": 9},
+        {"reads": (2, 1)},
+        {"address": "a" * 200},
+        {"life": 1 << 62},
+        {"moved": -1},
+    ):
         told(agent, "n001", Told(peer("n002", **{"turn": 5, **wrong})))
         told(agent, "n007", **wrong)
     told(agent, "n001", *[Told(peer("n002"))] * 65)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -12,8 +12,10 @@
 
 
 def fleet(seed=1, agents=3, **changes):
-    memory = Memory(Pact(fleet="f", name="", key=b"k" * 32, seeds=SEEDS, limits={"shop": Limit(50.0, 20.0)},
-                         **changes), seed)
+    memory = Memory(
+        Pact(fleet="f", name="", key=b"k" * 32, seeds=SEEDS, limits={"shop": Limit(50.0, 20.0)}, **changes),
+        seed,
+    )
     for number in range(agents):
         memory.add(f"a{number}", zone=f"z{number % 3}")
     assert memory.until(memory.one_ring, 20.0) < 20.0
@@ -77,6 +79,7 @@
         if ward and sender == self.desk.name:
             ward.lines[sender].more = True
         return ward
+
     before = Lending.answered
     monkeypatch.setattr(Lending, "answered", answered)
     for _ in range(100):
--- a/tests/test_fleet_off.py
+++ b/tests/test_fleet_off.py
@@ -16,23 +16,27 @@
     cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms cartdeal.watch_schedule""".split()
 
 # Says what is imported once the agent serves.
-TOLD = ("import gevent, sys; from cartdeal.agent import start; "
-        "gevent.spawn_later(0.2, lambda: print('modules', *sorted(sys.modules), flush=True)); start.main()")
+TOLD = (
+    "import gevent, sys; from cartdeal.agent import start; "
+    "gevent.spawn_later(0.2, lambda: print('modules', *sorted(sys.modules), flush=True)); start.main()"
+)
 KEY = "k" * 16
 
 
 def run(folder, *words, **environment):
     (folder / "config.json").write_text(json.dumps(config_file()))
     environment = {**os.environ, "PROXY_CONFIG": str(folder / "config.json"), **environment}
-    return subprocess.Popen([sys.executable, *words], stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                            env=environment)
+    return subprocess.Popen(
+        [sys.executable, *words], stdout=subprocess.PIPE, stderr=subprocess.PIPE, env=environment
+    )
 
 
 @pytest.fixture
 def fleet(tmp_path):
     file = tmp_path / "fleet.toml"
-    file.write_text(f'fleet = "f"\nkey = "{KEY}"\nname = "a1"\nlisten = "127.0.0.1:0"\n'
-                    '[seeds]\nb = "127.0.0.1:9"\n')
+    file.write_text(
+        f'fleet = "f"\nkey = "{KEY}"\nname = "a1"\nlisten = "127.0.0.1:0"\n[seeds]\nb = "127.0.0.1:9"\n'
+    )
     return file
 
 
@@ -88,9 +92,14 @@
         end(agent)
 
 
-@pytest.mark.parametrize("text, words", [
-    ("", b"fleet: found 'nothing'; wanted a name"), ("fleet = 3", b"fleet: found '3'; wanted a name"),
-    (None, b"PROXY_FLEET: found")])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("", b"fleet: found 'nothing'; wanted a name"),
+        ("fleet = 3", b"fleet: found '3'; wanted a name"),
+        (None, b"PROXY_FLEET: found"),
+    ],
+)
 def test_a_bad_file_ends_the_start_with_status_2_and_one_line(tmp_path, fleet, text, words):
     fleet.unlink() if text is None else fleet.write_text(text)
     agent = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet))
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -21,8 +21,9 @@
 
 def fleet(size, **terms):
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(size)}
-    memory = Memory(Pact(fleet="f", name="", key=b"k" * 32, seeds=seeds, limits={"shop": Limit(100.0, 90.0)},
-                         **terms), 1)
+    memory = Memory(
+        Pact(fleet="f", name="", key=b"k" * 32, seeds=seeds, limits={"shop": Limit(100.0, 90.0)}, **terms), 1
+    )
     for each in range(size):
         memory.add(f"a{each}", zone=f"z{each % 3}")
     memory.until(memory.one_ring, 20.0)
@@ -30,8 +31,16 @@
 
 
 def sheet(name, repeat="u", **more):
-    return Question(**{"session": f"s{name}", "key": f"k{name}", "repeat": repeat, "limit_s": 20.0,
-                       "workload": "sheet", **more})
+    return Question(
+        **{
+            "session": f"s{name}",
+            "key": f"k{name}",
+            "repeat": repeat,
+            "limit_s": 20.0,
+            "workload": "sheet",
+            **more,
+        }
+    )
 
 
 def ask_shop(memory, seconds, agents=None, rate=250):
@@ -43,6 +52,7 @@
 
 # Days
 
+
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
@@ -157,10 +167,12 @@
 
 def clock_ahead(memory):
     """One that goes by a clock 40 s ahead, whatever it hears, joins while a sheet is on its way."""
+
     def stubborn(*args):
         made = Node(*args)
         made.timely = lambda *_: True
         return made
+
     memory.makers["a9"] = stubborn
     memory.intend(sheet(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
     memory.run(0.3)
@@ -173,6 +185,7 @@
 
 # Breakages
 
+
 def last_to_arrive(plant):
     plant(records, "merge", lambda a, b: b)
 
@@ -181,6 +194,7 @@
     def init(self, pact, seed, now, wall):
         before(self, pact, "the same", now, 1_700_000_000.0)
         self.offset = wall - now
+
     before = Node.__init__
     plant(Node, "__init__", init)
 
@@ -207,6 +221,7 @@
         record = before(*args)
         record.extra = {}
         return record
+
     before = schema.decode
     plant(schema, "decode", decode)
 
@@ -230,6 +245,7 @@
         ward = before(self, sender, life, answer, now)
         line.sequence = waits
         return ward
+
     before = Lending.answered
     plant(Lending, "answered", answered)
 
@@ -240,8 +256,10 @@
         return before(ring, able, pact)
 
     def schema_peer(peer):
-        return type(peer)(peer.name, peer.address, peer.life, peer.turn, peer.state, peer.zone, peer.capacity,
-                          (1, 9), 9)
+        return type(peer)(
+            peer.name, peer.address, peer.life, peer.turn, peer.state, peer.zone, peer.capacity, (1, 9), 9
+        )
+
     before = schema.agree
     plant(schema, "agree", agree)
 
@@ -249,6 +267,7 @@
 def written_by_one(plant):
     class Eager(replica.Open):
         need = property(lambda self: (1, 1), lambda self, need: None)
+
     plant(replica, "Open", Eager)
 
 
@@ -265,6 +284,7 @@
     def drawn(self, key, n):
         first = number(key) % len(self.names)
         return tuple(sorted(self.names)[(first + turn) % len(self.names)] for turn in range(n))
+
     plant(Draw, "drawn", drawn)
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -18,8 +18,10 @@
 def settled(world, agents=None):
     """A request with a mark is completed at each agent: owners have caught up, and are vouched for."""
     for each in agents or world.agents:
-        eventually(lambda each=each: world.ask(each, "/close/probe", f"probe {monotonic()}")[0] == 200,
-                   "marks are written")
+        eventually(
+            lambda each=each: world.ask(each, "/close/probe", f"probe {monotonic()}")[0] == 200,
+            "marks are written",
+        )
 
 
 def read(world, agent):
@@ -98,7 +100,7 @@
     settled(world)
     world.cuts = {(a, b) for a, b in (("n0", "n1"), ("n1", "n0"), ("n0", "n2"), ("n2", "n0"))}
     eventually(lambda: world.ask(one, "/close/1", f"cut {monotonic()}")[0] == 502, "it is in doubt")
-    assert world.ask(one, "/read/1", method="GET")[0] == 200     # nothing could go wrong with it
+    assert world.ask(one, "/read/1", method="GET")[0] == 200  # nothing could go wrong with it
     settled(world, [two, three])
     eventually(lambda: world.epoch([two, three]) > 2, "the others draw a ring without it")
     served, begun = 0, monotonic()
@@ -114,7 +116,7 @@
     one, two, three = world.agents
     settled(world)
     world.lose, world.double, world.delay = 0.1, 0.2, 0.05
-    world.cuts = {("n0", "n1")}     # n1 doesn't hear n0, which hears it
+    world.cuts = {("n0", "n1")}  # n1 doesn't hear n0, which hears it
     for turn in range(12):
         first, second = world.agents[turn % 3], world.agents[(turn + 1) % 3]
         path = f"/close/{turn}?do=reset"
@@ -127,8 +129,9 @@
 
 
 def test_rolling_upgrade_keeps_marks_and_limit(tmp_path):
-    with World(tmp_path, limits="[limits.shop]\nrate = 20.0\nburst = 10\n", hold_version=1,
-               longest_mark_s=15.0) as world:   # longer than the upgrade takes on a busy machine
+    with World(
+        tmp_path, limits="[limits.shop]\nrate = 20.0\nburst = 10\n", hold_version=1, longest_mark_s=15.0
+    ) as world:  # longer than the upgrade takes on a busy machine
         world.start()
         settled(world)
         held = gevent.spawn(world.ask, world.agents[2], "/close/5?do=wait", "hal")
--- a/tests/test_fleet_records.py
+++ b/tests/test_fleet_records.py
@@ -17,21 +17,39 @@
 plain = some.recursive(
     some.none() | some.booleans() | few | some.floats(allow_nan=False) | some.text() | some.binary(),
     lambda each: some.lists(each, max_size=2) | some.dictionaries(some.sampled_from("pqr"), each, max_size=2),
-    max_leaves=4)
+    max_leaves=4,
+)
 extras = some.dictionaries(some.sampled_from(["xa", "xb"]), plain, max_size=2)
 places = some.lists(some.tuples(some.sampled_from(["", "a", "b"]), few), max_size=3).map(tuple)
 marks = some.builds(
-    Mark, some.sampled_from(["a/1/1", "a/1/2", "b/7/1"]), some.sampled_from("kl"), some.sampled_from("du"),
-    some.sampled_from(records.GROUPS), few, places, some.sampled_from(Certainty), few, few,
-    some.sampled_from("wv"), extras)
+    Mark,
+    some.sampled_from(["a/1/1", "a/1/2", "b/7/1"]),
+    some.sampled_from("kl"),
+    some.sampled_from("du"),
+    some.sampled_from(records.GROUPS),
+    few,
+    places,
+    some.sampled_from(Certainty),
+    few,
+    few,
+    some.sampled_from("wv"),
+    extras,
+)
 sessions = some.builds(
-    Session, some.lists(marks, max_size=4).map(lambda each: {mark.by: mark for mark in each}), extras,
-    some.sampled_from([0, 3]))
+    Session,
+    some.lists(marks, max_size=4).map(lambda each: {mark.by: mark for mark in each}),
+    extras,
+    some.sampled_from([0, 3]),
+)
 periods = some.sampled_from([0, 1, 120, 121, 122])
 parts = some.tuples(few, some.sampled_from([0.0, 1.5]), some.just(2.0))
 uses = some.builds(
-    Use, some.dictionaries(some.tuples(some.sampled_from("ab"), few, periods), few, max_size=5),
-    some.dictionaries(some.sampled_from("gh"), parts), extras, some.sampled_from([0, 3]))
+    Use,
+    some.dictionaries(some.tuples(some.sampled_from("ab"), few, periods), few, max_size=5),
+    some.dictionaries(some.sampled_from("gh"), parts),
+    extras,
+    some.sampled_from([0, 3]),
+)
 alike = some.one_of(some.lists(sessions, min_size=3, max_size=3), some.lists(uses, min_size=3, max_size=3))
 
 
@@ -62,7 +80,7 @@
     again = schema.decode(kind, passed)
     assert raw_of(again, written) == raw_of(record, written)
     assert digest(again) == digest(record) and again.beyond == record.beyond
-    if written[1] == "move" and not record.beyond:      # the old agent knows all that the new one does
+    if written[1] == "move" and not record.beyond:  # the old agent knows all that the new one does
         assert digest(by_old) == digest(record) and by_old.beyond == 0
 
 
@@ -81,13 +99,13 @@
         back = msgspec.msgpack.decode(raw_of(record, (1, "steady"), knows))
         assert back["newest"] == later["newest"]
     only = schema.decode("s", msgspec.msgpack.encode({**later, "needs": 3}))
-    assert only.beyond == 3 and not records.empty(only)     # it says that it can't answer from this
+    assert only.beyond == 3 and not records.empty(only)  # it says that it can't answer from this
 
 
 def test_what_only_an_old_agent_added_counts_beside_the_new_form():
     first, added = (Mark(f"a/1/{n}", "k", "u", "zone", 5, until_ms=9) for n in (1, 2))
     by_old = schema.decode("s", raw_of(Session({first.by: first}), (1, "narrow")), knows=1)
-    by_old = merge(by_old, Session({added.by: added}))      # it can't see the first any more, and keeps it
+    by_old = merge(by_old, Session({added.by: added}))  # it can't see the first any more, and keeps it
     assert schema.decode("s", raw_of(by_old, knows=1)).marks == {first.by: first, added.by: added}
     by_old = schema.decode("s", raw_of(Session({first.by: first})), knows=1)
     more = records.gained(by_old.marks[first.by], certainty=Certainty.ANSWERED)
@@ -96,11 +114,16 @@
 
 
 @checked
-@given(some.binary(max_size=60) | some.dictionaries(
-    some.sampled_from(["kind", "v", "needs", "marks", "by", "counts", "parts"]),
-    plain | some.sampled_from(["s", "u", 1, 2])
-    | some.lists(some.dictionaries(some.sampled_from(schema.OWN), plain, max_size=3), max_size=2)
-).map(lambda each: msgspec.msgpack.encode({"kind": "s", "v": 2, "needs": 1} | each)), some.sampled_from("su"))
+@given(
+    some.binary(max_size=60)
+    | some.dictionaries(
+        some.sampled_from(["kind", "v", "needs", "marks", "by", "counts", "parts"]),
+        plain
+        | some.sampled_from(["s", "u", 1, 2])
+        | some.lists(some.dictionaries(some.sampled_from(schema.OWN), plain, max_size=3), max_size=2),
+    ).map(lambda each: msgspec.msgpack.encode({"kind": "s", "v": 2, "needs": 1} | each)),
+    some.sampled_from("su"),
+)
 def test_bytes_are_never_trusted(raw, kind):
     try:
         raw_of(schema.decode(kind, raw))
@@ -113,17 +136,32 @@
 def test_bytes_cut_and_changed_are_read_or_refused(three, step, at, noise):
     raw = raw_of(three[0], step)
     at %= len(raw)
-    for bad in (raw[:at], raw[:at] + noise + raw[at + len(noise):], raw + noise):
+    for bad in (raw[:at], raw[:at] + noise + raw[at + len(noise) :], raw + noise):
         try:
             raw_of(schema.decode(records.kind_of(three[0]), bad))
         except errors.Trouble:
             pass
 
 
-@pytest.mark.parametrize("raw", [
-    b"\xdd\xff\xff\xff\xff", b"\x91" * 100_000, b"\x00" * (1 << 20), b"\x81\x90\x01", b"\xd6\xff\0\0\0\0",
-    {"kind": "u"}, {"kind": []}, {"needs": 2}, {"needs": True}, {"x": float("nan")}, {"by": 0},
-    {"marks": [{}] * 2000}, {"x": [[[[[[[[[]]]]]]]]]}], ids=lambda raw: repr(raw)[:20])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        b"\xdd\xff\xff\xff\xff",
+        b"\x91" * 100_000,
+        b"\x00" * (1 << 20),
+        b"\x81\x90\x01",
+        b"\xd6\xff\0\0\0\0",
+        {"kind": "u"},
+        {"kind": []},
+        {"needs": 2},
+        {"needs": True},
+        {"x": float("nan")},
+        {"by": 0},
+        {"marks": [{}] * 2000},
+        {"x": [[[[[[[[[]]]]]]]]]},
+    ],
+    ids=lambda raw: repr(raw)[:20],
+)
 def test_garbage_is_named_without_its_words(raw):
     if isinstance(raw, dict):
         raw = msgspec.msgpack.encode({"kind": "s", "v": 1, "needs": 1} | raw)
@@ -143,19 +181,25 @@
 
 
 def test_the_places_of_a_mark_are_bounded_and_it_says_that_some_are_forgotten():
-    one, two = (Mark("a/1/1", "k", "d", "cell", 5, tuple(("z", n) for n in cells))
-                for cells in (range(20), range(15, 40)))
+    one, two = (
+        Mark("a/1/1", "k", "d", "cell", 5, tuple(("z", n) for n in cells))
+        for cells in (range(20), range(15, 40))
+    )
     both = records.merge_marks(one, two).places
     assert both[0] == records.ELSEWHERE and len(both) == 1 + records.MOST_PLACES
-    for more in (one, two):     # the first has no place that isn't kept
+    for more in (one, two):  # the first has no place that isn't kept
         assert records.merge_marks(records.merge_marks(two, one), more).places == both
 
 
 def test_old_periods_and_the_least_parts_go_whatever_came_first():
     # Bounds are met by hypothesis only for periods; here for all of them.
-    copies = [Use({("a", life, period): 1 for life in range(300) for period in range(start, start + 20)},
-                  {f"h{n}": (n, 1.0, 1.0) for n in range(start * 10, start * 10 + 700)})
-              for start in (0, 60, 130)]
+    copies = [
+        Use(
+            {("a", life, period): 1 for life in range(300) for period in range(start, start + 20)},
+            {f"h{n}": (n, 1.0, 1.0) for n in range(start * 10, start * 10 + 700)},
+        )
+        for start in (0, 60, 130)
+    ]
     whole = [reduce(merge, order) for order in permutations(copies)]
     assert len({digest(each) for each in whole}) == 1
     assert len(whole[0].counts) == records.MOST_COUNTS and len(whole[0].parts) == records.MOST_PARTS
@@ -165,10 +209,14 @@
 
 
 def test_marks_over_go_by_the_slowest_clock_allowed_and_bind_until_then():
-    three = (("a/1/1", Certainty.SENT, 1000), ("a/1/2", Certainty.SENT, 3000),
-             ("b/1/1", Certainty.NEVER_RAN, 3000))
-    held = Session({by: Mark(by, "k", "u", "all", 5, certainty=sure, until_ms=until)
-                    for by, sure, until in three})
+    three = (
+        ("a/1/1", Certainty.SENT, 1000),
+        ("a/1/2", Certainty.SENT, 3000),
+        ("b/1/1", Certainty.NEVER_RAN, 3000),
+    )
+    held = Session(
+        {by: Mark(by, "k", "u", "all", 5, certainty=sure, until_ms=until) for by, sure, until in three}
+    )
     assert [mark.by for mark in held.open_marks("k", 2999, slack_ms=500)] == ["a/1/2"]
     assert [mark.by for mark in held.open_marks("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
     assert held.open_marks("l", 0) == () and records.expired(held, 1400, 500) is held
@@ -184,8 +232,8 @@
 def test_a_clock_far_ahead_is_refused_and_one_that_jumps_back_counts_on():
     clock = HybridClock("a", 2.0)
     first = clock.tick(100.0)
-    assert clock.tick(90.0) == Stamp(100_000, 1, "a") > first         # back by ten seconds
-    assert clock.hear(Stamp(99_000, 0, "c"), 90.0) == Stamp(100_000, 2, "a")      # no harm: it isn't newer
+    assert clock.tick(90.0) == Stamp(100_000, 1, "a") > first  # back by ten seconds
+    assert clock.hear(Stamp(99_000, 0, "c"), 90.0) == Stamp(100_000, 2, "a")  # no harm: it isn't newer
     with pytest.raises(errors.ClockAhead, match="clock of b"):
         clock.hear(Stamp(103_001, 0, "b"), 101.0)
     assert clock.last.wall_ms == 100_000 and clock.tick(101.0) == Stamp(101_000, 0, "a")
@@ -195,4 +243,4 @@
     for name in "bcd":
         with pytest.raises(errors.ClockAhead):
             clock.hear(Stamp(120_000, 0, name), 101.0)
-    assert clock.behind()                                             # all others are ahead: it is ours
+    assert clock.behind()  # all others are ahead: it is ours
--- a/tests/test_fleet_replica.py
+++ b/tests/test_fleet_replica.py
@@ -13,7 +13,7 @@
 from cartdeal.fleet.replica import Replica
 from cartdeal.fleet.ring import Ring, Seat, owners
 
-WORDS = msgspec.msgpack.Decoder(Union[replica.WORDS])   # noqa: UP007
+WORDS = msgspec.msgpack.Decoder(Union[replica.WORDS])  # noqa: UP007
 PACT = Pact(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
 
 
@@ -77,8 +77,16 @@
     def mark(self, lasts=5.0, **more):
         self.issued += 1
         now = int(self.wall * 1e3)
-        return Mark(f"{self.name}/{self.life}/{self.issued}", "GET /", "u", "all", 0, sent_ms=now,
-                    until_ms=now + int(lasts * 1e3), **more)
+        return Mark(
+            f"{self.name}/{self.life}/{self.issued}",
+            "GET /",
+            "u",
+            "all",
+            0,
+            sent_ms=now,
+            until_ms=now + int(lasts * 1e3),
+            **more,
+        )
 
     def claim(self, sid, wait=0.2, **more):
         mark = self.mark(**more)
@@ -218,7 +226,7 @@
 
 def test_a_one_way_cut_is_doubt_for_the_one_that_is_not_heard():
     net = Net()
-    net.cut("a", "bc", both=False)      # b and c don't hear a
+    net.cut("a", "bc", both=False)  # b and c don't hear a
     assert net["a"].asked("x") == ((), False)
     assert net["b"].asked("x") == ((), True)
     net.cuts.clear()
@@ -270,7 +278,7 @@
     assert net["a"].replica.figures()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
     assert net["a"].notes.count("hints full") == 1
     net.cuts.clear()
-    net.run(4)      # what was dropped is made good by comparing
+    net.run(4)  # what was dropped is made good by comparing
     assert len(net["c"].replica.held()) == 50 and net.equal("abc")
 
 
@@ -302,7 +310,7 @@
     assert net["a"].asked("x", lasts=9.0)[1]
     net.cuts.clear()
     net.cut("a", "bc")
-    net.start("b")          # of the two that wrote it, one has forgotten and one is cut off
+    net.start("b")  # of the two that wrote it, one has forgotten and one is cut off
     net.run(1.5)
     assert net["c"].asked("x")[1] is False
     assert not net["b"].replica.caught_up("s/x")
@@ -343,7 +351,7 @@
         if "e" in owners(net.ring, f"s/{sid}".encode(), 3):
             assert marks[sid] in net["e"].replica.held()[f"s/{sid}"].marks
     assert net["e"].asked(sid, wait=0.05) == ((marks[sid],), True)
-    net.change(ring(3, *"cde"))     # two leave at once: of each key one or two owners are new
+    net.change(ring(3, *"cde"))  # two leave at once: of each key one or two owners are new
     tickets = {sid: net["cde"[sid % 3]].claim(sid, wait=0.2)[0] for sid in range(1, 80, 9)}
     net.run(0.5)
     for sid, ticket in tickets.items():
@@ -374,7 +382,7 @@
     net.change(ring(2, *"bcd"))
     net.run(0.005)
     net["c"].kill()
-    assert net["d"].asked(sid, wait=0.1) == ((mark.by,), True)     # by d, which asked a and b, and by b
+    assert net["d"].asked(sid, wait=0.1) == ((mark.by,), True)  # by d, which asked a and b, and by b
     assert not net["d"].replica.era.done(net["d"].now)
 
 
@@ -414,7 +422,7 @@
 
 
 def test_two_halves_that_meet_again_become_equal_byte_for_byte():
-    net = Net("abcdef", most_hints=1)       # so that comparing does it
+    net = Net("abcdef", most_hints=1)  # so that comparing does it
     net.cut("abc", "def")
     for turn in range(200):
         net["abcdef"[turn % 6]].claim(turn % 40, 0.05, lasts=10.0)
@@ -443,6 +451,7 @@
         net.run(10)
         assert net.equal("abc")
         return net.bytes
+
     few, many, some = traffic(100, 0), traffic(2000, 0), traffic(2000, 50)
     assert many < 1.2 * few < 10_000 and some > many
 
@@ -478,7 +487,7 @@
     net.run(1.0)
     assert not net["a"].replica.held() and not net["b"].replica.held() and not net["c"].replica.held()
     net["c"].skew = 20.0
-    assert net["c"].asked("x")[1] is False      # its marks would bind for too long: refused, and said
+    assert net["c"].asked("x")[1] is False  # its marks would bind for too long: refused, and said
     assert "clock ahead" in net["a"].notes
 
 
@@ -559,8 +568,11 @@
         net = Wild(seed)
         for _ in range(80):
             net.step()
-        sure = [(sid, mark, begun, *answers[ticket]) for sid, mark, begun, answers, ticket in net.log
-                if answers.get(ticket, (0, 0))[1]]
+        sure = [
+            (sid, mark, begun, *answers[ticket])
+            for sid, mark, begun, answers, ticket in net.log
+            if answers.get(ticket, (0, 0))[1]
+        ]
         total += len(sure)
         for sid, mark, begun, seen, _, ended in sure:
             for other, older, was_begun, found, _, was_ended in sure:
--- a/tests/test_fleet_ring.py
+++ b/tests/test_fleet_ring.py
@@ -10,9 +10,7 @@
 from cartdeal.lab import rings
 
 KEYS = [b"s/%d" % n for n in range(4000)]
-OWNERS = [("a0002", "a0003", "a0004"),
-          ("a0000", "a0002", "a0001"),
-          ("a0002", "a0003", "a0004")]
+OWNERS = [("a0002", "a0003", "a0004"), ("a0000", "a0002", "a0001"), ("a0002", "a0003", "a0004")]
 DIGEST = "d19b710d0c20715742a7d43952529427"
 
 
@@ -25,7 +23,8 @@
 
 
 seats = st.dictionaries(st.sampled_from([f"n{n}" for n in range(12)]), st.floats(1, 64), min_size=1).map(
-    lambda found: {name: Seat(name, f"z{int(name[1:]) % 3}", capacity) for name, capacity in found.items()})
+    lambda found: {name: Seat(name, f"z{int(name[1:]) % 3}", capacity) for name, capacity in found.items()}
+)
 
 
 def drawn(found):
@@ -58,8 +57,9 @@
     assert names[0] == owners(known, KEYS[key], 1)[0] and names[:1] == owners(known, KEYS[key], n + 1)[:1]
 
 
-@pytest.mark.parametrize("agents, zones, capacity", [
-    (10, 3, 64), (10, 3, 1), (100, 3, 64), (10, 1, 8), (7, 7, 64)])
+@pytest.mark.parametrize(
+    "agents, zones, capacity", [(10, 3, 64), (10, 3, 1), (100, 3, 64), (10, 1, 8), (7, 7, 64)]
+)
 def test_one_joins_and_no_key_moves_between_two_old_agents(agents, zones, capacity):
     dice = Random(agents)
     old = ring([dice.choice((1, 8, 64)) for _ in range(agents)], zones)
@@ -69,7 +69,7 @@
         was, now = owners(old, key, 3), owners(new, key, 3)
         first += was[0] != now[0]
         assert was[0] == now[0] or now[0] == "new"
-        assert set(now) - set(was) <= {"new"} and len(set(was) - set(now)) <= 1    # so do copies
+        assert set(now) - set(was) <= {"new"} and len(set(was) - set(now)) <= 1  # so do copies
     assert first / len(KEYS) <= share + 4 * (share / len(KEYS)) ** 0.5
 
 
@@ -161,6 +161,7 @@
     def wobble(now):
         for n, peer in enumerate(watch.live.values()):
             peer.capacity = 11.0 if int(now + n / 5) % 2 else 9.0
+
     assert watch.run(120, wobble).changes == 0
 
 
@@ -169,6 +170,7 @@
 
     def creep(now):
         watch.live["a0000"].capacity = 10 + now / 30 + (0.5 if int(now) % 2 else -0.5)
+
     watch.run(45, creep)
     assert watch.changes == 0
     watch.run(555, creep)
@@ -184,6 +186,7 @@
             watch.live.pop(peer.name, None)
             if there:
                 watch.live[peer.name] = peer
+
     assert watch.run(120, flap).changes == 0
 
 
@@ -193,6 +196,7 @@
 
     def restart(now):
         watch.live["a0001"].life = stranger.life = int(now / 2)
+
     assert watch.run(60, restart).changes == 0
     watch.run(6)
     assert watch.ring.by_name["a9999"].capacity == 64
@@ -203,7 +207,7 @@
     watch.run(1)
     del watch.live["a0001"]
     watch.run(1)
-    watch.now += 60     # stopped
+    watch.now += 60  # stopped
     watch.run(3)
     assert "a0001" in watch.ring.names
     watch.run(2)
