--- a/tests/test_fleet_schema.py
+++ b/tests/test_fleet_schema.py
@@ -31,12 +31,30 @@
 
 def test_a_rolling_upgrade_goes_on_whoever_proposes():
     seen, here = [], ring()
-    for live in (peers(OLD), peers(OLD, b=peer()), peers(), peers(), peers(), peers(moved=2, c=peer()),
-                 peers(moved=2), peers(OLD, moved=2), peers(moved=2)):
-        here = ring(*agree(here, live, pact()))     # a new ring each time: nothing else is remembered
+    for live in (
+        peers(OLD),
+        peers(OLD, b=peer()),
+        peers(),
+        peers(),
+        peers(),
+        peers(moved=2, c=peer()),
+        peers(moved=2),
+        peers(OLD, moved=2),
+        peers(moved=2),
+    ):
+        here = ring(*agree(here, live, pact()))  # a new ring each time: nothing else is remembered
         seen.append((here.written, here.phase))
-    assert seen == [(1, "steady"), (1, "steady"), (1, "widen"), (1, "move"), (1, "move"), (1, "move"),
-                    (1, "narrow"), (2, "steady"), (2, "steady")]
+    assert seen == [
+        (1, "steady"),
+        (1, "steady"),
+        (1, "widen"),
+        (1, "move"),
+        (1, "move"),
+        (1, "move"),
+        (1, "narrow"),
+        (2, "steady"),
+        (2, "steady"),
+    ]
 
 
 @pytest.mark.parametrize("phase", ["steady", "widen", "move", "narrow"])
@@ -54,13 +72,23 @@
     assert agree(ring(1, "move", "abcd"), away, pact()) == (1, "narrow")
 
 
-@pytest.mark.parametrize("live, hold", [
-    (peers(moved=2), 1), (peers(moved=2, d=peer(OLD), e=peer(OLD)), 0), (peers(moved=2, joins=peer(OLD)), 0)],
-    ids=["held", "half rolled back", "old one joins"])
+@pytest.mark.parametrize(
+    "live, hold",
+    [
+        (peers(moved=2), 1),
+        (peers(moved=2, d=peer(OLD), e=peer(OLD)), 0),
+        (peers(moved=2, joins=peer(OLD)), 0),
+    ],
+    ids=["held", "half rolled back", "old one joins"],
+)
 def test_a_step_back_is_possible_until_narrowed(live, hold):
     back = {phase: agree(ring(1, phase), live, pact(hold)) for phase in schema.PHASES}
-    assert back == {"steady": (1, "steady"), "widen": (1, "steady"),
-                    "move": (1, "widen"), "narrow": (2, "steady")}
+    assert back == {
+        "steady": (1, "steady"),
+        "widen": (1, "steady"),
+        "move": (1, "widen"),
+        "narrow": (2, "steady"),
+    }
     assert agree(ring(2), live, pact(hold)) == (2, "steady")
 
 
@@ -75,7 +103,7 @@
 def test_an_old_agent_that_comes_back_after_narrowing_is_fenced_and_its_marks_carried_over():
     for phase in ("steady", "widen", "move"):
         assert schema.refused(OLD, ring(1, phase)) is schema.refused(NEW, ring(1, phase)) is None
-    assert schema.refused((2, 3), ring(1, "move"))      # what hasn't moved yet it couldn't read
+    assert schema.refused((2, 3), ring(1, "move"))  # what hasn't moved yet it couldn't read
     for here in (ring(1, "narrow"), ring(2)):
         trouble = schema.refused(OLD, here)
         assert isinstance(trouble, errors.SchemaRefused) and "program" in trouble.do
@@ -101,7 +129,7 @@
     use = Use({("a", 1, 3): 4}, {"h": (3, 5.0, 2.0)})
     back = decode("u", encode("u", decode("u", encode("u", use, 1, "move"), 1), 1, "move", 1))
     assert back == use
-    assert decode("u", encode("u", use, 1, "steady")) == use        # a step back loses no part that is lent
+    assert decode("u", encode("u", use, 1, "steady")) == use  # a step back loses no part that is lent
 
 
 def test_what_there_is_to_move_by_phase():
@@ -117,7 +145,15 @@
     with pytest.raises(errors.BadRecord):
         needs_move(b"", 1, "move")
     assert [schema.moved(ring(1, phase), left) for phase in schema.PHASES for left in (1, 0)] == [
-        1, 1, 1, 1, 1, 2, 2, 2]
+        1,
+        1,
+        1,
+        1,
+        1,
+        2,
+        2,
+        2,
+    ]
     assert [schema.governs(1, phase) for phase in schema.PHASES] == [1, 1, 1, 2]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,8 +15,10 @@
 from tests.test_reducer import Desk
 
 READ, MARK, ONCE = range(3)
-WITHOUT_CANCEL = SETTINGS | {"caps": SETTINGS["caps"] | {"cancel": False}, "workloads": [
-    each | {"goalTimeUs": 20000000} for each in SETTINGS["workloads"]]}     # requests are held for a while
+WITHOUT_CANCEL = SETTINGS | {
+    "caps": SETTINGS["caps"] | {"cancel": False},
+    "workloads": [each | {"goalTimeUs": 20000000} for each in SETTINGS["workloads"]],
+}  # requests are held for a while
 
 
 pytestmark = pytest.mark.usefixtures("bounded")
@@ -47,6 +49,7 @@
 @pytest.fixture
 def narrow(monkeypatch, deployment):
     """A server that takes a few bytes of a request and reads on only when the test has it accept."""
+
     class Narrow(socket.socket):
         def connect(self, address):
             self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -61,14 +64,16 @@
 
 def put_in_place(monkeypatch, kind):
     names = ("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY", "wait_write")
-    monkeypatch.setattr("cartdeal.agent.upstream.socket",
-                        SimpleNamespace(socket=kind, **{name: getattr(socket, name) for name in names}))
+    monkeypatch.setattr(
+        "cartdeal.agent.upstream.socket",
+        SimpleNamespace(socket=kind, **{name: getattr(socket, name) for name in names}),
+    )
 
 
 def settled(deployment):
     """All attempts have ended, and no connection to a server is left over."""
     until(lambda: not deployment.agent.upstream.out)
-    assert deployment.agent.budget.used == len(deployment.agent.front.clients) + 1     # the next client's
+    assert deployment.agent.budget.used == len(deployment.agent.front.clients) + 1  # the next client's
     until(lambda: not deployment.servers[0].open)
 
 
@@ -78,8 +83,9 @@
         pass
 
 
-@pytest.mark.parametrize("more", [
-    {"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str)
+@pytest.mark.parametrize(
+    "more", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
+)
 @pytest.mark.parametrize("path", ["/once/x", "/read/x"])
 def test_connection_that_comes_up_after_its_server_changed_carries_nothing(deployment, late, more, path):
     client = deployment.connect()
@@ -125,7 +131,7 @@
     client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
     attempts = deployment.agent.upstream.out
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
-    if over:    # an earlier attempt of it that may have run, longer ago than servers remember
+    if over:  # an earlier attempt of it that may have run, longer ago than servers remember
         balancer = reducer.balancer
         balancer.requests[1].traces[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
@@ -143,8 +149,9 @@
     assert deployment.seen() == ["/once/y"]
 
 
-@pytest.mark.parametrize("how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)],
-                         ids=["closes", "ends its side"])
+@pytest.mark.parametrize(
+    "how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)], ids=["closes", "ends its side"]
+)
 def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
     draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
@@ -156,7 +163,7 @@
     until(lambda: len(held) == len(clients))
     for client in clients:
         how(client.sock)
-    unread_end(deployment, len(clients))    # the agent is late: what it sees next is room for all of them
+    unread_end(deployment, len(clients))  # the agent is late: what it sees next is room for all of them
     ready = ServerEntry("s0", deployment.servers[0].address, "a")
     deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
     assert deployment.agent.upstream.out
@@ -172,7 +179,7 @@
     client.close()
     unread_end(deployment, 1)
     done = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
-    deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)   # the answer is read before the close
+    deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.out)
@@ -196,7 +203,7 @@
         assert desk.reducer.may_begin(1, 1, server)
         desk.reducer.now += 4.0
         assert desk.reducer.may_begin(1, 1, server) is within
-        desk.reducer.now += 2.0     # the deadline
+        desk.reducer.now += 2.0  # the deadline
         assert not desk.reducer.may_begin(1, 1, server)
         desk.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
         # What may have run may be rejected only where a repeat does no harm.
@@ -209,7 +216,7 @@
     assert desk.reducer.may_begin(1, 0, desk.at[1, 0])
     desk.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
     assert desk.at[1, 1] != desk.at[1, 0] and desk.reducer.may_begin(1, 1, desk.at[1, 1])
-    assert not desk.reducer.may_begin(1, 0, desk.at[1, 0])      # that one has ended
+    assert not desk.reducer.may_begin(1, 0, desk.at[1, 0])  # that one has ended
 
 
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
@@ -237,4 +244,4 @@
     desk.end(1, 0)
     assert server not in balancer.servers and not desk.reducer.owes
     desk.play(0.0, "listed", ServerList(5, False, (entry,)))
-    assert len(balancer.servers) == 2       # told again, it has not moved again
+    assert len(balancer.servers) == 2  # told again, it has not moved again
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -59,7 +59,7 @@
     monkeypatch.setitem(Server.DOES, "full", marked)
     path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
     assert deployment.ask(path, method)[0] == 503
-    assert len(seen(deployment)) == 2   # one that never ran is sent again, also where it may run but once
+    assert len(seen(deployment)) == 2  # one that never ran is sent again, also where it may run but once
 
 
 @CODING_BLANKS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,13 +17,20 @@
 from tests.test_emulator import HARD
 
 WORLD = "seconds = 2.0\nagents = 4\n"
-PLAN = ("world = 'w.toml'\nseeds = [1, 2, 3]\n[[variant]]\nname = 'a'\n[[variant]]\nname = 'b'\n"
-        "policy = 'random'\nset = {'servers.cores' = 1}\n")
+PLAN = (
+    "world = 'w.toml'\nseeds = [1, 2, 3]\n[[variant]]\nname = 'a'\n[[variant]]\nname = 'b'\n"
+    "policy = 'random'\nset = {'servers.cores' = 1}\n"
+)
 
 
 def command(*words, **more):
-    return subprocess.Popen([sys.executable, "-m", "cartdeal", *map(str, words)], text=True,
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, **more)
+    return subprocess.Popen(
+        [sys.executable, "-m", "cartdeal", *map(str, words)],
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        **more,
+    )
 
 
 def said(*words):
@@ -55,12 +62,15 @@
 
 
 def test_differences_are_taken_seed_by_seed():
-    rows = [{"variant": v, "seed": s, "served": str(base + more)}
-            for s, base in (("1", 0.2), ("2", 0.5), ("3", 0.9)) for v, more in (("a", 0.0), ("b", 0.05))]
+    rows = [
+        {"variant": v, "seed": s, "served": str(base + more)}
+        for s, base in (("1", 0.2), ("2", 0.5), ("3", 0.9))
+        for v, more in (("a", 0.0), ("b", 0.05))
+    ]
     (_, mean, aside, *_), (_, _, _, difference, sure) = compared(rows, "served")
     assert mean == pytest.approx(0.5333, abs=1e-3) and aside > 0.5
     assert difference == pytest.approx(0.05) and sure < 1e-9
-    assert interval([1.0, 3.0])[1] == pytest.approx(12.706, abs=1e-3)      # Student, one degree of freedom
+    assert interval([1.0, 3.0])[1] == pytest.approx(12.706, abs=1e-3)  # Student, one degree of freedom
 
 
 @pytest.mark.parametrize("policy", [name for name in POLICIES if name != "cartdeal"])
@@ -68,11 +78,19 @@
     assert not Fleet(worlds.made(HARD), 3, POLICIES[policy]).play().judge.violations
 
 
-@pytest.mark.parametrize("before, after, words", [
-    ("[1, 2, 3]", "[1, 1]", "seeds: found"), ("'random'", "'best'", "variant[1].policy: found 'best'"),
-    ("servers.cores", "servers.cors", "variant[1]"), ("servers.cores", "agents.cores", "variant[1].set"),
-    ("w.toml", "v.toml", "v.toml"), ("name = 'b'", "name = 'a'", "variant: found"), ("seeds", "seed", "seed"),
-    ("world =", "world", "plan.toml")])
+@pytest.mark.parametrize(
+    "before, after, words",
+    [
+        ("[1, 2, 3]", "[1, 1]", "seeds: found"),
+        ("'random'", "'best'", "variant[1].policy: found 'best'"),
+        ("servers.cores", "servers.cors", "variant[1]"),
+        ("servers.cores", "agents.cores", "variant[1].set"),
+        ("w.toml", "v.toml", "v.toml"),
+        ("name = 'b'", "name = 'a'", "variant: found"),
+        ("seeds", "seed", "seed"),
+        ("world =", "world", "plan.toml"),
+    ],
+)
 def test_experiment_that_cannot_be_used_plays_nothing(plan, tmp_path, before, after, words):
     plan.write_text(PLAN.replace(before, after))
     status, out, wrong = said("lab", "run", plan, tmp_path / "t.csv")
@@ -80,11 +98,13 @@
     assert not (tmp_path / "t.csv").exists()
 
 
-TINY = {"ring": {"agents": 4},
-        "copies": {"agents": 3, "rest_s": 1.0, "traffic_s": 1.0, "cut_s": 1.0},
-        "days": {"seconds": 2.0, "agents": 3, "lookups": 5.0},
-        "upgrade": {"agents": 3, "every_s": 2.0, "cut": "zone", "cut_s": 1.0, "lookups": 5.0},
-        "added": {"kind": "close", "lookups": 10}}
+TINY = {
+    "ring": {"agents": 4},
+    "copies": {"agents": 3, "rest_s": 1.0, "traffic_s": 1.0, "cut_s": 1.0},
+    "days": {"seconds": 2.0, "agents": 3, "lookups": 5.0},
+    "upgrade": {"agents": 3, "every_s": 2.0, "cut": "zone", "cut_s": 1.0, "lookups": 5.0},
+    "added": {"kind": "close", "lookups": 10},
+}
 
 
 @pytest.mark.parametrize("play", fleets.PLAYS)
@@ -94,14 +114,22 @@
     assert row.get("completed", 1.0) == 1.0 and row.get("marks lost", 0) == 0
 
 
-@pytest.mark.parametrize("play, words, wrong", [
-    ("copies", "agents = 2", "variant[0].set.agents: found 2, wanted `int` >= 3"),
-    ("ring", "way = 'best'", "variant[0].set.way: found 'best', wanted one of cartdeal, circle, undamped"),
-    ("days", "seconds = '9'", "variant[0].set.seconds: found '9', wanted `float`"),
-    ("upgrade", "cuts = 1", "variant[0].set.cuts: found 1, wanted one of agents, every_s"),
-    ("luck", "", "play: found 'luck', wanted one of ring, copies, days, upgrade, added"),
-    ("ring'\nworld = 'w.toml", "", "world: found 'w.toml', wanted one of world (a file) and play"),
-    ("ring", "}\npolicy = 'random'\n#", "variant[0].policy: found 'random', wanted none")])
+@pytest.mark.parametrize(
+    "play, words, wrong",
+    [
+        ("copies", "agents = 2", "variant[0].set.agents: found 2, wanted `int` >= 3"),
+        (
+            "ring",
+            "way = 'best'",
+            "variant[0].set.way: found 'best', wanted one of cartdeal, circle, undamped",
+        ),
+        ("days", "seconds = '9'", "variant[0].set.seconds: found '9', wanted `float`"),
+        ("upgrade", "cuts = 1", "variant[0].set.cuts: found 1, wanted one of agents, every_s"),
+        ("luck", "", "play: found 'luck', wanted one of ring, copies, days, upgrade, added"),
+        ("ring'\nworld = 'w.toml", "", "world: found 'w.toml', wanted one of world (a file) and play"),
+        ("ring", "}\npolicy = 'random'\n#", "variant[0].policy: found 'random', wanted none"),
+    ],
+)
 def test_play_that_cannot_be_used_is_named(tmp_path, play, words, wrong):
     file = tmp_path / "f.toml"
     file.write_text(f"play = '{play}'\nseeds = [1, 2]\n[[variant]]\nname = 'a'\nset = {{{words}}}\n")
@@ -125,7 +153,7 @@
     (tmp_path / "w.toml").write_text("seconds = 3000.0\nagents = 40\n")
     process = command("lab", "run", plan, tmp_path / "t.csv", "--workers", 2, start_new_session=True)
     children = f"/proc/{process.pid}/task/{process.pid}/children"
-    while len(workers := open(children).read().split()) < 3:    # two, and what keeps track of them
+    while len(workers := open(children).read().split()) < 3:  # two, and what keeps track of them
         time.sleep(0.01)
     os.kill(process.pid, signal.SIGINT)
     process.communicate(timeout=30)
@@ -137,19 +165,23 @@
 
 def test_an_interrupted_run_leaves_no_agent(tmp_path):
     (tmp_path / "f.toml").write_text("play = 'added'\nseeds = [1, 2]\n[[variant]]\nname = 'a'\n")
-    process = command("lab", "run", tmp_path / "f.toml", tmp_path / "t.csv", "--workers", 1,
-                      start_new_session=True)
+    process = command(
+        "lab", "run", tmp_path / "f.toml", tmp_path / "t.csv", "--workers", 1, start_new_session=True
+    )
 
     def beneath(pid) -> list[str]:
         found = open(f"/proc/{pid}/task/{pid}/children").read().split()
         return found + [each for child in found for each in beneath(child)]
-    while len(agents := beneath(process.pid)) < 6:      # two of the pool, and four agents
+
+    while len(agents := beneath(process.pid)) < 6:  # two of the pool, and four agents
         time.sleep(0.01)
     os.kill(process.pid, signal.SIGTERM)
     process.communicate(timeout=30)
     until = time.monotonic() + 20.0
-    while any(os.path.exists(f"/proc/{each}") and "Z" not in open(f"/proc/{each}/stat").read().split()[2]
-              for each in agents):
+    while any(
+        os.path.exists(f"/proc/{each}") and "Z" not in open(f"/proc/{each}/stat").read().split()[2]
+        for each in agents
+    ):
         assert time.monotonic() < until, "agents are left"
         time.sleep(0.01)
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -55,14 +55,20 @@
     made = json.loads(new.read_text())
     got = made["settings"]
     assert (got["family"], got["discovery"], got["weightKind"]) == ("proxy", "pushed", "live")
-    assert got["areas"] == ["x", "b"] and got["az"] == 1      # its zone by name, not by place
+    assert got["areas"] == ["x", "b"] and got["az"] == 1  # its zone by name, not by place
     assert (got["groupSize"], got["myNumber"], got["caps"]["probes"]) == (4, 1, False)
     assert got["feedback"] == {"how": "answers", "columns": ["backlog"]}
     assert got["workloads"] == SETTINGS["workloads"] and got["odd"] and made["novel"] == [1]
     assert made["limits"] == OLD["limits"] and "known" not in made and "peers" not in made
     lost = [line.split(": ")[1] for line in out.splitlines() if line.startswith("not carried over")]
-    assert lost == ["settings.caps.probes", "settings.fees.probe", "settings.rules.askEveryUs", "peer_listen",
-                    "peers", "known"]
+    assert lost == [
+        "settings.caps.probes",
+        "settings.fees.probe",
+        "settings.rules.askEveryUs",
+        "peer_listen",
+        "peers",
+        "known",
+    ]
     assert "to confirm: settings.workloads" in out and "to confirm: settings.groupSize" not in out
     first = new.read_bytes()
     assert said("migrate", old, new, *TOLD, "--force")[0] == 0 and new.read_bytes() == first
@@ -113,13 +119,20 @@
     assert status == 1 and "check: " in out and "myNumber" in out and not wrong
 
 
-@pytest.mark.parametrize("text, words", [
-    (None, "no readable file"), (b"\xff{", "no JSON"), (b"[1]", "wanted an object"),
-    (b'{"settings": 5}', "settings: found 5"), (b"{}", "settings: found nothing"),
-    (json.dumps(OLD | {"limits": {"sockets": "many"}}).encode(), "limits.sockets"),
-    (settings(az=7), "settings.az: found 7"), (settings(myNumber=9), "settings.myNumber: found 9"),
-    (settings(family="mush"), "settings.family: found 'mush'"),
-])
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        (None, "no readable file"),
+        (b"\xff{", "no JSON"),
+        (b"[1]", "wanted an object"),
+        (b'{"settings": 5}', "settings: found 5"),
+        (b"{}", "settings: found nothing"),
+        (json.dumps(OLD | {"limits": {"sockets": "many"}}).encode(), "limits.sockets"),
+        (settings(az=7), "settings.az: found 7"),
+        (settings(myNumber=9), "settings.myNumber: found 9"),
+        (settings(family="mush"), "settings.family: found 'mush'"),
+    ],
+)
 def test_old_file_that_cannot_be_used_gets_one_line_and_nothing_written(tmp_path, text, words):
     if text is not None:
         (tmp_path / "old.json").write_bytes(text)
@@ -129,13 +142,17 @@
     assert sorted(os.listdir(tmp_path)) == before
 
 
-@pytest.mark.parametrize("key, value, words", [
-    ("family", "mush", "settings.family: found 'mush', wanted one of mesh, proxy"),
-    ("weightKind", "heavy", "settings.weightKind: found"), ("discovery", "guess", "settings.discovery"),
-    ("feedback", {"how": "never"}, "settings.feedback.how: found 'never'"),
-    ("feedback", {"how": "probe"}, "settings.feedback.how: found 'probe', wanted 'answers'"),
-    ("objectiveMix", {"worstClass": -1}, "settings.objectiveMix.worstClass: found -1"),
-])
+@pytest.mark.parametrize(
+    "key, value, words",
+    [
+        ("family", "mush", "settings.family: found 'mush', wanted one of mesh, proxy"),
+        ("weightKind", "heavy", "settings.weightKind: found"),
+        ("discovery", "guess", "settings.discovery"),
+        ("feedback", {"how": "never"}, "settings.feedback.how: found 'never'"),
+        ("feedback", {"how": "probe"}, "settings.feedback.how: found 'probe', wanted 'answers'"),
+        ("objectiveMix", {"worstClass": -1}, "settings.objectiveMix.worstClass: found -1"),
+    ],
+)
 def test_setting_that_the_module_reads_is_checked(tmp_path, key, value, words):
     (tmp_path / "c.json").write_text(json.dumps(config_file(settings=SETTINGS | {key: value})))
     with pytest.raises(configuration.Fault) as fault:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -28,8 +28,14 @@
     scene, still = pool(agents=2), pool(agents=2, live_weights=False)
     for each in (scene, still):
         each.list("a0", whole=False, weight=0.2)
-    picks = [{key: each.balancer.pick(each.balancer.zones[0], request, each.now).index
-              for key in range(1, 200) for request in [made(each, key)]} for each in (scene, still)]
+    picks = [
+        {
+            key: each.balancer.pick(each.balancer.zones[0], request, each.now).index
+            for key in range(1, 200)
+            for request in [made(each, key)]
+        }
+        for each in (scene, still)
+    ]
     assert 30 < list(picks[0].values()).count(ord("a")) < 70 and list(picks[1].values()).count(ord("a")) < 25
 
 
@@ -58,7 +64,7 @@
     scene.now += 3600
     scene.list("a0", whole=False, weight=1.0)
     assert scene.balancer.servers[ord("a")].weight == 1.0
-    assert scene.balancer.servers[ord("a")].started == 0.0      # a weight alone restarts nothing
+    assert scene.balancer.servers[ord("a")].started == 0.0  # a weight alone restarts nothing
 
 
 def test_key_that_is_dear_to_all_is_spread_by_an_agent_that_never_has_two_in_flight():
@@ -73,7 +79,7 @@
     homes(scene, range(1, 120))
     for number in range(1, 9):
         where[scene.take(number, key=5)] += 1
-    assert max(where.values()) <= 4 and len(where) >= 3     # eight at one, by seconds alone
+    assert max(where.values()) <= 4 and len(where) >= 3  # eight at one, by seconds alone
 
 
 def test_slow_server_is_sent_less_before_any_attempt_of_it_fails():
@@ -91,7 +97,7 @@
     for server in scene.balancer.servers.values():
         server.limit = 0.25
     first = scene.take(1)
-    assert first and not scene.take(2)      # four quarters make one
+    assert first and not scene.take(2)  # four quarters make one
     scene.wait(0.05)
     scene.end(1)
     assert 2 in scene.attempts and scene.now == pytest.approx(100.05)
@@ -108,7 +114,7 @@
     scene.wait(0.1)
     scene.end(1, Outcome.TIMED_OUT)
     assert scene.balancer.full([server]) and 3 not in scene.attempts
-    scene.end(2)        # sent before the one given up: that may still be there
+    scene.end(2)  # sent before the one given up: that may still be there
     assert len(server.left) == 1
     assert 3 in scene.attempts and not scene.take(4)
     scene.wait(0.1)
@@ -127,7 +133,7 @@
     for _ in range(9):
         scene.balancer.alarm_at = scene.now
         scene.balancer.woken(0)
-    assert not server.left      # and they are forgotten after a while
+    assert not server.left  # and they are forgotten after a while
 
 
 def test_agents_that_fail_over_together_begin_with_little_at_the_next_zone():
@@ -183,7 +189,7 @@
     for number in range(1, 6):
         scene.take(number, limit=9.0)
     scene.wait(0.305)
-    assert len(waits) == 4      # the latency target is 1 s, the deadline 9 s
+    assert len(waits) == 4  # the latency target is 1 s, the deadline 9 s
     assert all(at <= 100.303 and 0.2 <= wait <= 0.5 for at, wait in waits)
 
 
@@ -198,7 +204,7 @@
     scene.take(2)
     scene.wait(0.15)
     scene.end(2, load=Load(held=9.0, waiting=3.0))
-    assert scene.balancer.servers[ord("a")].limit == cut    # the same report again is no news
+    assert scene.balancer.servers[ord("a")].limit == cut  # the same report again is no news
 
 
 @pytest.mark.parametrize("load", [Load(), Load(held=9.0), Load(waiting=0.0, took=0.1), Load(served=2.0)])
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -97,7 +97,7 @@
     desk = Desk(tmp_path)
     reducer, balancer = desk.reducer, desk.reducer.balancer
     for day in range(300):
-        new = ServerEntry(f"n{day}", "127.0.0.1:3", "a")       # at the address of the one before it
+        new = ServerEntry(f"n{day}", "127.0.0.1:3", "a")  # at the address of the one before it
         desk.play(0.1, "listed", ServerList(day, day % 7 == 0, (new,)))
         desk.take(day % 3)
         number, server = reducer.count, desk.at[reducer.count, 0]
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("progress, status", [(Progress.PARTLY_WRITTEN, 503), (Progress.WRITTEN, 502)])
 def test_overdue_request_is_rejected_if_all_that_was_let_out_never_ran(tmp_path, progress, status):
     desk = Desk(tmp_path)
-    desk.reducer.balancer.follow_up = lambda request, now: None     # it forgets the request
+    desk.reducer.balancer.follow_up = lambda request, now: None  # it forgets the request
     desk.take(2)
     desk.end(1, 0, FailureReason.BROKEN, progress)
     desk.play(2.0, "overdue", 1)
@@ -154,24 +154,27 @@
     assert desk.lines[-1].split()[:3] == ["answer", "line", "1"] and not desk.reducer.owes
 
 
-@pytest.mark.parametrize("reason, progress, status, not_processed, outcome", [
-    (FailureReason.ANSWERED, Progress.WHOLE, 200, False, Outcome.COMPLETED),
-    (FailureReason.ANSWERED, Progress.WHOLE, 500, False, Outcome.ERROR),
-    (FailureReason.ANSWERED, Progress.WHOLE, 302, False, Outcome.ERROR),
-    (FailureReason.ANSWERED, Progress.WHOLE, 503, True, Outcome.FULL),
-    (FailureReason.ANSWERED, Progress.WHOLE, 504, True, Outcome.FULL),
-    (FailureReason.ANSWERED, Progress.WHOLE, 503, False, Outcome.ERROR),
-    (FailureReason.ANSWERED, Progress.WHOLE, 500, True, Outcome.ERROR),
-    (FailureReason.BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-    (FailureReason.BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-    (FailureReason.BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
-    (FailureReason.BROKEN, Progress.HEAD, 0, False, Outcome.RESET),
-    (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-    (FailureReason.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-    (FailureReason.TIMED_OUT, Progress.HEAD, 0, False, Outcome.TIMED_OUT),
-    (FailureReason.GIVEN_UP, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
-    (FailureReason.GIVEN_UP, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
-])
+@pytest.mark.parametrize(
+    "reason, progress, status, not_processed, outcome",
+    [
+        (FailureReason.ANSWERED, Progress.WHOLE, 200, False, Outcome.COMPLETED),
+        (FailureReason.ANSWERED, Progress.WHOLE, 500, False, Outcome.ERROR),
+        (FailureReason.ANSWERED, Progress.WHOLE, 302, False, Outcome.ERROR),
+        (FailureReason.ANSWERED, Progress.WHOLE, 503, True, Outcome.FULL),
+        (FailureReason.ANSWERED, Progress.WHOLE, 504, True, Outcome.FULL),
+        (FailureReason.ANSWERED, Progress.WHOLE, 503, False, Outcome.ERROR),
+        (FailureReason.ANSWERED, Progress.WHOLE, 500, True, Outcome.ERROR),
+        (FailureReason.BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+        (FailureReason.BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+        (FailureReason.BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
+        (FailureReason.BROKEN, Progress.HEAD, 0, False, Outcome.RESET),
+        (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+        (FailureReason.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+        (FailureReason.TIMED_OUT, Progress.HEAD, 0, False, Outcome.TIMED_OUT),
+        (FailureReason.GIVEN_UP, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
+        (FailureReason.GIVEN_UP, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
+    ],
+)
 def test_how_far_an_attempt_had_come_tells_what_it_was(reason, progress, status, not_processed, outcome):
     result = AttemptResult(reason, progress, 0.1, status, not_processed)
     assert result.outcome() is outcome
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -84,7 +84,7 @@
         read(cut(text, reset))
     strict, theirs = pair(until_close=False)
     theirs.sendall(text)
-    with pytest.raises(Malformed):      # who has not asked for such answers gets none
+    with pytest.raises(Malformed):  # who has not asked for such answers gets none
         read(strict)
 
 
@@ -102,12 +102,14 @@
     sending.kill()
 
 
-@pytest.mark.parametrize("does, outcome", [
-    ("open", (200, b"one")), ("empty", (200, b"")), ("torn", (502, b"")), ("unending", (502, b""))])
+@pytest.mark.parametrize(
+    "does, outcome",
+    [("open", (200, b"one")), ("empty", (200, b"")), ("torn", (502, b"")), ("unending", (502, b""))],
+)
 def test_non_idempotent_request_whose_answer_has_no_length(deployment, does, outcome):
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == outcome
     assert len(deployment.seen()) == 1
-    until(lambda: not any(server.open for server in deployment.servers))    # and its connection is not kept
+    until(lambda: not any(server.open for server in deployment.servers))  # and its connection is not kept
 
 
 def test_request_that_never_ran_by_an_answer_without_a_length_goes_on(deployment, monkeypatch):
@@ -117,7 +119,8 @@
         # The mark counts once its answer is whole; where that is torn nobody can tell what else it said.
         seen = len(deployment.seen())
         assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m")[0] == (
-            503 if does == "open" else 502)
+            503 if does == "open" else 502
+        )
         assert len(deployment.seen()) - seen == (2 if does == "open" else 1)
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,24 +17,31 @@
 
 AGENT = f"exec {sys.executable} -m cartdeal"
 BAD = {
-    "seconds": 5.0, "agents": 4, "clients": {"per_s": 120.0}, "list": {"late_s": 0.3},
+    "seconds": 5.0,
+    "agents": 4,
+    "clients": {"per_s": 120.0},
+    "list": {"late_s": 0.3},
     "servers": {"per_zone": 4, "waiting": 16},
     "workload": [
         {"name": "read", "share": 0.5, "goal_s": 0.5, "limit_s": 1.0},
         {"name": "mark", "repeat": "keyed", "goal_s": 0.5, "limit_s": 1.0},
-        {"name": "once", "repeat": "unsafe", "share": 0.6, "goal_s": 0.6, "limit_s": 1.0}],
+        {"name": "once", "repeat": "unsafe", "share": 0.6, "goal_s": 0.6, "limit_s": 1.0},
+    ],
     "fault": [
         {"kind": "resets", "begins_s": 0.5, "lasts_s": 3.5, "part": 0.5, "size": 0.3},
         {"kind": "replace", "begins_s": 1.0, "lasts_s": 1.0, "part": 0.5},
         {"kind": "kill", "begins_s": 2.0, "part": 0.5},
-        {"kind": "list_down", "begins_s": 2.5, "lasts_s": 1.0}],
+        {"kind": "list_down", "begins_s": 2.5, "lasts_s": 1.0},
+    ],
 }
 
 
 def broken(words) -> str:
     """The command of an agent with a planted fault."""
-    return (f"exec {sys.executable} -c \"from cartdeal.agent.reducer import Reducer as R; "
-            f"from cartdeal.terms import State; {words}; from cartdeal.__main__ import main; main()\"")
+    return (
+        f'exec {sys.executable} -c "from cartdeal.agent.reducer import Reducer as R; '
+        f'from cartdeal.terms import State; {words}; from cartdeal.__main__ import main; main()"'
+    )
 
 
 def test_real_agents_keep_the_rules_while_answers_break_off_at_every_place():
@@ -46,10 +53,14 @@
     assert all(agent.process.poll() is not None for agent in rig.agents)
 
 
-@pytest.mark.parametrize("words, rule", [
-    ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
-    ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=State.READY)", 3),
-    ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1)])
+@pytest.mark.parametrize(
+    "words, rule",
+    [
+        ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
+        ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=State.READY)", 3),
+        ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1),
+    ],
+)
 def test_judge_finds_a_broken_agent_on_sockets(words, rule):
     found = Rig(worlds.made(BAD), 1, broken(words)).play().judge.violations
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
@@ -66,9 +77,14 @@
     assert rig.count["sent again"] == 1 and not rig.judge.violations
 
 
-@pytest.mark.parametrize("more, words", [
-    ({"fault": [{"kind": "zone_cut", "zone": "a", "begins_s": 1.0}]}, "fault[0].kind"),
-    ({"agents": 2000}, "agents: found 2000"), ({"seconds": 9999.0}, "seconds")])
+@pytest.mark.parametrize(
+    "more, words",
+    [
+        ({"fault": [{"kind": "zone_cut", "zone": "a", "begins_s": 1.0}]}, "fault[0].kind"),
+        ({"agents": 2000}, "agents: found 2000"),
+        ({"seconds": 9999.0}, "seconds"),
+    ],
+)
 def test_world_that_sockets_cannot_play_is_refused(more, words):
     with pytest.raises(Unusable, match=words.replace("[", r"\[")):
         Rig(worlds.made(more), 1, AGENT)
@@ -84,15 +100,25 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_interrupted_rig_leaves_no_process(tmp_path, number):
     (tmp_path / "w.toml").write_text("seconds = 200.0\nagents = 3\n")
-    rig = subprocess.Popen([sys.executable, "-m", "cartdeal", "rig", str(tmp_path / "w.toml"), "--run",
-                            f"{AGENT} 2>&1 | tee {tmp_path}/log-$$ >&2"], stderr=subprocess.DEVNULL)
+    rig = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "cartdeal",
+            "rig",
+            str(tmp_path / "w.toml"),
+            "--run",
+            f"{AGENT} 2>&1 | tee {tmp_path}/log-$$ >&2",
+        ],
+        stderr=subprocess.DEVNULL,
+    )
     logs = []
     while sum(b"msg=serving" in log.read_bytes() for log in logs) < 3:
         logs = list(tmp_path.glob("log-*"))
     os.kill(rig.pid, number)
     assert rig.wait(timeout=20) != 0
     for log in logs:
-        with pytest.raises(ProcessLookupError):     # the whole group that the shell led
+        with pytest.raises(ProcessLookupError):  # the whole group that the shell led
             for _ in range(1000):
                 os.killpg(int(log.name.split("-")[1]), 0)
                 time.sleep(0.01)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -57,9 +57,15 @@
     return answered(connection) is None and "/once/crossing" not in deployment.seen()
 
 
-@pytest.mark.parametrize("asked, end", [
-    (True, lambda agent: agent.close_idle()), (False, lambda agent: agent.close_unidentified()),
-    (True, lambda agent: agent.close_between()), (True, lambda agent: None)])
+@pytest.mark.parametrize(
+    "asked, end",
+    [
+        (True, lambda agent: agent.close_idle()),
+        (False, lambda agent: agent.close_unidentified()),
+        (True, lambda agent: agent.close_between()),
+        (True, lambda agent: None),
+    ],
+)
 def test_request_that_crosses_the_end_of_a_resting_connection(deployment, crosses, monkeypatch, asked, end):
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
@@ -67,7 +73,7 @@
         assert deployment.ask(connection=connection)[0] == 200
     crosses(connection)
     end(agent)
-    monkeypatch.setattr(front, "IDLE", 0.0)     # the sweep, where nobody else did
+    monkeypatch.setattr(front, "IDLE", 0.0)  # the sweep, where nobody else did
     assert ends_in_order(deployment, connection)
     connection.close()
     until(lambda: not agent.lingering)
@@ -80,7 +86,7 @@
     agent.ending = True
     crosses(connection)
     assert deployment.ask(connection=connection) == (200, b"s0 ")
-    for _ in "ab":      # a closed connection would break under the second
+    for _ in "ab":  # a closed connection would break under the second
         connection.sock.sendall(worded("/once/crossing", "POST"))
     assert ends_in_order(deployment, connection)
 
@@ -140,7 +146,7 @@
     client = next(iter(agent.clients))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for place in range(8):      # more than what the system takes at once
+    for place in range(8):  # more than what the system takes at once
         connection.sock.sendall(worded(f"/mark/{place}", "POST", body, Idempotency_Key="k"))
     until(lambda: client.rest and len(deployment.seen()) == 8)
     agent.close(0.0)
@@ -162,7 +168,7 @@
     for _ in range(20):
         connection = deployment.connect()
         connection.sock.sendall(b"".join(worded("/once/x", "POST") for _ in range(requests)))
-        connection.sock.shutdown(socket.SHUT_RDWR)      # at once; a close waits for the loop
+        connection.sock.shutdown(socket.SHUT_RDWR)  # at once; a close waits for the loop
         connection.close()
     until(lambda: not (agent.clients or agent.lingering or deployment.agent.reducer.requests))
     until(lambda: not deployment.agent.upstream.out)
@@ -181,11 +187,11 @@
     agent, room = deployment.agent.front, deployment.agent.budget
     kept = [refused(deployment) for _ in range(3)]
     assert len(agent.lingering) == 3 and not agent.clients and not agent.unidentified
-    room.most = 3                               # they hold all of it
+    room.most = 3  # they hold all of it
     assert deployment.ask("/health/ready") == (200, b"")
     room.most = 2 * front.LINGERING
     kept += [refused(deployment) for _ in range(5)]
-    assert len(agent.lingering) <= 2 and room.used <= 5     # another, one to come, and the one that asked
+    assert len(agent.lingering) <= 2 and room.used <= 5  # another, one to come, and the one that asked
     for each in kept:
         each.close()
     until(lambda: not agent.lingering)
@@ -206,7 +212,7 @@
 
 def test_clients_that_wait_at_the_door_when_it_closes_come_in(deployment):
     agent = deployment.agent.front
-    deployment.agent.works[3].kill()            # it lets nobody in any more: they stay in the queue
+    deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
     waiting = [deployment.connect() for _ in range(20)]
     for each in waiting:
         each.sock.sendall(worded())
@@ -245,8 +251,13 @@
 def run(tmp_path, words, **more):
     file = tmp_path / "agent.json"
     file.write_text(json.dumps(config_file()))
-    return subprocess.run([sys.executable, *words], capture_output=True, timeout=60, cwd=ROOT,
-                          env={**os.environ, "PROXY_CONFIG": str(file), **more})
+    return subprocess.run(
+        [sys.executable, *words],
+        capture_output=True,
+        timeout=60,
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(file), **more},
+    )
 
 
 def test_agent_told_to_end_between_its_port_and_its_first_wait_answers_and_ends_in_order(tmp_path):
@@ -257,7 +268,7 @@
 
 def test_new_configuration_told_while_the_agent_starts_is_read(tmp_path):
     once = SIGNALLED.replace("os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread")
-    once = once.replace('= True', '= True; os.kill(os.getpid(), signal.SIGTERM)')
+    once = once.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
     done = run(tmp_path, ["-c", once + "assert here['reread']"])
     assert done.returncode == 0, done
 
@@ -268,7 +279,8 @@
         "os.kill(os.getpid(), signal.SIGTERM)\n"
         "class Logfmter(logging.Formatter):\n"
         "    def __init__(self, **terms):\n"
-        "        super().__init__()\n")
+        "        super().__init__()\n"
+    )
     done = run(tmp_path, ["-m", "cartdeal"], PYTHONPATH=str(tmp_path))
     assert done.returncode == 0 and b"ended" in done.stderr, done
 
@@ -280,7 +292,7 @@
     arrive(connection, next(iter(agent.clients)), "/once/crossing")
     agent.finish()
     for _ in range(20):
-        gevent.sleep(0)     # the loop closes descriptors that a greenlet waits on
+        gevent.sleep(0)  # the loop closes descriptors that a greenlet waits on
     assert connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     assert ends_in_order(deployment, connection) and not agent.clients and not agent.lingering
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -38,8 +38,8 @@
 from tests.test_fleet_members import peer
 
 MANY = 1024
-hosts, tongue = test_fleet_host.hosts, test_fleet_host.tongue      # pytest finds fixtures by their names here
-TCP_INFO_BACKLOG = 28   # of a listening socket: where TCP_INFO has the bound of its queue
+hosts, tongue = test_fleet_host.hosts, test_fleet_host.tongue  # pytest finds fixtures by their names here
+TCP_INFO_BACKLOG = 28  # of a listening socket: where TCP_INFO has the bound of its queue
 
 
 def decoded(**more):
@@ -48,9 +48,13 @@
 
 # Servers
 
+
 def listed(reducer, version, numbers, whole=False, state="active"):
-    reducer.listed(ServerList(version, whole, tuple(
-        ServerEntry(f"s{n}", f"10.0.0.1:{n}", "a", state=state) for n in numbers)))
+    reducer.listed(
+        ServerList(
+            version, whole, tuple(ServerEntry(f"s{n}", f"10.0.0.1:{n}", "a", state=state) for n in numbers)
+        )
+    )
 
 
 def reached(reducer, requests):
@@ -72,7 +76,7 @@
     config = decoded(limits={"memory_mb": 24, "sockets": 64})
     reducer, first = Reducer(config, 100.0, 1100.0), range(MANY)
     connections, long_bodies = room_for(config.limits)
-    assert connections == 32 and long_bodies > 2_000_000    # the least limits, however long the list
+    assert connections == 32 and long_bodies > 2_000_000  # the least limits, however long the list
     listed(reducer, 1, first, whole=True)
     assert len(reducer.servers) == MANY and len(reached(reducer, 3 * MANY // 4)) > 0.45 * MANY
     drained, new = first[::2], range(MANY, 3 * MANY // 2)
@@ -90,9 +94,18 @@
 
 def generous_list() -> bytes:
     """Names of 253 characters, as long as a host's name may be, and far indented."""
-    entries = [{"uid": f"{n:0253}", "endpoint": f"{n:0253}:65535", "az": "z" * 64, "pod_group": 1 << 31,
-                "state": "leaving", "capacity_hint": 0.12345678901234567, "boot_ms": 1764650000123.456}
-               for n in range(MANY)]
+    entries = [
+        {
+            "uid": f"{n:0253}",
+            "endpoint": f"{n:0253}:65535",
+            "az": "z" * 64,
+            "pod_group": 1 << 31,
+            "state": "leaving",
+            "capacity_hint": 0.12345678901234567,
+            "boot_ms": 1764650000123.456,
+        }
+        for n in range(MANY)
+    ]
     return json.dumps({"rev": 1 << 53, "all": True, "targets": entries}, indent=8).encode()
 
 
@@ -121,12 +134,15 @@
 
 # Agents
 
+
 def test_configuration_and_fleet_file_with_1024_agents(tmp_path):
     config = decoded(peers=[f"10.0.{n >> 8}.{n & 255}:7946" for n in range(MANY)])
     assert len(set(config.neighbours)) == MANY
     file = tmp_path / "fleet.toml"
-    file.write_text(f'fleet = "f"\nkey = "{"k" * 32}"\n[seeds]\n' + "".join(
-        f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY)))
+    file.write_text(
+        f'fleet = "f"\nkey = "{"k" * 32}"\n[seeds]\n'
+        + "".join(f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY))
+    )
     config = replace(config, name=f"{1:064}")
     pact = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).pact
     assert len(pact.seeds) == pact.most_agents == MANY
@@ -252,7 +268,7 @@
 def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.host.GREET", 20.0)
     host = hosts("a")
-    many = [called(host) for _ in range(300)]       # each takes two descriptors of this process
+    many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
     until(lambda: len(host.readers) == len(many) or host.figured["closed no room"])
     assert not host.figured["closed no room"]
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -21,27 +21,59 @@
 pytestmark = pytest.mark.usefixtures("bounded")
 
 
-@pytest.mark.parametrize("does, status, body, attempts", [
-    ("serve", 200, b"s0 ", 1), ("dribble", 200, b"s0 ", 1), ("chunked", 200, b"three", 1),
-    ("interim", 200, b"after all", 1), ("closing", 200, b"bye", 1),
-    # May have run: such a request is not sent again, and a rejection would say that it never ran.
-    ("error", 502, b"", 1), ("odd", 502, b"", 1), ("busy", 502, b"", 1), ("reset", 502, b"", 1),
-    ("end", 502, b"", 1), ("half", 502, b"", 1), ("garbage", 502, b"", 1), ("long", 502, b"", 1),
-    ("silent", 502, b"", 1),
-    # Never ran.
-    ("full", 503, b"", 2), ("over", 503, b"", 2),
-    # Good, with more than belongs to it.
-    ("twice", 200, b"one", 1), ("noisy", 200, b"one", 1), ("trailing", 200, b"one", 1),
-    ("hints", 200, b"one", 1), ("unread", 200, b"one", 1), ("unusable", 400, b"", 1),
-])
+@pytest.mark.parametrize(
+    "does, status, body, attempts",
+    [
+        ("serve", 200, b"s0 ", 1),
+        ("dribble", 200, b"s0 ", 1),
+        ("chunked", 200, b"three", 1),
+        ("interim", 200, b"after all", 1),
+        ("closing", 200, b"bye", 1),
+        # May have run: such a request is not sent again, and a rejection would say that it never ran.
+        ("error", 502, b"", 1),
+        ("odd", 502, b"", 1),
+        ("busy", 502, b"", 1),
+        ("reset", 502, b"", 1),
+        ("end", 502, b"", 1),
+        ("half", 502, b"", 1),
+        ("garbage", 502, b"", 1),
+        ("long", 502, b"", 1),
+        ("silent", 502, b"", 1),
+        # Never ran.
+        ("full", 503, b"", 2),
+        ("over", 503, b"", 2),
+        # Good, with more than belongs to it.
+        ("twice", 200, b"one", 1),
+        ("noisy", 200, b"one", 1),
+        ("trailing", 200, b"one", 1),
+        ("hints", 200, b"one", 1),
+        ("unread", 200, b"one", 1),
+        ("unusable", 400, b"", 1),
+    ],
+)
 def test_outcomes_of_an_non_idempotent_request(deploy, does, status, body, attempts):
     deployment = deploy(servers=2)
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == (status, body)
     assert len(deployment.seen()) == attempts
 
 
-SPOILT = ("garbage", "long", "both", "endless", "huge", "negative", "other", "lists", "flood", "old",
-          "chunks", "nothings", "waits", "upgrade", "gzip")
+SPOILT = (
+    "garbage",
+    "long",
+    "both",
+    "endless",
+    "huge",
+    "negative",
+    "other",
+    "lists",
+    "flood",
+    "old",
+    "chunks",
+    "nothings",
+    "waits",
+    "upgrade",
+    "gzip",
+)
 
 
 @pytest.mark.parametrize("does", SPOILT)
@@ -61,12 +93,12 @@
         assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 0.0)
     for connection in server.open:
-        connection.sock.sendall(late)       # on a kept connection, some time after its answer
+        connection.sock.sendall(late)  # on a kept connection, some time after its answer
     until(lambda: all(each.unread() for kept in deployment.agent.upstream.idle.values() for each in kept))
     assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 60.0)
     before = set(server.open)
-    assert deployment.ask() == (200, b"s0 ") and server.open - before     # those before it are to rest first
+    assert deployment.ask() == (200, b"s0 ") and server.open - before  # those before it are to rest first
 
 
 def test_server_under_a_new_name_at_the_same_address_inherits_no_connection(deploy):
@@ -88,8 +120,15 @@
 def test_request_goes_on_and_its_answer_comes_back_unchanged(deploy):
     deployment, body = deploy(), bytes(range(256)) * 256
     path = "/mark/a%20b;c?x=1&do=serve"
-    assert deployment.ask(path, "POST", body[:-3], Idempotency_Key="k1", X_Timeout="1500000u",
-                          X_Request_ID="id-9", Cookie="a=b; sid=7f") == (200, b"s0 " + body[:-3])
+    assert deployment.ask(
+        path,
+        "POST",
+        body[:-3],
+        Idempotency_Key="k1",
+        X_Timeout="1500000u",
+        X_Request_ID="id-9",
+        Cookie="a=b; sid=7f",
+    ) == (200, b"s0 " + body[:-3])
     got = deployment.servers[0].seen[-1]
     assert (got.method, got.path, got.body) == (b"POST", path.encode(), body[:-3])
     assert got.headers[b"x-request-id"] == b"id-9" and got.headers[b"idempotency-key"] == b"k1"
@@ -122,12 +161,14 @@
         connection.sock.sendall(bytes([place]))
         gevent.sleep(0)
     assert answered(connection) == (200, b"s0 one")
-    chunked = (b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
-               b"2\r\ntw\r\n1\r\no\r\n0\r\n\r\n")
+    chunked = (
+        b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
+        b"2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
+    )
     connection.sock.sendall(chunked + worded("/read/3") + worded("/read/4", Connection="close"))
     assert [answered(connection) for _ in range(4)] == [(200, b"s0 two"), (200, b"s0 "), (200, b"s0 "), None]
     assert deployment.seen() == ["/mark/1", "/once/2", "/read/3", "/read/4"]
-    assert len(deployment.servers[0].open) == 1     # one connection to the server carried them all
+    assert len(deployment.servers[0].open) == 1  # one connection to the server carried them all
 
 
 def test_answers_that_the_client_is_slow_to_read_stay_whole_and_in_order(deploy):
@@ -159,51 +200,59 @@
 FILLING = b"x" * 40000
 
 
-@pytest.mark.parametrize("name, text, status", [
-    ("noise", b"what is this\r\n\r\n", 400),
-    ("no colon", b"GET /read/x HTTP/1.1\r\nno colon\r\n\r\n", 400),
-    ("no id", worded("/read/x", X_Request_ID=None), 400),
-    ("two ids", post(b"X-Request-ID: 7", b"Content-Length: 3"), 400),
-    ("long id", worded("/read/x", X_Request_ID="x" * 300), 400),
-    ("no time", worded("/read/x", X_Timeout="soon"), 400),
-    ("negative time", worded("/read/x", X_Timeout="-5m"), 400),
-    ("two times", post(b"X-Timeout: 5m", b"X-Timeout: 900m", b"Content-Length: 3"), 400),
-    ("two sessions", worded("/read/x", Cookie="sid=a; sid=b"), 400),
-    ("two marks", post(b"Idempotency-Key: a", b"Idempotency-Key: b", b"Content-Length: 3"), 400),
-    ("workload", worded("/other/x"), 404),
-    ("method", worded("/read/x", "DELETE"), 405),
-    ("body of a GET", worded("/read/x", body=b"abc"), 400),
-    ("long", worded("/mark/x", "POST", bytes(BODY_LIMIT + 1)), 413),
-    ("huge", post(b"Content-Length: 60000000"), 413),
-    ("over 64 bits", post(b"Content-Length: 99999999999999999999"), 400),
-    ("negative", post(b"Content-Length: -3"), 400),
-    ("two lengths", post(b"Content-Length: 3", b"Content-Length: 3"), 400),
-    ("chunks too long", post(CHUNKED, body=b"8000\r\n" + bytes(32768) + b"\r\n8001\r\n" + bytes(32769)), 413),
-    ("15 F", post(CHUNKED, body=b"F" * 15 + b"\r\nabc"), 413),
-    ("16 F", post(CHUNKED, body=b"F" * 16 + b"\r\nabc"), 413),
-    ("16 F, extended", post(CHUNKED, body=b"3\r\nabc\r\n" + b"F" * 16 + b";x=1\r\n"), 413),
-    ("17 F", post(CHUNKED, body=b"F" * 17 + b"\r\nabc"), 400),      # some read only the last 16 of them
-    ("negative chunk", post(CHUNKED, body=b"-3\r\nabc\r\n0\r\n\r\n"), 400),
-    ("head", worded("/read/x", Filling="x" * 30000), 431),
-    ("trailers", post(CHUNKED, body=b"0\r\nX: " + FILLING), 431),
-    ("extensions", post(CHUNKED, body=b"3;" + FILLING), 431),
-    ("both", post(b"Content-Length: 53", CHUNKED, body=HIDDEN), 400),
-    ("both, turned", post(CHUNKED, b"Content-Length: 53", body=HIDDEN), 400),
-    ("both, with a line", post(b"Transfer_Encoding: chunked", b"Content-Length: 53", body=HIDDEN), 400),
-    ("both, with a space", post(b"Transfer-Encoding : chunked", b"Content-Length: 53", body=HIDDEN), 400),
-    ("both, folded", post(b"X: 1\r\n " + CHUNKED, b"Content-Length: 53", body=HIDDEN), 400),
-    ("coding", post(b"Transfer-Encoding: gzip, chunked", body=HIDDEN), 400),
-    ("protocol", post(b"Connection: upgrade", b"Upgrade: h2c", b"Content-Length: 53", body=HIDDEN), 400),
-    ("version", post(b"Content-Length: 3", line=b"POST /mark/x HTTP/1.0"), 505),
-    ("bare line ends", b"GET /read/x HTTP/1.1\nX-Request-ID: 1\n\n", 400),
-], ids=lambda each: each if isinstance(each, str) else "")
+@pytest.mark.parametrize(
+    "name, text, status",
+    [
+        ("noise", b"what is this\r\n\r\n", 400),
+        ("no colon", b"GET /read/x HTTP/1.1\r\nno colon\r\n\r\n", 400),
+        ("no id", worded("/read/x", X_Request_ID=None), 400),
+        ("two ids", post(b"X-Request-ID: 7", b"Content-Length: 3"), 400),
+        ("long id", worded("/read/x", X_Request_ID="x" * 300), 400),
+        ("no time", worded("/read/x", X_Timeout="soon"), 400),
+        ("negative time", worded("/read/x", X_Timeout="-5m"), 400),
+        ("two times", post(b"X-Timeout: 5m", b"X-Timeout: 900m", b"Content-Length: 3"), 400),
+        ("two sessions", worded("/read/x", Cookie="sid=a; sid=b"), 400),
+        ("two marks", post(b"Idempotency-Key: a", b"Idempotency-Key: b", b"Content-Length: 3"), 400),
+        ("workload", worded("/other/x"), 404),
+        ("method", worded("/read/x", "DELETE"), 405),
+        ("body of a GET", worded("/read/x", body=b"abc"), 400),
+        ("long", worded("/mark/x", "POST", bytes(BODY_LIMIT + 1)), 413),
+        ("huge", post(b"Content-Length: 60000000"), 413),
+        ("over 64 bits", post(b"Content-Length: 99999999999999999999"), 400),
+        ("negative", post(b"Content-Length: -3"), 400),
+        ("two lengths", post(b"Content-Length: 3", b"Content-Length: 3"), 400),
+        (
+            "chunks too long",
+            post(CHUNKED, body=b"8000\r\n" + bytes(32768) + b"\r\n8001\r\n" + bytes(32769)),
+            413,
+        ),
+        ("15 F", post(CHUNKED, body=b"F" * 15 + b"\r\nabc"), 413),
+        ("16 F", post(CHUNKED, body=b"F" * 16 + b"\r\nabc"), 413),
+        ("16 F, extended", post(CHUNKED, body=b"3\r\nabc\r\n" + b"F" * 16 + b";x=1\r\n"), 413),
+        ("17 F", post(CHUNKED, body=b"F" * 17 + b"\r\nabc"), 400),  # some read only the last 16 of them
+        ("negative chunk", post(CHUNKED, body=b"-3\r\nabc\r\n0\r\n\r\n"), 400),
+        ("head", worded("/read/x", Filling="x" * 30000), 431),
+        ("trailers", post(CHUNKED, body=b"0\r\nX: " + FILLING), 431),
+        ("extensions", post(CHUNKED, body=b"3;" + FILLING), 431),
+        ("both", post(b"Content-Length: 53", CHUNKED, body=HIDDEN), 400),
+        ("both, turned", post(CHUNKED, b"Content-Length: 53", body=HIDDEN), 400),
+        ("both, with a line", post(b"Transfer_Encoding: chunked", b"Content-Length: 53", body=HIDDEN), 400),
+        ("both, with a space", post(b"Transfer-Encoding : chunked", b"Content-Length: 53", body=HIDDEN), 400),
+        ("both, folded", post(b"X: 1\r\n " + CHUNKED, b"Content-Length: 53", body=HIDDEN), 400),
+        ("coding", post(b"Transfer-Encoding: gzip, chunked", body=HIDDEN), 400),
+        ("protocol", post(b"Connection: upgrade", b"Upgrade: h2c", b"Content-Length: 53", body=HIDDEN), 400),
+        ("version", post(b"Content-Length: 3", line=b"POST /mark/x HTTP/1.0"), 505),
+        ("bare line ends", b"GET /read/x HTTP/1.1\nX-Request-ID: 1\n\n", 400),
+    ],
+    ids=lambda each: each if isinstance(each, str) else "",
+)
 def test_bad_input_is_refused_and_reaches_no_server(deploy, name, text, status):
     deployment = deploy()
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/read/x?do=wait"))
     until(deployment.seen)
     bad = deployment.connect()
-    bad.sock.sendall(text + worded("/read/behind"))     # what follows is never read
+    bad.sock.sendall(text + worded("/read/behind"))  # what follows is never read
     assert answered(bad)[0] == status and answered(bad) is None
     deployment.servers[0].released.set()
     assert answered(waiting) == (200, b"waited") and len(deployment.seen()) == 1
@@ -215,7 +264,7 @@
     for connection, body in ((fine, sizes + b"0\r\nFFFFF: x\r\n\r\n"), (bad, sizes + b"10001;x\r\n")):
         text = post(CHUNKED, b"Idempotency-Key: k", body=body)
         for place in range(len(text)):
-            connection.sock.sendall(text[place:place + 1])
+            connection.sock.sendall(text[place : place + 1])
             gevent.sleep(0)
     assert answered(fine) == (200, b"s0 \n\r\nFFFFF\r") and answered(bad)[0] == 413
     assert len(deployment.seen()) == 1
@@ -224,8 +273,14 @@
 def test_trailers_change_nothing_of_a_request(deploy):
     deployment = deploy()
     connection = deployment.connect()
-    connection.sock.sendall(post(CHUNKED, b"Idempotency-Key: k", id=b"X-Request-ID: t%d",
-                                 body=b"3\r\nabc\r\n0\r\nX-Request-ID: 9\r\nIdempotency-Key: n\r\n\r\n"))
+    connection.sock.sendall(
+        post(
+            CHUNKED,
+            b"Idempotency-Key: k",
+            id=b"X-Request-ID: t%d",
+            body=b"3\r\nabc\r\n0\r\nX-Request-ID: 9\r\nIdempotency-Key: n\r\n\r\n",
+        )
+    )
     assert answered(connection) == (200, b"s0 abc")
     headers = deployment.servers[0].seen[0].headers
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
@@ -244,7 +299,7 @@
         assert deployment.ask(X_Request_ID="same")[0] == 409
         reducer.ids_until = 0.0
         assert deployment.ask()[0] == 200
-    assert deployment.ask(X_Request_ID="same")[0] == 200    # forgotten in time, so that ids don't pile up
+    assert deployment.ask(X_Request_ID="same")[0] == 200  # forgotten in time, so that ids don't pile up
     assert len(reducer.ids) + len(reducer.ids_before) < 4
 
 
@@ -368,9 +423,11 @@
     service.tell(extra.line(state="left"))
     until(lambda: reducer.version == 3)
     calls = len(service.calls)
-    for break_it in (lambda: service.write(service.watches[-1], b"{no list\n"),
-                     lambda: service.tell(extra.line(endpoint="nowhere")),
-                     lambda: setattr(service, "BEAT", 1e9)):
+    for break_it in (
+        lambda: service.write(service.watches[-1], b"{no list\n"),
+        lambda: service.tell(extra.line(endpoint="nowhere")),
+        lambda: setattr(service, "BEAT", 1e9),
+    ):
         until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.watching)
         break_it()
         until(lambda: not reducer.balancer.watch.watching)
@@ -378,13 +435,18 @@
     reducer.balancer.watch.call_at = 0.0
     deployment.agent.dispatch("woken", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.watching)
-    assert deployment.ask() == (200, b"s0 ")    # the old list is kept
+    assert deployment.ask() == (200, b"s0 ")  # the old list is kept
     extra.stop()
 
 
 def test_watch_with_nothing_new_stands(deploy, monkeypatch):
-    monkeypatch.setattr(DiscoveryService, "play", lambda service, connection, message: connection.push(
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"))
+    monkeypatch.setattr(
+        DiscoveryService,
+        "play",
+        lambda service, connection, message: connection.push(
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+        ),
+    )
     deployment = deploy()
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
 
@@ -400,14 +462,14 @@
     deployment = deploy()
     room, idle, busy = deployment.agent.budget, *(deployment.connect() for _ in "ib")
     assert deployment.ask(connection=idle)[0] == 200
-    room.most = room.used + 1                   # two clients, a kept connection, the next client's
+    room.most = room.used + 1  # two clients, a kept connection, the next client's
     assert deployment.ask(connection=busy) == (200, b"s0 ")
     busy.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(lambda: "/once/1?do=wait" in deployment.seen())
     another = deployment.connect()
     assert deployment.ask(connection=another) == (200, b"s0 ")  # in place of the one that stood idle
     assert answered(idle) is None
-    room.most = 2                               # less than what is in use: nobody else comes in
+    room.most = 2  # less than what is in use: nobody else comes in
     assert deployment.ask("/health/ready", connection=deployment.connect()) == (200, b"")
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/once/2", "POST"))
@@ -426,7 +488,7 @@
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
-    assert deployment.agent.reducer.balancer.servers[0].closed      # the lack of room is not its doing
+    assert deployment.agent.reducer.balancer.servers[0].closed  # the lack of room is not its doing
 
 
 def test_words_between_agents(deploy):
@@ -467,8 +529,15 @@
 
 def test_reducer_never_yields(deploy):
     deployment = deploy(servers=2)
-    assert switches(lambda: [deployment.ask(f"/read/{place}?do={does}", X_Timeout="100m")
-                             for place, does in enumerate(Server.DOES)]) == 0
+    assert (
+        switches(
+            lambda: [
+                deployment.ask(f"/read/{place}?do={does}", X_Timeout="100m")
+                for place, does in enumerate(Server.DOES)
+            ]
+        )
+        == 0
+    )
     deployment.agent.reducer.balancer.judge = lambda *args: gevent.sleep(0)
     assert switches(deployment.ask) > 0
 
@@ -497,8 +566,11 @@
 def start(tmp_path, deployment, **more):
     file = tmp_path / "agent.json"
     file.write_text(json.dumps(deployment.config | more))
-    return subprocess.Popen([sys.executable, "-m", "cartdeal"], stderr=subprocess.PIPE,
-                            env={**os.environ, "PROXY_CONFIG": str(file)})
+    return subprocess.Popen(
+        [sys.executable, "-m", "cartdeal"],
+        stderr=subprocess.PIPE,
+        env={**os.environ, "PROXY_CONFIG": str(file)},
+    )
 
 
 def line_with(agent, words):
@@ -512,23 +584,35 @@
     deployment.agent.front.port = int(line_with(agent, b"msg=serving").split(b"port=")[1].split()[0])
 
 
-NEW_SHAPE = {"family": "proxy", "discovery": "pushed", "weightKind": "live", "groupSize": 2,
-             "feedback": {"how": "answers", "columns": ["backlog", "recent_ms"]},
-             "objectiveMix": {"worstClass": 0.4}}
-
-
-@pytest.mark.parametrize("report, served", [
-    (b"", 5), (b'X-Server-Load: {"backlog": 3, "recent_ms": 9}\r\n', 3),
-    (b'X-Server-Load: {"backlog": -3}\r\n', 5), (b'X-Server-Load: {"backlog": NaN}\r\n', 5),
-    (b'X-Server-Load: {"backlog": 0, "moods": []}\r\n', 5)])
+NEW_SHAPE = {
+    "family": "proxy",
+    "discovery": "pushed",
+    "weightKind": "live",
+    "groupSize": 2,
+    "feedback": {"how": "answers", "columns": ["backlog", "recent_ms"]},
+    "objectiveMix": {"worstClass": 0.4},
+}
+
+
+@pytest.mark.parametrize(
+    "report, served",
+    [
+        (b"", 5),
+        (b'X-Server-Load: {"backlog": 3, "recent_ms": 9}\r\n', 3),
+        (b'X-Server-Load: {"backlog": -3}\r\n', 5),
+        (b'X-Server-Load: {"backlog": NaN}\r\n', 5),
+        (b'X-Server-Load: {"backlog": 0, "moods": []}\r\n', 5),
+    ],
+)
 def test_agent_of_a_pool_hears_of_its_servers_unasked_and_acts_on_their_reports(
-        deploy, tmp_path, monkeypatch, report, served):
+    deploy, tmp_path, monkeypatch, report, served
+):
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", report))
     deployment = deploy()
     deployment.service.calls.clear()
     agent = start(tmp_path, deployment, settings=SETTINGS | NEW_SHAPE, known={})
     lead_to(agent, deployment)
-    until(lambda: deployment.ask("/health/ready")[0] == 200)    # it knew of none at its start
+    until(lambda: deployment.ask("/health/ready")[0] == 200)  # it knew of none at its start
     assert any("watch=1" in call for call in deployment.service.calls)
     assert deployment.ask("/read/x?do=load") == (200, b"")
     # A quick answer lets five requests out where four went before, and three if it says that some wait there;
@@ -554,13 +638,13 @@
     line_with(agent, b"msg=ending")
     assert deployment.ask() == (200, b"s0 ") == deployment.ask(connection=kept)
     with pytest.raises(ConnectionError):
-        while True:                     # the door is shut, but who is in may go on
+        while True:  # the door is shut, but who is in may go on
             deployment.connect().close()
     assert deployment.ask(connection=kept) == (200, b"s0 ")
-    assert agent.poll() is None         # it still owes an answer
+    assert agent.poll() is None  # it still owes an answer
     deployment.servers[0].released.set()
     assert answered(waiting) == (200, b"waited") and answered(waiting) is None
-    assert answered(kept) is None       # closed between requests
+    assert answered(kept) is None  # closed between requests
     assert agent.wait() == 0
 
 
@@ -568,12 +652,14 @@
     deployment, there = deploy(), DiscoveryService()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
-    until(lambda: len(deployment.service.open) == 2)    # the agent in this process watches too
+    until(lambda: len(deployment.service.open) == 2)  # the agent in this process watches too
     waiting, file = deployment.connect(), tmp_path / "agent.json"
     waiting.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(deployment.seen)
-    for text, words in ((json.dumps(deployment.config)[:-90], b"can't be used"),
-                        (json.dumps(deployment.config | {"discovery": "nowhere"}), b"discovery: found")):
+    for text, words in (
+        (json.dumps(deployment.config)[:-90], b"can't be used"),
+        (json.dumps(deployment.config | {"discovery": "nowhere"}), b"discovery: found"),
+    ):
         file.write_text(text)
         agent.send_signal(signal.SIGHUP)
         assert words in line_with(agent, b"configuration refused")
@@ -584,7 +670,7 @@
     assert b"needs_restart=name" in line_with(agent, b"configuration read")
     until(lambda: there.watches)
     assert there.calls == ["/registry/instances?watch=1&after=0"] and len(deployment.service.open) == 2
-    there.tell()                                        # now the new one stands, and the old one is let go
+    there.tell()  # now the new one stands, and the old one is let go
     until(lambda: len(deployment.service.open) == 1)
     agent.send_signal(signal.SIGHUP)
     agent.send_signal(signal.SIGHUP)
@@ -619,9 +705,13 @@
     assert sparing.filter(logging.makeLogRecord({"name": "x", "msg": "ending", "created": 7.4}))
 
 
-@pytest.mark.parametrize("more, status, words", [
-    ({"settings": 5}, 2, b"$.settings"), ({"listen": "192.0.2.1:80"}, 1, b"can't listen on"),
-])
+@pytest.mark.parametrize(
+    "more, status, words",
+    [
+        ({"settings": 5}, 2, b"$.settings"),
+        ({"listen": "192.0.2.1:80"}, 1, b"can't listen on"),
+    ],
+)
 def test_agent_that_cannot_start_says_why_in_one_line(deploy, tmp_path, more, status, words):
     agent = start(tmp_path, deploy(), **more)
     said = agent.stderr.read()
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -15,9 +15,13 @@
 scenarios("stories")
 
 SHOP = Question(tenant="shop", workload="read")
-TERMS = {       # an operator's words -> keys of the operator file
-    "marks last": "longest_mark_s", "hints are kept": "most_hints", "records are kept": "most_records",
-    "marks fit in a session": "most_marks_a_session", "is the highest version held": "hold_version"}
+TERMS = {  # an operator's words -> keys of the operator file
+    "marks last": "longest_mark_s",
+    "hints are kept": "most_hints",
+    "records are kept": "most_records",
+    "marks fit in a session": "most_marks_a_session",
+    "is the highest version held": "hold_version",
+}
 
 
 class Story:
@@ -35,7 +39,7 @@
         for number in range(self.size):
             self.add(f"a{number}")
         assert memory.until(memory.one_ring, 20.0) < 20.0
-        memory.run(pact.longest_mark_s + 16.0)     # until nothing of before its founding may be due
+        memory.run(pact.longest_mark_s + 16.0)  # until nothing of before its founding may be due
 
     def add(self, name, **changes):
         terms = {**self.each.get(name, {}), **changes}
@@ -56,8 +60,16 @@
     def come(self, agents, repeat="u", take=0.05, patience=None, **more):
         """A client comes to the first agent, and to the next one when it breaks off or is rejected."""
         number = len(self.clients)
-        question = Question(**{"session": f"s{number}", "key": f"k{number}", "repeat": repeat,
-                               "limit_s": 20.0, "workload": "sheet", **more})
+        question = Question(
+            **{
+                "session": f"s{number}",
+                "key": f"k{number}",
+                "repeat": repeat,
+                "limit_s": 20.0,
+                "workload": "sheet",
+                **more,
+            }
+        )
         intent = self.memory.intend(question, agents, len(agents), take, patience or take + 1.0)
         self.clients.append((intent, question))
 
@@ -82,10 +94,17 @@
     def marks(self, client=-1):
         """Of each owner that runs, what it knows of the request."""
         nodes = self.memory.nodes()
-        records = {name: nodes[name].replica.record(self.key(client)) for name in self.owners(client)
-                   if name in nodes}
-        return {name: [mark for mark in record.marks.values() if mark.key == self.clients[client][1].key]
-                if record else [] for name, record in records.items()}
+        records = {
+            name: nodes[name].replica.record(self.key(client))
+            for name in self.owners(client)
+            if name in nodes
+        }
+        return {
+            name: [mark for mark in record.marks.values() if mark.key == self.clients[client][1].key]
+            if record
+            else []
+            for name, record in records.items()
+        }
 
 
 @pytest.fixture
@@ -97,10 +116,12 @@
 
 def steps(decorator, *patterns):
     """One function for several sentences; groups of the pattern become its arguments."""
+
     def wrapped(do):
         for pattern in patterns:
             do = decorator(parsers.re(pattern), stacklevel=2)(do)
         return do
+
     return wrapped
 
 
@@ -110,6 +131,7 @@
 
 # What there is
 
+
 @steps(given, r"a fleet of (?P<size>\d+) agents in (?P<zones>\d+) zones?")
 def _(story, size, zones):
     story.size, story.zones = int(size), int(zones)
@@ -148,6 +170,7 @@
 
 # What happens to agents and between them
 
+
 @steps(when, rf"{SECONDS} pass(?:es)?")
 def _(story, seconds):
     story.memory.run(float(seconds))
@@ -159,8 +182,11 @@
         story.memory.kill(name)
 
 
-@steps(when, rf"{WHO} starts? from nothing(?: with the (?P<program>old|new) program)?",
-       rf"{WHO} (?:is|are) started(?: with the (?P<program>old|new) program)?")
+@steps(
+    when,
+    rf"{WHO} starts? from nothing(?: with the (?P<program>old|new) program)?",
+    rf"{WHO} (?:is|are) started(?: with the (?P<program>old|new) program)?",
+)
 def _(story, who, program):
     reads = {} if program is None else {"reads": (1, 1) if program == "old" else (1, 2)}
     for name in story.named(who):
@@ -255,15 +281,22 @@
 
 # Clients
 
-@steps(when, r"a client submits its sheet at (?P<first>a\d+)(?:, which takes (?P<take>\d+) seconds)?"
-             r"(?:, and would come again at (?P<then>a\d+(?:(?:, | and )a\d+)*))?")
+
+@steps(
+    when,
+    r"a client submits its sheet at (?P<first>a\d+)(?:, which takes (?P<take>\d+) seconds)?"
+    r"(?:, and would come again at (?P<then>a\d+(?:(?:, | and )a\d+)*))?",
+)
 def _(story, first, take, then):
     story.come([first, *re.findall(r"a\d+", then or "")], take=float(take or 0.05))
     story.memory.run(0.2)
 
 
-@steps(when, rf"(?P<count>\d+) clients(?: of (?P<tenant>\w+))? submit their sheets at {WHO}"
-             rf"(?: over {SECONDS})?")
+@steps(
+    when,
+    rf"(?P<count>\d+) clients(?: of (?P<tenant>\w+))? submit their sheets at {WHO}"
+    rf"(?: over {SECONDS})?",
+)
 def _(story, count, tenant, who, seconds):
     agents = story.named(who)
     for number in range(int(count)):
@@ -273,12 +306,21 @@
     story.memory.run(0.3)
 
 
-@steps(when, r"a client sends a request that is deduplicated (?P<group>everywhere|in its zone) for "
-             rf"{SECONDS} to (?P<first>a\d+), and comes again at (?P<then>a\d+(?:(?:, | and )a\d+)*) after "
-             r"(?P<patience>\d+) seconds?")
+@steps(
+    when,
+    r"a client sends a request that is deduplicated (?P<group>everywhere|in its zone) for "
+    rf"{SECONDS} to (?P<first>a\d+), and comes again at (?P<then>a\d+(?:(?:, | and )a\d+)*) after "
+    r"(?P<patience>\d+) seconds?",
+)
 def _(story, group, seconds, first, then, patience):
-    story.come([first, *re.findall(r"a\d+", then)], "d", 60.0, float(patience), window_s=float(seconds),
-               group="all" if group == "everywhere" else "zone")
+    story.come(
+        [first, *re.findall(r"a\d+", then)],
+        "d",
+        60.0,
+        float(patience),
+        window_s=float(seconds),
+        group="all" if group == "everywhere" else "zone",
+    )
     story.memory.run(0.2)
 
 
@@ -307,6 +349,7 @@
 
 # What is seen
 
+
 @steps(then, r"the client was told: (?P<words>.*)")
 def _(story, words):
     assert story.told() == words.split(", ")
@@ -351,7 +394,9 @@
     def found():
         nodes, ring = story.memory.nodes(), story.ring
         return (ring.written, ring.phase) == (int(version), "steady") and all(
-            nodes[name].ring == ring for name in ring.names if name in nodes)
+            nodes[name].ring == ring for name in ring.names if name in nodes
+        )
+
     assert story.memory.until(found, float(seconds)) < float(seconds), story.ring
 
 
@@ -373,8 +418,9 @@
     story.memory.run(3.0)
     least = Certainty.ANSWERED if what == "was answered" else Certainty.CLAIMED
     found = story.marks()
-    assert found and all(marks and min(mark.certainty for mark in marks) >= least
-                         for marks in found.values()), found
+    assert found and all(
+        marks and min(mark.certainty for mark in marks) >= least for marks in found.values()
+    ), found
 
 
 @steps(then, r"(?:an operator was told of: )(?P<note>.*)")
