--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 lint: build
 	.venv/bin/pip -q install -r requirements-dev.txt
 	.venv/bin/ruff check
+	.venv/bin/ruff format --check
 
 run: build
 	PROXY_CONFIG=$${PROXY_CONFIG:-examples/config.json} .venv/bin/python -m cartdeal
