--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -5,89 +5,88 @@
 from math import exp, inf, log
 from zlib import crc32
 
+from cartdeal.routing_state import FADING_SPAN, RoutedRequest, Server
 from cartdeal.terms import Fading, Group, Outcome, Repeat, State
 from cartdeal.watch_schedule import WatchSchedule
 
-GLANCE, SOON = 0.05, 0.002  # how often room is looked for, a probe's answer holds; the least time to a timer
-SPARE, SHUN = 0.04, 4.0  # kept free before a deadline for the answer; longest a class passes a server by
-FAILBACK, MEMORY = 10.0, 6.0  # seconds between checks of zones ranked higher; over which what is seen fades
-DOUBT, FAILING = 2.0, 0.3  # failures (fading) that may open a circuit, if they are such a share of what ended
-SHARED_LIMIT, COLD_SHARE = 8.0, 0.7  # in flight at a new server, from all agents; share of a cold ramp sent
-LEAST, CUT = 0.25, 0.75  # limits under one mean pauses between single attempts; what a cut leaves
-CALM, LATE, TOO_LATE = 0.15, 0.25, 0.6  # of the latency target: a limit grows, is cut, falls under one
-YIELD, HOLD = 1.5, 0.3  # times the mean in flight at which a server yields; share of the target to be held
-EVEN, BUSY = 1.2, 4.0  # times the mean over the memory, in a pool; least in flight at a server, by them all
-GROW, STALE, CROWDED = 0.125, 600.0, 0.6  # limits, by worth; seconds in which a size fades, a report holds
-TROUBLE, THIN, TARDY = 0.08, 20.0, 2.0  # missed at home: ask; requests a server: not; times usual: yields
-SAVED, ENOUGH = 8.0, 0.02  # requests missed of which a probe saves one; given up unshot, share: no repeats
-MASK, NEVER = (1 << 64) - 1, (0, 0.0, 1.0)
-
-
-class RoutedRequest:
-    def __init__(self, number, request_class, key, deadline, now, value, tally):
-        self.number, self.request_class, self.key, self.tally = number, request_class, key, tally
-        self.deadline, self.value = deadline, value
-        self.target_at = min(deadline, now + request_class.latency_target)
-        self.attempts, self.out = 0, {}  # attempts in flight: number -> server
-        self.traces = {}  # attempts that are out or may have run: number -> (server, when sent)
-        self.tried, self.asked, self.ask_at, self.held_until = [], [], 0.0, 0.0
-
-
-class Server:
-    def __init__(self, index, limit, now):
-        self.index, self.first_limit, self.state, self.started = index, limit, State.GONE, -inf
-        self.out, self.sends = {}, Fading(MEMORY, now)  # own attempts: (request, attempt) -> when sent
-        self.weight, self.sized_at, self.crowded_until, self.summed_at = 1.0, -inf, -inf, -inf
-        self.askers, self.asked_at = {}, -inf  # requests that wait for the answer to a probe
-        self.restart(now)
-
-    def restart(self, now):
-        self.limit, self.cut_at, self.rest_until = self.first_limit, now, now
-        self.fails, self.wins, self.flown = (Fading(MEMORY, now) for _ in "fwo")  # flown: seconds in flight
-        self.pace, self.heard = 0.0, now  # mean time to an answer; when the last one came
-        self.closed, self.silent, self.trial = True, False, False
-        self.retry_at, self.backoff, self.tokens, self.refilled_at, self.said_at = now, 1.0, 0.0, now, 0.0
-        # When attempts given up were sent; class -> failures in a row, until when and how long it passes by.
-        self.left, self.shuns = [], {}
+ROOM_CHECK = 0.05  # seconds between two looks for room; so long the answer to a probe holds
+LEAST_DELAY = 0.002  # seconds to a timer
+DEADLINE_MARGIN = 0.04  # seconds kept free for the answer
+WINDOW_MARGIN = 0.05  # seconds before a window's end after which no repeat begins
+LONGEST_CLASS_BACKOFF = 4.0  # seconds for which a class passes a server by
+FAILBACK = 10.0  # seconds between checks of zones ranked higher
+OPENING_FAILURES = 2.0  # fading, from which on a circuit may open
+OPENING_SHARE = 0.3  # that failures must be of what ended
+SHARED_LIMIT = 8.0  # in flight at a new server, by all agents together
+COLD_SHARE = 0.7  # of a cold server's ramp that is used
+LEAST_LIMIT = 0.25  # limits under one mean pauses between single attempts
+CUT_TO = 0.75  # of a limit that is left by a cut
+QUICK = 0.15  # of the latency target, under which a limit grows
+LATE = 0.25  # of the latency target, over which a limit is cut
+VERY_LATE = 0.6  # of the latency target, over which a limit may fall under one
+YIELD = 1.5  # times the mean in flight, from which on a server yields
+HOLD = 0.3  # of the latency target for which a request may be held
+POOL_YIELD = 1.2  # times the mean load, from which on a pool's server yields
+POOL_LIMIT = 4.0  # least in flight at a pool's server, by all agents together
+GROWTH = 0.125  # of a pool's limit, by a request of usual value
+WEIGHT_FADES = 600.0  # seconds over which a live weight that was higher fades
+CROWDED = 0.6  # seconds for which a report of a queue holds
+TROUBLE = 0.08  # share missed at home from which on probes or other zones help
+FEW_REQUESTS = 20.0  # a server over the span, under which an agent learns too late
+PROBE_PATIENCE = 2.0  # times the usual time of a probe's answer
+PROBE_WORTH = 8.0  # requests missed of which a probe saves one
+OVERLOAD = 0.02  # share of requests given up unsent from which on nothing is sent again
+HASHES = 1 << 64
+HASH_MASK = HASHES - 1
+NO_BACKOFF = (0, 0.0, 1.0)  # as in Server.class_backoffs
 
 
 class Balancer:
     def __init__(self, host, settings):
         self.host, self.settings, self.pooled, now = host, settings, settings.pooled, host.now
         # Agents that each begin with a whole server's room for themselves jam it together at the start.
-        self.first_limit = max(LEAST, min(4.0, SHARED_LIMIT / settings.agents))
-        self.least = min(1.0, BUSY / settings.agents)
+        self.initial_limit = max(LEAST_LIMIT, min(4.0, SHARED_LIMIT / settings.agents))
+        self.least_limit = min(1.0, POOL_LIMIT / settings.agents)
         # By class: requests asked for and those served in time, time to answers and how many these were.
-        self.tallies = [[Fading(MEMORY, now) for _ in range(4)] for _ in settings.request_classes]
-        self.counter, self.servers, self.requests, self.held, self.filled = 0, {}, {}, {}, set()
+        self.class_tallies = [[Fading(FADING_SPAN, now) for _ in range(4)] for _ in settings.request_classes]
+        self.draws, self.servers, self.requests, self.held, self.full_zones = 0, {}, {}, {}, set()
         self.zones = [[] for _ in range(settings.zones)]
-        self.order = sorted(
-            range(settings.zones),
-            key=lambda zone: (
-                zone != settings.own_zone,
-                mixed(crc32(b"%d/%d" % (settings.number, zone))),
-                zone,
-            ),
-        )
-        self.standing, self.failback_at = 0, now + FAILBACK  # standing: place in the order of zones
-        self.arrivals, self.priority = Fading(MEMORY, now), Fading(MEMORY, now)
-        self.tenants, self.like_rate = {}, {}  # by zone: last known sends a second to a warm one, by weight
+        self.zone_order = sorted(range(settings.zones), key=self.zone_rank)
+        self.zone_place, self.failback_at = 0, now + FAILBACK  # standing: place in the order of zones
+        self.arrivals, self.priority = Fading(FADING_SPAN, now), Fading(FADING_SPAN, now)
+        self.tenants, self.warm_rates = {}, {}  # by zone: last known sends a second to a warm one, by weight
         # Judged by first quick answers alone, a zone that is only slow at the start seems silent and fails.
         late = LATE * max((kind.latency_target for kind in settings.request_classes), default=1.0)
-        self.pace, self.paced = Fading(MEMORY, now, late), Fading(MEMORY, now, 1.0)
-        self.answer, self.answered = Fading(MEMORY, now), Fading(MEMORY, now)  # time to answers of probes
-        self.strain = Fading(1.0, now)  # requests that found no room lately
+        self.response_time, self.responses = Fading(FADING_SPAN, now, late), Fading(FADING_SPAN, now, 1.0)
+        self.probe_time, self.probe_answers = (
+            Fading(FADING_SPAN, now),
+            Fading(FADING_SPAN, now),
+        )  # time to answers of probes
+        self.lacked_room = Fading(1.0, now)  # requests that found no room lately
         # Held requests, by whether room came, and those given up that never were sent.
-        self.met, self.missed, self.lacked = Fading(2.0, now), Fading(2.0, now), Fading(MEMORY, now)
+        self.holds_met, self.holds_missed, self.given_up_unsent = (
+            Fading(2.0, now),
+            Fading(2.0, now),
+            Fading(FADING_SPAN, now),
+        )
         # The share of the keys that cross; requests that ended, all and bad, at home and away.
-        self.spill, self.ends = 0.0, [[Fading(MEMORY, now), Fading(MEMORY, now)] for _ in "ha"]
-        self.alarm_at = inf
+        self.crossing_share, self.ended_requests = (
+            0.0,
+            [[Fading(FADING_SPAN, now), Fading(FADING_SPAN, now)] for _ in "ha"],
+        )
+        self.next_wake_at = inf
         self.watch = WatchSchedule(now, settings.ask_every, watching=not settings.must_ask)
         self.keep_watch(now)
 
-    def chance(self):
-        self.counter += 1
-        return (crc32(b"%d/%d" % (self.settings.seed, self.counter)) + 0.5) / 4294967296
+    def zone_rank(self, zone):
+        """The agent's own zone comes first, the others by a hash of the agent's number."""
+        number, own_zone = self.settings.number, self.settings.own_zone
+        return zone != own_zone, mixed(crc32(b"%d/%d" % (number, zone))), zone
+
+    def draw(self):
+        """A number from 0 to 1, by the agent's seed and how many were drawn before."""
+        self.draws += 1
+        return (crc32(b"%d/%d" % (self.settings.seed, self.draws)) + 0.5) / 4294967296
 
     def listed(self, lines, fresh):
         now = self.host.now
@@ -95,49 +94,49 @@
             self.watch.answered(now)
         for line in lines:
             while line.zone >= len(self.zones):  # one that the settings don't name comes last of all
-                self.zones, self.order = [*self.zones, []], [*self.order, len(self.zones)]
+                self.zones, self.zone_order = [*self.zones, []], [*self.zone_order, len(self.zones)]
             server = self.servers.get(line.server)
             if server is None:
                 if line.state is State.GONE:
                     continue
                 # What a pool's agents of a lost zone begin with at the next comes on top of its own agents'.
                 away = line.zone != self.settings.own_zone
-                first = self.least if self.pooled and away else self.first_limit
+                first = self.least_limit if self.pooled and away else self.initial_limit
                 server = self.servers[line.server] = Server(line.server, first, now)
                 server.hash = mixed(crc32(line.name))
             if line.state is not State.GONE:
                 server.zone, server.cell = line.zone, line.cell
-                self.size(server, line.weight, now)
+                self.update_weight(server, line.weight, now)
             if line.started > server.started:
                 server.started = line.started
                 server.restart(now)
                 # Agents that all begin with a whole token would meet at the cold server in one burst.
-                server.tokens = self.chance()
+                server.tokens = self.draw()
             server.state = line.state
-            self.let_go(server)
+            self.forget_if_gone(server)
         for zone, members in enumerate(self.zones):
             members[:] = [s for s in self.servers.values() if s.state is State.READY and s.zone == zone]
         self.check_zones(now)
-        self.release(now)
+        self.offer_room(now)
 
-    def size(self, server, weight, now):
+    def update_weight(self, server, weight, now):
         """What the list says, or the most that it said where what a server holds lowers it."""
         if not 1e-3 <= weight <= 1e6:  # also what is no number at all
             weight = server.weight
         elif self.settings.live_weights:
             # Taken as they come, such weights move the attempts of all agents to the same servers, and late.
-            weight = max(weight, server.weight * exp((server.sized_at - now) / STALE))
-        server.weight, server.sized_at = weight, now
+            weight = max(weight, server.weight * exp((server.weight_at - now) / WEIGHT_FADES))
+        server.weight, server.weight_at = weight, now
 
-    def let_go(self, server):
+    def forget_if_gone(self, server):
         # Where servers are replaced all day, those gone would fill the memory; traces hold their own.
-        if server.state is State.GONE and not server.out:
+        if server.state is State.GONE and not server.in_flight:
             del self.servers[server.index]
 
     def watch_failed(self, silent=False):
         """The watch ended or fell silent, or the call for one got no list."""
-        self.watch.failed(self.host.now, silent, bool(self.servers), self.chance())
-        self.alarm(self.watch.call_at)
+        self.watch.failed(self.host.now, silent, bool(self.servers), self.draw())
+        self.wake_by(self.watch.call_at)
 
     def discovery_moved(self):
         self.watch.moved(self.host.now)
@@ -149,57 +148,67 @@
             if now >= self.watch.call_at:
                 self.host.watch()
                 self.watch.called(now)
-            self.alarm(self.watch.call_at)
+            self.wake_by(self.watch.call_at)
 
     def taken(self, number, request_class, tenant, key, deadline, repeat):
         now, kind = self.host.now, self.settings.request_classes[request_class]
         self.arrivals.add(now)
         self.priority.add(now, kind.priority)
-        value = self.worth(request_class, kind.priority, now) if self.pooled else kind.priority
+        value = self.pool_value(request_class, kind.priority, now) if self.pooled else kind.priority
         # A repeat has spent part of its time at its first try: served first, it makes new ones late too.
-        value *= self.within_share(tenant, now) * (0.5 if repeat else 1.0)
+        value *= self.tenant_factor(tenant, now) * (0.5 if repeat else 1.0)
         request = self.requests[number] = RoutedRequest(
-            number, kind, key or int(self.chance() * MASK), deadline, now, value, self.tallies[request_class]
+            number,
+            kind,
+            key or int(self.draw() * HASH_MASK),
+            deadline,
+            now,
+            value,
+            self.class_tallies[request_class],
         )
         self.place(request, now)
 
-    def worth(self, request_class, value, now):
+    def pool_value(self, request_class, value, now):
         """What a pool's request adds for the time that it takes; more in the class that is served worst."""
-        asked, _, took, answers = self.tallies[request_class]
+        asked, _, took, answers = self.class_tallies[request_class]
         asked.add(now)
-        shares = [done.read(now) / max(all_.read(now), 0.1) for all_, done, _, _ in self.tallies]
+        shares = [done.read(now) / max(all_.read(now), 0.1) for all_, done, _, _ in self.class_tallies]
         if shares[request_class] <= min(shares) + 0.02:
             value += self.settings.worst_class * self.priority.amount / asked.amount
         usual = took.read(now) / max(answers.read(now), 0.1)
-        return value * self.pace.read(now) / max(self.paced.read(now), 0.1) / usual if usual else value
+        return (
+            value * self.response_time.read(now) / max(self.responses.read(now), 0.1) / usual
+            if usual
+            else value
+        )
 
-    def within_share(self, tenant, now):
+    def tenant_factor(self, tenant, now):
         if not self.settings.tenants:
             return 1.0
-        seen = self.tenants.setdefault(tenant, Fading(MEMORY, now))
+        seen = self.tenants.setdefault(tenant, Fading(FADING_SPAN, now))
         seen.add(now)
         all_, share = sum(each.quota for each in self.settings.tenants), self.settings.tenants[tenant].quota
         beyond = 1.0 - 1.1 * share / max(all_, 1e-9) * self.arrivals.amount / seen.amount
-        return self.settings.beyond_share if self.chance() < beyond else 1.0
+        return self.settings.beyond_share if self.draw() < beyond else 1.0
 
     def place(self, request, now, further=False, last=False):
         """The ordinary path: the zone stood on, its top server by rendezvous; else another zone; or hold."""
-        home, first = self.order[self.standing], self.spills_to(request)
-        server = self.pick(self.zones[first], request, now)
+        home, first = self.zone_order[self.zone_place], self.first_zone_for(request)
+        server = self.pick_server(self.zones[first], request, now)
         if server is None:
-            self.strain.add(now)
+            self.lacked_room.add(now)
             crossing = self.worth_crossing(request, now, further or last)
-            for zone in self.order:
-                if server is None and zone != first and (zone == home or crossing) and self.passes(zone):
-                    server = self.pick(self.zones[zone], request, now)
-        unasked = server is not None and self.must_ask(server, now)
+            for zone in self.zone_order:
+                if server is None and zone != first and (zone == home or crossing) and self.zone_passes(zone):
+                    server = self.pick_server(self.zones[zone], request, now)
+        unasked = server is not None and self.must_probe_first(server, now)
         if unasked and self.hold(request, now):
-            self.ask(request, server, now)
+            self.probe_first(request, server, now)
         elif server is not None:
             self.send_attempt(request, server, now)
         elif request.number in self.held and now < request.held_until:
             # While an asked server may still answer, what others have to offer comes too late to matter.
-            request.ask_at = request.held_until if request.asked else now
+            request.next_try_at = request.held_until if request.probed else now
         elif last or not self.hold(request, now):
             self.give_up(request, now)
 
@@ -207,113 +216,127 @@
         if request.number not in self.held:
             # A client's late try can end sooner than the hold: the timer must find it in time to answer.
             longest = HOLD * request.request_class.latency_target
-            request.held_until = min(now + longest, request.deadline - SPARE)
+            request.held_until = min(now + longest, request.deadline - DEADLINE_MARGIN)
         if now < request.held_until:
             self.held[request.number] = request
-            self.alarm(min(max(request.ask_at, now + GLANCE), request.held_until))
+            self.wake_by(min(max(request.next_try_at, now + ROOM_CHECK), request.held_until))
         return now < request.held_until
 
-    def pick(self, members, request, now):
+    def pick_server(self, members, request, now):
         """The top server by weighted rendezvous that has room and isn't well over the mean in flight."""
-        if members and members[0].zone in self.filled:
+        if members and members[0].zone in self.full_zones:
             return None  # nothing has ended since it was found full
-        kind = request.request_class
-        safe = kind.repeat is Repeat.IDEMPOTENT  # these try open circuits first, singly
-        usable = [s for s in members if s.closed or s.trial and not s.out and (safe or now > s.retry_at)]
-        if (
-            not usable
-            and not any(map(self.passes, self.order))
-            and members is self.zones[self.order[self.standing]]
-        ):
-            usable = members
-        if not usable or any(s.zone == usable[0].zone for s in request.asked):
+        usable = self.usable_servers(members, request, now)
+        if not usable or any(s.zone == usable[0].zone for s in request.probed):
             return None
-        if self.pooled and self.full(usable):
-            self.filled.add(usable[0].zone)
+        if self.pooled and self.is_full(usable):
+            self.full_zones.add(usable[0].zone)
             return None
-        key, best, top, spare, like = request.key, None, -1.0, None, None
+        best, top, spare, like = None, -1.0, None, None
         size = sum([s.weight for s in usable])
-        mean = YIELD * sum([len(s.out) for s in usable]) / size
-        even = EVEN * sum([self.has(s, now) for s in usable]) / size if self.pooled else inf
+        mean = YIELD * sum([len(s.in_flight) for s in usable]) / size
+        even = POOL_YIELD * sum([self.load_of(s, now) for s in usable]) / size if self.pooled else inf
         for s in usable:
-            busy, fills = len(s.out), len(s.out) + len(s.left)
-            if (
-                fills >= max(1.0 + self.pooled, s.limit)
-                or now < s.rest_until
-                or s in request.tried
-                or (now < s.shuns.get(kind, NEVER)[1])
-                or not self.within_group(request, s, now)
-            ):
+            if not self.has_room(s, request, now):
                 continue
             if s.started and now - s.started < self.settings.cold_for:
-                like = self.like(s.zone, now) if like is None else like  # once a pick: all may be cold
+                like = self.warm_rate(s.zone, now) if like is None else like  # once a pick: all may be cold
                 if not self.ramp_allows(s, now, like):
                     continue
-            score, has = s.weight / -log((mixed(key ^ s.hash) + 1) / 1.8446744073709552e19), self.has(s, now)
-            if busy >= 2 and busy + 1 > mean * s.weight or has > even * s.weight:
-                if spare is None or has / s.weight < self.has(spare, now) / spare.weight:
+            score = s.weight / -log((mixed(request.key ^ s.hash) + 1) / HASHES)
+            busy, load = len(s.in_flight), self.load_of(s, now)
+            if busy >= 2 and busy + 1 > mean * s.weight or load > even * s.weight:
+                if spare is None or load / s.weight < self.load_of(spare, now) / spare.weight:
                     spare = s
             elif score > top:
                 best, top = s, score
         return best or spare
 
-    def full(self, servers):
+    def usable_servers(self, members, request, now):
+        """Those whose circuit is closed or may be tried; all of the zone stood on where no zone passes."""
+        safe = request.request_class.repeat is Repeat.IDEMPOTENT  # these try open circuits first, singly
+        usable = [s for s in members if s.circuit_closed or self.may_try(s, safe, now)]
+        standing = members is self.zones[self.zone_order[self.zone_place]]
+        if not usable and standing and not any(map(self.zone_passes, self.zone_order)):
+            return members
+        return usable
+
+    def may_try(self, server, safe, now):
+        return server.half_open and not server.in_flight and (safe or now > server.retry_at)
+
+    def has_room(self, server, request, now):
+        """Whether the server's limit, pauses and group allow an attempt of the request there."""
+        kind = request.request_class
+        fills = len(server.in_flight) + len(server.abandoned)
+        if fills >= max(1.0 + self.pooled, server.limit) or now < server.paused_until:
+            return False
+        if server in request.tried or now < server.class_backoffs.get(kind, NO_BACKOFF)[1]:
+            return False
+        return self.within_group(request, server, now)
+
+    def is_full(self, servers):
         """Whether a pool's agent has out all it may; those given up count until a later one is answered."""
         # Limits under one are kept over the zone: pauses at each server would leave it idle. Where all that
         # fills it was given up, one still goes out: a lost zone would be found out late, and left late.
-        out = sum([len(s.out) for s in servers])
-        return out and out + sum([len(s.left) for s in servers]) >= sum([s.limit for s in servers])
+        out = sum([len(s.in_flight) for s in servers])
+        return out and out + sum([len(s.abandoned) for s in servers]) >= sum([s.limit for s in servers])
 
-    def has(self, server, now):
+    def load_of(self, server, now):
         """What a server has of this agent's requests: in flight or, in a pool, seconds of that lately."""
         # A pool's agent has one at most at a server at most moments, and a key that is dear to all would jam
         # its server unseen; but each meets a fair sample, and what each spreads evenly is even in all.
         if not self.pooled:
-            return len(server.out)
-        if now > server.summed_at:  # once a moment: a large zone's sums would cost more than its requests
-            server.sum = server.flown.read(now) + sum([now - sent for sent in server.out.values()])
-            server.summed_at = now
-        return server.sum
+            return len(server.in_flight)
+        if now > server.load_at:  # once a moment: a large zone's sums would cost more than its requests
+            server.load = server.flight_time.read(now) + sum(
+                [now - sent for sent in server.in_flight.values()]
+            )
+            server.load_at = now
+        return server.load
 
-    def must_ask(self, server, now):
+    def must_probe_first(self, server, now):
         # Among many agents a quiet one learns of full servers too late: in trouble, or new, it asks first.
-        ended, bad = self.ends[0]
+        ended, bad = self.ended_requests[0]
         bad, ended = bad.read(now) + 0.05, ended.read(now)
-        trouble = bad > TROUBLE * ended or self.strain.read(now) > 0.1
+        trouble = bad > TROUBLE * ended or self.lacked_room.read(now) > 0.1
         # A probe is work at a server: where it is dear, hundreds of agents that ask lose more than they save.
-        trouble = trouble and bad > (SAVED * self.settings.probing_fee - TROUBLE) * ended
-        few = self.arrivals.read(now) < THIN * len(self.zones[server.zone])
+        trouble = trouble and bad > (PROBE_WORTH * self.settings.probing_fee - TROUBLE) * ended
+        few = self.arrivals.read(now) < FEW_REQUESTS * len(self.zones[server.zone])
         asks = trouble and few and self.settings.may_probe and self.settings.agents > len(self.servers)
-        return asks and server.closed and now > server.said_at + GLANCE
+        return asks and server.circuit_closed and now > server.probe_answered_at + ROOM_CHECK
 
-    def ask(self, request, server, now):
-        request.asked.append(server)
-        server.askers[request.number] = request
-        if now > server.asked_at + 1.0:
-            server.asked_at = now
+    def probe_first(self, request, server, now):
+        request.probed.append(server)
+        server.probe_waiters[request.number] = request
+        if now > server.probed_at + 1.0:
+            server.probed_at = now
             self.host.probe(server.index)
-        request.ask_at = now + max(0.01, TARDY * self.answer.read(now) / max(self.answered.read(now), 0.1))
-        self.alarm(min(request.ask_at, request.held_until))
+        request.next_try_at = now + max(
+            0.01, PROBE_PATIENCE * self.probe_time.read(now) / max(self.probe_answers.read(now), 0.1)
+        )
+        self.wake_by(min(request.next_try_at, request.held_until))
 
-    def spills_to(self, request):
+    def first_zone_for(self, request):
         """The zone stood on, but for the keys that it can't carry: all agents send such a key to one zone."""
-        home, at = self.order[self.standing], mixed(request.key ^ MASK) / MASK
-        others = at < self.spill and [z for z in range(len(self.zones)) if z != home and self.passes(z)]
+        home, at = self.zone_order[self.zone_place], mixed(request.key ^ HASH_MASK) / HASH_MASK
+        others = at < self.crossing_share and [
+            z for z in range(len(self.zones)) if z != home and self.zone_passes(z)
+        ]
         return others[int(at * 1e6) % len(others)] if others else home
 
-    def judge(self, request, bad, now):
+    def record_end(self, request, bad, now):
         """Moves the share of keys that cross by its gain: what is missed at home, less away, less the fee."""
-        away = bool(request.tried) and request.tried[-1].zone != self.order[self.standing]
-        for each, more in zip(self.ends[away], (1.0, bad), strict=True):
+        away = bool(request.tried) and request.tried[-1].zone != self.zone_order[self.zone_place]
+        for each, more in zip(self.ended_requests[away], (1.0, bad), strict=True):
             each.add(now, more)
-        home, other = (bad.read(now) / max(ended.read(now), 0.5) for ended, bad in self.ends)
+        home, other = (bad.read(now) / max(ended.read(now), 0.5) for ended, bad in self.ended_requests)
         # What found room nowhere counts for neither: zones that are both full would swap their keys.
         moves = (request.tried or not self.pooled) and home - other > self.settings.crossing_fee + TROUBLE
-        self.spill = min(0.9, max(0.0, self.spill + (0.05 if moves else -0.02)))
+        self.crossing_share = min(0.9, max(0.0, self.crossing_share + (0.05 if moves else -0.02)))
 
     def worth_crossing(self, request, now, last):
         """Whether the next zone's chance, beyond what held requests lately had at home, is worth its fee."""
-        met, missed = self.met.read(now), self.missed.read(now)
+        met, missed = self.holds_met.read(now), self.holds_missed.read(now)
         gain = request.value * (1.0 if last else 1.0 - met / (met + missed + 0.1))
         return gain * self.arrivals.amount > self.settings.crossing_fee * self.priority.amount
 
@@ -327,27 +350,31 @@
         server.tokens, server.refilled_at = min(most, server.tokens + rate * (now - server.refilled_at)), now
         return server.tokens >= 1.0
 
-    def like(self, zone, now):
-        warm = [s for s in self.zones[zone] if s.closed and now - s.started >= self.settings.cold_for]
+    def warm_rate(self, zone, now):
+        warm = [s for s in self.zones[zone] if s.circuit_closed and now - s.started >= self.settings.cold_for]
         if warm:
-            self.like_rate[zone] = sum(s.sends.read(now) for s in warm) / MEMORY / sum(s.weight for s in warm)
-        elif zone not in self.like_rate:
-            return self.arrivals.read(now) / MEMORY / sum(s.weight for zone in self.zones for s in zone)
-        return self.like_rate[zone]
+            self.warm_rates[zone] = (
+                sum(s.sends.read(now) for s in warm) / FADING_SPAN / sum(s.weight for s in warm)
+            )
+        elif zone not in self.warm_rates:
+            return self.arrivals.read(now) / FADING_SPAN / sum(s.weight for zone in self.zones for s in zone)
+        return self.warm_rates[zone]
 
     def send_attempt(self, request, server, now):
         attempt, request.attempts = request.attempts, request.attempts + 1
-        request.out[attempt], request.traces[attempt] = server, (server, now)
+        request.in_flight[attempt], request.traces[attempt] = server, (server, now)
         request.tried.append(server)
-        request.asked.clear()
+        request.probed.clear()
         was_held = self.held.pop(request.number, None) is not None
-        self.met.add(now, was_held and self.order[self.standing] == server.zone)
-        server.heard = server.heard if server.out else now
-        server.out[request.number, attempt] = now
-        self.alarm(now + self.patience(server, now))
+        self.holds_met.add(now, was_held and self.zone_order[self.zone_place] == server.zone)
+        server.last_answer_at = server.last_answer_at if server.in_flight else now
+        server.in_flight[request.number, attempt] = now
+        self.wake_by(now + self.patience(server, now))
         server.sends.add(now)
-        if request.request_class in server.shuns:
-            self.doubt(server, request, now, 0)  # one that passed it by tries it with one request at a time
+        if request.request_class in server.class_backoffs:
+            self.back_off_class(
+                server, request, now, 0
+            )  # one that passed it by tries it with one request at a time
         server.tokens -= 1.0
         self.host.send_attempt(request.number, server.index, request.deadline)
 
@@ -356,34 +383,30 @@
         kind = request.request_class
         if not request.traces or kind.repeat is Repeat.IDEMPOTENT:
             return True
-        return kind.repeat is not Repeat.NON_IDEMPOTENT and all(
-            now <= sent + kind.window - 0.05
-            and (
-                kind.group is Group.ALL
-                or past.zone == server.zone
-                and (kind.group is Group.ZONE or past.cell == server.cell)
-            )
+        if kind.repeat is Repeat.NON_IDEMPOTENT:
+            return False
+        return all(
+            now <= sent + kind.window - WINDOW_MARGIN and self.same_group(kind.group, past, server)
             for past, sent in request.traces.values()
         )
 
+    def same_group(self, group, past, server):
+        if group is Group.ALL:
+            return True
+        return past.zone == server.zone and (group is Group.ZONE or past.cell == server.cell)
+
     def give_up(self, request, now):
         kind = request.request_class
-        safe = (
-            not request.traces
-            or kind.repeat is Repeat.IDEMPOTENT
-            or (
-                kind.repeat is Repeat.DEDUPLICATED
-                and kind.group is Group.ALL
-                and all(now < sent + kind.window for _, sent in request.traces.values())
-            )
-        )
+        safe = not request.traces or kind.repeat is Repeat.IDEMPOTENT
+        if not safe and kind.repeat is Repeat.DEDUPLICATED and kind.group is Group.ALL:
+            safe = all(now < sent + kind.window for _, sent in request.traces.values())
         if safe:
-            wait = min(self.settings.advises_wait, kind.latency_target * (0.2 + 0.3 * self.chance()))
+            wait = min(self.settings.advises_wait, kind.latency_target * (0.2 + 0.3 * self.draw()))
             self.host.reject(request.number, wait)
         else:
             self.host.fail(request.number)
-        self.lacked.add(now, not request.tried)
-        self.judge(self.forget(request.number), True, now)
+        self.given_up_unsent.add(now, not request.tried)
+        self.record_end(self.forget(request.number), True, now)
 
     def forget(self, number):
         self.held.pop(number, None)
@@ -391,11 +414,11 @@
 
     def client_disconnected(self, number):
         if number in self.requests:
-            self.judge(self.forget(number), True, self.host.now)
+            self.record_end(self.forget(number), True, self.host.now)
 
-    def release(self, now):
+    def offer_room(self, now):
         """Offers room to held requests, the most important first."""
-        misses, due = 0, [each for each in self.held.values() if now >= each.ask_at]
+        misses, due = 0, [each for each in self.held.values() if now >= each.next_try_at]
         for request in sorted(due, key=lambda each: -each.value):
             if misses < 2:
                 self.place(request, now)
@@ -404,40 +427,35 @@
     def attempt_ended(self, number, index, outcome, attempt, took, finished, load):
         now, server, completed = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
         # After a restart an outcome may come of an attempt, at a server, that this agent knows nothing of.
-        sent = server and server.out.pop((number, attempt), None)
+        sent = server and server.in_flight.pop((number, attempt), None)
         if sent is None:
             return
-        self.filled.clear()
+        self.full_zones.clear()
         if self.pooled and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
-            server.left.append(sent)
+            server.abandoned.append(sent)
         elif completed:
-            server.left = [each for each in server.left if each > sent]
+            server.abandoned = [each for each in server.abandoned if each > sent]
         request = self.requests.get(number)
-        server.flown.add(now, took)
-        self.reported(server, load, now)
+        server.flight_time.add(now, took)
+        self.note_load(server, load, now)
         self.learn(server, outcome, took, request, now)
-        self.let_go(server)
+        self.forget_if_gone(server)
         if request is not None:
-            request.out.pop(attempt, None)
+            request.in_flight.pop(attempt, None)
             if outcome.never_ran:
                 request.traces.pop(attempt, None)
             if finished:
-                self.judge(self.forget(number), not (completed and now <= request.target_at), now)
-            elif not request.out:
+                self.record_end(self.forget(number), not (completed and now <= request.target_at), now)
+            elif not request.in_flight:
                 self.follow_up(request, now)
-        self.release(now)
+        self.offer_room(now)
 
     def follow_up(self, request, now):
         """An attempt ended without an answer: up to two further ones, none under overload."""
-        over = request.traces and self.lacked.read(now) > 2 + ENOUGH * self.arrivals.amount
+        over = request.traces and self.given_up_unsent.read(now) > 2 + OVERLOAD * self.arrivals.amount
         more = request.attempts < min(3, self.settings.most_attempts) and now < request.target_at
-        if (
-            more
-            and not over
-            and any(
-                s not in request.tried and self.within_group(request, s, now) for s in sum(self.zones, [])
-            )
-        ):
+        others = (s for zone in self.zones for s in zone if s not in request.tried)
+        if more and not over and any(self.within_group(request, s, now) for s in others):
             self.place(request, now, further=True)
         else:
             self.give_up(request, now)
@@ -447,187 +465,191 @@
             return
         goal = request.request_class.latency_target if request else took * 2
         if outcome is Outcome.COMPLETED:
-            server.heard = now
-            server.shuns.pop(request and request.request_class, None)
-            server.wins.add(now)
-            server.pace += 0.2 * (took - server.pace) if server.pace else took
-            self.pace.add(now, took)
-            self.paced.add(now)
+            server.last_answer_at = now
+            server.class_backoffs.pop(request and request.request_class, None)
+            server.completions.add(now)
+            server.response_time += 0.2 * (took - server.response_time) if server.response_time else took
+            self.response_time.add(now, took)
+            self.responses.add(now)
             if request:
                 for each, more in zip(request.tally[1:], (now <= request.target_at, took, 1.0), strict=True):
                     each.add(now, more)
-            if server.silent or server.trial and server.wins.amount > 1.5:
-                server.closed, server.silent, server.trial = True, False, False
-                server.fails = Fading(MEMORY, now)
+            if server.silent or server.half_open and server.completions.amount > 1.5:
+                server.circuit_closed, server.silent, server.half_open = True, False, False
+                server.failures = Fading(FADING_SPAN, now)
             if server.limit < 1.0 and not self.pooled:
                 # One from each of many agents can be too much for a server: take turns with the others.
-                server.rest_until = now + server.pace * (1.0 / server.limit - 1.0)
-            if took < CALM * goal and self.pooled:
+                server.paused_until = now + server.response_time * (1.0 / server.limit - 1.0)
+            if took < QUICK * goal and self.pooled:
                 worth = request.value * self.arrivals.amount / self.priority.amount  # others need room, too
                 if now > server.crowded_until:
-                    server.limit += min(1.0 / server.limit, server.limit * GROW * min(2.0, worth))
-            elif took < CALM * goal and len(server.out) + 1 > 0.7 * server.limit:
+                    server.limit += min(1.0 / server.limit, server.limit * GROWTH * min(2.0, worth))
+            elif took < QUICK * goal and len(server.in_flight) + 1 > 0.7 * server.limit:
                 server.limit += min(1.0 / server.limit, server.limit / 4)
             elif took > LATE * goal and request:
-                self.cut(server, now, LEAST if took > TOO_LATE * goal else 1.0)
+                self.cut_limit(server, now, LEAST_LIMIT if took > VERY_LATE * goal else 1.0)
         elif outcome is Outcome.FULL:
-            self.cut(server, now, LEAST)
+            self.cut_limit(server, now, LEAST_LIMIT)
             # One that refuses at once always looks idle, and would draw ever more attempts.
-            server.rest_until = now + max(0.1, server.pace) / min(1.0, server.limit)
+            server.paused_until = now + max(0.1, server.response_time) / min(1.0, server.limit)
         else:
-            server.fails.add(now)
+            server.failures.add(now)
             if request and not outcome.never_ran:
-                self.doubt(server, request, now)
+                self.back_off_class(server, request, now)
             if outcome is Outcome.TIMED_OUT:
-                self.cut(server, now)
-            if (
-                server.trial
-                or (fails := server.fails.amount) >= DOUBT * 0.95
-                and fails > FAILING * (fails + server.wins.read(now))
-            ):
-                self.open(server, now)
-
-    def doubt(self, server, request, now, failed=1):
+                self.cut_limit(server, now)
+            failures = server.failures.amount
+            often = failures > OPENING_SHARE * (failures + server.completions.read(now))
+            if server.half_open or failures >= OPENING_FAILURES * 0.95 and often:
+                self.open_circuit(server, now)
+
+    def back_off_class(self, server, request, now, failed=1):
         """A server may fail with one class alone, which then passes it by; the circuit is for them all."""
-        row, until, span = server.shuns.get(request.request_class, NEVER)
+        row, until, span = server.class_backoffs.get(request.request_class, NO_BACKOFF)
         if row + failed > 2 and now >= until:
-            until, span = now + span, min(SHUN, span * 2)
-        server.shuns[request.request_class] = row + failed, until, span
-
-    def cut(self, server, now, least=1.0):
-        if now >= server.cut_at:
-            server.limit = max(min(server.limit, self.least if self.pooled else least), server.limit * CUT)
-            server.cut_at = now + max(0.1, server.pace)
-
-    def open(self, server, now):
-        if server.closed or server.trial:
-            server.backoff = 0.5 if server.closed else server.backoff
-            server.closed = server.trial = False
-            self.put_off(server, now)
+            until, span = now + span, min(LONGEST_CLASS_BACKOFF, span * 2)
+        server.class_backoffs[request.request_class] = row + failed, until, span
+
+    def cut_limit(self, server, now, least=1.0):
+        if now >= server.next_cut_at:
+            server.limit = max(
+                min(server.limit, self.least_limit if self.pooled else least), server.limit * CUT_TO
+            )
+            server.next_cut_at = now + max(0.1, server.response_time)
+
+    def open_circuit(self, server, now):
+        if server.circuit_closed or server.half_open:
+            server.backoff = 0.5 if server.circuit_closed else server.backoff
+            server.circuit_closed = server.half_open = False
+            self.delay_retry(server, now)
             self.check_zones(now)
 
-    def put_off(self, server, now):
+    def delay_retry(self, server, now):
         server.backoff = min(8.0, server.backoff * 2)
-        server.retry_at = now + server.backoff * (0.75 + 0.5 * self.chance())
-        self.alarm(server.retry_at)
+        server.retry_at = now + server.backoff * (0.75 + 0.5 * self.draw())
+        self.wake_by(server.retry_at)
 
     def probe_ended(self, index, outcome, took, load):
         now, server, answered = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
         if server is None:
             return
-        askers, server.askers, server.asked_at = server.askers, {}, -inf
-        if answered and server.closed:
-            self.answer.add(now, took)
-            self.answered.add(now)
-            server.said_at = now
-            self.reported(server, load, now)
+        askers, server.probe_waiters, server.probed_at = server.probe_waiters, {}, -inf
+        if answered and server.circuit_closed:
+            self.probe_time.add(now, took)
+            self.probe_answers.add(now)
+            server.probe_answered_at = now
+            self.note_load(server, load, now)
         elif answered:
-            server.trial, server.wins, server.fails = True, Fading(MEMORY, now), Fading(MEMORY, now)
+            server.half_open, server.completions, server.failures = (
+                True,
+                Fading(FADING_SPAN, now),
+                Fading(FADING_SPAN, now),
+            )
             server.retry_at = now + 1.0
-        elif not server.closed:
-            self.put_off(server, now)
+        elif not server.circuit_closed:
+            self.delay_retry(server, now)
         for request in sorted(askers.values(), key=lambda each: -each.value):
-            if request.number in self.held and server in request.asked:
-                request.asked.remove(server)
-                ready = answered and server.closed and server.state is State.READY
-                if ready and self.pick([server], request, now):
+            if request.number in self.held and server in request.probed:
+                request.probed.remove(server)
+                ready = answered and server.circuit_closed and server.state is State.READY
+                if ready and self.pick_server([server], request, now):
                     self.send_attempt(request, server, now)
                 else:
-                    request.asked.append(server)  # else a jammed fleet is asked over and over
+                    request.probed.append(server)  # else a jammed fleet is asked over and over
                     self.place(request, now)
 
-    def reported(self, server, load, now):
+    def note_load(self, server, load, now):
         """Where requests wait beyond what a server works on, it is late, however quick its answer was."""
         # A report is old when it comes: it may say that there was a crowd, never that there is room.
         if load and load.waiting and now > server.crowded_until:
             server.crowded_until = now + CROWDED
-            self.cut(server, now)
+            self.cut_limit(server, now)
 
-    def passes(self, zone):
+    def zone_passes(self, zone):
         members = self.zones[zone]
-        return bool(members) and 2 * sum([s.closed or s.trial for s in members]) >= len(members)
+        return bool(members) and 2 * sum([s.circuit_closed or s.half_open for s in members]) >= len(members)
 
     def check_zones(self, now):
         """Failover: away from a zone that fails, to the next that passes; none passing, stay."""
-        if not self.passes(self.order[self.standing]):
-            self.stand(now)
+        if not self.zone_passes(self.zone_order[self.zone_place]):
+            self.choose_zone(now)
 
-    def stand(self, now):
-        self.standing = next((p for p, zone in enumerate(self.order) if self.passes(zone)), self.standing)
+    def choose_zone(self, now):
+        self.zone_place = next(
+            (p for p, zone in enumerate(self.zone_order) if self.zone_passes(zone)), self.zone_place
+        )
         self.failback_at = now + FAILBACK
-        self.alarm(self.failback_at)
+        self.wake_by(self.failback_at)
 
-    def alarm(self, at):
+    def wake_by(self, at):
         # Timers only for what is due: agents that look round all the time cost more than their requests do.
         # Never at once: each of several timers of one moment would find the next due again, and set two more.
-        at = max(at, self.host.now + SOON)
-        if at < self.alarm_at:
-            self.alarm_at = at
+        at = max(at, self.host.now + LEAST_DELAY)
+        if at < self.next_wake_at:
+            self.next_wake_at = at
             self.host.wake(0, at - self.host.now)
 
     def woken(self, token):
         now = self.host.now
-        if now < self.alarm_at - 1e-5:
+        if now < self.next_wake_at - 1e-5:
             return  # set before an earlier one was
-        self.alarm_at = inf
+        self.next_wake_at = inf
         self.keep_watch(now)
-        if self.standing:
+        if self.zone_place:
             if now >= self.failback_at:
-                self.stand(now)
-            self.alarm(self.failback_at)
+                self.choose_zone(now)
+            self.wake_by(self.failback_at)
         for server in self.servers.values():
-            if server.out and server.closed:
-                self.listen_for(server, now)
-            if server.left and server.left[0] < now - MEMORY:
-                del server.left[0]
-            if not server.closed and not server.trial and server.state is State.READY:
+            if server.in_flight and server.circuit_closed:
+                self.check_silence(server, now)
+            if server.abandoned and server.abandoned[0] < now - FADING_SPAN:
+                del server.abandoned[0]
+            if not server.circuit_closed and not server.half_open and server.state is State.READY:
                 if now >= server.retry_at:
-                    server.retry_at, server.trial = now + 2.0, not self.settings.may_probe
+                    server.retry_at, server.half_open = now + 2.0, not self.settings.may_probe
                     if self.settings.may_probe:
                         self.host.probe(server.index)
-                self.alarm(server.retry_at)
+                self.wake_by(server.retry_at)
         for request in [each for each in self.held.values() if now >= each.held_until]:
-            self.missed.add(now)
+            self.holds_missed.add(now)
             self.place(request, now, last=True)
-        self.release(now)
+        self.offer_room(now)
         for request in self.held.values():
             self.hold(request, now)
 
     def patience(self, server, now):
-        usual = max(server.pace, self.pace.read(now) / max(self.paced.read(now), 0.1))  # slow is not silent
-        return max(0.25, usual * (4.0 if len(server.out) < 3 else 2.5)) if usual else inf
+        usual = max(
+            server.response_time, self.response_time.read(now) / max(self.responses.read(now), 0.1)
+        )  # slow is not silent
+        return max(0.25, usual * (4.0 if len(server.in_flight) < 3 else 2.5)) if usual else inf
 
-    def listen_for(self, server, now):
+    def check_silence(self, server, now):
         """A server that has gone silent is left before its attempts end."""
         patience = self.patience(server, now)
-        due = max(next(iter(server.out.values())), server.heard) + patience
+        due = max(next(iter(server.in_flight.values())), server.last_answer_at) + patience
         if now < due:
-            self.alarm(due)
+            self.wake_by(due)
         else:
             server.silent = True
-            server.fails.add(now, DOUBT)
-            self.open(server, now)
+            server.failures.add(now, OPENING_FAILURES)
+            self.open_circuit(server, now)
         # The requests waiting there are taken back where another attempt can do no harm. So are those that
         # others overtake: they'd fill the room until their deadline, and the whole server would seem silent.
-        for (number, attempt), sent in list(server.out.items()):
+        for (number, attempt), sent in list(server.in_flight.items()):
             request = self.requests.get(number)
-            if (
-                request
-                and attempt in request.out
-                and self.settings.may_cancel
-                and request.request_class.repeat is not Repeat.NON_IDEMPOTENT
-                and (
-                    now < request.target_at
-                    if server.silent
-                    else server.heard > sent + patience and now > max(request.target_at, sent + 2 * patience)
-                )
-            ):
-                self.doubt(server, request, now)
+            if not request or attempt not in request.in_flight or not self.settings.may_cancel:
+                continue
+            if request.request_class.repeat is Repeat.NON_IDEMPOTENT:
+                continue
+            overtaken = server.last_answer_at > sent + patience
+            overdue = now > max(request.target_at, sent + 2 * patience)
+            if now < request.target_at if server.silent else overtaken and overdue:
+                self.back_off_class(server, request, now)
                 self.host.cancel(number, attempt)
 
 
 def mixed(value):
     """Spreads a number over 64 bits; crc32 alone would rank all servers alike for keys that differ alike."""
-    value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & MASK
-    value = (value ^ (value >> 27)) * 0x94D049BB133111EB & MASK
+    value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & HASH_MASK
+    value = (value ^ (value >> 27)) * 0x94D049BB133111EB & HASH_MASK
     return value ^ (value >> 31)
--- a/cartdeal/lab/baselines.py
+++ b/cartdeal/lab/baselines.py
@@ -11,8 +11,8 @@
     def __init__(self, *args):
         super().__init__(*args)
         self.turn = 0
-        self.balancer.pick = self.pick
-        self.balancer.must_ask = lambda server, now: False
+        self.balancer.pick_server = self.pick
+        self.balancer.must_probe_first = lambda server, now: False
 
     def pick(self, members, request, now):
         balancer, like, able = self.balancer, None, []
@@ -20,7 +20,7 @@
             if server in request.tried or not balancer.within_group(request, server, now):
                 continue
             if server.started and now - server.started < balancer.settings.cold_for:
-                like = balancer.like(server.zone, now) if like is None else like
+                like = balancer.warm_rate(server.zone, now) if like is None else like
                 if not balancer.ramp_allows(server, now, like):
                     continue
             able.append(server)
@@ -32,12 +32,12 @@
 
 class Random(Plain):
     def choose(self, able):
-        return able[int(self.balancer.chance() * len(able))]
+        return able[int(self.balancer.draw() * len(able))]
 
 
 class LeastInFlight(Plain):
     def choose(self, able):
-        return min(able, key=lambda server: (len(server.out), server.hash))
+        return min(able, key=lambda server: (len(server.in_flight), server.hash))
 
 
 class RoundRobin(Plain):
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -83,7 +83,7 @@
         self.say(f"cancel attempt {attempt} of {request}")
 
     def probe(self, server):
-        if self.balancer.servers[server].closed and self.prompt:
+        if self.balancer.servers[server].circuit_closed and self.prompt:
             self.asked.append(server)
         else:
             self.say(f"probe {chr(server)}")
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -98,7 +98,7 @@
     for number in (10, 11, 9):
         scene.end(number, Outcome.CANCELLED)
     scene.lines = [line for line in scene.lines if "cancel" in line]
-    scene.say(f"a's circuit is closed: {scene.balancer.servers[ord('a')].closed}")
+    scene.say(f"a's circuit is closed: {scene.balancer.servers[ord('a')].circuit_closed}")
     scene.take(50, 3)
     scene.take(51)
     scene.kept("overtaken")
@@ -108,15 +108,15 @@
     scene = Scene("a0 b0 e0", agents=8)
     for number in range(1, 12):
         scene.take(number)
-    assert scene.balancer.held and scene.balancer.strain.read(scene.now) > 2.0
+    assert scene.balancer.held and scene.balancer.lacked_room.read(scene.now) > 2.0
     scene.wait(0.02)
     scene.end(1, Outcome.RESET)
     while scene.balancer.requests[1].attempts < 2:  # room comes soon: that is no overload
-        scene.end(next(n for n, each in scene.balancer.requests.items() if each.out))
+        scene.end(next(n for n, each in scene.balancer.requests.items() if each.in_flight))
     for number in range(20, 60):
         scene.take(number)
     scene.wait(0.5)  # now most have found none
-    first = next(n for n, each in scene.balancer.requests.items() if each.out)
+    first = next(n for n, each in scene.balancer.requests.items() if each.in_flight)
     scene.end(first, Outcome.RESET)
     assert first not in scene.balancer.requests
 
@@ -204,7 +204,7 @@
     scene = Scene("a0 b0 e0 f0", crossing_fee=9.0, agents=5)
     scene.prompt = False
     scene.take(1)
-    for server in scene.balancer.requests[1].asked:
+    for server in scene.balancer.requests[1].probed:
         scene.balancer.probe_ended(server.index, Outcome.COMPLETED, 0.1, None)
     scene.wait(0.25)
     assert len([line for line in scene.lines if "probe" in line]) == 1
@@ -222,7 +222,7 @@
     for rounds in (0, 4, 8):
         scene = Scene("a0 b0 c1 d1", seed=rounds, crossing_fee=0.05)
         scene.serve(range(1, 1 + rounds), took=1.1)
-        zone = scene.balancer.spills_to
+        zone = scene.balancer.first_zone_for
         crossed.append({key for key in range(300) if zone(SimpleNamespace(key=key)) != 0})
     assert not crossed[0] and len(crossed[1]) > 20 and crossed[1] < crossed[2] and len(crossed[2]) < 200
 
@@ -323,7 +323,7 @@
         scene.end(request)
     assert scene.take(50, key=keys["b"]) == "b"
     scene.wait(0.5)
-    assert scene.balancer.servers[ord("b")].closed
+    assert scene.balancer.servers[ord("b")].circuit_closed
 
 
 def test_first_quick_answer_makes_no_one_silent():
@@ -333,7 +333,7 @@
     scene.end(first)
     scene.take(30)
     scene.wait(0.45)
-    assert all(server.closed for server in scene.balancer.servers.values())
+    assert all(server.circuit_closed for server in scene.balancer.servers.values())
 
 
 @pytest.mark.parametrize(
@@ -354,7 +354,7 @@
 @pytest.mark.parametrize("fee, missed, asks", [(0.01, 2, True), (0.08, 2, False), (0.08, 8, True)])
 def test_dear_probes_are_kept_for_when_much_is_missed(fee, missed, asks):
     scene = Scene("a0 c1", agents=3, probing_fee=fee)
-    for count, each in zip((10, missed), scene.balancer.ends[0], strict=True):
+    for count, each in zip((10, missed), scene.balancer.ended_requests[0], strict=True):
         each.add(scene.now, count)
     scene.prompt = False
     scene.take(1)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -97,8 +97,8 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        like = self.balancer.like
-        self.balancer.like = lambda zone, now: like(zone, now) * self.balancer.settings.agents
+        like = self.balancer.warm_rate
+        self.balancer.warm_rate = lambda zone, now: like(zone, now) * self.balancer.settings.agents
 
 
 @pytest.mark.parametrize("breakage", [WholeTokens, FleetsRate])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -103,7 +103,7 @@
         config = agent_config(folder, seed=seed, known=known, settings=settings)
         self.reducer = Reducer(config, self.now, 2000.0)
         if chance is not None:
-            self.reducer.balancer.chance = lambda: chance
+            self.reducer.balancer.draw = lambda: chance
         self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
         call = self.discovery.call
         self.discovery.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
--- a/tests/test_fleet_off.py
+++ b/tests/test_fleet_off.py
@@ -13,7 +13,8 @@
 IMPORTS = """
     cartdeal cartdeal.agent cartdeal.agent.configuration cartdeal.agent.connection cartdeal.agent.effects
     cartdeal.agent.front cartdeal.agent.reducer cartdeal.agent.discovery cartdeal.agent.upstream
-    cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms cartdeal.watch_schedule""".split()
+    cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms cartdeal.watch_schedule
+    cartdeal.routing_state""".split()
 
 # Says what is imported once the agent serves.
 TOLD = (
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -30,7 +30,7 @@
         each.list("a0", whole=False, weight=0.2)
     picks = [
         {
-            key: each.balancer.pick(each.balancer.zones[0], request, each.now).index
+            key: each.balancer.pick_server(each.balancer.zones[0], request, each.now).index
             for key in range(1, 200)
             for request in [made(each, key)]
         }
@@ -43,7 +43,7 @@
     scene.take(9999, key=key)
     request = scene.balancer.forget(9999)
     request.tried.clear()
-    scene.balancer.servers[scene.attempts[9999][0]].out.clear()
+    scene.balancer.servers[scene.attempts[9999][0]].in_flight.clear()
     return request
 
 
@@ -113,13 +113,13 @@
     assert scene.take(1) and not scene.take(3, limit=0.2)
     scene.wait(0.1)
     scene.end(1, Outcome.TIMED_OUT)
-    assert scene.balancer.full([server]) and 3 not in scene.attempts
+    assert scene.balancer.is_full([server]) and 3 not in scene.attempts
     scene.end(2)  # sent before the one given up: that may still be there
-    assert len(server.left) == 1
+    assert len(server.abandoned) == 1
     assert 3 in scene.attempts and not scene.take(4)
     scene.wait(0.1)
     scene.end(3)
-    assert not server.left
+    assert not server.abandoned
 
 
 def test_one_attempt_at_a_time_goes_out_where_all_that_fills_a_zone_was_given_up():
@@ -127,13 +127,13 @@
     scene = pool("a0 b0 e0", crossing_fee=9.0)
     server = scene.balancer.servers[ord("a")]
     for each in scene.balancer.servers.values():
-        each.left, each.limit = [scene.now], 1.0
+        each.abandoned, each.limit = [scene.now], 1.0
     assert scene.take(1) and not scene.take(2)
-    scene.balancer.alarm_at = scene.now = scene.now + 7.0
+    scene.balancer.next_wake_at = scene.now = scene.now + 7.0
     for _ in range(9):
-        scene.balancer.alarm_at = scene.now
+        scene.balancer.next_wake_at = scene.now
         scene.balancer.woken(0)
-    assert not server.left  # and they are forgotten after a while
+    assert not server.abandoned  # and they are forgotten after a while
 
 
 def test_agents_that_fail_over_together_begin_with_little_at_the_next_zone():
@@ -160,7 +160,7 @@
     # By priority alone, short requests of little priority got no room at all in a full zone.
     scene = pool(agents=2, request_classes=(SHORT, LONG), crossing_fee=9.0)
     busy(scene, (0, 1))
-    worth = [scene.balancer.worth(which, 1.0 + which, scene.now) for which in (0, 1)]
+    worth = [scene.balancer.pool_value(which, 1.0 + which, scene.now) for which in (0, 1)]
     assert worth[0] > 1.5 * worth[1]
 
 
@@ -169,7 +169,7 @@
     for weight in (0.0, 0.4):
         scene = pool(agents=2, request_classes=(SHORT, LONG), worst_class=weight, may_cancel=False)
         busy(scene, (0,))
-        worth.append([scene.balancer.worth(which, 1.0, scene.now) for which in (0, 1)])
+        worth.append([scene.balancer.pool_value(which, 1.0, scene.now) for which in (0, 1)])
     assert worth[1][0] == pytest.approx(worth[0][0], rel=0.1) and worth[1][1] > 1.5 * worth[0][1]
 
 
@@ -178,8 +178,8 @@
     for number in range(1, 80):
         scene.take(number)
     scene.wait(1.0)
-    ended, missed = scene.balancer.ends[0]
-    assert missed.amount > 0.3 * ended.amount and scene.balancer.spill == 0.0
+    ended, missed = scene.balancer.ended_requests[0]
+    assert missed.amount > 0.3 * ended.amount and scene.balancer.crossing_share == 0.0
 
 
 def test_given_up_request_is_answered_at_once_and_told_when_to_come_back():
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -147,7 +147,7 @@
 
 def test_a_broken_decision_still_gets_its_request_answered(tmp_path):
     desk = Desk(tmp_path)
-    desk.reducer.balancer.pick = None
+    desk.reducer.balancer.pick_server = None
     with pytest.raises(TypeError):
         desk.take(0)
     desk.play(2.1, "overdue", 1)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -114,7 +114,7 @@
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
-    assert deployment.agent.reducer.balancer.servers[0].closed and len(deployment.seen()) == 4
+    assert deployment.agent.reducer.balancer.servers[0].circuit_closed and len(deployment.seen()) == 4
 
 
 def test_request_goes_on_and_its_answer_comes_back_unchanged(deploy):
@@ -488,7 +488,7 @@
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
-    assert deployment.agent.reducer.balancer.servers[0].closed  # the lack of room is not its doing
+    assert deployment.agent.reducer.balancer.servers[0].circuit_closed  # the lack of room is not its doing
 
 
 def test_words_between_agents(deploy):
@@ -538,7 +538,7 @@
         )
         == 0
     )
-    deployment.agent.reducer.balancer.judge = lambda *args: gevent.sleep(0)
+    deployment.agent.reducer.balancer.record_end = lambda *args: gevent.sleep(0)
     assert switches(deployment.ask) > 0
 
 
