--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -176,7 +176,7 @@
 
     def close(self):
         for agent in self.agents:
-            for watch in (agent.discovery.watching, agent.discovery.former):
+            for watch in (agent.discovery.current_watch, agent.discovery.previous_watch):
                 if watch:
                     watch.kill()
         os.close(self.sink)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -132,8 +132,8 @@
     def play(self, until):
         """Plays watches and timers up to about that time."""
         while self.now < until:
-            if self.discovery.watching:
-                self.discovery.watching.join()
+            if self.discovery.current_watch:
+                self.discovery.current_watch.join()
             elif self.due and self.due[0][0] <= self.now:
                 heappop(self.due)
                 self.dispatch("woken", 0)
@@ -158,8 +158,8 @@
     yield make
     for each in made:
         os.close(each.sink)
-        if each.discovery.watching:
-            each.discovery.watching.kill()
+        if each.discovery.current_watch:
+            each.discovery.current_watch.kill()
 
 
 STOOD = [(0.0, LIST), (2.0, BEAT), (4.0, BEAT)]  # and falls silent
@@ -189,7 +189,9 @@
     begun = [at for at, _ in played.calls[1:]]
     took = [failed - at for failed, at in zip(played.failed[1:], begun, strict=False)]
     pauses = [at - failed for failed, at in zip(played.failed, begun, strict=False)]
-    assert took[:3] == pytest.approx([discovery.HASTE, discovery.ANSWER, discovery.ANSWER])
+    assert took[:3] == pytest.approx(
+        [discovery.SHORT_CALL_TIMEOUT, discovery.CALL_TIMEOUT, discovery.CALL_TIMEOUT]
+    )
     assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 4 / 3, 4 / 3]) and len(begun) < 12
 
 
@@ -279,21 +281,21 @@
     first, last = (HEAD + ahead, 6) if ahead else (HEAD, 4)
     line = told(last, server("s1", state="leaving"), whole=True)
     played = world([(0.0, first), (0.5, line + rest + b"0\r\n\r\n")], [])
-    played.discovery.watching.join()
+    played.discovery.current_watch.join()
     assert [version for _, version in played.heard][-1:] == [last] and len(played.failed) == 1
 
 
 def test_list_of_an_answer_with_a_length_counts(world):
     text = json.dumps({"rev": 6, "all": True, "targets": [server("s1")]}).encode() + b"\n"
     played = world([(0.0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)], [])
-    played.discovery.watching.join()
+    played.discovery.current_watch.join()
     assert [version for _, version in played.heard] == [6] and len(played.failed) == 1
 
 
 @pytest.mark.parametrize("status", [b"204 None", b"302 There", b"500 Odd", b"503 Full"])
 def test_watch_refused_on_a_connection_that_stays_open_has_failed_at_once(world, status):
     played = world([(0.1, b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % status), (0.2, BEAT)])
-    played.discovery.watching.join()
+    played.discovery.current_watch.join()
     assert played.failed == [pytest.approx(100.1)] and not played.heard
 
 
@@ -325,12 +327,12 @@
 @pytest.mark.parametrize(
     "script, fails",
     [
-        ([], discovery.ANSWER),
-        ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.ANSWER),
-        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE),
-        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE),
+        ([], discovery.CALL_TIMEOUT),
+        ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.CALL_TIMEOUT),
+        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE_TIMEOUT),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT),
+        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE_TIMEOUT),
     ],
     ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"],
 )
@@ -391,7 +393,7 @@
 
 def test_service_moved_to_is_asked_at_once_and_again_in_time_for_all_it_has(world):
     played = world([(0.0, LIST)], [], [(0.0, HEAD + told(2, server("s2"), whole=True))], chance=0.999999)
-    played.discovery.watching.join()  # the old one fell silent, and a pause is on
+    played.discovery.current_watch.join()  # the old one fell silent, and a pause is on
     moved = played.now
     played.discovery.move(("127.0.0.1", 2))
     played.dispatch("discovery_moved")
@@ -412,9 +414,9 @@
 )
 def test_whole_list_is_had_in_time_or_not_at_all(world, script):
     played = world(script)
-    played.discovery.watching.kill()  # before its call: the script is the list's
+    played.discovery.current_watch.kill()  # before its call: the script is the list's
     gevent.spawn(played.discovery.run_fetch).join()
-    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.ANSWER)
+    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.CALL_TIMEOUT)
 
 
 def test_a_list_is_one_of_known_form():
@@ -456,7 +458,7 @@
 
 def test_change_from_the_service_that_was_left_does_not_stand_for_the_new_one(moved):
     there = moved.move(down=True)
-    until(lambda: not moved.discovery.watching)  # refused, and a pause is on
+    until(lambda: not moved.discovery.current_watch)  # refused, and a pause is on
     moved.old.tell(server("s7", state="active"))
     until(lambda: b"s7" in moved.reducer.indices)
     assert not moved.reducer.balancer.watch.watching
@@ -519,4 +521,4 @@
     moved.old.down = True
     moved.discovery.fetch_servers()
     until(lambda: "/registry/instances" in moved.old.calls and len(moved.old.open) == 1)
-    assert moved.reducer.balancer.watch.watching and moved.discovery.watching
+    assert moved.reducer.balancer.watch.watching and moved.discovery.current_watch
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -411,7 +411,7 @@
 
 
 def test_watch_split_silent_unreadable_and_refused(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE", 0.05)
+    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT", 0.05)
     monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
@@ -434,7 +434,7 @@
     service.BEAT, service.down = 0.01, True
     reducer.balancer.watch.call_at = 0.0
     deployment.agent.dispatch("woken", 0)
-    until(lambda: len(service.calls) > calls and not deployment.agent.discovery.watching)
+    until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
     assert deployment.ask() == (200, b"s0 ")  # the old list is kept
     extra.stop()
 
