--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -127,6 +127,12 @@
             not 0 <= settings.own_zone < max(1, len(settings.zones)),
         ),
         ("settings.groupSize", settings.agents, "1 or more", settings.agents < 1),
+        (
+            "settings.rules.overloadFactor",
+            settings.rules.cold_multiple,
+            "more than 0",
+            settings.rules.cold_multiple <= 0,
+        ),
         (
             "settings.caps.maxShots",
             settings.permissions.most_attempts,
--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -18,7 +18,7 @@
 OPENING_FAILURES = 2.0  # fading, from which on a circuit may open
 OPENING_SHARE = 0.3  # that failures must be of what ended
 SHARED_LIMIT = 8.0  # in flight at a new server, by all agents together
-COLD_SHARE = 0.7  # of a cold server's ramp that is used
+COLD_SHARE = 0.7  # of what rule 4 allows a cold server that is used
 LEAST_LIMIT = 0.25  # limits under one mean pauses between single attempts
 CUT_TO = 0.75  # of a limit that is left by a cut
 QUICK = 0.15  # of the latency target, under which a limit grows
@@ -344,7 +344,7 @@
         """Whether a cold server's ramp allows one more: rule 4 holds if every agent keeps to its own ramp."""
         age = now - server.started
         ramp = 1 - (1 - self.settings.cold_from) * max(0.0, 1 - age / self.settings.cold_for)
-        rate = COLD_SHARE * ramp * server.weight * like
+        rate = COLD_SHARE * self.settings.cold_multiple * ramp * server.weight * like
         # Counted in short spans: what was not used lately is no leave for a burst.
         most = max(1.0, rate * self.settings.cold_span / 4)
         server.tokens, server.refilled_at = min(most, server.tokens + rate * (now - server.refilled_at)), now
@@ -372,9 +372,8 @@
         self.wake_by(now + self.patience(server, now))
         server.sends.add(now)
         if request.request_class in server.class_backoffs:
-            self.back_off_class(
-                server, request, now, 0
-            )  # one that passed it by tries it with one request at a time
+            # One that passed it by tries it with one request at a time.
+            self.back_off_class(server, request, now, 0)
         server.tokens -= 1.0
         self.host.send_attempt(request.number, server.index, request.deadline)
 
--- a/cartdeal/emulator/world.py
+++ b/cartdeal/emulator/world.py
@@ -149,6 +149,7 @@
             "coldFrom": world.servers.cold_from,
             "coldUs": world.servers.cold_s * 1e6,
             "fallUs": world.fall_s * 1e6,
+            "overloadFactor": world.fall_multiple,
         },
         "workloads": [
             {
--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -64,6 +64,7 @@
     cold_from: float = field(default=0.1, name="coldFrom")
     cold_for: float | None = field(default=None, name="coldUs")
     cold_span: float | None = field(default=None, name="fallUs")
+    cold_multiple: float = field(default=1.0, name="overloadFactor")
 
 
 class Fees(msgspec.Struct):
@@ -128,6 +129,7 @@
             cold_from=self.rules.cold_from,
             cold_for=seconds(self.rules.cold_for),
             cold_span=seconds(self.rules.cold_span) or 1.0,
+            cold_multiple=self.rules.cold_multiple,
             pooled=self.family == "proxy",
             live_weights=self.weights == "live",
             worst_class=self.mix.worst_class,
--- a/cartdeal/terms.py
+++ b/cartdeal/terms.py
@@ -116,6 +116,7 @@
     cold_from: float
     cold_for: float
     cold_span: float
+    cold_multiple: float  # of what a cold server can do now: it falls if sent more over the span
     pooled: bool  # clients reach any agent of a pool, in place of one of their own
     worst_class: float  # how much the worst-served request class counts beside the whole
     live_weights: bool  # the list's weights are lowered by what servers hold
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -46,6 +46,7 @@
             cold_from=0.2,
             cold_for=10.0,
             cold_span=2.0,
+            cold_multiple=1.0,
             pooled=False,
             live_weights=False,
             worst_class=0.0,
