--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -20,8 +20,8 @@
 # counts as told 6 s after it fell silent. From its last line on, two calls have to fit into these: 3.0 of
 # silence, 0.75 for the longest first pause, 1.0 for a call that is accepted and not answered, 0.75 for the
 # pause after it, and half a second is left for the second call. Under 3.0 a line that is late by half its
-# time would cost a call in calm weather; under 1.0 a service with 200 callers at once would work for some that
-# have hung up. Only that one call is short: after it CALL_TIMEOUT holds, and the pauses grow.
+# time would cost a call in calm weather; under 1.0 a service with 200 callers at once would work for some
+# that have hung up. Only that one call is short: after it CALL_TIMEOUT holds, and the pauses grow.
 # From the moment a service that was away can be reached again 6 s are left, too: CALL_TIMEOUT for a call that
 # just missed it, 2.0 for the longest pause after it (CALL_TO_CALL of the schedule), 1.0 for the next answer.
 SILENCE_TIMEOUT = 3.0  # seconds from one whole line to the next, the first one from the head
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -147,6 +147,10 @@
         try:
             while self.hear(client):
                 self.begin(client)
+                if not client.waits:
+                    # What is answered at once may come without a pause: a read of bytes that are there
+                    # does not yield, and nobody else would be served.
+                    gevent.sleep(0)
         except OSError:
             pass
         except Exception:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -695,6 +695,24 @@
     there.stop()
 
 
+def test_client_that_asks_for_readiness_without_a_pause_holds_nobody_up(deploy):
+    front, turns, asked_in = deploy().agent.front, [0], []
+    front.ready = lambda: asked_in.append(turns[0]) or True
+    client = socket.create_connection(("127.0.0.1", front.port))
+    client.sendall(worded("/health/ready", X_Padding="x" * 300) * 200)  # lies there before it is read
+
+    def take_turns():
+        while True:
+            turns[0] += 1
+            gevent.sleep(0)
+
+    others = gevent.spawn(take_turns)
+    until(lambda: len(asked_in) == 200)
+    others.kill()
+    client.close()
+    assert max(asked_in.count(turn) for turn in set(asked_in)) <= 16
+
+
 def test_lines_of_one_kind_are_bounded_and_those_left_out_are_counted():
     sparing, passed = RateLimitFilter(), []
     for place in range(1000):
