--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -145,8 +145,8 @@
         self.carry_out()
 
     def carry_out(self):
-        asked, self.reducer.asked = self.reducer.asked, []
-        for verb, *args in asked:
+        effects, self.reducer.effects = self.reducer.effects, []
+        for verb, *args in effects:
             try:
                 self.verbs[verb](*args)
             except Exception:
@@ -161,9 +161,9 @@
         An agent that is late reads a client's close only after the timers that send its request on: the close
         is heard here.
         """
-        asker = self.reducer.asker_of(request)
-        if asker is not None and (asker.closed or asker.peer_ended()):
-            self.front.disconnect(asker)
+        client = self.reducer.client_of(request)
+        if client is not None and (client.closed or client.peer_ended()):
+            self.front.disconnect(client)
         self.reducer.now = max(self.reducer.now, monotonic())
         return self.reducer.may_begin(request, attempt, server)
 
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -1,9 +1,9 @@
-"""All state of an agent: the requests it owes an answer, the servers it has heard of, and the balancer whose
-host it is.
+"""All state of an agent: the requests that wait for an answer, the servers it has heard of, and the balancer
+whose host it is.
 
-One event comes in by one method; what it leads to stands in `asked` afterwards, for effects.py to carry out.
-In a fleet (`longest` is then given) a request waits for the gate's word before the balancer has it, and no
-attempt goes where an earlier one, at another agent, forbids it.
+One event comes in by one method; what it leads to stands in `effects` afterwards, for effects.py to carry
+out. In a fleet (`longest_requests` is then given) a request waits for admission before the balancer has it,
+and no attempt goes where an earlier one, at another agent, forbids it.
 It must never do I/O, wait, read a clock or yield to another greenlet, and decides nothing the balancer can.
 """
 
@@ -94,15 +94,15 @@
 class PendingRequest:
     """A request that is not answered yet, or whose attempts are still out."""
 
-    waits = False  # for the gate's word
-    earlier_attempts: tuple = ()  # of Heed
+    waits = False  # for admission
+    earlier_attempts: tuple = ()  # of EarlierAttempt
     sent = 0  # attempts that were let out, but for those that provably never ran
     ran = served = False  # whether it may have run; whether its client had the answer
 
-    def __init__(self, asker, request: Request, deadline: float):
-        self.asker, self.request, self.deadline = asker, request, deadline
+    def __init__(self, client, request: Request, deadline: float):
+        self.client, self.request, self.deadline = client, request, deadline
         self.attempts, self.out = 0, 0
-        self.chosen: dict[int, Known] = {}  # by attempt that is out: what the list said of its server
+        self.chosen: dict[int, KnownServer] = {}  # by attempt that is out: what the list said of its server
 
 
 class EarlierAttempt(NamedTuple):
@@ -128,7 +128,7 @@
     traces: dict
 
 
-class Known(NamedTuple):
+class KnownServer(NamedTuple):
     """What the list says of a server that the balancer has no use for."""
 
     address: str
@@ -137,22 +137,27 @@
 
 class Reducer:
     def __init__(
-        self, config: AgentConfiguration, now: float, wall: float, longest: tuple[float, ...] | None = None
+        self,
+        config: AgentConfiguration,
+        now: float,
+        wall: float,
+        longest_requests: tuple[float, ...] | None = None,
     ):
-        """`longest`: by request class, how long a request may last where a gate keeps marks; None: no
-        gate."""
-        self.config, self.now, self.longest = config, now, longest
+        """`longest_requests`: by request class, the seconds that a request may last where admission control
+        keeps idempotency records; None: there is none.
+        """
+        self.config, self.now, self.longest_requests = config, now, longest_requests
         self.boot = wall - now  # the one mapping between the list's clock and the agent's own
-        self.asked = []
+        self.effects = []
         self.count = 0
         self.end_at = inf  # when the agent is to have answered all
         self.requests: dict[int, PendingRequest] = {}
         # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
-        self.ids, self.ids_before, self.ids_until = set(), set(), now
+        self.ids, self.previous_ids, self.ids_until = set(), set(), now
         self.version = 0
-        self.named = 0  # servers so far: each gets an index of its own, which is never another's
+        self.servers_named = 0  # servers so far: each gets an index of its own, which is never another's
         self.indices: dict[bytes, int] = {}  # these two hold a server until the list says that it is gone
-        self.servers: dict[int, Known] = {}
+        self.servers: dict[int, KnownServer] = {}
         self.zones = {name: place for place, name in enumerate(config.settings.zones)}
         settings = config.settings.for_balancer(config.seed)
         # A second set, for requests whose form promises less than their request class: these may run once at
@@ -169,38 +174,40 @@
         self.listed(config.known, fresh=False)
 
     @property
-    def owes(self) -> int:
-        return sum(each.asker is not None for each in self.requests.values())
+    def pending_count(self) -> int:
+        return sum(each.client is not None for each in self.requests.values())
 
     @property
     def ready(self) -> bool:
-        return bool(self.named)
+        return bool(self.servers_named)
 
     # Events
 
-    def taken(self, asker, request: Request):
-        if request.id in self.ids or request.id in self.ids_before:
+    def taken(self, client, request: Request):
+        if request.id in self.ids or request.id in self.previous_ids:
             # Whose it is can't be told: its answer, or its end, would be another request's.
-            return self.asked.append(("refuse", asker, 409, "an X-Request-ID that was used just now"))
+            return self.effects.append(("refuse", client, 409, "an X-Request-ID that was used just now"))
         if self.now > self.ids_until:
-            self.ids_before, self.ids = self.ids, set()
+            self.previous_ids, self.ids = self.ids, set()
             self.ids_until = self.now + ID_MEMORY
         self.ids.add(request.id)
         self.count += 1
-        # A mark that is over before its request is would let a repeat of it through.
+        # A record that is over before its request is would let a repeat of it through.
         wait = (
-            request.wait if self.longest is None else min(request.wait, self.longest[request.request_class])
+            request.wait
+            if self.longest_requests is None
+            else min(request.wait, self.longest_requests[request.request_class])
         )
         number, deadline = self.count, min(self.now + wait, self.end_at)
-        pending = self.requests[number] = PendingRequest(asker, request, deadline)
-        self.asked.append(("begun", asker, number))
-        self.asked.append(("remind", number, deadline + OVERDUE))
-        if self.longest is None:
-            return self.pass_on(number, pending)
+        pending = self.requests[number] = PendingRequest(client, request, deadline)
+        self.effects.append(("begun", client, number))
+        self.effects.append(("remind", number, deadline + OVERDUE))
+        if self.longest_requests is None:
+            return self.route(number, pending)
         pending.waits = True
-        self.asked.append(("admit", number, request, deadline))
+        self.effects.append(("admit", number, request, deadline))
 
-    def pass_on(self, number: int, pending: PendingRequest):
+    def route(self, number: int, pending: PendingRequest):
         request = pending.request
         request_class = request.request_class + request.non_idempotent * len(
             self.config.settings.request_classes
@@ -210,7 +217,7 @@
         )
 
     def admitted(self, number: int, earlier_attempts: tuple):
-        """The gate lets it go on. Each of `heed`: zone (by name), cell, group, until when."""
+        """Admission control lets it go on. Each earlier attempt: zone (by name), cell, group, until when."""
         pending = self.requests.get(number)
         if pending and pending.waits:
             pending.waits = False
@@ -218,7 +225,7 @@
                 EarlierAttempt(self.zones.get(zone, -1), cell, Group(group), until)
                 for zone, cell, group, until in earlier_attempts
             )
-            self.pass_on(number, pending)
+            self.route(number, pending)
 
     def declined(self, number: int, status: int, wait: float):
         pending = self.requests.get(number)
@@ -227,8 +234,8 @@
 
     def client_disconnected(self, number: int):
         pending = self.requests.get(number)
-        if pending and pending.asker is not None:
-            pending.asker = None
+        if pending and pending.client is not None:
+            pending.client = None
             self.drop(number, pending)
             self.balancer.client_disconnected(number)
 
@@ -243,12 +250,12 @@
         if pending.chosen.pop(attempt, None) and outcome.never_ran:
             pending.sent -= 1  # else its client would be left in doubt for nothing once its time is over
         pending.ran = pending.ran or not outcome.never_ran
-        if outcome is Outcome.COMPLETED and pending.asker is not None:
+        if outcome is Outcome.COMPLETED and pending.client is not None:
             pending.served = True
             self.answer(number, 200, result.kind, result.body, 0.0)
         elif outcome is Outcome.UNUSABLE:
             self.answer(number, 400, b"", b"", 0.0)
-        finished = pending.asker is None
+        finished = pending.client is None
         self.drop(number, pending)
         self.balancer.attempt_ended(number, server, outcome, attempt, result.took, finished, load)
 
@@ -259,18 +266,18 @@
         self.balancer.woken(token)
 
     def ending(self, end_at: float):
-        """What is out by then is terminated: an agent that is killed loses what it has not answered."""
+        """What is out by then is failed: an agent that is killed loses what it has not answered."""
         self.end_at = end_at
         for number, pending in self.requests.items():
             if pending.deadline > end_at:
-                self.asked.append(("remind", number, end_at))
+                self.effects.append(("remind", number, end_at))
 
     def overdue(self, number: int):
         """The balancer answers every request; should a fault have kept it from it, this does."""
         pending = self.requests.get(number)
-        if pending and pending.asker is not None:
+        if pending and pending.client is not None:
             self.note(f"request {pending.request.id.decode('latin-1')} overdue")
-            # What never went out may be asked again; to terminate it would leave its client in doubt. But an
+            # What never went out may be asked again; to fail it would leave its client in doubt. But an
             # earlier try of one that still waits may have run at another agent: only the fleet would know.
             doubt = pending.sent or pending.waits and self.repeat_of(pending.request) is not Repeat.IDEMPOTENT
             self.fail(number) if doubt else self.reject(number, 0.0)
@@ -283,12 +290,14 @@
         )
         gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
         # Where an attempt may have run is its server's group of then: one in another group is another server.
-        lines = [self.let_go(line.name.encode()) for line in server_list.entries if self.regrouped(line)]
+        lines = [
+            self.remove_server(line.name.encode()) for line in server_list.entries if self.changed_group(line)
+        ]
         lines += [self.listing(line) for line in server_list.entries if line.state != "left"]
         if server_list.whole:
             here = {line.name for line in lines}
             gone += [name for name in self.indices if name not in here]
-        lines += [self.let_go(name) for name in gone if name in self.indices]
+        lines += [self.remove_server(name) for name in gone if name in self.indices]
         self.balancer.listed(lines, fresh)
 
     def watch_stands(self):
@@ -306,13 +315,13 @@
     def told(self, sender: int, words: bytes):
         """Agents need no words from each other."""
 
-    def let_go(self, name: bytes) -> Listing:
+    def remove_server(self, name: bytes) -> Listing:
         index = self.indices.pop(name)
         del self.servers[index]
         self.close_idle(index)
         return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
 
-    def regrouped(self, line) -> bool:
+    def changed_group(self, line) -> bool:
         if line.state == "left":  # it may say no zone
             return False
         index = self.indices.get(line.name.encode())
@@ -322,11 +331,11 @@
     def listing(self, line) -> Listing:
         name = line.name.encode()
         if name not in self.indices:
-            self.indices[name] = self.named
-            self.named += 1
+            self.indices[name] = self.servers_named
+            self.servers_named += 1
         index = self.indices[name]
         started = line.started / 1e3 - self.boot if line.started else 0.0
-        known = Known(line.address, started)
+        known = KnownServer(line.address, started)
         if self.servers.setdefault(index, known) != known:
             self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
@@ -355,15 +364,15 @@
         attempt, pending.attempts = pending.attempts, pending.attempts + 1
         pending.out += 1
         deadline = min(deadline, pending.deadline) if deadline else pending.deadline
-        if self.longest is not None:
+        if self.longest_requests is not None:
             where = self.balancer.servers[server]
             if not all(self.within(each, where) for each in pending.earlier_attempts):
                 return self.withhold(request, server, attempt, pending)
             zones = tuple(self.zones)
-            self.asked.append(("went", request, zones[where.zone] if zones else "", where.cell))
+            self.effects.append(("went", request, zones[where.zone] if zones else "", where.cell))
         pending.sent += 1
         pending.chosen[attempt] = self.servers[server]
-        self.asked.append(
+        self.effects.append(
             (
                 "send_attempt",
                 request,
@@ -383,7 +392,7 @@
         an attempt that is harmless within a window must reach its server within it.
         """
         pending = self.requests.get(number)
-        if pending is None or pending.asker is None or self.now >= pending.deadline:
+        if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
         where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
         if where is None or known is None or where.state is not State.READY:
@@ -395,10 +404,10 @@
             OtherAttempts(known.request_class, others), where, self.now
         ) and all(self.within(each, where) for each in pending.earlier_attempts)
 
-    def asker_of(self, number: int):
+    def client_of(self, number: int):
         """Who waits for the request's answer; None where nobody does."""
         pending = self.requests.get(number)
-        return pending and pending.asker
+        return pending and pending.client
 
     def withhold(self, request: int, server: int, attempt: int, pending: PendingRequest):
         """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
@@ -407,10 +416,10 @@
         for place, each in enumerate(pending.earlier_attempts):
             known.traces[-1 - place] = Past(each.zone, each.cell), each.until - known.request_class.window
         unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
-        self.asked.append(("withhold", request, server, attempt, unsent))
+        self.effects.append(("withhold", request, server, attempt, unsent))
 
     def within(self, earlier_attempts: EarlierAttempt, where) -> bool:
-        """Whether an attempt there, now, meets the one that is heeded: servers of its group drop a repeat."""
+        """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
         return self.now < earlier_attempts.until and (
             earlier_attempts.group is Group.ALL
             or where.zone == earlier_attempts.zone
@@ -438,37 +447,37 @@
     def answer(self, number: int, status: int, kind: bytes, body: bytes, wait: float):
         """The one final answer; whatever comes for the request after it is passed over."""
         pending = self.requests.get(number)
-        if pending and pending.asker is not None:
-            self.asked.append(("answer", pending.asker, status, kind, body, wait))
-            pending.asker = None
+        if pending and pending.client is not None:
+            self.effects.append(("answer", pending.client, status, kind, body, wait))
+            pending.client = None
             self.drop(number, pending)
 
     def drop(self, number: int, pending: PendingRequest):
-        over = pending.asker is None and not pending.out and self.requests.pop(number, None)
-        if over and self.longest is not None:
+        over = pending.client is None and not pending.out and self.requests.pop(number, None)
+        if over and self.longest_requests is not None:
             ran = "never" if not pending.ran else "answered" if pending.served else "maybe"
-            self.asked.append(("settled", number, ran))
+            self.effects.append(("settled", number, ran))
 
     def cancel(self, request: int, attempt: int):
-        self.asked.append(("cancel", request, attempt))
+        self.effects.append(("cancel", request, attempt))
 
     def probe(self, server: int):
-        self.asked.append(("probe", server, self.servers[server].address))
+        self.effects.append(("probe", server, self.servers[server].address))
 
     def watch(self, on: bool = True):
-        self.asked.append(("watch", on))
+        self.effects.append(("watch", on))
 
     def fetch_servers(self):
-        self.asked.append(("fetch_servers",))
+        self.effects.append(("fetch_servers",))
 
     def close_idle(self, server: int):
-        self.asked.append(("close_idle", server))
+        self.effects.append(("close_idle", server))
 
     def tell(self, agent: int, words: bytes):
-        self.asked.append(("tell", agent, words))
+        self.effects.append(("tell", agent, words))
 
     def wake(self, token: int, delay: float):
-        self.asked.append(("wake", token, self.now + delay))
+        self.effects.append(("wake", token, self.now + delay))
 
     def note(self, text: str):
-        self.asked.append(("note", text))
+        self.effects.append(("note", text))
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -115,7 +115,9 @@
     )
     told_to_end.wait()
     end_at = monotonic() + lasts(config.settings)
-    log.info("ending", extra={"pending": agent.reducer.owes, "within": round(end_at - monotonic(), 3)})
+    log.info(
+        "ending", extra={"pending": agent.reducer.pending_count, "within": round(end_at - monotonic(), 3)}
+    )
     agent.dispatch("ending", end_at - GOODBYE)
     agent.drain()
     gevent.sleep(still_open(config.settings))
@@ -126,5 +128,5 @@
     gevent.sleep(0)
     agent.leave_fleet(end_at)
     agent.front.finish()
-    log.info("ended", extra={"pending": agent.reducer.owes})
+    log.info("ended", extra={"pending": agent.reducer.pending_count})
     return 0
--- a/cartdeal/emulator/stand.py
+++ b/cartdeal/emulator/stand.py
@@ -67,8 +67,8 @@
         self.clock.at(time, lambda: self.lives and self.life == life and self.dispatch(event, *args))
 
     def carry_out(self):
-        asked, self.reducer.asked = self.reducer.asked, []
-        for verb, *args in asked:
+        effects, self.reducer.effects = self.reducer.effects, []
+        for verb, *args in effects:
             getattr(self, verb)(*args)
 
     # What the reducer asks for
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -136,8 +136,8 @@
         self.carry_out()
 
     def carry_out(self):
-        asked, self.reducer.asked = self.reducer.asked, []
-        for verb, *arguments in asked:
+        effects, self.reducer.effects = self.reducer.effects, []
+        for verb, *arguments in effects:
             if verb == "wake":
                 self.fleet.clock.at(arguments[1], self.dispatch, "woken", arguments[0])
             elif verb == "watch":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -119,8 +119,8 @@
         self.carry_out()
 
     def carry_out(self):
-        asked, self.reducer.asked = self.reducer.asked, []
-        for verb, *args in asked:
+        effects, self.reducer.effects = self.reducer.effects, []
+        for verb, *args in effects:
             if verb == "wake":
                 self.order += 1
                 heappush(self.due, (args[1], self.order))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -134,7 +134,7 @@
 
 
 class GoneIgnored(Reducer):
-    def let_go(self, name):
+    def remove_server(self, name):
         self.indices[name] = self.indices[name]
         return self.balancer.servers and super().listing(self.lines[name])
 
@@ -158,8 +158,8 @@
 class TwoAnswers(Reducer):
     def answer(self, number, status, kind, body, wait):
         pending = self.requests.get(number)
-        if pending and pending.asker is not None and number % 50 == 0:
-            self.asked.append(("answer", pending.asker, status, kind, body, wait))
+        if pending and pending.client is not None and number % 50 == 0:
+            self.effects.append(("answer", pending.client, status, kind, body, wait))
         super().answer(number, status, kind, body, wait)
 
 
--- a/tests/test_fleet_admission.py
+++ b/tests/test_fleet_admission.py
@@ -49,13 +49,13 @@
 
     def say(self, event):
         """Carries out what is asked; an attempt that is withheld ends by an event of its own."""
-        for verb, *args in self.reducer.asked:
+        for verb, *args in self.reducer.effects:
             if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
             if verb in ("admit", "went", "settled", "withhold", "answer", "send_attempt"):
                 self.told.append((verb, *args))
-        withheld = [args for verb, *args in self.reducer.asked if verb == "withhold"]
-        self.reducer.asked.clear()
+        withheld = [args for verb, *args in self.reducer.effects if verb == "withhold"]
+        self.reducer.effects.clear()
         for args in withheld:
             self.play(0.0, "attempt_ended", *args)
 
@@ -398,7 +398,7 @@
 def test_event_that_comes_of_an_effect_is_played_after_the_others(deploy):
     agent, said = deploy()[0].agent, []
     agent.verbs["note"] = lambda text: (said.append(text), text == "1" and agent.after("note", "4"))
-    agent.reducer.asked = [("note", "1"), ("note", "2")]
+    agent.reducer.effects = [("note", "1"), ("note", "2")]
     agent.dispatch("note", "3")
     assert said == ["1", "2", "3", "4"] and not agent.playing
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -191,7 +191,7 @@
     client.sock.sendall(worded("/read/1?do=wait") + b"no request\r\n\r\n")
     until(lambda: deployment.seen() and any(each.deaf for each in deployment.agent.front.clients))
     client.close()
-    until(lambda: not deployment.agent.reducer.owes)
+    until(lambda: not deployment.agent.reducer.pending_count)
 
 
 def test_repeat_reaches_its_server_within_the_window_or_not_at_all(tmp_path):
@@ -242,6 +242,6 @@
     assert (trace.zone, trace.cell) == before and not desk.reducer.may_begin(1, 0, server)
     assert desk.reducer.indices[name] != server and server not in desk.reducer.servers
     desk.end(1, 0)
-    assert server not in balancer.servers and not desk.reducer.owes
+    assert server not in balancer.servers and not desk.reducer.pending_count
     desk.play(0.0, "listed", ServerList(5, False, (entry,)))
     assert len(balancer.servers) == 2  # told again, it has not moved again
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -25,13 +25,13 @@
 
     def say(self, event):
         self.lines.append(f"{self.reducer.now - 100:5.2f}  {event}")
-        for verb, *args in self.reducer.asked:
+        for verb, *args in self.reducer.effects:
             if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
             if verb not in ("note", "begun", "wake"):
                 words = " ".join(self.show(each) for each in args)
                 self.lines.append(f"         {verb} {words}".rstrip())
-        self.reducer.asked.clear()
+        self.reducer.effects.clear()
 
     def show(self, each):
         if isinstance(each, Request):
@@ -106,7 +106,7 @@
         desk.end(number, 0)
     assert not reducer.requests and not balancer.requests and not balancer.held
     assert len(reducer.servers) == len(reducer.indices) == len(balancer.servers) <= 2
-    assert reducer.named > 300 and len(reducer.ids) + len(reducer.ids_before) < 200
+    assert reducer.servers_named > 300 and len(reducer.ids) + len(reducer.previous_ids) < 200
 
 
 def test_attempt_at_a_server_that_has_gone_still_ends_its_request(tmp_path):
@@ -115,7 +115,7 @@
     server = desk.at[1, 0]
     desk.play(0.0, "listed", ServerList(4, True, ()))
     desk.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
-    assert not desk.reducer.owes and server not in desk.reducer.balancer.servers
+    assert not desk.reducer.pending_count and server not in desk.reducer.balancer.servers
 
 
 def test_what_is_owed_at_the_end_is_failed_in_time(tmp_path):
@@ -151,7 +151,7 @@
     with pytest.raises(TypeError):
         desk.take(0)
     desk.play(2.1, "overdue", 1)
-    assert desk.lines[-1].split()[:3] == ["answer", "line", "1"] and not desk.reducer.owes
+    assert desk.lines[-1].split()[:3] == ["answer", "line", "1"] and not desk.reducer.pending_count
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -64,8 +64,8 @@
         reducer.now += 0.01
         key, name = 7919 * number, b"%d" % number
         reducer.taken("asker", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b""))
-        sent = [args for verb, *args in reducer.asked if verb == "send_attempt"]
-        reducer.asked.clear()
+        sent = [args for verb, *args in reducer.effects if verb == "send_attempt"]
+        reducer.effects.clear()
         for request, attempt, server, address, *_ in sent:
             found[address] += 1
             reducer.attempt_ended(request, server, attempt, done)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -300,7 +300,7 @@
         reducer.ids_until = 0.0
         assert deployment.ask()[0] == 200
     assert deployment.ask(X_Request_ID="same")[0] == 200  # forgotten in time, so that ids don't pile up
-    assert len(reducer.ids) + len(reducer.ids_before) < 4
+    assert len(reducer.ids) + len(reducer.previous_ids) < 4
 
 
 def test_long_bodies_find_no_memory_when_it_is_out(deploy):
@@ -384,9 +384,9 @@
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x?do=silent"))
     until(deployment.seen)
-    assert deployment.agent.reducer.owes == 1
+    assert deployment.agent.reducer.pending_count == 1
     connection.close()
-    until(lambda: not deployment.agent.reducer.owes)
+    until(lambda: not deployment.agent.reducer.pending_count)
     assert not deployment.agent.reducer.balancer.requests and not deployment.agent.front.clients
 
 
