--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,18 +12,14 @@
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import Reducer, Request
 from examples.toy import DiscoveryService, answer
+from tests.discovery_fleet import HEAD, chunk
 from tests.scene import SETTINGS, Deployment, agent_config, until
 
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOLD = 6.0  # what a silent watch misses counts as told so long after it fell silent
 NEVER_UP = [(1e9, None)]  # not even the connection comes up
 REFUSED, WORDLESS = [(0.0, ConnectionRefusedError(111, "refused"))], [(0.0, ConnectionResetError())]
 
 
-def chunk(text):
-    return b"%x\r\n%b\r\n" % (len(text), text)
-
-
 def told(version, *lines, whole=False, indent=None):
     text = json.dumps({"rev": version, "all": whole, "targets": lines}, indent=indent)
     return chunk(text.encode() + b"\n")
