--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -99,6 +99,19 @@
     settled(deployment)
 
 
+def test_connection_that_comes_up_after_a_whole_list_left_its_server_out_carries_nothing(deployment, late):
+    client, service = deployment.connect(), deployment.service
+    client.sock.sendall(worded("/read/x"))
+    until(lambda: late.came)
+    service.version += 1
+    for watch in service.watches:
+        service.write(watch, service.server_list([], True) + b"\n")
+    until(lambda: deployment.agent.reducer.version == 2)
+    late.gate.set()
+    assert answered(client)[0] == 503 and not deployment.seen()
+    settled(deployment)
+
+
 def test_connection_that_comes_up_after_its_client_has_gone_carries_nothing(deployment, late):
     client = deployment.connect()
     client.sock.sendall(worded("/once/x", "POST"))
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -695,6 +695,27 @@
     there.stop()
 
 
+def test_further_attempt_tells_its_server_only_the_time_that_is_left(deploy, monkeypatch):
+    """The first attempt is held until a fifth of the time is over, and then turned away."""
+    deployment, play = deploy(servers=2), Server.play
+    refusal = answer(503, extra=Server.NOT_RUN)
+
+    def turn_the_first_away(server, connection, message):
+        if sum(len(each.seen) for each in deployment.servers):
+            return play(server, connection, message)
+        server.seen.append(message)
+        gevent.sleep(0.2)
+        connection.push(refusal)
+
+    monkeypatch.setattr(Server, "play", turn_the_first_away)
+    assert deployment.ask("/read/x", X_Timeout="1000m")[0] == 200
+    first, second = sorted(
+        (int(message.headers[b"x-timeout"][:-1]) for server in deployment.servers for message in server.seen),
+        reverse=True,
+    )
+    assert first <= 1000 and 0 < second <= first - 190
+
+
 def test_client_that_asks_for_readiness_without_a_pause_holds_nobody_up(deploy):
     front, turns, asked_in = deploy().agent.front, [0], []
     front.ready = lambda: asked_in.append(turns[0]) or True
