--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -89,9 +89,7 @@
         return (crc32(b"%d/%d" % (self.settings.seed, self.draws)) + 0.5) / 4294967296
 
     def listed(self, lines, fresh):
-        now = self.host.now
-        if fresh:
-            self.watch.answered(now)
+        now, news = self.host.now, False
         for line in lines:
             while line.zone >= len(self.zones):  # one that the settings don't name comes last of all
                 self.zones, self.zone_order = [*self.zones, []], [*self.zone_order, len(self.zones)]
@@ -104,6 +102,7 @@
                 first = self.least_limit if self.pooled and away else self.initial_limit
                 server = self.servers[line.server] = Server(line.server, first, now)
                 server.hash = mixed(crc32(line.name))
+            news |= server.state is not line.state or line.started > server.started
             if line.state is not State.GONE:
                 server.zone, server.cell = line.zone, line.cell
                 self.update_weight(server, line.weight, now)
@@ -114,6 +113,8 @@
                 server.tokens = self.draw()
             server.state = line.state
             self.forget_if_gone(server)
+        if fresh:
+            self.watch.answered(now, news)
         for zone, members in enumerate(self.zones):
             members[:] = [s for s in self.servers.values() if s.state is State.READY and s.zone == zone]
         self.check_zones(now)
--- a/cartdeal/watch_schedule.py
+++ b/cartdeal/watch_schedule.py
@@ -16,7 +16,7 @@
 SPREAD = 0.5  # over which agents that lose their watches in one moment spread their next calls
 LIST_FRESH = 0.25  # from a list on; no call is made before, however soon the watch ended
 LINE_EVERY = 2.0  # a watch that is in order has a line so often
-EARLY_ENDS = 1.9  # watches that ended before their second line, fading: beyond so many, pauses are long
+EARLY_ENDS = 1.9  # watches without news that ended before their second line, fading: then pauses are long
 EARLY_ENDS_FADE = 12.0
 # What discovery has counts as told 6 s after it can be reached. A call that just missed it may hang: with the
 # pause after it, it may take so long, and a second is left for the next one among hundreds.
@@ -37,6 +37,7 @@
         self.call_at = now
         self.called_at = now  # the first of the calls that got no list yet; infinite where none is out
         self.listed_at = now  # when the watch that stands had its first line
+        self.brought_news = False  # whether a list of that watch changed anything
         self.urgent_until = -inf
         self.forget_failures(now)
 
@@ -49,10 +50,12 @@
         self.called_at = min(self.called_at, now)
         self.call_at = now + self.longest_pause
 
-    def answered(self, now: float):
-        """The watch had a list or a line."""
+    def answered(self, now: float, news: bool):
+        """The watch had a list or a line. `news`: whether it changed anything."""
         if not self.watching:
             self.listed_at = now
+            self.brought_news = False
+        self.brought_news |= news
         self.watching = True
         self.called_at = inf
         self.call_pause = FIRST_PAUSE
@@ -75,8 +78,12 @@
         self.called_at = inf
 
     def ends_early_again(self, now: float) -> bool:
-        """Whether the service is one whose watches end early again and again; counts this end."""
-        if now >= self.listed_at + LINE_EVERY:
+        """Whether the service is one whose watches end early again and again; counts this end.
+
+        A watch that brought news doesn't count: where servers are replaced one after the other, each change
+        may end the watches.
+        """
+        if self.brought_news or now >= self.listed_at + LINE_EVERY:
             return False
         again = self.early_ends.read(now) > EARLY_ENDS
         self.early_ends.add(now)
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -20,15 +20,16 @@
 REFUSAL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 EMPTY_LINE_EVERY = 2.0
+WALL_MS = 2_000_000  # the time of day when the fleet starts
 
 
 def chunk(text):
     return b"%x\r\n%b\r\n" % (len(text), text)
 
 
-def list_line(version):
-    """A whole list of one server, of which the version tells when it was made."""
-    server = {"uid": "s0", "endpoint": "127.0.0.1:1", "az": "a"}
+def list_line(version, changes=0):
+    """A whole list of one server, of which the version tells when it was made; each change starts it anew."""
+    server = {"uid": "s0", "endpoint": "127.0.0.1:1", "az": "a", "boot_ms": WALL_MS + 1000 * changes}
     return json.dumps({"rev": version, "all": True, "targets": [server]}).encode() + b"\n"
 
 
@@ -81,7 +82,7 @@
         self.clock, self.call_seconds = clock, call_seconds
         self.longest_wait, self.refusal_delay = longest_wait, refusal_delay
         self.free_at, self.refuses_until, self.calls = 0.0, 0.0, []
-        self.open = []
+        self.open, self.changes = [], 0
 
     def call(self, connection):
         now = self.clock.now
@@ -98,7 +99,7 @@
     def answer(self, connection):
         if connection.closed:
             return
-        connection.bring(HEAD, chunk(list_line(int(1000 * self.clock.now))))
+        connection.bring(HEAD, chunk(list_line(int(1000 * self.clock.now), self.changes)))
         self.open.append(connection)
         self.clock.after(EMPTY_LINE_EVERY, self.beat, connection)
 
@@ -107,6 +108,11 @@
             connection.bring(chunk(b"\n"))
             self.clock.after(EMPTY_LINE_EVERY, self.beat, connection)
 
+    def change(self):
+        """A server starts anew, and all watches end in place of telling it."""
+        self.changes += 1
+        self.end_watches(b"")
+
     def end_watches(self, *pieces):
         """All watches end with these pieces; with none, they fall silent."""
         ended, self.open = self.open, []
@@ -122,7 +128,7 @@
         known = {"rev": 3, "all": True, "targets": [{"uid": "s0", "endpoint": "127.0.0.1:1", "az": "a"}]}
         seed = f"{number * 0x9E3779B97F4A7C15 % 2**64:x}"
         config = agent_config(folder, seed=seed, known=known, settings=SETTINGS | settings)
-        self.reducer = Reducer(config, fleet.clock.now, 2000.0)
+        self.reducer = Reducer(config, fleet.clock.now, WALL_MS / 1e3)
         self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
         self.carry_out()
 
--- a/tests/test_watch_renewal.py
+++ b/tests/test_watch_renewal.py
@@ -95,6 +95,20 @@
         assert played.longest_time_to_a_list(ended_at) <= BOUND
 
 
+def test_lists_are_had_soon_however_often_changes_end_the_watches(fleet):
+    """As where servers are replaced in steps of a second; one watch had ended early some time before."""
+    played = fleet(6, 0.0)
+    played.service.call_seconds = 0.05
+    end_watches(played, 1.4, ENDS["reset"], refused_before=4.0)
+    changed = [played.clock.now + 0.9 * step for step in range(8)]
+    for at in changed:
+        played.play(at)
+        played.service.change()
+    played.play(changed[-1] + 5.0)
+    # A quarter of a second from list to list, half a second of pauses, and six calls of 0.05 s.
+    assert max(played.longest_time_to_a_list(at) for at in changed) <= 1.05
+
+
 @pytest.mark.parametrize("agents", FLEETS)
 @pytest.mark.parametrize("before, after", [(0.0, 0.0), (4.0, 0.0), (0.0, 1.0), (4.0, 1.0)])
 def test_list_of_a_new_service_is_had_before_it_counts_as_told(fleet, agents, before, after):
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -30,8 +30,8 @@
     return schedule.call_at - now
 
 
-def stand(schedule, since, until, chance=0.5, silent=False):
-    schedule.answered(since)
+def stand(schedule, since, until, chance=0.5, silent=False, news=False):
+    schedule.answered(since, news)
     return fail(schedule, until, chance, silent)
 
 
@@ -70,6 +70,24 @@
     assert stand(schedule, now + 20.0, now + 20.1) < 0.5
 
 
+def test_watches_that_end_early_with_news_each_are_renewed_soon(schedule):
+    """Each change may end the watches, where servers are replaced one after the other."""
+    stand(schedule, 100.0, 101.4)
+    now = 108.0
+    for _ in range(8):
+        assert stand(schedule, now, now + 0.4, news=True) == pytest.approx(SPREAD / 2)
+        now += 0.9
+
+
+def test_news_of_one_watch_are_none_of_the_next(schedule):
+    stand(schedule, 100.0, 100.1, news=True)
+    now = 100.5
+    for _ in range(3):
+        stand(schedule, now, now + 0.1)
+        now += 0.5
+    assert stand(schedule, now, now + 0.1) == pytest.approx(ASK_EVERY / 3)
+
+
 def test_failed_calls_between_watches_that_end_early_do_not_make_their_pauses_short(schedule):
     now = 100.0
     for _ in range(8):
