--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -12,12 +12,13 @@
 import gevent
 
 from cartdeal.fleet import configuration as fleet_configuration
-from cartdeal.fleet import verdict
+from cartdeal.fleet import idempotency
 from cartdeal.fleet.errors import WrongConfiguration
-from cartdeal.fleet.host import Bounds, Host
+from cartdeal.fleet.idempotency import Question, Verdict
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.verdict import Question, Verdict
+from cartdeal.fleet.transport import Bounds, Host
 from cartdeal.settings import REPEATS, seconds
+from cartdeal.supervision import supervise
 from cartdeal.terms import Group, Repeat
 
 LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.NON_IDEMPOTENT: "u"}
@@ -33,7 +34,7 @@
 
 class AdmissionControl:
     def __init__(self, config, fleet, after):
-        """`after(event, *args)` brings an event to the reducer. Raises connection.Unbound."""
+        """`after(event, *args)` brings an event to the reducer. Raises BindError."""
         self.config, self.after, self.listen = config, after, fleet.listen
         streams, share = config.limits.descriptors // STREAMS, MEMORY * config.limits.memory
         self.descriptors, self.memory = 2 * streams + 2, 2 * share
@@ -63,7 +64,7 @@
             "in a fleet",
             extra={"fleet": self.host.pact.fleet, "agent": self.host.pact.name, "port": self.host.port},
         )
-        return [gevent.spawn(self.host.endure, self.watch)]
+        return [gevent.spawn(supervise, self.watch, log)]
 
     # Effects
 
@@ -128,7 +129,7 @@
             for number, question in [(each, asked) for each, (by, asked) in self.open.items() if by < now]:
                 log.warning("no word of the fleet", extra={"request_class": question.workload})
                 word = (
-                    verdict.in_doubt(question, pact.on_doubt, pact.clients_mark)
+                    idempotency.in_doubt(question, pact.on_doubt, pact.clients_mark)
                     if question.marked
                     else Verdict.TURN_BACK
                 )
--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -63,26 +63,6 @@
         self.status = status
 
 
-class BindError(Exception):
-    """An address of the agent's own can't be had."""
-
-
-def bound(kind: int, address: tuple[str, int], backlog: int = 0):
-    """A socket at the address; with a `backlog`, one that listens. Raises BindError where it can't be had."""
-    sock = None
-    try:
-        sock = socket.socket(socket.AF_INET, kind)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(address)
-        if backlog:
-            sock.listen(backlog)
-    except OSError as trouble:
-        if sock:
-            sock.close()
-        raise BindError(f"can't listen on {address[0]}:{address[1]}: {trouble.strerror}") from None
-    return sock
-
-
 def is_ready(sock, event: int, unknown: bool) -> bool:
     """Whether a socket shows one of poll's events, or an error; `unknown` where the system can't tell."""
     try:
--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -16,13 +16,15 @@
 from msgspec.structs import replace
 
 from cartdeal.agent import configuration
-from cartdeal.agent.connection import ConnectionBudget, bound
+from cartdeal.agent.connection import ConnectionBudget
 from cartdeal.agent.discovery import DiscoveryClient
 from cartdeal.agent.front import FrontServer
 from cartdeal.agent.metrics import REPORT_EVERY, Metrics
 from cartdeal.agent.reducer import Reducer
 from cartdeal.agent.stalls import StallDetector
 from cartdeal.agent.upstream import UpstreamPool
+from cartdeal.sockets import bind_socket
+from cartdeal.supervision import supervise
 
 LONGEST_WORDS = 256
 RESERVED = 32  # descriptors for the discovery service, the agents, the log and the loop itself
@@ -30,7 +32,6 @@
 DATAGRAMS_A_TURN = 16  # that are read before others have their turn
 REREADS = 8  # times that a new configuration is read again ...
 REREAD_PAUSE = 0.25  # ... after so many seconds, where the machine could not read it
-AGAIN = 0.05  # pause before what died of a fault begins again
 OWN_MEMORY = 18.0  # megabytes that the agent holds before its first connection, with room to spare
 PER_CONNECTION = 0.03  # megabytes for one with its request or attempt, but for a long body
 LONG_BODIES = 0.4  # share of what is left of the memory that is for those
@@ -99,7 +100,7 @@
             self.stalls.run,
         ]
         works += [self.hear] * bool(self.datagrams)
-        self.works = [gevent.spawn(self.endure, work) for work in works]
+        self.works = [gevent.spawn(supervise, work, log) for work in works]
         if self.admission:
             self.works += self.admission.start()
 
@@ -141,15 +142,6 @@
                     return None
             gevent.sleep(REREAD_PAUSE)
 
-    def endure(self, work):
-        """What runs as long as the agent does: an agent that is deaf since a fault would look alive."""
-        while True:
-            try:
-                return work()
-            except Exception:
-                log.exception("work died", extra={"work": work.__name__})
-                gevent.sleep(AGAIN)
-
     def dispatch(self, event: str, *args):
         """One event into the reducer, after the timers that were due before it."""
         self.run_due()
@@ -260,7 +252,7 @@
     def open_datagrams(self):
         if not self.config.tell_listen or not self.config.settings.permissions.may_tell:
             return None
-        return bound(socket.SOCK_DGRAM, self.config.tell_listen)
+        return bind_socket(socket.SOCK_DGRAM, self.config.tell_listen)
 
     def hear(self):
         senders = {address: place for place, address in enumerate(self.config.neighbours)}
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -24,11 +24,12 @@
 from gevent import socket
 from gevent.event import Event
 
-from cartdeal.agent.connection import Connection, ConnectionBudget, Malformed, bound, is_ready
+from cartdeal.agent.connection import Connection, ConnectionBudget, Malformed, is_ready
 from cartdeal.agent.reducer import Request
 from cartdeal.agent.stalls import StallDetector
 from cartdeal.agent.system_errors import RETRY_PAUSE, is_own_limit
 from cartdeal.settings import REPEATS, Settings
+from cartdeal.sockets import bind_socket
 from cartdeal.terms import Repeat
 
 GREETING_TIMEOUT = 1.5  # how long an unidentified client may take from connecting to its first byte
@@ -196,7 +197,7 @@
         self.closing = False  # whether a client between requests is closed at once
         # The first closes what the others have half-closed.
         budget.closers += self.close_lingering, self.close_unidentified, self.close_idle
-        self.listener = bound(socket.SOCK_STREAM, config.listen, BACKLOG)
+        self.listener = bind_socket(socket.SOCK_STREAM, config.listen, BACKLOG)
         self.port = self.listener.getsockname()[1]
 
     def accept(self):
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -14,8 +14,8 @@
 from gevent.event import Event
 
 from cartdeal.agent import configuration, log_output
-from cartdeal.agent.connection import BindError
 from cartdeal.agent.effects import Effects
+from cartdeal.sockets import BindError
 
 STILL_OPEN = 0.6  # after being told to end, how long connections are taken
 LONGEST_WAIT = 3.0  # of the longest deadline the platform waits out so much before it kills
--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -12,11 +12,11 @@
 
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import Reducer
-from cartdeal.emulator.clock import Clock, chance
 from cartdeal.emulator.judge import Judge
 from cartdeal.emulator.servers import Server
 from cartdeal.emulator.stand import Stand
 from cartdeal.emulator.world import World
+from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 COUNTED = "shots", "crossings", "probes", "handshakes", "list calls"
 TAIL = 10.0  # how long after the last arrival a world goes on, so that all is answered
@@ -77,10 +77,10 @@
 
 class Fleet:
     def __init__(self, world: World, seed: int, make=Reducer, trace=None, only=None):
-        self.world, self.seed, self.clock, self.trace = world, seed, Clock(), trace
+        self.world, self.seed, self.clock, self.trace = world, seed, SimulatedClock(), trace
         self.judge, self.count = Judge(world), Counter()
         self.arrivals, self.only = [], only  # (agent, which of its arrivals); all, or these alone
-        self.random, self.works = chance(seed, "network"), chance(seed, "work")
+        self.random, self.works = seeded_random(seed, "network"), seeded_random(seed, "work")
         self.cut = set()  # zones cut off from the others
         self.hot = 0.0
         self.offered = self.served = 0.0
@@ -102,7 +102,7 @@
     def add(self, zone, started=0.0):
         name = f"s{self.named}"
         self.named += 1
-        random = chance(self.seed, name)
+        random = seeded_random(self.seed, name)
         speed = max(0.3, 1 + self.world.servers.spread * random.uniform(-1, 1))
         server = Server(self.clock, self.world.servers, name, zone, speed, random, started)
         self.servers[name] = server
@@ -180,7 +180,7 @@
 
     def met(self, fault, place):
         """Who meets it: a part of the servers (or agents), the same for the same seed."""
-        random = chance(self.seed, f"fault {place}")
+        random = seeded_random(self.seed, f"fault {place}")
         if fault.kind == "kill":
             return random.sample(self.stands, max(1, round(fault.part * len(self.stands))))
         zone = self.world.zones.index(fault.zone) if fault.zone else None
@@ -246,11 +246,11 @@
 
     def play(self):
         world = self.world
-        shares = chance(self.seed, "shares")
+        shares = seeded_random(self.seed, "shares")
         apart = world.clients.unevenness**2
         sizes = [shares.gammavariate(1 / apart, 1.0) if apart > 1e-4 else 1.0 for _ in self.stands]
         for stand, size in zip(self.stands, sizes, strict=True):
-            random = chance(self.seed, f"client {stand.number}")
+            random = seeded_random(self.seed, f"client {stand.number}")
             rate = max(1e-3, world.clients.per_s * size / sum(sizes))
             stand.known = self.list.whole()
             self.clock.after(0.0, stand.start)
--- a/cartdeal/fleet/wire.py
+++ b/cartdeal/fleet/codec.py
@@ -21,7 +21,12 @@
 LONGEST_FRAME = 512 * 1024
 ENVELOPE = 1024  # the most that version, digest and envelope add to the words
 HEADER = 4  # bytes of a frame's length
-PARTS = ("members", "epochs", "replica", "lending", "node")
+MESSAGE_MODULES = (
+    "cartdeal.fleet.membership.swim",
+    "cartdeal.fleet.consensus.ring_consensus",
+    "cartdeal.fleet.replication.replica",
+    "cartdeal.fleet.quota.quota_leases",
+)
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 
@@ -42,7 +47,7 @@
 @cache
 def tongue() -> msgspec.msgpack.Decoder:
     """Reads the words of all parts; made at the first message, so that a part may import this module."""
-    kinds = [kind for part in PARTS for kind in getattr(import_module(f"cartdeal.fleet.{part}"), "WORDS", ())]
+    kinds = [kind for module in MESSAGE_MODULES for kind in import_module(module).WORDS]
     return msgspec.msgpack.Decoder(Union[tuple(kinds)])  # noqa: UP007
 
 
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 from msgspec.structs import fields, replace
 
-from cartdeal.fleet.desk import Limit, Pact
+from cartdeal.fleet.context import Limit, Pact
 from cartdeal.fleet.errors import WrongConfiguration
 from cartdeal.settings import REPEATS, seconds
 from cartdeal.terms import Repeat
--- /dev/null
+++ b/cartdeal/fleet/consensus/__init__.py
@@ -0,0 +1,1 @@
+"""Agreement on the ring of each epoch, by Paxos."""
--- a/cartdeal/fleet/epochs.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -17,7 +17,7 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet import errors
-from cartdeal.fleet.ring import MOST_EPOCH, Damper, Ring, Seat, Step, plan, sound, step, stepped
+from cartdeal.fleet.ring.hash_ring import MOST_EPOCH, Damper, Ring, Seat, Step, plan, sound, step, stepped
 
 FAR = 1 << 20  # epochs ahead of the own one that are no honest agent's
 MOST_BALLOT = 1 << 40
--- a/cartdeal/fleet/verdict.py
+++ b/cartdeal/fleet/idempotency.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from cartdeal.fleet.records import Certainty, Mark
+from cartdeal.fleet.replication.records import Certainty, Mark
 
 SPARE_MS = 50  # of a window kept free, as the balancer does, for the attempt to arrive
 
--- /dev/null
+++ b/cartdeal/fleet/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which agents are in the fleet, by SWIM."""
--- a/cartdeal/fleet/members.py
+++ b/cartdeal/fleet/membership/swim.py
@@ -31,7 +31,7 @@
 from msgspec import Struct, msgpack
 from msgspec.structs import replace
 
-from cartdeal.fleet.desk import Desk, Pact
+from cartdeal.fleet.context import Desk, Pact
 from cartdeal.fleet.errors import TwoUnderOneName
 
 ROOM = 1_100  # bytes of a message: the wire puts its own around it
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -15,15 +15,19 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from cartdeal.fleet import epochs, errors, lending, members, replica, schema
-from cartdeal.fleet.clocks import HybridClock, Stamp
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.epochs import Epochs
-from cartdeal.fleet.lending import Lending
-from cartdeal.fleet.members import Members
-from cartdeal.fleet.records import Certainty, Mark
-from cartdeal.fleet.replica import Replica
-from cartdeal.fleet.verdict import Question, Verdict, earlier, in_doubt, judge, may_repeat, may_turn_back
+from cartdeal.fleet import errors
+from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus.ring_consensus import Epochs
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.hybrid_clock import HybridClock, Stamp
+from cartdeal.fleet.idempotency import Question, Verdict, earlier, in_doubt, judge, may_repeat, may_turn_back
+from cartdeal.fleet.membership import swim
+from cartdeal.fleet.membership.swim import Members
+from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota.quota_leases import Lending
+from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication.records import Certainty, Mark
+from cartdeal.fleet.replication.replica import Replica
 
 COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
@@ -67,10 +71,10 @@
         self.parts = {
             kind: part
             for module, part in (
-                (members, self.members),
-                (epochs, self.epochs),
+                (swim, self.members),
+                (ring_consensus, self.epochs),
                 (replica, self.replica),
-                (lending, self.lending),
+                (quota_leases, self.lending),
             )
             for kind in module.WORDS
         }
--- /dev/null
+++ b/cartdeal/fleet/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Tenants' rate limits for the whole fleet, by leases of tokens."""
--- a/cartdeal/fleet/lending.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -29,7 +29,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from cartdeal.fleet.buckets import (
+from cartdeal.fleet.quota.ledger import (
     ASK_ANY,
     ASK_PIECE,
     ASK_WHOLE,
@@ -42,7 +42,7 @@
     Given,
     Tenure,
 )
-from cartdeal.fleet.ring import owners
+from cartdeal.fleet.ring.hash_ring import owners
 
 OWN_TURNS = 16  # messages to the own owner's part in one event; what is left waits for the next tick
 MOST_A_MESSAGE = 200  # tenants in one message; more go in the next
--- /dev/null
+++ b/cartdeal/fleet/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Replicated records: quorum operations, hinted handoff, anti-entropy, catch-up, schema."""
--- a/cartdeal/fleet/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -16,11 +16,11 @@
 
 from msgspec import Struct
 
-from cartdeal.fleet import records, schema
 from cartdeal.fleet.errors import BadRecord, RecordTooLarge
-from cartdeal.fleet.ranges import ALL, FIRST, GAINING, RANGES, RESTARTED, Era, range_of, raw_of
-from cartdeal.fleet.records import Mark, Record, Session, Use
-from cartdeal.fleet.ring import Ring, owners
+from cartdeal.fleet.replication import records, schema
+from cartdeal.fleet.replication.catch_up import ALL, FIRST, GAINING, RANGES, RESTARTED, Era, range_of, raw_of
+from cartdeal.fleet.replication.records import Mark, Record, Session, Use
+from cartdeal.fleet.ring.hash_ring import Ring, owners
 
 PIECE = 32 * 1024  # bytes of records in one message; one record alone may have more
 LARGEST = 200 * 1024  # bytes of one record that is sent
--- a/cartdeal/fleet/schema.py
+++ b/cartdeal/fleet/replication/schema.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from cartdeal.fleet import records
 from cartdeal.fleet.errors import BadRecord, RecordTooLarge, SchemaNarrowed, SchemaRefused
-from cartdeal.fleet.records import Certainty, Mark, Record, Session, Use
+from cartdeal.fleet.replication import records
+from cartdeal.fleet.replication.records import Certainty, Mark, Record, Session, Use
 
 VERSIONS = (1, 2)
 PHASES = ("steady", "widen", "move", "narrow")
--- /dev/null
+++ b/cartdeal/fleet/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Fleets in simulated time, faults drawn from a seed, and the check of their invariants."""
--- a/cartdeal/fleet/days.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -4,10 +4,10 @@
 thinks: what goes wrong is drawn from the seed alone.
 """
 
-from cartdeal.emulator.clock import chance
-from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.memory import Memory, Weather
-from cartdeal.fleet.verdict import Question
+from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
+from cartdeal.simulated_time import seeded_random
 
 LIMITS = {"shop": Limit(60.0, 60.0), "deli": Limit(1.5, 2.0)}  # one lent by rates, one by single tokens
 SHOP = Question(tenant="shop", workload="w")
@@ -53,7 +53,7 @@
             }
         )
         self.fleet = fleet = Memory(pact, seed)
-        self.fates, self.people = chance(seed, "day/faults"), chance(seed, "day/clients")
+        self.fates, self.people = seeded_random(seed, "day/faults"), seeded_random(seed, "day/clients")
         self.seconds, self.pause_s, self.requests, self.upgrade = seconds, pause_s, requests, upgrade
         self.pressed = PRESSED * LIMITS["shop"].rate
         self.cuts: list[set] = []
--- a/cartdeal/fleet/memory.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from cartdeal.emulator.clock import Clock, chance
-from cartdeal.fleet import wire
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.judge import Judge
+from cartdeal.fleet import codec
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.idempotency import Question
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.verdict import Question
+from cartdeal.fleet.simulation.invariant_checker import Judge
+from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 IN_SOCKETS = 2_000  # messages that the sockets of a stopped agent hold
 CELLS = 2  # of each zone, where servers stand
@@ -132,8 +132,8 @@
     """A fleet. `pact` is what all share; each agent gets its own name, zone, capacity."""
 
     def __init__(self, pact: Pact, seed: int, weather: Weather | None = None):
-        self.pact, self.seed, self.clock = pact, seed, Clock()
-        self.random, self.fates = chance(seed, "fleet"), chance(seed, "weather")
+        self.pact, self.seed, self.clock = pact, seed, SimulatedClock()
+        self.random, self.fates = seeded_random(seed, "fleet"), seeded_random(seed, "weather")
         self.weather = weather or Weather()
         self.judge = Judge(pact)
         self.makers = {}  # name -> what makes its node, in place of Node
@@ -209,7 +209,7 @@
 
     def carry(self, place, node, to, address, words):
         weather, fates = self.weather, self.fates
-        raw = wire.encode(place.pact, node.name, node.life, node.address, int(node.wall * 1e3), words)
+        raw = codec.encode(place.pact, node.name, node.life, node.address, int(node.wall * 1e3), words)
         datagram = type(words).DATAGRAM
         self.count["messages"] += 1
         self.count[type(words).__struct_config__.tag] += 1
@@ -233,7 +233,7 @@
         place = self.places[to]
         if place.node is None or (sender, to) in self.cuts:
             return
-        heard = wire.decode(place.pact, raw)
+        heard = codec.decode(place.pact, raw)
         place.play(place.node.heard, *heard)
 
     # Clients
--- a/cartdeal/fleet/judge.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -8,11 +8,12 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from cartdeal.fleet import epochs, replica, schema
-from cartdeal.fleet.desk import Pact
+from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.context import Pact
 from cartdeal.fleet.errors import BadRecord
-from cartdeal.fleet.ranges import quorum
-from cartdeal.fleet.ring import Ring, Seat, least, owners, stepped
+from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication.catch_up import quorum
+from cartdeal.fleet.ring.hash_ring import Ring, Seat, least, owners, stepped
 
 HAIR = 1e-6
 SAMPLE = 300  # keys that are looked at when a ring changes
@@ -144,23 +145,23 @@
         elif kind is replica.Told:
             if words.wrote and (to, words.life, words.number) in self.claims:
                 self.writers[self.claims[to, words.life, words.number][2]][sender] = None
-        elif kind.__module__ == epochs.__name__:
+        elif kind.__module__ == ring_consensus.__name__:
             self.of_rings(at, sender, to, words)
 
     def of_rings(self, at, sender, to, words):
         kind = type(words)
-        if kind is epochs.Whole:
+        if kind is ring_consensus.Whole:
             self.rings.setdefault(words.former.digest, words.former)
             self.learn(words.former.digest, words.step)
-        elif kind is epochs.Next:
+        elif kind is ring_consensus.Next:
             self.learn(words.step.base, words.step)
         else:
-            if kind is epochs.Accept:
+            if kind is ring_consensus.Accept:
                 ring = self.learn(words.mark, words.step)
                 if ring:
                     self.ballots[words.mark, words.number, sender] = ring.digest
                     self.votes[ring.digest][sender] = None
-            elif kind is epochs.Accepted:
+            elif kind is ring_consensus.Accepted:
                 self.votes[self.ballots.get((words.mark, words.number, to), b"")][sender] = None
             if words.has:
                 self.ring_of[sender] = words.mark
--- a/cartdeal/fleet/host.py
+++ b/cartdeal/fleet/transport.py
@@ -17,10 +17,11 @@
 from gevent.event import Event
 from msgspec.structs import replace
 
-from cartdeal.agent.connection import BindError, bound
-from cartdeal.fleet import wire
+from cartdeal.fleet import codec
 from cartdeal.fleet.configuration import address as place
 from cartdeal.fleet.errors import TooLong, Trouble, UnknownWords
+from cartdeal.sockets import BindError, bind_socket
+from cartdeal.supervision import RESTART_DELAY, supervise
 
 CONNECT = 1.0  # how long a connection to a peer may take
 STALLED = 2.0  # how long a peer may take to accept what is written
@@ -36,7 +37,6 @@
 READ = 65536  # bytes read at once
 TURN = 16  # datagrams read before the others have a turn
 NOTED = 1024  # faults of peers that are remembered as told
-AGAIN = 0.05  # pause before what died of a fault begins again
 REPORT = 60.0  # seconds between lines of figures
 DOORS = 20  # tries to find one port for both kinds of socket
 
@@ -61,7 +61,7 @@
 
 class Host:
     """`make(pact, seed, now, wall)` gives the node; `decided(ticket, verdict, wait, heed)` gets its words on
-    a request. Raises connection.Unbound."""
+    a request. Raises BindError."""
 
     def __init__(self, pact, listen, make, decided, bounds: Bounds | None = None):
         self.words, self.listener = doors(listen)
@@ -81,16 +81,7 @@
     def start(self):
         self.carry_out()
         works = self.tick, self.hear, self.accept, self.report
-        self.works = [gevent.spawn(self.endure, work) for work in works]
-
-    def endure(self, work):
-        """What runs as long as the agent does: one that is deaf since a fault would look alive."""
-        while True:
-            try:
-                return work()
-            except Exception:
-                log.exception("work died", extra={"work": work.__name__})
-                gevent.sleep(AGAIN)
+        self.works = [gevent.spawn(supervise, work, log) for work in works]
 
     def stop(self):
         for sock, _, _ in self.readers.values():
@@ -171,7 +162,7 @@
             self.figured["dropped no address"] += 1
             return self.tell_once("bad address", to, f"{to} at {str(address)[:64]!r}")
         try:
-            raw = wire.inner(words)
+            raw = codec.inner(words)
         except TooLong as trouble:
             self.figured["dropped too long"] += 1
             return self.tell_once("not sent", type(words).__name__, str(trouble))
@@ -187,7 +178,7 @@
         """What has waited is stamped when it goes out: its time would seem that of a clock behind."""
         node = self.node
         wall = node.wall + monotonic() - node.now
-        text = wire.enveloped(self.pact, node.name, node.life, node.address, int(wall * 1e3), raw)
+        text = codec.enveloped(self.pact, node.name, node.life, node.address, int(wall * 1e3), raw)
         self.figured["sent messages"] += 1
         self.figured["sent bytes"] += len(text)
         return text
@@ -266,7 +257,7 @@
         self.drop_stale(road)
         parts, size = [], 0
         while road.queue and size < BATCH:
-            parts.append(wire.framed(self.stamped(self.take(road))))
+            parts.append(codec.framed(self.stamped(self.take(road))))
             size += len(parts[-1])
         return b"".join(parts)
 
@@ -289,11 +280,11 @@
             if not turn % TURN:
                 gevent.sleep(0)  # one that sends without pause must not have the agent for itself
             try:
-                text, peer = self.words.recvfrom(wire.LONGEST_DATAGRAM + 1)
+                text, peer = self.words.recvfrom(codec.LONGEST_DATAGRAM + 1)
             except BlockingIOError:
                 socket.wait_read(self.words.fileno())
                 continue
-            self.take_in(text, peer, wire.LONGEST_DATAGRAM)
+            self.take_in(text, peer, codec.LONGEST_DATAGRAM)
 
     def accept(self):
         while True:
@@ -301,7 +292,7 @@
                 sock, peer = self.listener.accept()
             except OSError as trouble:
                 log.warning("accept failed", extra={"words": str(trouble)})
-                gevent.sleep(AGAIN)
+                gevent.sleep(RESTART_DELAY)
                 continue
             strangers = [each for each, (_, known, _) in self.readers.items() if not known]
             if len(strangers) >= STRANGERS or len(self.readers) >= self.bounds.streams:
@@ -316,7 +307,7 @@
             gevent.sleep(0)  # what it has said already is read before the next one may take its place
 
     def read(self, sock, peer):
-        state, frames, half = self.readers[gevent.getcurrent()], wire.Frames(), 0
+        state, frames, half = self.readers[gevent.getcurrent()], codec.Frames(), 0
         until = monotonic() + GREET
         try:
             while True:
@@ -328,7 +319,7 @@
                 self.half += len(frames.rest) - half
                 half = len(frames.rest)
                 for text in messages:
-                    if not self.take_in(text, peer, wire.LONGEST_FRAME):
+                    if not self.take_in(text, peer, codec.LONGEST_FRAME):
                         return
                     state[1], state[2] = True, monotonic()
                 if self.half > self.bounds.half:
@@ -349,7 +340,7 @@
     def take_in(self, text: bytes, peer, most: int) -> bool:
         """Whether the one who said it may go on."""
         try:
-            said = wire.decode(self.pact, text, most)
+            said = codec.decode(self.pact, text, most)
         except UnknownWords as trouble:
             self.refuse(trouble, peer)
             return True
@@ -381,9 +372,9 @@
 def doors(listen):
     """A socket for datagrams and one that listens, on one port."""
     for left in reversed(range(DOORS if listen[1] == 0 else 1)):
-        listener = bound(socket.SOCK_STREAM, listen)
+        listener = bind_socket(socket.SOCK_STREAM, listen)
         try:
-            words = bound(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
+            words = bind_socket(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
         except BindError:
             listener.close()
             if not left:
--- a/cartdeal/lab/experiment.py
+++ b/cartdeal/lab/experiment.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from cartdeal import whole
+from cartdeal import atomic_write
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.report import percentiles
@@ -175,7 +175,7 @@
     writer.writeheader()
     writer.writerows(rows)
     Path(to).parent.mkdir(parents=True, exist_ok=True)
-    whole.write(to, text.getvalue().encode())
+    atomic_write.write(to, text.getvalue().encode())
 
 
 def kept(path) -> tuple[str, list[dict]]:
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -11,8 +11,8 @@
 import msgspec
 from msgspec import Meta
 
-from cartdeal.emulator.clock import chance
 from cartdeal.emulator.world import Strict, Unusable
+from cartdeal.simulated_time import seeded_random
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
 Rate = Annotated[float, Meta(gt=0, le=10_000)]
@@ -105,8 +105,8 @@
 
 def memory(seed, agents: int, limits: dict, **terms):
     """A fleet whose first agents found it; all start within a second."""
-    from cartdeal.fleet.desk import Pact
-    from cartdeal.fleet.memory import Memory
+    from cartdeal.fleet.context import Pact
+    from cartdeal.fleet.simulation.in_memory_fleet import Memory
 
     class Counted(Memory):
         """Counts bytes by tag, too."""
@@ -121,7 +121,7 @@
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
     fleet, fates = (
         Counted(Pact(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
-        chance(seed, "starts"),
+        seeded_random(seed, "starts"),
     )
     fleet.bytes_by_tag = Counter()
     for number in range(agents):
@@ -140,7 +140,7 @@
 def answers(fleet, names) -> bool:
     """Whether each of these completes requests with marks. One that founds a fleet knows nothing of what was
     before it for as long as a mark may last."""
-    from cartdeal.fleet.verdict import Question
+    from cartdeal.fleet.idempotency import Question
 
     asked = [
         fleet.intend(
@@ -157,7 +157,7 @@
 
 def unequal(fleet) -> tuple[int, int]:
     """Of how many records some owner lacks what another has; how many there are."""
-    from cartdeal.fleet import records
+    from cartdeal.fleet.replication import records
 
     copies: dict[str, list] = {}
     wanted = {}
@@ -194,12 +194,12 @@
 
 def copies(terms: Copies, seed: int) -> dict:
     """Messages and bytes are an agent's in a second; times are from the start, and from when the cut ends."""
-    from cartdeal.fleet.desk import Limit
-    from cartdeal.fleet.verdict import Question
+    from cartdeal.fleet.context import Limit
+    from cartdeal.fleet.idempotency import Question
 
     agents, coming = terms.agents, terms.rate * terms.agents
     fleet = memory(seed, agents, {"shop": Limit(2 * coming, coming)})
-    people, names = chance(seed, "people"), list(fleet.places)
+    people, names = seeded_random(seed, "people"), list(fleet.places)
     intents, going = [], [True]
 
     def client():
@@ -255,7 +255,7 @@
 
 
 def days(terms: Days, seed: int) -> dict:
-    from cartdeal.fleet.days import day
+    from cartdeal.fleet.simulation.fault_schedule import day
 
     row = day(
         seed,
@@ -277,11 +277,11 @@
     """Agents are told to end and come back with a program that reads (1, 2) in place of (1, 1), one after the
     other. Served: of requests without a limit, two thirds of them with a mark; clients try three agents.
     Budget: what the limited tenant got of its rate. Times are from the first restart."""
-    from cartdeal.fleet.desk import Limit
-    from cartdeal.fleet.verdict import Question
+    from cartdeal.fleet.context import Limit
+    from cartdeal.fleet.idempotency import Question
 
     fleet = memory(seed, terms.agents, {"shop": Limit(terms.limit, terms.limit)}, reads=(1, 1))
-    people, names, judge = chance(seed, "people"), list(fleet.places), fleet.judge
+    people, names, judge = seeded_random(seed, "people"), list(fleet.places), fleet.judge
     open_, lost = [], {}
 
     def free():
--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.ring import Damper, Ring, Seat, least, moved, number, owners, plan
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.ring.hash_ring import Damper, Ring, Seat, least, moved, number, owners, plan
 
 KEYS = 50_000  # for loads
 COPIED = 1_500  # keys, for copies
--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from cartdeal import whole
+from cartdeal import atomic_write
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import Fault
 
@@ -149,7 +149,7 @@
     if target.exists() and target.samefile(old):
         raise fault("NEW", new, "another file than OLD")
     try:
-        whole.write(target, text, os.replace if over else os.link, 0o644)
+        atomic_write.write(target, text, os.replace if over else os.link, 0o644)
     except FileExistsError:
         raise fault("NEW", new, "a path with no file yet, or --force") from None
     except OSError as trouble:
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -21,10 +21,10 @@
 from gevent import socket, subprocess
 
 from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.emulator.clock import chance
 from cartdeal.emulator.judge import Judge
 from cartdeal.emulator.world import Unusable, World, agent_settings
 from cartdeal.rig.stands import HOST, DiscoveryService, Server
+from cartdeal.simulated_time import seeded_random
 
 MOST_AGENTS = 1024
 MOST_SECONDS = 300.0
@@ -172,7 +172,7 @@
         self.began, self.offset = monotonic(), time()
         works = []
         for agent in self.agents:
-            random = chance(self.seed, f"client {agent.number}")
+            random = seeded_random(self.seed, f"client {agent.number}")
             rate = self.world.clients.per_s / len(self.agents)
             works.append(gevent.spawn(self.arrive, agent, random, rate))
         for place, fault in enumerate(self.world.fault):
@@ -307,7 +307,7 @@
     # Faults
 
     def begin(self, fault, place):
-        random, kind, size = chance(self.seed, f"fault {place}"), fault.kind, fault.size
+        random, kind, size = seeded_random(self.seed, f"fault {place}"), fault.kind, fault.size
         zone = self.world.zones.index(fault.zone) if fault.zone else None
         here = (
             self.agents
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -13,8 +13,8 @@
 from gevent.event import Event
 
 from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.emulator.clock import chance
 from cartdeal.emulator.servers import warmth
+from cartdeal.simulated_time import seeded_random
 
 HOST = "127.0.0.1"
 BACKLOG = 1024  # connections that wait to be accepted: those of all agents at once
@@ -86,7 +86,7 @@
 
     def __init__(self, rig, name, zone, started=0.0):
         self.rig, self.terms, self.name, self.zone, self.started = rig, rig.world.servers, name, zone, started
-        self.random = chance(rig.seed, name)
+        self.random = seeded_random(rig.seed, name)
         self.draining, self.slow, self.silent, self.errors, self.resets = False, 1.0, False, 0.0, 0.0
         self.spoilt = {}
         self.running, self.waiting, self.attempts, self.life = 0, deque(), 0, 0
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -13,7 +13,7 @@
 
 from cartdeal.agent import discovery
 from cartdeal.agent.reducer import Reducer
-from cartdeal.emulator.clock import Clock
+from cartdeal.simulated_time import SimulatedClock
 from tests.scene import SETTINGS, agent_config
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -160,7 +160,7 @@
 
 class WatchingFleet:
     def __init__(self, folder, monkeypatch, agents, call_seconds, longest_wait, refusal_delay, **settings):
-        self.clock = Clock()
+        self.clock = SimulatedClock()
         self.clock.now = 100.0
         self.sink = os.open(os.devnull, os.O_WRONLY)
         self.service = DiscoveryQueue(self.clock, call_seconds, longest_wait, refusal_delay)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,10 +10,10 @@
 
 from cartdeal.agent.reducer import Reducer
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.clock import Clock, chance
 from cartdeal.emulator.cut import cut_down
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.servers import Job, Server
+from cartdeal.simulated_time import SimulatedClock, seeded_random
 from cartdeal.terms import State
 
 HARD = {
@@ -54,8 +54,12 @@
 
 def waits(cores, load, count=60_000):
     """Times from arrival to the start of work, at one server with Poisson arrivals and exponential work."""
-    clock, terms = Clock(), worlds.Servers(cores=cores, waiting=100_000)
-    server, random, found = Server(clock, terms, "s", 0, 1.0, chance(1, "s")), chance(3, f"{cores}"), []
+    clock, terms = SimulatedClock(), worlds.Servers(cores=cores, waiting=100_000)
+    server, random, found = (
+        Server(clock, terms, "s", 0, 1.0, seeded_random(1, "s")),
+        seeded_random(3, f"{cores}"),
+        [],
+    )
     area, last = [0.0], [0.0]
 
     def count_held():
--- a/tests/test_fleet_admission.py
+++ b/tests/test_fleet_admission.py
@@ -9,8 +9,8 @@
 from cartdeal.agent.front import hashed
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.fleet import configuration
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.verdict import Question
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.idempotency import Question
 from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
 from tests.test_reducer import Desk
 
--- a/tests/test_fleet_configuration.py
+++ b/tests/test_fleet_configuration.py
@@ -5,7 +5,7 @@
 from msgspec.structs import fields
 
 from cartdeal.fleet import configuration
-from cartdeal.fleet.desk import Limit, Pact
+from cartdeal.fleet.context import Limit, Pact
 from cartdeal.fleet.errors import WrongConfiguration
 from tests.scene import SETTINGS, agent_config
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cartdeal.fleet.days import day
+from cartdeal.fleet.simulation.fault_schedule import day
 
 DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
-SAY = f"from cartdeal.fleet.days import day; print(day(3, **{DAY}))"
+SAY = f"from cartdeal.fleet.simulation.fault_schedule import day; print(day(3, **{DAY}))"
 
 
 @pytest.mark.parametrize("seed, upgrade", [(3, False), (7, True)])
--- a/tests/test_fleet_epochs.py
+++ b/tests/test_fleet_epochs.py
@@ -8,13 +8,13 @@
 import msgspec
 import pytest
 
-from cartdeal.fleet import epochs
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.epochs import Epochs
-from cartdeal.fleet.ring import Ring, Seat, step, stepped
+from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus.ring_consensus import Epochs
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.ring.hash_ring import Ring, Seat, step, stepped
 
-CODEC = msgspec.msgpack.Decoder(epochs.WORDS[0] | epochs.WORDS[1])
-for kind in epochs.WORDS[2:]:
+CODEC = msgspec.msgpack.Decoder(ring_consensus.WORDS[0] | ring_consensus.WORDS[1])
+for kind in ring_consensus.WORDS[2:]:
     CODEC = msgspec.msgpack.Decoder(CODEC.type | kind)
 
 
@@ -271,7 +271,7 @@
     agent, kept = net.agents[name], net.stopped[name]
     agent.desk.now = net.now
     for sender, _, raw in kept:
-        if isinstance(words := CODEC.decode(raw), epochs.Promise | epochs.Accepted):
+        if isinstance(words := CODEC.decode(raw), ring_consensus.Promise | ring_consensus.Accepted):
             agent.heard(sender, words)
     assert agent.attempt is None and agent.accepted is None
 
@@ -281,19 +281,19 @@
     agent, said = net.agents["b"], []
     agent.desk.send = lambda to, words: said.append(words)
     head = agent.ring.epoch, agent.ring.digest
-    agent.heard("c", epochs.Vouch(*head, 9))
+    agent.heard("c", ring_consensus.Vouch(*head, 9))
     assert said.pop().ages[1] == 0
-    agent.heard("a", epochs.Accept(*head, 7, step(agent.ring, Ring(2, agent.ring.seats, 2))))
-    assert isinstance(said.pop(), epochs.Accepted) and agent.accepted_higher and not agent.sure()
-    agent.heard("c", epochs.Vouch(*head, 10))
-    assert said.pop().ages[1] == epochs.UNHEARD
+    agent.heard("a", ring_consensus.Accept(*head, 7, step(agent.ring, Ring(2, agent.ring.seats, 2))))
+    assert isinstance(said.pop(), ring_consensus.Accepted) and agent.accepted_higher and not agent.sure()
+    agent.heard("c", ring_consensus.Vouch(*head, 10))
+    assert said.pop().ages[1] == ring_consensus.UNHEARD
 
 
 def test_accepted_by_one_and_its_proposer_dead_it_is_still_brought_to_an_end():
     net = settled()
     agent = net.agents["b"]
     wanted = step(agent.ring, Ring(2, agent.ring.seats[1:]))
-    agent.heard("a", epochs.Accept(1, agent.ring.digest, 7, wanted))
+    agent.heard("a", ring_consensus.Accept(1, agent.ring.digest, 7, wanted))
     assert net.run(3, lambda: net.agents["c"].ring.epoch == 2)
     assert net.agents["c"].ring.names == ("b", "c") and not net.split()
 
@@ -303,7 +303,7 @@
     old, other = net.agents["a"].ring, net.agents["e"]
     first = step(old, Ring(2, old.seats[1:]))
     for name in "bcd":
-        net.agents[name].heard("a", epochs.Accept(1, old.digest, 7, first))
+        net.agents[name].heard("a", ring_consensus.Accept(1, old.digest, 7, first))
     other.top = 7
     other.begin(step(old, Ring(2, old.seats[:-1])), ())
     net.run(1)
@@ -317,9 +317,9 @@
     agent, said = net.agents["c"], []
     assert net.run(2, lambda: agent.ring is not None) and not agent.remembers
     agent.desk.send = lambda to, words: said.append(words)
-    agent.heard("a", epochs.Prepare(1, agent.ring.digest, 7, ()))
-    agent.heard("a", epochs.Vouch(1, agent.ring.digest, 7))
-    assert said[0].why == "forgot" and said[1].ages[2] == epochs.UNHEARD
+    agent.heard("a", ring_consensus.Prepare(1, agent.ring.digest, 7, ()))
+    agent.heard("a", ring_consensus.Vouch(1, agent.ring.digest, 7))
+    assert said[0].why == "forgot" and said[1].ages[2] == ring_consensus.UNHEARD
 
 
 def test_an_epoch_agreed_twice_ends_in_the_lower_digest_everywhere():
@@ -328,12 +328,12 @@
     twins = [Ring(2, old.seats, written, founded_ms=old.founded_ms) for written in (1, 2)]
     twins.sort(key=lambda ring: ring.digest)
     for name, ring in (("a", twins[1]), ("b", twins[0])):
-        net.agents[name].heard("c", epochs.Next(step(old, ring)))
+        net.agents[name].heard("c", ring_consensus.Next(step(old, ring)))
         net.judge(name, net.agents[name])
     net.run(2)
     assert net.split() == [2] and net.rings() == {twins[0].digest}
     assert {name for name, kind in net.notes if kind == "epoch twice"} >= {"a"}
-    net.agents["b"].heard("c", epochs.Whole(old, step(old, twins[1])))
+    net.agents["b"].heard("c", ring_consensus.Whole(old, step(old, twins[1])))
     assert net.agents["b"].ring.digest == twins[0].digest and ("b", "epoch twice") in net.notes
 
 
@@ -342,8 +342,8 @@
     agent, counts = net.agents["a"], net.counts["a"]
     ring = agent.ring
     one, two = ring.seats[:2]
-    agent.heard("b", epochs.Vouch(1 << 30, b"", 1))
-    agent.heard("b", epochs.Whole(Ring(1 << 30, ring.seats), step(ring, ring)))
+    agent.heard("b", ring_consensus.Vouch(1 << 30, b"", 1))
+    agent.heard("b", ring_consensus.Whole(Ring(1 << 30, ring.seats), step(ring, ring)))
     assert counts["dropped far epoch"] == 2
     for seats in [
         (two, one),
@@ -355,11 +355,11 @@
         (Seat("", "", 1.0),),
     ]:
         former = Ring(7, seats)
-        agent.heard("b", epochs.Whole(former, step(former, Ring(8, ring.seats))))
+        agent.heard("b", ring_consensus.Whole(former, step(former, Ring(8, ring.seats))))
         bad = msgspec.structs.replace(step(ring, ring), epoch=2, seats=seats, gone=() if seats else ABC)
         if seats not in [(two, one), (one, one)]:  # these are put in order, which makes them sound
-            agent.heard("b", epochs.Next(bad))
-            agent.heard("b", epochs.Accept(1, ring.digest, 5, bad))
+            agent.heard("b", ring_consensus.Next(bad))
+            agent.heard("b", ring_consensus.Accept(1, ring.digest, 5, bad))
     assert counts["dropped malformed ring"] == 17 and agent.ring is ring and not agent.accepted_higher
 
 
--- a/tests/test_fleet_host.py
+++ b/tests/test_fleet_host.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from msgspec import Struct
 
-from cartdeal.fleet import errors, wire
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.host import Bounds, Host, Road
+from cartdeal.fleet import codec, errors
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.transport import Bounds, Host, Road
 
 
 class Hail(Struct, frozen=True, tag="t.hail", array_like=True):
@@ -33,29 +33,29 @@
 @pytest.fixture(autouse=True)
 def tongue(monkeypatch):
     words = msgspec.msgpack.Decoder(Hail | Load)
-    monkeypatch.setattr(wire, "tongue", lambda: words)
+    monkeypatch.setattr(codec, "tongue", lambda: words)
 
 
-def sealed(body, pact=PACT, version=wire.VERSION):
-    return bytes([version]) + wire.seal(pact.key, body) + body
+def sealed(body, pact=PACT, version=codec.VERSION):
+    return bytes([version]) + codec.seal(pact.key, body) + body
 
 
 def test_words_come_back_with_who_said_them():
-    text = wire.encode(PACT, "a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
-    assert wire.decode(PACT, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
+    text = codec.encode(PACT, "a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
+    assert codec.decode(PACT, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
 
 
 @pytest.mark.parametrize(
     "text, kind",
     [
-        (wire.encode(msgspec.structs.replace(PACT, fleet="g"), "a", 1, "", 9, Hail("x")), errors.WrongFleet),
+        (codec.encode(msgspec.structs.replace(PACT, fleet="g"), "a", 1, "", 9, Hail("x")), errors.WrongFleet),
         (
-            wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x")),
+            codec.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x")),
             errors.WrongDigest,
         ),
-        (b"\x02" + wire.encode(PACT, "a", 1, "", 9, Hail("x"))[1:], errors.WrongVersion),
-        (wire.encode(PACT, "a", 1, "", 9, Hail("x"))[:-1], errors.Unreadable),
-        (bytes(wire.LONGEST_FRAME + 1), errors.TooLong),
+        (b"\x02" + codec.encode(PACT, "a", 1, "", 9, Hail("x"))[1:], errors.WrongVersion),
+        (codec.encode(PACT, "a", 1, "", 9, Hail("x"))[:-1], errors.Unreadable),
+        (bytes(codec.LONGEST_FRAME + 1), errors.TooLong),
         (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.Unreadable),
         (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.Unreadable),
         (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
@@ -68,21 +68,21 @@
 )
 def test_each_refusal_is_a_type_of_its_own(text, kind):
     with pytest.raises(kind) as trouble:
-        wire.decode(PACT, text)
+        codec.decode(PACT, text)
     assert trouble.value.do and len(str(trouble.value)) < 600
 
 
 def test_words_too_long_are_not_sent():
     with pytest.raises(errors.TooLong):
-        wire.encode(PACT, "a", 1, "", 9, Hail("x" * wire.LONGEST_DATAGRAM))
+        codec.encode(PACT, "a", 1, "", 9, Hail("x" * codec.LONGEST_DATAGRAM))
     with pytest.raises(errors.TooLong):
-        wire.encode(PACT, "a", 1, "", 9, Load(bytes(wire.LONGEST_FRAME)))
+        codec.encode(PACT, "a", 1, "", 9, Load(bytes(codec.LONGEST_FRAME)))
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
 def test_whatever_is_changed_on_the_way_is_refused_by_type(data):
-    text = bytearray(wire.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))))
+    text = bytearray(codec.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))))
     for _ in range(data.draw(st.integers(1, 3))):
         place = data.draw(st.integers(0, len(text) - 1))
         kind = data.draw(st.sampled_from(["set", "cut", "more"]))
@@ -94,9 +94,9 @@
             text += data.draw(st.binary(min_size=1, max_size=9))
         if not text:
             return
-    if bytes(text) != wire.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))):
+    if bytes(text) != codec.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))):
         with pytest.raises(REFUSALS):
-            wire.decode(PACT, bytes(text))
+            codec.decode(PACT, bytes(text))
 
 
 @settings(max_examples=300, deadline=None)
@@ -104,7 +104,7 @@
 def test_a_peer_that_has_the_key_can_say_nothing_that_ends_in_another_error(body):
     for text in (body, sealed(body), sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
         try:
-            wire.decode(PACT, text)
+            codec.decode(PACT, text)
         except REFUSALS:
             pass
 
@@ -112,7 +112,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=40), max_size=8), st.lists(st.integers(1, 30), min_size=1))
 def test_frames_come_whole_whatever_the_split(messages, cuts):
-    stream, frames, got, cut = b"".join(map(wire.framed, messages)), wire.Frames(40), [], 0
+    stream, frames, got, cut = b"".join(map(codec.framed, messages)), codec.Frames(40), [], 0
     while stream:
         size = cuts[cut % len(cuts)]
         got += frames.dispatch(stream[:size])
@@ -122,12 +122,12 @@
 
 @pytest.mark.parametrize("head, kind", [(bytes(4), errors.Unreadable), (b"\xff\xff\xff\xff", errors.TooLong)])
 def test_a_frame_that_can_not_be_is_refused_and_nothing_of_it_kept(head, kind):
-    frames = wire.Frames()
+    frames = codec.Frames()
     with pytest.raises(kind):
         frames.dispatch(head + bytes(100))
     assert not frames.rest
     with pytest.raises(errors.Unreadable):
-        frames.dispatch(wire.framed(b"x"))
+        frames.dispatch(codec.framed(b"x"))
 
 
 class Scripted:
@@ -221,9 +221,11 @@
     [
         (bytes(4), "Unreadable"),
         (b"\xff" * 8, "TooLong"),
-        (wire.framed(b"x" * 60), "WrongVersion"),
+        (codec.framed(b"x" * 60), "WrongVersion"),
         (
-            wire.framed(wire.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x"))),
+            codec.framed(
+                codec.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x"))
+            ),
             "WrongDigest",
         ),
     ],
@@ -246,14 +248,14 @@
     b = hosts("b")
     text = sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
     with socket.create_connection(("127.0.0.1", b.port)) as peer:
-        peer.sendall(wire.framed(text) + wire.framed(wire.encode(PACT, "a", 1, "", 9, Load(b"x"))))
+        peer.sendall(codec.framed(text) + codec.framed(codec.encode(PACT, "a", 1, "", 9, Load(b"x"))))
         until(lambda: b.node.got)
     assert b.figured["refused UnknownWords"] == 1 and len(b.node.got) == 1
 
 
 def test_unidentified_clients_have_little_time_and_room_and_a_known_peer_keeps_its_stream(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.host.STRANGERS", 3)
-    monkeypatch.setattr("cartdeal.fleet.host.GREET", 0.1)
+    monkeypatch.setattr("cartdeal.fleet.transport.STRANGERS", 3)
+    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 0.1)
     a, b = hosts("a"), hosts("b", bounds=Bounds(half=100_000))
     say(a, b, Load(b"x"))
     until(lambda: b.node.got)
@@ -271,7 +273,7 @@
 
 
 def test_what_waits_for_a_peer_that_does_not_read_is_bounded_and_the_oldest_goes(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.host.QUEUE", 8)
+    monkeypatch.setattr("cartdeal.fleet.transport.QUEUE", 8)
     a, b = hosts("a", bounds=Bounds(waiting=40_000_000)), hosts("b", start=False)
     for place in range(100):
         say(a, b, Load(bytes(500_000) + b"%d" % place))
@@ -285,8 +287,8 @@
 
 
 def test_a_peer_that_comes_back_is_reached_and_what_is_stale_is_not_sent(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.host.FIRST_PAUSE", 0.01)
-    monkeypatch.setattr("cartdeal.fleet.host.STALE", 0.2)
+    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_PAUSE", 0.01)
+    monkeypatch.setattr("cartdeal.fleet.transport.STALE", 0.2)
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(b"1"))
     until(lambda: b.node.got)
@@ -321,7 +323,7 @@
         say(a, peer, Load(b"x"))
         until(lambda peer=peer: peer.node.got)
     assert len(a.roads) == 2
-    monkeypatch.setattr("cartdeal.fleet.host.IDLE", 0.05)
+    monkeypatch.setattr("cartdeal.fleet.transport.IDLE", 0.05)
     for peer in peers[1:]:
         say(a, peer, Load(b"y"))
     until(lambda: not a.roads and not any(peer.readers for peer in peers))
--- a/tests/test_fleet_lending.py
+++ b/tests/test_fleet_lending.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from cartdeal.fleet import buckets, lending
-from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.lending import Lending
-from cartdeal.fleet.ring import Ring, Seat
+from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.quota import ledger, quota_leases
+from cartdeal.fleet.quota.quota_leases import Lending
+from cartdeal.fleet.ring.hash_ring import Ring, Seat
 
-WIRE = msgspec.msgpack.Decoder(lending.Asks | lending.Loans)
+WIRE = msgspec.msgpack.Decoder(quota_leases.Asks | quota_leases.Loans)
 
 
 class Desk:
@@ -410,10 +410,10 @@
 
 
 def test_an_answer_in_flight_finds_room_under_the_cap():
-    bucket = buckets.Bucket(
+    bucket = ledger.Bucket(
         b"u/t",
         Limit(30.0, 30.0),
-        buckets.Tenure(0.0, 0.0, lambda ring, key: 1.0),
+        ledger.Tenure(0.0, 0.0, lambda ring, key: 1.0),
         Pact(fleet="f", name="a"),
         2,
     )
@@ -422,7 +422,7 @@
     bucket.touch(10.0, 10, 10.0, 2)
     holder, held = bucket.book("b", 1), 0
     for turn in range(1, 6):
-        ask = lending.Ask("t", turn, held, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
+        ask = quota_leases.Ask("t", turn, held, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
         given = bucket.lend("b", 1, holder, ask, 10.0, turn)
         assert given.tokens + (8.0 if held else 0.0) <= max(given.burst, 9.0 if held else 0.0)
         assert bucket.tokens + bucket.out_burst <= 30.0 + 1e-9
@@ -431,7 +431,7 @@
 
 @given(st.floats(0, 100), st.lists(st.floats(0, 100), min_size=1, max_size=8))
 def test_water_fills_evenly(total, wants):
-    parts = buckets.waterfill(total, wants)
+    parts = ledger.waterfill(total, wants)
     assert sum(parts) == pytest.approx(min(total, sum(wants)))
     level = max(parts)
     assert all(part == pytest.approx(min(want, level)) for part, want in zip(parts, wants, strict=True))
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -11,8 +11,8 @@
 from msgspec import msgpack
 from msgspec.structs import replace
 
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.members import WORDS, Members, Peer, Pieces, State, Told
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.membership.swim import WORDS, Members, Peer, Pieces, State, Told
 
 decode = msgpack.Decoder(reduce(or_, WORDS)).decode
 
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -2,11 +2,11 @@
 
 from msgspec.structs import replace
 
-from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.lending import Lending
-from cartdeal.fleet.memory import Memory
+from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.idempotency import Question
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.verdict import Question
+from cartdeal.fleet.quota.quota_leases import Lending
+from cartdeal.fleet.simulation.in_memory_fleet import Memory
 
 SEEDS = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(3)}
 
--- a/tests/test_fleet_off.py
+++ b/tests/test_fleet_off.py
@@ -16,7 +16,7 @@
     cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms cartdeal.watch_schedule
     cartdeal.routing_state cartdeal.agent.start_times cartdeal.agent.system_errors
     cartdeal.agent.log_output cartdeal.agent.invariants cartdeal.agent.metrics
-    cartdeal.agent.stalls""".split()
+    cartdeal.agent.stalls cartdeal.sockets cartdeal.supervision""".split()
 
 # Says what is imported once the agent serves.
 TOLD = (
@@ -78,7 +78,9 @@
 
 def test_with_one_it_is(tmp_path, fleet):
     agent = run(tmp_path, "-c", TOLD, PROXY_FLEET=str(fleet))
-    assert {"cartdeal.fleet.node", "cartdeal.fleet.host", "cartdeal.agent.admission"} <= set(modules(agent))
+    assert {"cartdeal.fleet.node", "cartdeal.fleet.transport", "cartdeal.agent.admission"} <= set(
+        modules(agent)
+    )
     end(agent)
 
 
--- a/tests/test_fleet_planted.py
+++ b/tests/test_fleet_planted.py
@@ -3,18 +3,20 @@
 
 import pytest
 
-from cartdeal.fleet import lending, node, records, replica, schema
-from cartdeal.fleet.buckets import Tenure
-from cartdeal.fleet.clocks import HybridClock
-from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.epochs import Epochs
-from cartdeal.fleet.lending import Held, Lending
-from cartdeal.fleet.memory import Memory, Weather
+from cartdeal.fleet import node
+from cartdeal.fleet.consensus.ring_consensus import Epochs
+from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.hybrid_clock import HybridClock
+from cartdeal.fleet.idempotency import Question, Verdict
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ranges import ALL, Era
-from cartdeal.fleet.records import Session
-from cartdeal.fleet.ring import Draw, Ring, number, owners
-from cartdeal.fleet.verdict import Question, Verdict
+from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota.ledger import Tenure
+from cartdeal.fleet.quota.quota_leases import Held, Lending
+from cartdeal.fleet.replication import records, replica, schema
+from cartdeal.fleet.replication.catch_up import ALL, Era
+from cartdeal.fleet.replication.records import Session
+from cartdeal.fleet.ring.hash_ring import Draw, Ring, number, owners
+from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
 
 SHOP = Question(tenant="shop", workload="read")
 
@@ -205,7 +207,7 @@
 
 
 def no_fence(plant):
-    plant(lending, "Tenure", lambda start, fence, share_in: Tenure(start, 0.0, share_in))
+    plant(quota_leases, "Tenure", lambda start, fence, share_in: Tenure(start, 0.0, share_in))
 
 
 def minority(plant):
--- a/tests/test_fleet_records.py
+++ b/tests/test_fleet_records.py
@@ -6,9 +6,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as some
 
-from cartdeal.fleet import errors, records, schema
-from cartdeal.fleet.clocks import HybridClock, Stamp
-from cartdeal.fleet.records import Certainty, Mark, Session, Use, delta, digest, merge
+from cartdeal.fleet import errors
+from cartdeal.fleet.hybrid_clock import HybridClock, Stamp
+from cartdeal.fleet.replication import records, schema
+from cartdeal.fleet.replication.records import Certainty, Mark, Session, Use, delta, digest, merge
 
 STEPS = [(1, "steady"), (1, "widen"), (1, "move"), (1, "narrow"), (2, "steady")]
 
--- a/tests/test_fleet_replica.py
+++ b/tests/test_fleet_replica.py
@@ -5,13 +5,13 @@
 
 import msgspec
 
-from cartdeal.emulator.clock import Clock, chance
-from cartdeal.fleet import replica
-from cartdeal.fleet.clocks import HybridClock
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.records import Certainty, Mark, Session, digest, gained, merge
-from cartdeal.fleet.replica import Replica
-from cartdeal.fleet.ring import Ring, Seat, owners
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.hybrid_clock import HybridClock
+from cartdeal.fleet.replication import replica
+from cartdeal.fleet.replication.records import Certainty, Mark, Session, digest, gained, merge
+from cartdeal.fleet.replication.replica import Replica
+from cartdeal.fleet.ring.hash_ring import Ring, Seat, owners
+from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 WORDS = msgspec.msgpack.Decoder(Union[replica.WORDS])  # noqa: UP007
 PACT = Pact(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
@@ -31,7 +31,7 @@
 
     def start(self):
         self.lives += 1
-        self.life, self.random = self.lives, chance(self.net.seed, f"{self.name}/{self.lives}")
+        self.life, self.random = self.lives, seeded_random(self.net.seed, f"{self.name}/{self.lives}")
         self.answers, self.issued, self.held = {}, 0, []
         self.stopped, self.dead, self.sure = False, False, True
         clock = HybridClock(self.name, self.pact.clock_ahead_s)
@@ -110,7 +110,7 @@
 
 class Net:
     def __init__(self, names="abc", seed=1, lose=0.0, double=0.0, late=0.0, former=None, epoch=1, **pact):
-        self.clock, self.seed, self.random = Clock(), seed, chance(seed, "net")
+        self.clock, self.seed, self.random = SimulatedClock(), seed, seeded_random(seed, "net")
         self.lose, self.double, self.late = lose, double, late
         self.cuts, self.sent, self.bytes = set(), Counter(), 0
         self.pact = msgspec.structs.replace(PACT, **pact)
@@ -508,7 +508,7 @@
     def __init__(self, seed):
         self.vouched, self.knows, self.log = Counter(), dict.fromkeys("abcdef", 1), []
         super().__init__("abcdef", seed, 0.12, 0.1, 0.05, most_hints=1, longest_mark_s=6.0, lease_s=0.6)
-        self.rings, self.chaos = {1: self.ring}, chance(seed, "chaos")
+        self.rings, self.chaos = {1: self.ring}, seeded_random(seed, "chaos")
         self.vouch()
 
     def reach(self, a, b):
--- a/tests/test_fleet_ring.py
+++ b/tests/test_fleet_ring.py
@@ -5,8 +5,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.ring import Damper, Ring, Seat, least, moved, owners, plan, sound, step, stepped
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.ring.hash_ring import Damper, Ring, Seat, least, moved, owners, plan, sound, step, stepped
 from cartdeal.lab import rings
 
 KEYS = [b"s/%d" % n for n in range(4000)]
--- a/tests/test_fleet_schema.py
+++ b/tests/test_fleet_schema.py
@@ -4,10 +4,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from cartdeal.fleet import errors, schema
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.records import Certainty, Mark, Session, Use, gained, merge
-from cartdeal.fleet.schema import agree, decode, encode, needs_move
+from cartdeal.fleet import errors
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.replication import schema
+from cartdeal.fleet.replication.records import Certainty, Mark, Session, Use, gained, merge
+from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
 
 NEW, OLD = (1, 2), (1, 1)
 MARK = Mark("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,14 +20,15 @@
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.world import Unusable
+from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
-from cartdeal.fleet import epochs, wire
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.epochs import Vouch, Vouched, Whole
-from cartdeal.fleet.host import Bounds
-from cartdeal.fleet.members import Ack, Ask, Compare, Nack, Pieces, Ping, State, Told
+from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus.ring_consensus import Vouch, Vouched, Whole
+from cartdeal.fleet.context import Pact
+from cartdeal.fleet.membership.swim import Ack, Ask, Compare, Nack, Pieces, Ping, State, Told
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ring import Ring, Seat, step
+from cartdeal.fleet.ring.hash_ring import Ring, Seat, step
+from cartdeal.fleet.transport import Bounds
 from cartdeal.lab import fleets
 from cartdeal.rig import play
 from cartdeal.rig.stands import DiscoveryService
@@ -241,8 +242,8 @@
 def test_a_ring_of_1024_with_the_longest_names_fits_one_message():
     seats = tuple(Seat(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
-    assert len(wire.inner(Whole(former, step(former, ring)))) < wire.LONGEST_FRAME
-    assert len(wire.inner(epochs.Prepare(1, former.digest, 1, former.names))) < wire.LONGEST_FRAME
+    assert len(codec.inner(Whole(former, step(former, ring)))) < codec.LONGEST_FRAME
+    assert len(codec.inner(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.LONGEST_FRAME
 
 
 def called(host):
@@ -267,7 +268,7 @@
 
 
 def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.host.GREET", 20.0)
+    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 20.0)
     host = hosts("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
     until(lambda: len(host.readers) == len(many) or host.figured["closed no room"])
@@ -275,9 +276,9 @@
 
 
 def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.host.GREET", 20.0)
+    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 20.0)
     host = hosts("a", bounds=Bounds(streams=4), start=False)
-    said = wire.framed(wire.encode(PACT, "b", 1, "", 9, Load(b"x")))
+    said = codec.framed(codec.encode(PACT, "b", 1, "", 9, Load(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
         each.sendall(said)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -582,7 +582,7 @@
     with pytest.MonkeyPatch.context() as broken:
         broken.setattr("cartdeal.agent.front.ClientConnection", None)
         deployment.connect()
-        until(lambda: "work died" in caplog.text)
+        until(lambda: "background task failed" in caplog.text)
     assert deployment.ask() == (200, b"s0 ")
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,11 +6,11 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from cartdeal.fleet.desk import Limit, Pact
-from cartdeal.fleet.memory import Memory, Weather
-from cartdeal.fleet.records import Certainty, Session
-from cartdeal.fleet.ring import Ring, least, owners
-from cartdeal.fleet.verdict import Question
+from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.replication.records import Certainty, Session
+from cartdeal.fleet.ring.hash_ring import Ring, least, owners
+from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
 
 scenarios("stories")
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -10,9 +10,9 @@
 from gevent import socket
 
 from cartdeal.agent import configuration
-from cartdeal.agent.connection import BindError, bound
 from cartdeal.agent.upstream import NoConnection, UpstreamPool
 from cartdeal.rig.system_faults import OWN_LIMITS, SystemFaults
+from cartdeal.sockets import BindError, bind_socket
 from examples.toy import DiscoveryService
 from tests.scene import Deployment, answered, until, worded
 
@@ -177,9 +177,9 @@
 def test_address_that_can_not_be_had_is_told_with_its_reason(faults, call, kind):
     faults.fail(call, errno.ENOBUFS)
     if call == "listen" and kind == socket.SOCK_DGRAM:
-        return bound(kind, ("127.0.0.1", 0)).close()
+        return bind_socket(kind, ("127.0.0.1", 0)).close()
     with pytest.raises(BindError, match="127.0.0.1:0: No buffer space"):
-        bound(kind, ("127.0.0.1", 0), backlog=5 * (kind == socket.SOCK_STREAM))
+        bind_socket(kind, ("127.0.0.1", 0), backlog=5 * (kind == socket.SOCK_STREAM))
 
 
 def test_fault_at_the_door_takes_no_place_from_the_budget(deployment, monkeypatch):
