--- a/tests/test_fleet_errors.py
+++ b/tests/fleet/test_errors.py
@@ -5,7 +5,7 @@
 
 from cartdeal.fleet import errors
 
-PAGE = Path(__file__).parent.parent / "docs" / "fleet.md"
+PAGE = Path(__file__).parents[2] / "docs" / "fleet.md"
 
 
 @pytest.mark.parametrize("each", errors.ALL, ids=lambda each: each.__name__)
--- a/tests/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -1,4 +1,4 @@
-"""The stories of tests/stories/, played over the in-memory fleet: seeded, with no sleep. Whatever else
+"""The stories of tests/fleet/stories/, played over the in-memory fleet: seeded, with no sleep. Whatever else
 a story asks, the judge has the last word on it."""
 
 import re
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,9 +9,9 @@
 
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
+from tests.fleet.test_admission import MARK as GATED_MARK
+from tests.fleet.test_admission import GateDesk
 from tests.scene import SETTINGS, Deployment, answered, until, worded
-from tests.test_fleet_admission import MARK as GATED_MARK
-from tests.test_fleet_admission import GateDesk
 from tests.test_reducer import Desk
 
 READ, MARK, ONCE = range(3)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -33,13 +33,13 @@
 from cartdeal.rig import play
 from cartdeal.rig.stands import DiscoveryService
 from cartdeal.terms import State as ServerState
-from tests import test_fleet_epochs, test_fleet_host, test_fleet_members
+from tests.fleet import test_membership, test_ring_consensus, test_transport
+from tests.fleet.test_membership import peer
+from tests.fleet.test_transport import PACT, Load, until
 from tests.scene import config_file
-from tests.test_fleet_host import PACT, Load, until
-from tests.test_fleet_members import peer
 
 MANY = 1024
-hosts, tongue = test_fleet_host.hosts, test_fleet_host.tongue  # pytest finds fixtures by their names here
+hosts, tongue = test_transport.hosts, test_transport.tongue  # pytest finds fixtures by their names here
 TCP_INFO_BACKLOG = 28  # of a listening socket: where TCP_INFO has the bound of its queue
 
 
@@ -177,7 +177,7 @@
 
 def full_hub(many=MANY):
     """A real agent that all the others, here by their messages alone, have called and answered at once."""
-    net, sent, peers = test_fleet_members.Net(), [], [peer(f"n{n}") for n in range(1, many)]
+    net, sent, peers = test_membership.Net(), [], [peer(f"n{n}") for n in range(1, many)]
     hub = net.start("n000")
     hub.desk.send = lambda to, words: sent.append((to, words))
     for each in peers:
@@ -229,7 +229,7 @@
 
 
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
-    net = test_fleet_epochs.Net([f"a{n}" for n in range(3)])
+    net = test_ring_consensus.Net([f"a{n}" for n in range(3)])
     agent, answered = net.agents["a0"], []
     agent.desk.send = lambda to, words: answered.append(to) if isinstance(words, Vouched) else None
     empty, ring = Ring(0, ()), Ring(1, tuple(Seat(f"b{n:04}", "z", 1.0) for n in range(MANY)))
