--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -16,21 +16,21 @@
 import msgspec
 import pytest
 
-from cartdeal.fleet.desk import Pact as Settings
+from cartdeal.fleet.context import Pact as Settings
 from cartdeal.fleet.errors import Trouble as Refusal
-from cartdeal.fleet.ranges import range_of, raw_of
-from cartdeal.fleet.records import digest as record_digest
-from cartdeal.fleet.records import session_key, use_key
-from cartdeal.fleet.ring import Ring, Step, owners, stepped
-from cartdeal.fleet.ring import digest as ring_digest
-from cartdeal.fleet.schema import decode as decode_record
-from cartdeal.fleet.schema import encode as encode_record
-from cartdeal.fleet.wire import Frames as FrameReader
-from cartdeal.fleet.wire import decode as decode_envelope
-from cartdeal.fleet.wire import encode as encode_envelope
-from cartdeal.fleet.wire import framed
-from cartdeal.fleet.wire import inner as encode_message
-from cartdeal.fleet.wire import tongue as message_decoder
+from cartdeal.fleet.replication.catch_up import range_of, raw_of
+from cartdeal.fleet.replication.records import digest as record_digest
+from cartdeal.fleet.replication.records import session_key, use_key
+from cartdeal.fleet.ring.hash_ring import Ring, Step, owners, stepped
+from cartdeal.fleet.ring.hash_ring import digest as ring_digest
+from cartdeal.fleet.replication.schema import decode as decode_record
+from cartdeal.fleet.replication.schema import encode as encode_record
+from cartdeal.fleet.codec import Frames as FrameReader
+from cartdeal.fleet.codec import decode as decode_envelope
+from cartdeal.fleet.codec import encode as encode_envelope
+from cartdeal.fleet.codec import framed
+from cartdeal.fleet.codec import inner as encode_message
+from cartdeal.fleet.codec import tongue as message_decoder
 
 
 def settings(fleet: str, name: str, key: bytes):
