--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -13,16 +13,21 @@
 
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet import idempotency
-from cartdeal.fleet.errors import WrongConfiguration
-from cartdeal.fleet.idempotency import Question, Verdict
+from cartdeal.fleet.effects import DeliverDecision
+from cartdeal.fleet.errors import InvalidConfigurationError
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.transport import Bounds, Host
+from cartdeal.fleet.transport import PeerTransport, TransportLimits
 from cartdeal.settings import REPEATS, seconds
 from cartdeal.supervision import supervise
 from cartdeal.terms import Group, Repeat
 
 LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.NON_IDEMPOTENT: "u"}
-STATUSES = {"limited": 429, "turn_back": 503, "terminate": 502}
+STATUSES = {
+    AdmissionDecision.RATE_LIMITED: 429,
+    AdmissionDecision.REJECT: 503,
+    AdmissionDecision.FAIL: 502,
+}
 LATE = 0.3  # beyond the fleet's own bound, when a request without a word is in doubt
 LOOK = 0.1  # seconds between looks for such
 LAST_WORDS = 0.15  # how long the last ones may take to be written
@@ -38,10 +43,16 @@
         self.config, self.after, self.listen = config, after, fleet.listen
         streams, share = config.limits.descriptors // STREAMS, MEMORY * config.limits.memory
         self.descriptors, self.memory = 2 * streams + 2, 2 * share
-        self.host = Host(
-            fleet.pact, fleet.listen, Node, self.decided, Bounds(streams, int(share * 1e6), int(share * 1e6))
+        self.host = PeerTransport(
+            fleet.settings,
+            fleet.listen,
+            Node,
+            self.decided,
+            TransportLimits(streams, int(share * 1e6), int(share * 1e6)),
         )
-        self.open: dict[int, tuple[float, Question]] = {}  # until when a word has to come, in that order
+        self.open: dict[
+            int, tuple[float, AdmissionRequest]
+        ] = {}  # until when a word has to come, in that order
         settings = config.settings
         self.kinds = [
             (
@@ -52,7 +63,7 @@
             )
             for kind in settings.request_classes
         ]
-        longest = fleet.pact.longest_mark_s
+        longest = fleet.settings.longest_mark_s
         self.longest = tuple(
             {"i": inf, "d": longest - window, "u": longest}[repeat] for repeat, _, window, _ in self.kinds
         )
@@ -62,7 +73,11 @@
         self.host.start()
         log.info(
             "in a fleet",
-            extra={"fleet": self.host.pact.fleet, "agent": self.host.pact.name, "port": self.host.port},
+            extra={
+                "fleet": self.host.settings.fleet,
+                "agent": self.host.settings.name,
+                "port": self.host.port,
+            },
         )
         return [gevent.spawn(supervise, self.watch, log)]
 
@@ -71,7 +86,7 @@
     def admit(self, number: int, request, deadline: float):
         now = monotonic()
         question = self.question(request, deadline - now)
-        self.open[number] = now + self.host.pact.wait_s + LATE, question
+        self.open[number] = now + self.host.settings.wait_s + LATE, question
         self.host.dispatch("ask", number, question)
 
     def went(self, number: int, zone: str, cell: int):
@@ -81,7 +96,7 @@
         self.open.pop(number, None)
         self.host.dispatch("ended", number, ran)
 
-    def question(self, request, left: float) -> Question:
+    def question(self, request, left: float) -> AdmissionRequest:
         repeat, group, window, request_class = self.kinds[request.request_class]
         if request.non_idempotent:
             repeat, window = "u", 0.0
@@ -89,7 +104,7 @@
             key = request.idempotency_key.decode()
         else:
             key = "" if repeat == "i" else digest(request)
-        return Question(
+        return AdmissionRequest(
             # By name: who names none, or one that is not known, must not use up the first one's limit.
             tenant=request.tenant_name.decode("latin-1"),
             session=f"{request.key:016x}" if request.key else "",
@@ -104,10 +119,11 @@
 
     # The fleet's word
 
-    def decided(self, ticket: int, word: str, wait: float, earlier_attempts):
+    def decided(self, effect: DeliverDecision):
+        ticket = effect.ticket
         if self.open.pop(ticket, None) is None:
             return  # answered, or its client has gone, while the fleet thought about it
-        if word == Verdict.PASS.value:
+        if effect.decision is AdmissionDecision.ADMIT:
             node = self.host.node
             shift = node.now - node.wall  # from the fleet's time to the agent's own
             self.after(
@@ -115,39 +131,39 @@
                 ticket,
                 tuple(
                     (zone, cell, group, until_ms / 1e3 + shift)
-                    for zone, cell, group, until_ms in earlier_attempts
+                    for zone, cell, group, until_ms in effect.earlier_attempts
                 ),
             )
         else:
-            self.after("declined", ticket, STATUSES[word], wait)
+            self.after("declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
 
     def watch(self):
         """The fleet answers in time, if need be in doubt; should a fault have kept it from it, this does."""
         while True:
             gevent.sleep(LOOK)
-            now, pact = monotonic(), self.host.pact
+            now, fleet_settings = monotonic(), self.host.settings
             for number, question in [(each, asked) for each, (by, asked) in self.open.items() if by < now]:
                 log.warning("no word of the fleet", extra={"request_class": question.workload})
                 word = (
-                    idempotency.in_doubt(question, pact.on_doubt, pact.clients_mark)
+                    idempotency.decide_unknown(question, fleet_settings.on_doubt, fleet_settings.clients_mark)
                     if question.marked
-                    else Verdict.TURN_BACK
+                    else AdmissionDecision.REJECT
                 )
-                self.decided(number, word.value, 0.0, ())
+                self.decided(DeliverDecision(number, word))
 
-    # The agent's life
+    # The agent's incarnation
 
     def reread(self):
         """Takes over what the fleet's file changes; one that can't be used changes nothing."""
         try:
             found = fleet_configuration.read(self.config)
-        except WrongConfiguration as trouble:
+        except InvalidConfigurationError as trouble:
             return log.error("fleet file refused", extra={"reason": str(trouble)})
-        host, new = self.host, found.pact
-        kept, restart = fleet_configuration.taken_over(host.pact, new)
+        host, new = self.host, found.settings
+        kept, restart = fleet_configuration.taken_over(host.settings, new)
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
-        host.pact = kept
+        host.settings = kept
         host.dispatch("reread", kept)
         log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
 
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -52,7 +52,7 @@
 
     try:
         return fleet_configuration.read(config)
-    except errors.WrongConfiguration as trouble:
+    except errors.InvalidConfigurationError as trouble:
         raise configuration.Fault(str(trouble)) from None
 
 
--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -56,7 +56,7 @@
     except configuration.Fault as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
-    in_fleet = f", fleet {fleet.pact.fleet}" if fleet else ""
+    in_fleet = f", fleet {fleet.settings.fleet}" if fleet else ""
     click.echo(f"{file}: good, {config.name}, {len(config.known.entries)} servers known{in_fleet}")
 
 
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 from msgspec.structs import fields, replace
 
-from cartdeal.fleet.context import Limit, Pact
-from cartdeal.fleet.errors import WrongConfiguration
+from cartdeal.fleet.context import FleetSettings, RateLimit
+from cartdeal.fleet.errors import InvalidConfigurationError
 from cartdeal.settings import REPEATS, seconds
 from cartdeal.terms import Repeat
 
@@ -44,9 +44,9 @@
 
 
 class FleetConfiguration(Struct, frozen=True):
-    """What the file says: `pact` for the node, `listen` for the host."""
+    """What the file says: `settings` for the node, `listen` for the transport."""
 
-    pact: Pact
+    settings: FleetSettings
     listen: Address
 
 
@@ -126,14 +126,14 @@
     path = environment[FILE]
     try:
         text = Path(path).read_bytes()
-    except OSError as trouble:
-        raise fault(FILE, path, f"a readable file ({trouble.strerror})") from None
+    except OSError as error:
+        raise fault(FILE, path, f"a readable file ({error.strerror})") from None
     try:
         if len(text) > LONGEST_FILE:
             raise ValueError(f"{len(text)} bytes")
         found = tomllib.loads(text.decode())
-    except (ValueError, RecursionError) as trouble:
-        raise fault(path, trouble, "TOML in UTF-8") from None
+    except (ValueError, RecursionError) as error:
+        raise fault(path, error, "TOML in UTF-8") from None
     return decode(found, path, config, environment)
 
 
@@ -160,7 +160,7 @@
     # A file for many agents can't hold the address of one: where that one listens comes from outside.
     reached = found | ({} if LISTEN not in environment else {"address": None})
     reached = chosen(path, reached, environment, "address", ADDRESS, seeds.get(name, listen))
-    pact = Pact(
+    fleet_settings = FleetSettings(
         **{
             key: value
             for key, value in found.items()
@@ -170,10 +170,12 @@
         address=reached,
         key=the_key(path, found),
         zone=found.get("zone", zone_of(config)),
-        limits={tenant: Limit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()},
+        limits={
+            tenant: RateLimit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()
+        },
     )
-    agree(path, pact, listen, config)
-    return FleetConfiguration(pact, address(listen, 0))
+    agree(path, fleet_settings, listen, config)
+    return FleetConfiguration(fleet_settings, address(listen, 0))
 
 
 def chosen(path, found, environment, key, variable, default) -> str:
@@ -194,60 +196,91 @@
         where = f"{path}: key_file"
         try:
             key = Path(path).parent.joinpath(found["key_file"]).read_bytes()[:4096].strip()
-        except OSError as trouble:
-            raise fault(where, found["key_file"], f"a readable file ({trouble.strerror})") from None
+        except OSError as error:
+            raise fault(where, found["key_file"], f"a readable file ({error.strerror})") from None
     if len(key) < LEAST_KEY:
         raise fault(where, f"{len(key)} bytes", f"{LEAST_KEY} bytes or more, by chance")
     return key
 
 
-def agree(path: str, pact: Pact, listen: str, config):
+def agree(path: str, fleet_settings: FleetSettings, listen: str, config):
     """What each key allows by itself, but not beside another one, or beside the agent's own configuration."""
-    seeds, by_address = pact.seeds, {}
+    seeds, by_address = fleet_settings.seeds, {}
     wrong = [
         ("seeds", len(seeds), "at least one agent that founds the fleet", not seeds),
-        ("seeds", len(seeds), f"most_agents at most, {pact.most_agents}", len(seeds) > pact.most_agents),
+        (
+            "seeds",
+            len(seeds),
+            f"most_agents at most, {fleet_settings.most_agents}",
+            len(seeds) > fleet_settings.most_agents,
+        ),
         (
             "address",
-            pact.address,
+            fleet_settings.address,
             "an address that peers can reach, where listen has none",
-            pact.address.startswith("0."),
+            fleet_settings.address.startswith("0."),
+        ),
+        (
+            f"seeds.{fleet_settings.name}",
+            seeds.get(fleet_settings.name),
+            f"the address of this agent, {fleet_settings.address}",
+            seeds.get(fleet_settings.name, fleet_settings.address) != fleet_settings.address,
+        ),
+        (
+            "write_by",
+            fleet_settings.write_by,
+            f"copies at most, {fleet_settings.copies}",
+            fleet_settings.write_by > fleet_settings.copies,
         ),
         (
-            f"seeds.{pact.name}",
-            seeds.get(pact.name),
-            f"the address of this agent, {pact.address}",
-            seeds.get(pact.name, pact.address) != pact.address,
+            "read_by",
+            fleet_settings.read_by,
+            f"copies at most, {fleet_settings.copies}",
+            fleet_settings.read_by > fleet_settings.copies,
         ),
-        ("write_by", pact.write_by, f"copies at most, {pact.copies}", pact.write_by > pact.copies),
-        ("read_by", pact.read_by, f"copies at most, {pact.copies}", pact.read_by > pact.copies),
         (
             "write_by",
-            f"{pact.write_by} and read_by {pact.read_by}",
-            f"over copies ({pact.copies}) together: else who reads may miss what was written",
-            pact.write_by + pact.read_by <= pact.copies,
+            f"{fleet_settings.write_by} and read_by {fleet_settings.read_by}",
+            f"over copies ({fleet_settings.copies}) together: else who reads may miss what was written",
+            fleet_settings.write_by + fleet_settings.read_by <= fleet_settings.copies,
+        ),
+        (
+            "wait_s",
+            fleet_settings.wait_s,
+            f"lease_s at most, {fleet_settings.lease_s:g}",
+            fleet_settings.wait_s > fleet_settings.lease_s,
+        ),
+        (
+            "tick_s",
+            fleet_settings.tick_s,
+            f"a quarter of lease_s at most, {fleet_settings.lease_s / 4:g}",
+            fleet_settings.tick_s > fleet_settings.lease_s / 4,
         ),
-        ("wait_s", pact.wait_s, f"lease_s at most, {pact.lease_s:g}", pact.wait_s > pact.lease_s),
         (
             "tick_s",
-            pact.tick_s,
-            f"a quarter of lease_s at most, {pact.lease_s / 4:g}",
-            pact.tick_s > pact.lease_s / 4,
+            fleet_settings.tick_s,
+            f"probe_s at most, {fleet_settings.probe_s:g}",
+            fleet_settings.tick_s > fleet_settings.probe_s,
+        ),
+        (
+            "suspect_s",
+            fleet_settings.suspect_s,
+            f"probe_s or more, {fleet_settings.probe_s:g}",
+            fleet_settings.suspect_s < fleet_settings.probe_s,
         ),
-        ("tick_s", pact.tick_s, f"probe_s at most, {pact.probe_s:g}", pact.tick_s > pact.probe_s),
-        ("suspect_s", pact.suspect_s, f"probe_s or more, {pact.probe_s:g}", pact.suspect_s < pact.probe_s),
         (
             "hold_version",
-            pact.hold_version,
-            f"0 or a version from {pact.reads[0]} to {pact.reads[1]}",
-            pact.hold_version and not pact.reads[0] <= pact.hold_version <= pact.reads[1],
+            fleet_settings.hold_version,
+            f"0 or a version from {fleet_settings.reads[0]} to {fleet_settings.reads[1]}",
+            fleet_settings.hold_version
+            and not fleet_settings.reads[0] <= fleet_settings.hold_version <= fleet_settings.reads[1],
         ),
     ]
     for name, at in seeds.items():
         other = by_address.setdefault(at, name)
         wrong.append((f"seeds.{name}", at, f"an address of its own, {other} has this", other != name))
     tenants = [each.name for each in config.settings.tenants]
-    for tenant in pact.limits:
+    for tenant in fleet_settings.limits:
         known = ", ".join(tenants) or "none"
         wrong.append(
             (f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}", tenant not in tenants)
@@ -258,9 +291,9 @@
         wrong.append(
             (
                 "longest_mark_s",
-                pact.longest_mark_s,
+                fleet_settings.longest_mark_s,
                 f"{needs:g} or more for workload {kind.name}: else what it did is forgotten too soon",
-                pact.longest_mark_s < needs,
+                fleet_settings.longest_mark_s < needs,
             )
         )
     for key, found, wanted, is_wrong in wrong:
@@ -268,10 +301,12 @@
             raise fault(f"{path}: {key}", found, wanted)
 
 
-def taken_over(old: Pact, new: Pact) -> tuple[Pact, list[str]]:
+def taken_over(old: FleetSettings, new: FleetSettings) -> tuple[FleetSettings, list[str]]:
     """What a running agent goes by after its file was read again, and the keys that need a restart."""
     kept = replace(old, **{key: getattr(new, key) for key in TAKEN_OVER})
-    return kept, [each.name for each in fields(Pact) if getattr(kept, each.name) != getattr(new, each.name)]
+    return kept, [
+        each.name for each in fields(FleetSettings) if getattr(kept, each.name) != getattr(new, each.name)
+    ]
 
 
 def zone_of(config) -> str:
@@ -289,5 +324,5 @@
     return type(found).__name__ if isinstance(found, dict | list) else str(found)
 
 
-def fault(where: str, found, wanted: str) -> WrongConfiguration:
-    return WrongConfiguration(where, found, f"wanted {wanted}")
+def fault(where: str, found, wanted: str) -> InvalidConfigurationError:
+    return InvalidConfigurationError(where, found, f"wanted {wanted}")
--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -16,22 +16,33 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from cartdeal.fleet import errors
-from cartdeal.fleet.ring.hash_ring import MOST_EPOCH, Damper, Ring, Seat, Step, plan, sound, step, stepped
-
-FAR = 1 << 20  # epochs ahead of the own one that are no honest agent's
-MOST_BALLOT = 1 << 40
-UNHEARD = 255  # an age in e.vouched: not heard of within the lease
+from cartdeal.fleet import errors, events
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.ring.hash_ring import (
+    MAX_EPOCH,
+    Damper,
+    Ring,
+    RingMember,
+    RingStep,
+    apply_step,
+    is_valid_ring,
+    plan,
+    step_between,
+)
+
+MAX_EPOCH_LEAD = 1 << 20  # epochs ahead of the own one that are no honest agent's
+MAX_BALLOT = 1 << 40
+NOT_HEARD = 255  # an age in e.vouched: not heard of within the lease
 AGES = 200  # steps of age in a lease
 REUSED = 0.05  # seconds for which the ages of vouches, once counted, are said again
-OWED = 1024  # askers of one epoch that wait until this agent has learnt it
-MOST_TWINS = 64  # rings of one epoch that are told of
+MAX_PENDING_RENEWALS = 1024  # askers of one epoch that wait until this agent has learnt it
+MAX_CONFLICTING_RINGS = 64  # rings of one epoch that are told of
 FOUNDERS = 8  # so many of the seeds that are there, by name, ask all seeds for a ring
 PATIENCE = 5  # leases for which the next step waits until the seats have caught up with this one
 STUCK_S = 30.0  # this long without a majority of the ring's seats, and an operator is told
 
 
-class Ask(Struct, frozen=True, tag="e.ask", array_like=True):
+class RingQuery(Struct, frozen=True, tag="e.ask", array_like=True):
     """Tell me your ring; mine is of epoch `has` (0: none), with digest `mark`."""
 
     DATAGRAM: ClassVar[bool] = False
@@ -39,7 +50,7 @@
     mark: bytes
 
 
-class Has(Struct, frozen=True, tag="e.has", array_like=True):
+class EpochAnnouncement(Struct, frozen=True, tag="e.has", array_like=True):
     """My ring is of epoch `has` (0: none)."""
 
     DATAGRAM: ClassVar[bool] = False
@@ -47,19 +58,19 @@
     mark: bytes
 
 
-class Next(Struct, frozen=True, tag="e.next", array_like=True):
+class RingUpdate(Struct, frozen=True, tag="e.next", array_like=True):
     """Decided: the step from the ring of the epoch before."""
 
     DATAGRAM: ClassVar[bool] = False
-    step: Step
+    step: RingStep
 
 
-class Whole(Struct, frozen=True, tag="e.whole", array_like=True):
+class RingSnapshot(Struct, frozen=True, tag="e.whole", array_like=True):
     """Decided: the ring, as the one before and the step from it."""
 
     DATAGRAM: ClassVar[bool] = False
     former: Ring
-    step: Step
+    step: RingStep
 
 
 class Prepare(Struct, frozen=True, tag="e.prepare", array_like=True):
@@ -80,10 +91,10 @@
     mark: bytes
     number: int
     ballot: tuple[int, str] | None
-    step: Step | None
+    step: RingStep | None
 
 
-class Refuse(Struct, frozen=True, tag="e.refuse", array_like=True):
+class Nack(Struct, frozen=True, tag="e.refuse", array_like=True):
     """Not by ballot `number`; I have promised `above`; `why`: "older", "live" or "forgot"."""
 
     DATAGRAM: ClassVar[bool] = False
@@ -99,7 +110,7 @@
     has: int
     mark: bytes
     number: int
-    step: Step
+    step: RingStep
 
 
 class Accepted(Struct, frozen=True, tag="e.accepted", array_like=True):
@@ -109,7 +120,7 @@
     number: int
 
 
-class Vouch(Struct, frozen=True, tag="e.vouch", array_like=True):
+class LeaseRenewal(Struct, frozen=True, tag="e.vouch", array_like=True):
     """Is this still your epoch, and have you accepted none higher?"""
 
     DATAGRAM: ClassVar[bool] = False
@@ -118,7 +129,7 @@
     round: int
 
 
-class Vouched(Struct, frozen=True, tag="e.vouched", array_like=True):
+class LeaseRenewalAck(Struct, frozen=True, tag="e.vouched", array_like=True):
     """`ages`: a byte a seat, in the ring's order: how many `unit_ms` ago, at most, it said that this is its
     epoch and that it accepted none higher, by the answerer's clock (0: now; 255: not within its lease)."""
 
@@ -130,14 +141,26 @@
     ages: bytes
 
 
-WORDS = (Ask, Has, Next, Whole, Prepare, Promise, Refuse, Accept, Accepted, Vouch, Vouched)
+MESSAGE_TYPES = (
+    RingQuery,
+    EpochAnnouncement,
+    RingUpdate,
+    RingSnapshot,
+    Prepare,
+    Promise,
+    Nack,
+    Accept,
+    Accepted,
+    LeaseRenewal,
+    LeaseRenewalAck,
+)
 
 
-class Attempt(Struct):
+class Proposal(Struct):
     """A ballot of one's own. It ends within lease_s, won or not: a voter that restarts counts on that."""
 
     number: int
-    step: Step
+    step: RingStep
     gone: tuple[str, ...]
     until: float
     again: float  # when those that are silent are asked once more
@@ -147,24 +170,26 @@
     accepted: dict[str, bool] = {}
 
 
-class Epochs:
-    def __init__(self, desk, pact):
-        self.desk, self.pact = desk, pact
-        seeds = sorted(pact.seeds)
-        self.ground = Ring(0, tuple(Seat(name, "", 1.0) for name in seeds))  # its names vote for epoch 1
+class RingConsensus:
+    def __init__(self, context, settings):
+        self.context, self.settings = context, settings
+        seeds = sorted(settings.seeds)
+        self.ground = Ring(
+            0, tuple(RingMember(name, "", 1.0) for name in seeds)
+        )  # its names vote for epoch 1
         self.ring: Ring | None = None
         self.former: Ring | None = None  # the ring of the epoch before, None before the second
-        self.since = desk.now  # when the ring was learnt
+        self.since = context.now  # when the ring was learnt
         self.version = 0  # goes up when the ring changes
-        self.begun = desk.now
-        self.unit = ceil(pact.lease_s * 1000 / AGES)  # ms
+        self.begun = context.now
+        self.unit = ceil(settings.lease_s * 1000 / AGES)  # ms
         self.live: dict = {}
-        self.damper = Damper(pact)
-        self.last_step: Step | None = None
+        self.damper = Damper(settings)
+        self.last_step: RingStep | None = None
         self.twins: dict[bytes, bool] = {}
         self.ask_after = self.look_after = -inf
         self.search, self.blank = 0.0, {}
-        self.short, self.looked, self.told_stuck = 0.0, desk.now, False
+        self.short, self.looked, self.told_stuck = 0.0, context.now, False
         self.round = 0
         self.targets: dict[str, int] = {}  # whom to ask for vouches -> asked in vain so often
         self.renew()
@@ -172,8 +197,8 @@
     def renew(self):
         """Forgets what belonged to the epoch before."""
         self.promised = (0, "")
-        self.accepted: tuple[tuple[int, str], Step] | None = None
-        self.attempt: Attempt | None = None
+        self.accepted: tuple[tuple[int, str], RingStep] | None = None
+        self.attempt: Proposal | None = None
         self.top, self.backoff, self.pause = 0, 0.2, -inf
         self.need: Ring | None = None
         self.needed = inf
@@ -182,7 +207,7 @@
         self.heard_at: list[float] = [-inf] * len(self.base.seats)
         self.kth, self.kth_old = -inf, False  # since when a majority has vouched; it only grows
         self.aged, self.last_ages = -inf, b""
-        self.owed: dict[str, Vouch] = {}
+        self.owed: dict[str, LeaseRenewal] = {}
         self.place = {name: place for place, name in enumerate(self.base.names)}
 
     @property
@@ -196,17 +221,18 @@
     @property
     def remembers(self) -> bool:
         """Whether this process has been there long enough to say what it promised."""
-        return self.desk.now - self.begun >= 2 * self.pact.lease_s
+        return self.context.now - self.begun >= 2 * self.settings.lease_s
 
     def say(self, to, kind, *words):
-        self.desk.send(to, kind(self.base.epoch, self.base.digest, *words))
+        self.context.send(to, kind(self.base.epoch, self.base.digest, *words))
 
     # Time
 
     def tick(self, live: dict, versions) -> None:
-        """`live`: name -> what has .name, .zone, .capacity, .life, .reads, .state; `versions(ring, live)` ->
+        """`live`: name -> what has .name, .zone, .capacity, .incarnation, .reads, .state; `versions(ring,
+        live)` ->
         (written, phase) of the epoch after `ring`."""
-        now, self.live = self.desk.now, live
+        now, self.live = self.context.now, live
         if self.ring is None:
             self.seek()
         elif now >= self.ask_round:
@@ -214,21 +240,23 @@
         if self.attempt:
             self.press()
         if now >= self.look_after:
-            self.look_after = now + min(0.5, self.pact.damp_s / 8) * (0.8 + 0.2 * self.desk.random.random())
+            self.look_after = now + min(0.5, self.settings.damp_s / 8) * (
+                0.8 + 0.2 * self.context.random.random()
+            )
             self.look(versions)
         self.pursue()
 
     def look(self, versions):
         """Sees whether another ring is wanted."""
-        now, base = self.desk.now, self.base
+        now, base = self.context.now, self.base
         present = sum(name in self.live for name in base.names)
         self.short = self.short + min(now - self.looked, 2.0) if present < base.majority else 0.0
         self.looked = now
-        if self.short >= max(STUCK_S, 6 * self.pact.damp_s) and not self.told_stuck and base.seats:
+        if self.short >= max(STUCK_S, 6 * self.settings.damp_s) and not self.told_stuck and base.seats:
             self.told_stuck = True
-            kind = errors.RingStuck if self.ring else errors.NotFounded
-            trouble = kind(f"epoch {base.epoch}", f"{present} of {len(base.seats)} seats there")
-            self.desk.note("ring stuck", what=trouble.what, found=trouble.found, do=trouble.do)
+            kind = errors.RingMajorityLostError if self.ring else errors.BootstrapIncompleteError
+            error = kind(f"epoch {base.epoch}", f"{present} of {len(base.seats)} seats there")
+            self.context.log_event(events.RingMajorityLost.of(error))
         new = self.wanted(versions) if self.ring else self.founding()
         if new is None:
             self.need, self.needed = None, inf
@@ -236,12 +264,12 @@
             self.need, self.needed = new, min(self.needed, now)
 
     def wanted(self, versions) -> Ring | None:
-        ring, seats = self.ring, self.damper.wanted(self.live, self.ring, self.desk.now)
+        ring, seats = self.ring, self.damper.wanted(self.live, self.ring, self.context.now)
         new = ring
         if seats and seats != ring.by_name:
-            new = plan(ring, seats, self.pact.step_share)
-            if len(new.seats) > self.pact.most_agents:
-                self.desk.count("ring full")
+            new = plan(ring, seats, self.settings.step_share)
+            if len(new.seats) > self.settings.most_agents:
+                self.context.increment(Metric.RING_FULL)
                 new = ring
         written, phase = versions(ring, self.live)
         if new is ring and (written, phase) == (ring.written, ring.phase):
@@ -250,92 +278,99 @@
 
     def founding(self) -> Ring | None:
         """The first ring, once all seeds say that they know none; a majority is enough after damp_s more."""
-        now, names = self.desk.now, self.ground.names
-        if self.desk.name not in self.place or not self.remembers:
+        now, names = self.context.now, self.ground.names
+        if self.context.name not in self.place or not self.remembers:
             return None
         fresh = [
             name
             for name in names
-            if name == self.desk.name or now - self.blank.get(name, -inf) <= 2 * self.pact.lease_s
+            if name == self.context.name or now - self.blank.get(name, -inf) <= 2 * self.settings.lease_s
         ]
-        late = now - self.begun >= 2 * self.pact.lease_s + self.pact.damp_s
+        late = now - self.begun >= 2 * self.settings.lease_s + self.settings.damp_s
         if len(fresh) < self.ground.majority or len(fresh) < len(names) and not late:
             return None
-        seats = [Seat(peer.name, peer.zone, float(peer.capacity)) for _, peer in sorted(self.live.items())]
+        seats = [
+            RingMember(peer.name, peer.zone, float(peer.capacity)) for _, peer in sorted(self.live.items())
+        ]
         written = max((peer.reads[0] for peer in self.live.values()), default=1)
         new = Ring(
-            1, tuple(seats[: self.pact.most_agents]), max(1, written), founded_ms=int(self.desk.wall * 1e3)
+            1,
+            tuple(seats[: self.settings.most_agents]),
+            max(1, written),
+            founded_ms=int(self.context.wall * 1e3),
         )
-        return new if sound(new, self.pact.most_agents) else None
+        return new if is_valid_ring(new, self.settings.most_agents) else None
 
     def seek(self):
         """Asks those who may know a ring, ever more rarely."""
-        if self.desk.now >= self.ask_round:
+        if self.context.now >= self.ask_round:
             self.search = min(2.0, self.search * 1.5 or 0.2)
-            self.ask_round = self.desk.now + self.search * (0.5 + self.desk.random.random())
-            names = sorted((set(self.live) | set(self.pact.seeds)) - {self.desk.name})
-            few = self.desk.random.sample(names, min(3, len(names)))
-            if self.desk.name in self.place:
+            self.ask_round = self.context.now + self.search * (0.5 + self.context.random.random())
+            names = sorted((set(self.live) | set(self.settings.seeds)) - {self.context.name})
+            few = self.context.random.sample(names, min(3, len(names)))
+            if self.context.name in self.place:
                 there = [name for name in self.ground.names if name in self.live]
-                if self.desk.name in there[:FOUNDERS]:
-                    few += [name for name in self.ground.names if name not in few and name != self.desk.name]
+                if self.context.name in there[:FOUNDERS]:
+                    few += [
+                        name for name in self.ground.names if name not in few and name != self.context.name
+                    ]
             for name in few:
-                self.say(name, Ask)
+                self.say(name, RingQuery)
 
     # A ballot of one's own
 
     def pursue(self):
         """Begins a ballot when one is needed and nobody of lower rank seems to."""
-        now, base = self.desk.now, self.base
-        if self.attempt or self.desk.name not in self.place or now < self.pause:
+        now, base = self.context.now, self.base
+        if self.attempt or self.context.name not in self.place or now < self.pause:
             return
-        rest = self.since + self.pact.lease_s if self.ring else -inf
+        rest = self.since + self.settings.lease_s if self.ring else -inf
         if self.accepted is None and (self.need is None or now < rest or self.catching_up()):
             return
         there = [name for name in base.names if name in self.live]
-        if len(there) < base.majority or self.desk.name not in there:
+        if len(there) < base.majority or self.context.name not in there:
             return
-        rank, unit = there.index(self.desk.name), max(0.3, 3 * self.pact.tick_s)
+        rank, unit = there.index(self.context.name), max(0.3, 3 * self.settings.tick_s)
         if self.accepted is None and now < self.needed + unit * min(rank, 8):
             return
         if rank > 8 or self.accepted:  # any of them may; they draw lots who goes first
             many = len(there) if self.accepted else len(there) - 8
-            if self.desk.random.random() * many * unit > self.pact.tick_s:
+            if self.context.random.random() * many * unit > self.settings.tick_s:
                 return
         if self.accepted:  # to be ended, whoever is there: nobody is unseated by that
             self.begin(self.accepted[1], ())
         else:
-            wanted = step(base, self.need)
+            wanted = step_between(base, self.need)
             self.begin(wanted, wanted.gone)
 
     def catching_up(self) -> bool:
         """Whether some seats still catch up with this ring. A step that came faster would leave keys whose
         former owners knew nothing either, and nobody sure of them until their marks are over."""
-        if self.ring is None or self.desk.now >= self.since + PATIENCE * self.pact.lease_s:
+        if self.ring is None or self.context.now >= self.since + PATIENCE * self.settings.lease_s:
             return False
         here = [self.live[name] for name in self.ring.names if name in self.live]
         return any(peer.state == 0 and peer.caught < self.ring.epoch for peer in here)
 
-    def begin(self, wanted: Step, gone: tuple[str, ...]):
+    def begin(self, wanted: RingStep, gone: tuple[str, ...]):
         self.top = max(self.top, self.promised[0]) + 1
-        now = self.desk.now
-        self.attempt = Attempt(self.top, wanted, gone, now + self.pact.lease_s, now)
-        self.desk.count("ballots")
+        now = self.context.now
+        self.attempt = Proposal(self.top, wanted, gone, now + self.settings.lease_s, now)
+        self.context.increment(Metric.BALLOTS)
         if self.remembers:
-            self.take_answer(self.desk.name, self.prepare(self.desk.name, self.top, gone))
+            self.take_answer(self.context.name, self.prepare(self.context.name, self.top, gone))
         self.press()
 
     def press(self):
         """Asks the voters that are silent, again and again until the ballot is over."""
-        now, attempt = self.desk.now, self.attempt
+        now, attempt = self.context.now, self.attempt
         if attempt is None:
             return
         if now >= attempt.until:
             self.give_up()
         elif now >= attempt.again:
-            attempt.again = now + max(0.3, 3 * self.pact.tick_s)
+            attempt.again = now + max(0.3, 3 * self.settings.tick_s)
             for name in self.base.names:
-                if name == self.desk.name:
+                if name == self.context.name:
                     continue
                 if not attempt.accepting and name not in attempt.promises and name not in attempt.refused:
                     self.say(name, Prepare, attempt.number, attempt.gone)
@@ -344,16 +379,16 @@
 
     def give_up(self):
         self.attempt = None
-        self.pause = self.desk.now + self.backoff * (0.5 + self.desk.random.random())
+        self.pause = self.context.now + self.backoff * (0.5 + self.context.random.random())
         self.backoff = min(2 * self.backoff, 4.0)
 
     def take_answer(self, sender, words):
         attempt = self.attempt
         if attempt is None or words.number != attempt.number or sender not in self.place:
-            return self.desk.count("dropped answer to no ballot")
-        if self.desk.now >= attempt.until:  # stopped meanwhile, or slow: nobody counts on this ballot now
+            return self.context.increment(Metric.DROPPED_UNKNOWN_BALLOT)
+        if self.context.now >= attempt.until:  # stopped meanwhile, or slow: nobody counts on this ballot now
             return self.give_up()
-        if isinstance(words, Refuse):
+        if isinstance(words, Nack):
             self.refused(attempt, sender, words)
         elif isinstance(words, Promise):
             self.promise_came(attempt, sender, words)
@@ -363,38 +398,40 @@
                 self.decided(attempt.step)
 
     def refused(self, attempt, sender, words):
-        if 0 <= words.above < MOST_BALLOT:
+        if 0 <= words.above < MAX_BALLOT:
             self.top = max(self.top, words.above)
         attempt.refused[sender] = words.why
         if len(self.place) - len(attempt.refused) < self.base.majority:
-            self.desk.count("ballots refused")
+            self.context.increment(Metric.BALLOTS_REJECTED)
             self.give_up()
 
     def promise_came(self, attempt, sender, words):
         had = None
         if words.ballot is not None:
             if words.step is None or self.led_to(words.step) is None:
-                return self.desk.count("dropped malformed ring")
+                return self.context.increment(Metric.DROPPED_MALFORMED_RING)
             had = (tuple(words.ballot), words.step)
         attempt.promises.setdefault(sender, had)
         if attempt.accepting:
-            if sender != self.desk.name:
+            if sender != self.context.name:
                 self.say(sender, Accept, attempt.number, attempt.step)
         elif len(attempt.promises) >= self.base.majority:
             attempt.accepting = True
             before = [each for each in attempt.promises.values() if each is not None]
             if before:  # it may be decided already: no other ring may be
                 attempt.step = max(before, key=lambda each: each[0])[1]
-            attempt.again = self.desk.now
-            if self.desk.name in attempt.promises:
-                self.take_answer(self.desk.name, self.accept(self.desk.name, attempt.number, attempt.step))
+            attempt.again = self.context.now
+            if self.context.name in attempt.promises:
+                self.take_answer(
+                    self.context.name, self.accept(self.context.name, attempt.number, attempt.step)
+                )
             self.press()
 
-    def decided(self, taken: Step):
+    def decided(self, taken: RingStep):
         former, ring = self.base, self.led_to(taken)
         self.learn(former, taken, ring)
-        for name in sorted({*former.names, *ring.names, *self.live} - {self.desk.name}):
-            self.desk.send(name, Next(taken))
+        for name in sorted({*former.names, *ring.names, *self.live} - {self.context.name}):
+            self.context.send(name, RingUpdate(taken))
 
     # A voter
 
@@ -409,56 +446,60 @@
         elif any(name in self.live and self.live[name].state == 0 for name in gone):
             why = "live"  # one witness is not enough to unseat an agent
         if why:
-            return Refuse(base.epoch, base.digest, number, self.promised[0], why)
+            return Nack(base.epoch, base.digest, number, self.promised[0], why)
         self.promised = ballot
-        if sender != self.desk.name:
-            while_it_lasts = self.pact.lease_s * (0.25 + 0.5 * self.desk.random.random())
-            self.pause = max(self.pause, self.desk.now + while_it_lasts)
+        if sender != self.context.name:
+            while_it_lasts = self.settings.lease_s * (0.25 + 0.5 * self.context.random.random())
+            self.pause = max(self.pause, self.context.now + while_it_lasts)
         return Promise(base.epoch, base.digest, number, *(self.accepted or (None, None)))
 
-    def accept(self, sender, number, wanted: Step) -> Struct | None:
+    def accept(self, sender, number, wanted: RingStep) -> Struct | None:
         base = self.base
         if not self.remembers or (number, sender) < self.promised:
             why = "older" if self.remembers else "forgot"
-            return Refuse(base.epoch, base.digest, number, self.promised[0], why)
+            return Nack(base.epoch, base.digest, number, self.promised[0], why)
         if self.led_to(wanted) is None:
-            return self.desk.count("dropped malformed ring")
+            return self.context.increment(Metric.DROPPED_MALFORMED_RING)
         self.promised = number, sender
         self.accepted = self.promised, wanted
-        if sender != self.desk.name:
-            self.pause = max(self.pause, self.desk.now + self.pact.lease_s / 2)
+        if sender != self.context.name:
+            self.pause = max(self.pause, self.context.now + self.settings.lease_s / 2)
         return Accepted(base.epoch, base.digest, number)
 
-    def led_to(self, taken: Step) -> Ring | None:
+    def led_to(self, taken: RingStep) -> Ring | None:
         """The ring that a step leads to from the own one; None if it can't be used."""
         return self.sound_step(self.base, taken)
 
     def sound_step(self, former, taken):
         try:
-            ring = stepped(former, taken)
+            ring = apply_step(former, taken)
         except ValueError:
             return None
-        return ring if ring.epoch == former.epoch + 1 and sound(ring, self.pact.most_agents) else None
+        return (
+            ring
+            if ring.epoch == former.epoch + 1 and is_valid_ring(ring, self.settings.most_agents)
+            else None
+        )
 
     # Decided rings
 
-    def learn(self, former: Ring, taken: Step, ring: Ring):
+    def learn(self, former: Ring, taken: RingStep, ring: Ring):
         """Takes over a decided ring if it's newer than the own one, or its twin and of lower digest."""
         own = self.base
         if ring.epoch < own.epoch or ring.digest == own.digest:
             return
         if ring.epoch == own.epoch:
-            if ring.digest not in self.twins and len(self.twins) < MOST_TWINS:
+            if ring.digest not in self.twins and len(self.twins) < MAX_CONFLICTING_RINGS:
                 self.twins[ring.digest] = True
                 both = f"{own.digest.hex()} and {ring.digest.hex()}"
-                trouble = errors.EpochTwice(f"epoch {own.epoch}", both)
-                self.desk.note("epoch twice", what=trouble.what, found=trouble.found, do=trouble.do)
+                error = errors.ConflictingRingsError(f"epoch {own.epoch}", both)
+                self.context.log_event(events.ConflictingRings.of(error))
             if ring.digest > own.digest:
                 return
         owed = self.owed
         self.ring, self.former = ring, former if former.epoch else None
         self.last_step, self.last_former = taken, former
-        self.since, self.version = self.desk.now, self.version + 1
+        self.since, self.version = self.context.now, self.version + 1
         self.short, self.told_stuck = 0.0, False
         self.renew()
         for sender, words in owed.items():
@@ -469,21 +510,21 @@
     def tell(self, to, words):
         """The decided ring for one that asked: the step alone if that's all it lacks."""
         if (words.has, words.mark) == (self.last_former.epoch, self.last_former.digest):
-            self.desk.send(to, Next(self.last_step))
+            self.context.send(to, RingUpdate(self.last_step))
         else:
-            self.desk.send(to, Whole(self.last_former, self.last_step))
+            self.context.send(to, RingSnapshot(self.last_former, self.last_step))
 
     def ask(self, sender):
-        if self.desk.now >= self.ask_after:
-            self.ask_after = self.desk.now + 0.1 + 0.1 * self.desk.random.random()
-            self.say(sender, Ask)
+        if self.context.now >= self.ask_after:
+            self.ask_after = self.context.now + 0.1 + 0.1 * self.context.random.random()
+            self.say(sender, RingQuery)
 
     # Vouching
 
     def ask_vouches(self):
         """Asks few, about as many as the square root of the seats. They pass on whom they heard, with ages:
         two rounds bring a majority. In a small ring the few are a majority and a spare by themselves."""
-        now, ring, third = self.desk.now, self.ring, self.pact.lease_s / 3
+        now, ring, third = self.context.now, self.ring, self.settings.lease_s / 3
         self.ask_round = now + (third if self.sure() else min(self.eager, third))
         self.eager *= 2
         self.choose_targets(ring)
@@ -492,12 +533,14 @@
         self.rounds.pop(self.round - 8, None)
         for name in self.targets:
             self.targets[name] += 1
-            self.say(name, Vouch, self.round)
+            self.say(name, LeaseRenewal, self.round)
 
     def choose_targets(self, ring):
-        others = len(ring.seats) - (self.desk.name in self.place)
+        others = len(ring.seats) - (self.context.name in self.place)
         many = min(
-            others, ring.majority + 1 - (self.desk.name in self.place), ceil(1.5 * sqrt(len(ring.seats))) + 2
+            others,
+            ring.majority + 1 - (self.context.name in self.place),
+            ceil(1.5 * sqrt(len(ring.seats))) + 2,
         )
         kept = {
             name: vain
@@ -510,37 +553,37 @@
                 left = [
                     name
                     for name in ring.names
-                    if name != self.desk.name and name not in self.targets and (not where or name in where)
+                    if name != self.context.name and name not in self.targets and (not where or name in where)
                 ]
-                more = self.desk.random.sample(left, min(len(left), many - len(self.targets)))
+                more = self.context.random.sample(left, min(len(left), many - len(self.targets)))
                 self.targets |= dict.fromkeys(more, 0)
 
-    def vouch(self, sender, words: Vouch):
-        ages, own = bytearray(self.ages()), self.place.get(self.desk.name)
+    def vouch(self, sender, words: LeaseRenewal):
+        ages, own = bytearray(self.ages()), self.place.get(self.context.name)
         if own is not None:
-            ages[own] = 0 if self.remembers and not self.accepted_higher else UNHEARD
-        self.say(sender, Vouched, words.round, self.unit, bytes(ages))
+            ages[own] = 0 if self.remembers and not self.accepted_higher else NOT_HEARD
+        self.say(sender, LeaseRenewalAck, words.round, self.unit, bytes(ages))
 
     def ages(self) -> bytes:
         """As they will be when REUSED seconds are over; until then they are said again."""
-        now = self.desk.now
+        now = self.context.now
         if now >= self.aged:
             self.aged = then = now + REUSED
-            floor, scale = then - self.pact.lease_s, (1 + self.pact.clock_drift) * 1000 / self.unit
+            floor, scale = then - self.settings.lease_s, (1 + self.settings.clock_drift) * 1000 / self.unit
             self.last_ages = bytes(
-                [int((then - at) * scale) + 1 if at > floor else UNHEARD for at in self.heard_at]
+                [int((then - at) * scale) + 1 if at > floor else NOT_HEARD for at in self.heard_at]
             )
         return self.last_ages
 
-    def vouched(self, sender, words: Vouched):
+    def vouched(self, sender, words: LeaseRenewalAck):
         asked = self.rounds.get(words.round)
         if asked is None or len(words.ages) != len(self.heard_at) or not 0 < words.unit_ms <= 10_000:
-            return self.desk.count("dropped vouch")
+            return self.context.increment(Metric.DROPPED_LEASE_RENEWAL)
         if sender in self.targets:
             self.targets[sender] = 0
         unit, when = words.unit_ms / 1000, self.heard_at
         for place, age in enumerate(words.ages):
-            if age != UNHEARD and (at := asked - age * unit) > when[place]:
+            if age != NOT_HEARD and (at := asked - age * unit) > when[place]:
                 when[place] = at
         self.kth_old = True
 
@@ -548,42 +591,42 @@
     def sure_until(self) -> float:
         """Local time until which this agent may count on its epoch: lease_s after the moment since which a
         majority of the seats have vouched for it. -inf: not at all."""
-        ring, own = self.ring, self.place.get(self.desk.name)
+        ring, own = self.ring, self.place.get(self.context.name)
         if ring is None or self.accepted_higher:
             return -inf
         need = ring.majority - (own is not None and self.remembers)
         if need <= 0:
-            return self.desk.now + self.pact.lease_s
+            return self.context.now + self.settings.lease_s
         if self.kth_old:
             others = (at for place, at in enumerate(self.heard_at) if place != own)
             best = nlargest(need, others)
             self.kth, self.kth_old = best[-1] if len(best) == need else -inf, False
-        return self.kth + self.pact.lease_s
+        return self.kth + self.settings.lease_s
 
     def sure(self) -> bool:
         """Asked with every request: in most of a lease what was counted last is enough."""
-        if self.desk.now < self.kth + self.pact.lease_s / 2 and not self.accepted_higher:
+        if self.context.now < self.kth + self.settings.lease_s / 2 and not self.accepted_higher:
             return True
-        return self.desk.now < self.sure_until
+        return self.context.now < self.sure_until
 
     # What comes in
 
     def heard(self, sender: str, words: Struct) -> None:
-        if isinstance(words, Next):
+        if isinstance(words, RingUpdate):
             self.next_came(sender, words)
-        elif isinstance(words, Whole):
+        elif isinstance(words, RingSnapshot):
             self.whole_came(words)
         elif self.like_me(sender, words):
             kind = type(words)
-            if kind is Vouch:
+            if kind is LeaseRenewal:
                 self.vouch(sender, words)
-            elif kind is Vouched:
+            elif kind is LeaseRenewalAck:
                 self.vouched(sender, words)
-            elif kind is Ask:
-                self.say(sender, Has)
-            elif kind is Has:
+            elif kind is RingQuery:
+                self.say(sender, EpochAnnouncement)
+            elif kind is EpochAnnouncement:
                 if words.has == 0:
-                    self.blank[sender] = self.desk.now
+                    self.blank[sender] = self.context.now
             elif kind in (Prepare, Accept):
                 self.vote(sender, words)
             else:
@@ -592,27 +635,27 @@
     def like_me(self, sender, words) -> bool:
         """Whether the sender's ring is the own one; if not, whoever is behind gets to know."""
         base = self.base
-        if not 0 <= words.has <= (base.epoch + FAR if self.ring else MOST_EPOCH):
-            self.desk.count("dropped far epoch")
+        if not 0 <= words.has <= (base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
+            self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
             return False
         if words.has == base.epoch and words.mark == base.digest:
             return True
         if words.has < base.epoch:
-            if isinstance(words, Ask):
+            if isinstance(words, RingQuery):
                 self.tell(sender, words)
             else:
-                self.desk.count("dropped older epoch")
-                self.say(sender, Has)
+                self.context.increment(Metric.DROPPED_OLDER_EPOCH)
+                self.say(sender, EpochAnnouncement)
         elif words.has > base.epoch:
-            if isinstance(words, Vouch) and len(self.owed) < OWED:
+            if isinstance(words, LeaseRenewal) and len(self.owed) < MAX_PENDING_RENEWALS:
                 self.owed[sender] = words
             self.ask(sender)
         elif base.epoch:  # twins: each asks, each tells
-            if isinstance(words, Ask):
+            if isinstance(words, RingQuery):
                 self.tell(sender, words)
             self.ask(sender)
         else:
-            self.desk.count("other seeds")
+            self.context.increment(Metric.DIFFERENT_SEEDS)
         return False
 
     def next_came(self, sender, words):
@@ -620,29 +663,30 @@
         if taken.base == self.base.digest:
             ring = self.led_to(taken)
             if ring is None:
-                return self.desk.count("dropped malformed ring")
+                return self.context.increment(Metric.DROPPED_MALFORMED_RING)
             self.learn(self.base, taken, ring)
-        elif self.base.epoch <= taken.epoch <= (self.base.epoch + FAR if self.ring else MOST_EPOCH):
+        elif self.base.epoch <= taken.epoch <= (self.base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
             if taken != self.last_step:
                 self.ask(sender)
         else:
-            self.desk.count("dropped older epoch" if taken.epoch < self.base.epoch else "dropped far epoch")
+            is_older = taken.epoch < self.base.epoch
+            self.context.increment(Metric.DROPPED_OLDER_EPOCH if is_older else Metric.DROPPED_DISTANT_EPOCH)
 
     def whole_came(self, words):
-        former, base, most = words.former, self.base, self.pact.most_agents
-        if not 0 <= former.epoch < (base.epoch + FAR if self.ring else MOST_EPOCH):
-            return self.desk.count("dropped far epoch")
+        former, base, most = words.former, self.base, self.settings.most_agents
+        if not 0 <= former.epoch < (base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
+            return self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
         ring = self.sound_step(former, words.step)
-        if ring is None or former.epoch and not sound(former, most):
-            return self.desk.count("dropped malformed ring")
+        if ring is None or former.epoch and not is_valid_ring(former, most):
+            return self.context.increment(Metric.DROPPED_MALFORMED_RING)
         self.learn(former, words.step, ring)
 
     def vote(self, sender, words):
-        if sender not in self.place or not 0 < words.number < MOST_BALLOT:
-            return self.desk.count("dropped ballot")
+        if sender not in self.place or not 0 < words.number < MAX_BALLOT:
+            return self.context.increment(Metric.DROPPED_BALLOT)
         if isinstance(words, Prepare):
             answer = self.prepare(sender, words.number, words.gone)
         else:
             answer = self.accept(sender, words.number, words.step)
         if answer is not None:
-            self.desk.send(sender, answer)
+            self.context.send(sender, answer)
--- a/cartdeal/fleet/context.py
+++ b/cartdeal/fleet/context.py
@@ -1,6 +1,6 @@
 """What the parts of the fleet agree on: what an operator asks, and what each part is given to work with.
 
-It owns no state. A part must never reach past its desk to a clock, a socket or another part.
+It owns no state. A part must never reach past its context to a clock, a socket or another part.
 """
 
 from random import Random
@@ -8,15 +8,17 @@
 
 from msgspec import Struct
 
+from cartdeal.fleet.events import LogEvent
 
-class Limit(Struct, frozen=True):
+
+class RateLimit(Struct, frozen=True):
     """A tenant's limit for the whole fleet: requests a second, and how many may come at once."""
 
     rate: float
     burst: float
 
 
-class Pact(Struct, frozen=True, kw_only=True):
+class FleetSettings(Struct, frozen=True, kw_only=True):
     """What the operator file says, checked (configuration.py); times in seconds, shares 0 to 1."""
 
     fleet: str
@@ -26,7 +28,7 @@
     zone: str = ""
     capacity: float = 1.0
     seeds: dict[str, str] = {}  # name -> "host:port"; a majority of these names founds the fleet
-    limits: dict[str, Limit] = {}  # by tenant
+    limits: dict[str, RateLimit] = {}  # by tenant
     copies: int = 3
     write_by: int = 2  # owners that have it when a mark counts as written
     read_by: int = 2
@@ -54,16 +56,16 @@
     hold_version: int = 0  # the operator keeps the fleet from writing above this; 0: no hold
 
 
-class Desk(Protocol):
+class NodeContext(Protocol):
     """What a part may use. `now`: local monotonic seconds of the event; `wall`: the fleet's time."""
 
     now: float
     wall: float
     name: str
-    life: int
+    incarnation: int
     address: str
     random: Random
 
-    def send(self, to: str, words: Struct) -> None: ...
-    def note(self, kind: str, **about) -> None: ...
-    def count(self, what: str, more: int = 1) -> None: ...
+    def send(self, recipient: str, message: Struct) -> None: ...
+    def log_event(self, event: LogEvent) -> None: ...
+    def increment(self, counter: str, by: int = 1) -> None: ...
--- a/cartdeal/fleet/hybrid_clock.py
+++ b/cartdeal/fleet/hybrid_clock.py
@@ -6,13 +6,13 @@
 
 from msgspec import Struct
 
-from cartdeal.fleet.errors import ClockAhead
+from cartdeal.fleet.errors import ClockAheadError
 
-MOST_COUNT = 1 << 31  # stamps in one millisecond; then the next millisecond is taken early
-MOST_HEARD = 1024  # peers whose clocks are remembered; the one heard least lately is forgotten
+MAX_COUNT = 1 << 31  # stamps in one millisecond; then the next millisecond is taken early
+MAX_PEERS = 1024  # peers whose clocks are remembered; the one heard least lately is forgotten
 
 
-class Stamp(Struct, frozen=True, array_like=True, order=True):
+class Timestamp(Struct, frozen=True, array_like=True, order=True):
     """Ordered by time, then count, then agent: no two agents give out the same one."""
 
     wall_ms: int
@@ -25,15 +25,15 @@
 
     def __init__(self, name: str, most_ahead_s: float):
         self.name, self.most_ahead_ms = name, round(most_ahead_s * 1000)
-        self.last = Stamp(0, 0, name)
+        self.last = Timestamp(0, 0, name)
         self.heard = {}  # peer -> ms that its clock was ahead of ours when last heard
 
-    def tick(self, wall: float) -> Stamp:
+    def tick(self, wall: float) -> Timestamp:
         """A stamp greater than all given out or heard; `wall` in seconds."""
         return self.after(max(int(wall * 1000), 0), self.last)
 
-    def hear(self, stamp: Stamp, wall: float) -> Stamp:
-        """Takes a peer's stamp over. Raises ClockAhead when it's too far ahead; then `last` stays.
+    def hear(self, stamp: Timestamp, wall: float) -> Timestamp:
+        """Takes a peer's stamp over. Raises ClockAheadError when it's too far ahead; then `last` stays.
 
         What isn't newer than `last` does no harm: it's let in even where our own wall has jumped back.
         """
@@ -42,19 +42,21 @@
         if stamp.name != self.name:
             self.heard.pop(stamp.name, None)
             self.heard[stamp.name] = ahead
-            if len(self.heard) > MOST_HEARD:
+            if len(self.heard) > MAX_PEERS:
                 del self.heard[next(iter(self.heard))]
         if ahead > self.most_ahead_ms and stamp.wall_ms > self.last.wall_ms:
-            raise ClockAhead(f"the clock of {stamp.name[:64]}", f"{ahead / 1000:.3f} s ahead of {self.name}")
+            raise ClockAheadError(
+                f"the clock of {stamp.name[:64]}", f"{ahead / 1000:.3f} s ahead of {self.name}"
+            )
         return self.after(here, max(self.last, stamp))
 
-    def after(self, here: int, newest: Stamp) -> Stamp:
+    def after(self, here: int, newest: Timestamp) -> Timestamp:
         if here > newest.wall_ms:
-            self.last = Stamp(here, 0, self.name)
-        elif newest.count + 1 < MOST_COUNT:
-            self.last = Stamp(newest.wall_ms, newest.count + 1, self.name)
+            self.last = Timestamp(here, 0, self.name)
+        elif newest.count + 1 < MAX_COUNT:
+            self.last = Timestamp(newest.wall_ms, newest.count + 1, self.name)
         else:
-            self.last = Stamp(newest.wall_ms + 1, 0, self.name)
+            self.last = Timestamp(newest.wall_ms + 1, 0, self.name)
         return self.last
 
     def behind(self) -> bool:
--- a/cartdeal/fleet/idempotency.py
+++ b/cartdeal/fleet/idempotency.py
@@ -9,12 +9,12 @@
 
 from msgspec import Struct
 
-from cartdeal.fleet.replication.records import Certainty, Mark
+from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 
-SPARE_MS = 50  # of a window kept free, as the balancer does, for the attempt to arrive
+WINDOW_MARGIN_MS = 50  # of a window kept free, as the balancer does, for the attempt to arrive
 
 
-class Question(Struct, frozen=True, kw_only=True):
+class AdmissionRequest(Struct, frozen=True, kw_only=True):
     """A request, as far as the fleet has to know it."""
 
     tenant: str = ""
@@ -33,16 +33,16 @@
         return self.repeat != "i" and bool(self.session)
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """`value` is the word that the agent's side knows it by."""
 
-    PASS = "pass"
-    LIMITED = "limited"
-    TURN_BACK = "turn_back"
-    TERMINATE = "terminate"
+    ADMIT = "admit"
+    RATE_LIMITED = "rate limited"
+    REJECT = "reject"
+    FAIL = "fail"
 
 
-class Elsewhere(NamedTuple):
+class EarlierAttempt(NamedTuple):
     """An earlier attempt that may have run: a further one goes to its group only, no later than
     `until_ms`."""
 
@@ -52,7 +52,7 @@
     until_ms: int
 
 
-def earlier(question: Question, marks, clients_mark: bool) -> list[Mark]:
+def matching_attempts(question: AdmissionRequest, marks, clients_mark: bool) -> list[AttemptRecord]:
     """The marks of requests that this one may repeat and that may have run."""
     found = []
     for mark in marks:
@@ -71,42 +71,45 @@
     return found
 
 
-def judge(question: Question, marks, wall_ms: int, slack_ms: int, clients_mark: bool):
-    """Verdict and what a pass has to heed. `slack_ms`: how far clocks may be apart."""
-    found = earlier(question, marks, clients_mark)
+def decide(question: AdmissionRequest, marks, wall_ms: int, slack_ms: int, clients_mark: bool):
+    """AdmissionDecision and what a pass has to heed. `slack_ms`: how far clocks may be apart."""
+    found = matching_attempts(question, marks, clients_mark)
     if not found:
-        return Verdict.PASS, ()
+        return AdmissionDecision.ADMIT, ()
     if question.repeat == "u":
-        return Verdict.TERMINATE, ()
+        return AdmissionDecision.FAIL, ()
     earlier_attempts = []
     for mark in found:
-        until = mark.sent_ms + mark.window_ms - slack_ms - SPARE_MS
+        until = mark.sent_ms + mark.window_ms - slack_ms - WINDOW_MARGIN_MS
         if wall_ms > until:
-            return Verdict.TERMINATE, ()
+            return AdmissionDecision.FAIL, ()
         if mark.group == "all":
-            earlier_attempts.append(Elsewhere("", -1, "all", until))
+            earlier_attempts.append(EarlierAttempt("", -1, "all", until))
         elif not mark.places:
-            return Verdict.TERMINATE, ()  # it may have gone anywhere, and where is not known any more
+            return (
+                AdmissionDecision.FAIL,
+                (),
+            )  # it may have gone anywhere, and where is not known any more
         else:
-            earlier_attempts += [Elsewhere(zone, cell, mark.group, until) for zone, cell in mark.places]
-    return Verdict.PASS, tuple(dict.fromkeys(earlier_attempts))
+            earlier_attempts += [EarlierAttempt(zone, cell, mark.group, until) for zone, cell in mark.places]
+    return AdmissionDecision.ADMIT, tuple(dict.fromkeys(earlier_attempts))
 
 
-def may_turn_back(question: Question, marks, wall_ms: int, slack_ms: int, clients_mark: bool) -> bool:
+def may_reject(question: AdmissionRequest, marks, wall_ms: int, slack_ms: int, clients_mark: bool) -> bool:
     """Whether a client may be told to come again, as the balancer's own rule has it."""
     return all(
         question.repeat == "d" and mark.group == "all" and wall_ms <= mark.sent_ms + mark.window_ms - slack_ms
-        for mark in earlier(question, marks, clients_mark)
+        for mark in matching_attempts(question, marks, clients_mark)
     )
 
 
-def may_repeat(question: Question, clients_mark: bool) -> bool:
+def may_repeat(question: AdmissionRequest, clients_mark: bool) -> bool:
     """Whether it may be the repeat of one that nobody here knows of."""
     everywhere = question.repeat == "d" and question.group == "all"  # any server would drop a repeat
     return question.retried or not (clients_mark or everywhere)
 
 
-def in_doubt(question: Question, on_doubt: str, clients_mark: bool) -> Verdict:
+def decide_unknown(question: AdmissionRequest, on_doubt: str, clients_mark: bool) -> AdmissionDecision:
     """Marks can't be known in time: what may be a repeat is never asked to come again, nor sent."""
     repeat = may_repeat(question, clients_mark)
-    return Verdict.TERMINATE if repeat or on_doubt == "terminate" else Verdict.TURN_BACK
+    return AdmissionDecision.FAIL if repeat or on_doubt == "terminate" else AdmissionDecision.REJECT
--- a/cartdeal/fleet/membership/swim.py
+++ b/cartdeal/fleet/membership/swim.py
@@ -31,14 +31,16 @@
 from msgspec import Struct, msgpack
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import Desk, Pact
-from cartdeal.fleet.errors import TwoUnderOneName
+from cartdeal.fleet import events
+from cartdeal.fleet.context import FleetSettings, NodeContext
+from cartdeal.fleet.errors import DuplicateNameError
+from cartdeal.fleet.metrics import Metric
 
 ROOM = 1_100  # bytes of a message: the wire puts its own around it
 NAME, ADDRESS = 64, 128  # bytes at most; a zone is bounded as a name is
-PIECES = 64  # in one message at most
-HELPERS = 3  # asked to ping in one's stead
-WITNESSES = 4  # kept and passed on for one accused
+MAX_GOSSIP_ITEMS = 64  # in one message at most
+INDIRECT_PROBES = 3  # asked to ping in one's stead
+MAX_ACCUSERS = 4  # kept and passed on for one accused
 DIRECT = 0.4  # share of a probe's time after which helpers are asked, and a helper gives up
 RELAYS = 1024  # pings in others' stead that are out at once
 SLOWEST = 3.0  # how many times suspect_s a suspicion with one witness lasts
@@ -51,14 +53,14 @@
 SHIPPED = 2  # messages of table pieces, and as many warnings, a tick at most
 OWED = 1024  # peers that are owed pieces at once
 WARNINGS = 1024  # that wait at once
-STRANGERS = 1024  # that have still to answer a ping ...
+MAX_UNVERIFIED = 1024  # that have still to answer a ping ...
 GREETED = 1.0  # ... and seconds until they are pinged again
 QUIET = 3  # probes' time without a word from anyone, after which nothing new is told of oneself
 GAP = 10  # ticks missed at a stretch after which this agent was stopped, rather than late
 FIRST_ASK, LAST_ASK = 0.25, 4.0  # seconds between two rounds of asking seeds
 
 
-class State(IntEnum):
+class PeerState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
@@ -66,11 +68,12 @@
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """What an agent says of itself; `turn` goes up at each change and refutation, `life` at each start."""
+    """What an agent says of itself; `turn` goes up at each change and refutation, `incarnation` at each
+    start."""
 
     name: str
     address: str
-    life: int
+    incarnation: int
     turn: int
     state: int
     zone: str
@@ -80,7 +83,7 @@
     caught: int = 0  # the epoch of which it has caught up with all that it keeps
 
 
-class Told(Struct, frozen=True, array_like=True):
+class GossipItem(Struct, frozen=True, array_like=True):
     """A piece of gossip; `by`: those whose own probes failed, or who have waited out their own suspicion."""
 
     peer: Peer
@@ -91,7 +94,7 @@
     DATAGRAM: ClassVar[bool] = True
     number: int
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
 class Ack(Struct, frozen=True, tag="m.ack", array_like=True):
@@ -100,7 +103,7 @@
     DATAGRAM: ClassVar[bool] = True
     number: int
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
 class Nack(Struct, frozen=True, tag="m.nack", array_like=True):
@@ -109,41 +112,41 @@
     DATAGRAM: ClassVar[bool] = True
     number: int
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
-class Ask(Struct, frozen=True, tag="m.ask", array_like=True):
+class PingRequest(Struct, frozen=True, tag="m.ask", array_like=True):
     """Ping `target` in my stead."""
 
     DATAGRAM: ClassVar[bool] = True
     number: int
     target: str
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
-class Compare(Struct, frozen=True, tag="m.compare", array_like=True):
+class DigestExchange(Struct, frozen=True, tag="m.compare", array_like=True):
     """Digests of the table's parts, also how an agent joins: what differs comes back in pieces."""
 
     DATAGRAM: ClassVar[bool] = True
     digests: bytes
     answer: bool
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
-class Pieces(Struct, frozen=True, tag="m.pieces", array_like=True):
+class StatePush(Struct, frozen=True, tag="m.pieces", array_like=True):
     """Parts of a table, or a word to the accused."""
 
     DATAGRAM: ClassVar[bool] = True
     me: Peer
-    told: tuple[Told, ...]
+    told: tuple[GossipItem, ...]
 
 
-WORDS = (Ping, Ack, Nack, Ask, Compare, Pieces)
+MESSAGE_TYPES = (Ping, Ack, Nack, PingRequest, DigestExchange, StatePush)
 
 
-class Stranger(Struct):
+class UnverifiedPeer(Struct):
     """One that called, unknown or gone, and has still to show that it hears."""
 
     peer: Peer
@@ -151,7 +154,7 @@
     until: float
 
 
-class Case(Struct):
+class Suspicion(Struct):
     """What is held against a suspect (or one that is gone), and since when by this agent's clock."""
 
     since: float
@@ -171,7 +174,7 @@
     done: bool = False
 
 
-class Owed(Struct):
+class PendingPush(Struct):
     """What a peer is still to get: whole parts of the table, and the names that are left of the last one.
 
     The names of one part alone are held at a time, so that many peers may be owed the whole table."""
@@ -189,16 +192,16 @@
     until: float
 
 
-def fits(peer: Peer) -> bool:
+def is_valid_peer(peer: Peer) -> bool:
     """Whether each field is in its range (nan is in none)."""
     low, high = peer.reads
     return (
         0 < len(peer.name.encode()) <= NAME
         and len(peer.address.encode()) <= ADDRESS
         and len(peer.zone.encode()) <= NAME
-        and 0 <= peer.life < 1 << 62
+        and 0 <= peer.incarnation < 1 << 62
         and 0 <= peer.turn < 1 << 40
-        and 0 <= peer.state <= State.LEFT
+        and 0 <= peer.state <= PeerState.LEFT
         and 0 < peer.capacity <= 1e6
         and 0 < low <= high <= 1_000
         and 0 <= peer.moved <= 1_000
@@ -206,10 +209,10 @@
     )
 
 
-def sound(told: tuple[Told, ...]) -> bool:
-    return len(told) <= PIECES and all(
-        fits(each.peer)
-        and len(each.by) <= WITNESSES
+def are_valid_items(told: tuple[GossipItem, ...]) -> bool:
+    return len(told) <= MAX_GOSSIP_ITEMS and all(
+        is_valid_peer(each.peer)
+        and len(each.by) <= MAX_ACCUSERS
         and all(0 < len(name.encode()) <= NAME for name in each.by)
         for each in told
     )
@@ -219,57 +222,57 @@
     return crc32(name.encode()) % BUCKETS
 
 
-def shown(peer: Peer | None) -> tuple | None:
+def public_state(peer: Peer | None) -> tuple | None:
     """What live() says of it, as far as `version` counts it."""
-    if peer is None or peer.state > State.SUSPECT:
+    if peer is None or peer.state > PeerState.SUSPECT:
         return None
-    return peer.life, peer.capacity, peer.reads, peer.zone, peer.moved, peer.state
+    return peer.incarnation, peer.capacity, peer.reads, peer.zone, peer.moved, peer.state
 
 
-class Members:
+class Membership:
     """The table of one agent. Its messages: a ping and an ack each probe_s, a comparison in COMPARE seconds,
     the same in a fleet of any size; a failed probe costs up to a dozen more, over five agents."""
 
-    def __init__(self, desk: Desk, pact: Pact):
-        self.desk, self.pact, self.name = desk, pact, desk.name
-        self.version, self.health, self.trouble = 1, 0, None  # trouble: the last TwoUnderOneName
+    def __init__(self, context: NodeContext, settings: FleetSettings):
+        self.context, self.settings, self.name = context, settings, context.name
+        self.version, self.health, self.error = 1, 0, None  # error: the last DuplicateNameError
         mine = Peer(
             self.name,
-            desk.address,
-            desk.life,
+            context.address,
+            context.incarnation,
             0,
-            State.ALIVE,
-            pact.zone,
-            pact.capacity,
-            pact.reads,
-            pact.reads[0],
+            PeerState.ALIVE,
+            settings.zone,
+            settings.capacity,
+            settings.reads,
+            settings.reads[0],
         )
         self.table: dict[str, Peer] = {self.name: mine}
-        self.cases: dict[str, Case] = {}  # of SUSPECT and GONE ones, by name
+        self.cases: dict[str, Suspicion] = {}  # of SUSPECT and GONE ones, by name
         self.kept: dict[str, float] = {}  # GONE and LEFT ones: when they are forgotten
         self.back: dict[str, float] = {}  # when one came back from the gone
         self.warned: dict[str, float] = {}  # when an accused was last told of it
         self.news: dict[str, tuple[int, int]] = {}  # name: (times sent, minus its place in time)
-        self.warnings: dict[str, Told] = {}
-        self.owed: dict[str, Owed] = {}  # by name of the peer
+        self.warnings: dict[str, GossipItem] = {}
+        self.owed: dict[str, PendingPush] = {}  # by name of the peer
         self.relays: dict[int, Relay] = {}
-        self.strangers: dict[str, Stranger] = {}
+        self.strangers: dict[str, UnverifiedPeer] = {}
         self.wish: dict = {}  # what is to be said of itself when it hears anyone again
         self.round: list[str] = []
         self.probe: Probe | None = None
-        self.number, self.place, self.higher = desk.random.getrandbits(40), 0, 0
-        self.ticked = self.seen = self.last_heard = desk.now
+        self.number, self.place, self.higher = context.random.getrandbits(40), 0, 0
+        self.ticked = self.seen = self.last_heard = context.now
         self.misses, self.answered, self.asking, self.full = 0, False, False, False
-        self.probe_at = desk.now + pact.probe_s * desk.random.random()
+        self.probe_at = context.now + settings.probe_s * context.random.random()
         self.reach_at, self.compare_at, self.pause = inf, inf, FIRST_ASK
         self.sorted: dict[str, Peer] | None = None
         self.reply = {
             Ping: self._ping,
             Ack: self._ack,
             Nack: self._nack,
-            Ask: self._ask,
-            Compare: self._compare,
-            Pieces: self._pieces,
+            PingRequest: self._ask,
+            DigestExchange: self._compare,
+            StatePush: self._pieces,
         }
 
     # What the node asks
@@ -279,18 +282,19 @@
         return self.table[self.name]
 
     def join(self):
-        """Ask the seeds, again and again until anyone has answered. Before this, nothing is sent unasked."""
-        self.asking, self.reach_at = True, self.desk.now
-        self.compare_at = self.desk.now + COMPARE * self._jitter()
+        """PingRequest the seeds, again and again until anyone has answered. Before this, nothing is sent
+        unasked."""
+        self.asking, self.reach_at = True, self.context.now
+        self.compare_at = self.context.now + COMPARE * self._jitter()
 
     def leave(self):
         """Tell a few peers, who tell the others; this agent still answers, and accuses nobody any more."""
-        if self.me.state != State.LEFT:
-            self._put(replace(self.me, turn=self.me.turn + 1, state=State.LEFT))
+        if self.me.state != PeerState.LEFT:
+            self._put(replace(self.me, turn=self.me.turn + 1, state=PeerState.LEFT))
             self._spread(self.name)
             self.asking, self.probe = False, None
-            for name in self._some(self._others(State.SUSPECT), 2 * HELPERS):
-                self._say(name, Pieces)
+            for name in self._some(self._others(PeerState.SUSPECT), 2 * INDIRECT_PROBES):
+                self._say(name, StatePush)
 
     def live(self) -> dict[str, Peer]:
         """ALIVE and SUSPECT, self included, sorted by name. Not to be written: the same until a change."""
@@ -298,7 +302,7 @@
             self.sorted = {
                 name: self.table[name]
                 for name in sorted(self.table)
-                if self.table[name].state <= State.SUSPECT
+                if self.table[name].state <= PeerState.SUSPECT
             }
         return self.sorted
 
@@ -315,25 +319,28 @@
         """Change what is told of oneself, at once or when anyone is heard again."""
         wish = {"capacity": capacity, "moved": moved, "caught": caught}
         self.wish |= {field: value for field, value in wish.items() if value is not None}
-        silence = self.desk.now - self.last_heard
-        if self.wish and not (self.answered and silence > QUIET * self.pact.probe_s):
+        silence = self.context.now - self.last_heard
+        if self.wish and not (self.answered and silence > QUIET * self.settings.probe_s):
             mine, self.wish = replace(self.me, **self.wish), {}
             if mine != self.me:
                 self._put(replace(mine, turn=mine.turn + 1))
                 self._spread(self.name)
 
-    def knew_life(self) -> int:
-        """The highest life of this agent's name that a peer told of, where it is above its own; else 0."""
-        return self.higher if self.higher > self.me.life else 0
+    def known_incarnation(self) -> int:
+        """The highest incarnation of this agent's name that a peer told of, where it is above its own; else
+        0."""
+        return self.higher if self.higher > self.me.incarnation else 0
 
     # Time
 
     def tick(self):
-        now = self.desk.now
+        now = self.context.now
         self._woke(now - self.ticked)
         self.ticked = self.seen = now
-        if self.desk.life > self.me.life:  # the node took a higher one: what was said of the former is over
-            self._put(replace(self.me, life=self.desk.life, turn=0))
+        if (
+            self.context.incarnation > self.me.incarnation
+        ):  # the node took a higher one: what was said of the former is over
+            self._put(replace(self.me, incarnation=self.context.incarnation, turn=0))
             self._spread(self.name)
         self.about_me()
         self._expire(now)
@@ -345,9 +352,14 @@
 
     def _woke(self, gap: float):
         """What ran out while this agent was stopped says nothing of others; they have long accused it."""
-        if gap > GAP * self.pact.tick_s:
-            self.desk.count("stops")
-            self.probe, self.ticked, self.last_heard, self.misses = None, self.desk.now, self.desk.now, 0
+        if gap > GAP * self.settings.tick_s:
+            self.context.increment(Metric.PAUSES)
+            self.probe, self.ticked, self.last_heard, self.misses = (
+                None,
+                self.context.now,
+                self.context.now,
+                0,
+            )
             self.relays.clear()
             self.owed.clear()
             for case in self.cases.values():
@@ -355,7 +367,7 @@
             for name in self.kept:
                 self.kept[name] += gap
             self._worse(1)
-            if self.me.state == State.ALIVE:
+            if self.me.state == PeerState.ALIVE:
                 self._refute(self.me.turn)
 
     def _expire(self, now: float):
@@ -372,27 +384,28 @@
         over = [
             name
             for name, case in self.cases.items()
-            if self.table[name].state == State.SUSPECT and now - case.since >= self._patience(len(case.by))
+            if self.table[name].state == PeerState.SUSPECT
+            and now - case.since >= self._patience(len(case.by))
         ]
         for name in over:
             case = self.cases[name]
             # One witness is enough only where there is nobody left that could be a second.
-            if len(case.by) < 2 and any(other != name for other in self._others(State.ALIVE)):
+            if len(case.by) < 2 and any(other != name for other in self._others(PeerState.ALIVE)):
                 continue
             if self.name not in case.by:  # it has waited out its own time, which is a witness to the others
-                case.by = [self.name, *case.by][:WITNESSES]
-            self._put(replace(self.table[name], state=State.GONE))
+                case.by = [self.name, *case.by][:MAX_ACCUSERS]
+            self._put(replace(self.table[name], state=PeerState.GONE))
             self.kept[name] = now + KEPT
             self._spread(name)
-            self.desk.note("agent gone", name=name, by=tuple(case.by))
+            self.context.log_event(events.AgentDead(name, tuple(case.by)))
 
     def _patience(self, witnesses: int) -> float:
         """Lifeguard's dynamic suspicion: from SLOWEST times suspect_s down to it as witnesses confirm."""
-        needed = min(HELPERS, self.size() - 2)
+        needed = min(INDIRECT_PROBES, self.size() - 2)
         if needed < 1:
-            return self.pact.suspect_s
+            return self.settings.suspect_s
         share = min(1.0, log(witnesses) / log(needed + 1))
-        return self.pact.suspect_s * (SLOWEST - (SLOWEST - 1) * share)
+        return self.settings.suspect_s * (SLOWEST - (SLOWEST - 1) * share)
 
     def _probing(self, now: float):
         probe = self.probe
@@ -400,26 +413,26 @@
             peer = probe.peer
             if not probe.asked and now >= probe.began + DIRECT * probe.patience:
                 probe.asked = True
-                helpers = [each for each in self._others(State.ALIVE) if each != peer.name]
-                probe.helpers = tuple(self._some(helpers, HELPERS))
+                helpers = [each for each in self._others(PeerState.ALIVE) if each != peer.name]
+                probe.helpers = tuple(self._some(helpers, INDIRECT_PROBES))
                 self._say(peer.name, Ping, probe.number)  # a second chance: one datagram may be lost
                 for name in probe.helpers:  # with what it is accused of: it may not have counted
-                    self._say(name, Ask, probe.number, peer.name, about=peer.name)
+                    self._say(name, PingRequest, probe.number, peer.name, about=peer.name)
             if now >= probe.began + probe.patience:
                 probe.done = True
                 self.misses += 1
                 if probe.nacks < len(probe.helpers) or not probe.helpers:
                     self._worse(1)  # helpers are silent as well: it may be this agent that is deaf
                 known = self.table.get(peer.name)
-                # A turn that went up meanwhile is a sign of life that came some other way.
-                same = known and (known.life, known.turn) == (peer.life, peer.turn)
-                if same and known.state <= State.SUSPECT:
+                # A turn that went up meanwhile is a sign of incarnation that came some other way.
+                same = known and (known.incarnation, known.turn) == (peer.incarnation, peer.turn)
+                if same and known.state <= PeerState.SUSPECT:
                     self._accuse(peer.name, (), mine=True)
                 self._alone(now)
         if now >= self.probe_at:
             peer = self._next()
             self.probe = None
-            patience = self.pact.probe_s * (1 + self.health)
+            patience = self.settings.probe_s * (1 + self.health)
             self.probe_at = now + patience
             if peer:
                 self.number += 1
@@ -429,10 +442,10 @@
     def _alone(self, now: float):
         """Nothing at all from anyone for long, by a clock that went on: this agent is cut off from all.
         By probes alone it would take as many rounds to see that as there are agents."""
-        if self.misses >= HELPERS + 1 and now - self.last_heard > SLOWEST * self.pact.suspect_s:
-            others = self._others(State.ALIVE)
+        if self.misses >= INDIRECT_PROBES + 1 and now - self.last_heard > SLOWEST * self.settings.suspect_s:
+            others = self._others(PeerState.ALIVE)
             if others:
-                self.desk.note("cut off from all", agents=len(others))
+                self.context.log_event(events.Isolated(len(others)))
             for name in others:
                 self._accuse(name, (), mine=True, quiet=True)
 
@@ -441,83 +454,86 @@
         for again in (False, True):
             while self.round:
                 peer = self.table.get(self.round.pop())
-                if peer and peer.state <= State.SUSPECT:
+                if peer and peer.state <= PeerState.SUSPECT:
                     return peer
             if not again:
-                self.round = self._others(State.SUSPECT)
-                self.desk.random.shuffle(self.round)
+                self.round = self._others(PeerState.SUSPECT)
+                self.context.random.shuffle(self.round)
         return None
 
     def _reaching(self, now: float):
         if now >= self.reach_at:
-            seeds = [name for name in self.pact.seeds if name != self.name and name not in self.live()]
+            seeds = [name for name in self.settings.seeds if name != self.name and name not in self.live()]
             if not self.answered:
-                names = self._some(seeds, HELPERS)
+                names = self._some(seeds, INDIRECT_PROBES)
                 self.reach_at = now + self.pause * self._jitter()
                 self.pause = min(2 * self.pause, LAST_ASK)
             else:
-                gone = [name for name in self.kept if self.table[name].state == State.GONE]
+                gone = [name for name in self.kept if self.table[name].state == PeerState.GONE]
                 names = self._some(list(dict.fromkeys(gone + seeds)), 1)
                 self.reach_at = now + REACH * self._jitter()
             for name in names:
-                self._say(name, Compare, self._digests(), False)
+                self._say(name, DigestExchange, self._digests(), False)
         if now >= self.compare_at:
             self.compare_at = now + COMPARE * self._jitter()
-            for name in self._some(self._others(State.ALIVE), 1):
-                self._say(name, Compare, self._digests(), False)
+            for name in self._some(self._others(PeerState.ALIVE), 1):
+                self._say(name, DigestExchange, self._digests(), False)
 
     # Messages
 
     def heard(self, sender: str, words):
-        now, me = self.desk.now, words.me
+        now, me = self.context.now, words.me
         self._woke(now - max(self.ticked, self.seen))
         self.seen = now
-        if not fits(me) or not sound(words.told):
-            return self.desk.count("dropped out of range")
-        if me.name != sender or me.state not in (State.ALIVE, State.LEFT):
-            return self.desk.count("dropped false sender")
+        if not is_valid_peer(me) or not are_valid_items(words.told):
+            return self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
+        if me.name != sender or me.state not in (PeerState.ALIVE, PeerState.LEFT):
+            return self.context.increment(Metric.DROPPED_WRONG_SENDER)
         if sender == self.name:
             return self._own(me)
         known = self.table.get(sender)
-        if known and me.life < known.life:
-            # Late, or from one started anew by a clock set back, which has to learn of its higher life.
-            self.desk.count("dropped old life")
-            return self.desk.send(sender, Pieces(self.me, (self._piece(sender),)))
+        if known and me.incarnation < known.incarnation:
+            # Late, or from one started anew by a clock set back, which has to learn of its higher
+            # incarnation.
+            self.context.increment(Metric.DROPPED_OLD_INCARNATION)
+            return self.context.send(sender, StatePush(self.me, (self._piece(sender),)))
         self.last_heard, self.answered = now, True
         turn = self.me.turn
-        if (known is None or known.state >= State.GONE) and not self._greet(me, words):
+        if (known is None or known.state >= PeerState.GONE) and not self._greet(me, words):
             for each in words.told:
                 if each.peer.name == self.name:
                     self._own(each.peer)
             if type(words) is Ping and (known or sender in self.strangers):
                 self._say(sender, Ack, words.number)
             return
-        self._fold(Told(me))
+        self._fold(GossipItem(me))
         for each in words.told:
             self._fold(each)
         self.reply[type(words)](sender, words)
-        if self.me.turn != turn and type(words) is Pieces:
-            self._say(sender, Pieces)
+        if self.me.turn != turn and type(words) is StatePush:
+            self._say(sender, StatePush)
 
     def _greet(self, peer: Peer, words) -> bool:
         """Whether an unidentified client, or one that was gone, has shown that it hears; if not, it is sent
         a ping."""
         stranger, known = self.strangers.get(peer.name), peer.name in self.table
-        if peer.state == State.LEFT or self.me.state == State.LEFT:
+        if peer.state == PeerState.LEFT or self.me.state == PeerState.LEFT:
             return known
         if stranger and type(words) is Ack and words.number == stranger.number:
             del self.strangers[peer.name]
             if known or self._room():
-                self._fold(Told(peer))
-                self._say(peer.name, Compare, self._digests(), False)
+                self._fold(GossipItem(peer))
+                self._say(peer.name, DigestExchange, self._digests(), False)
                 return True
-        elif not stranger and len(self.strangers) >= STRANGERS:
-            self.desk.count("dropped unidentified clients")
+        elif not stranger and len(self.strangers) >= MAX_UNVERIFIED:
+            self.context.increment(Metric.DROPPED_UNVERIFIED_PEERS)
         elif not stranger:
-            if known and peer.life > self.table[peer.name].life:  # started anew, maybe at another address
+            if (
+                known and peer.incarnation > self.table[peer.name].incarnation
+            ):  # started anew, maybe at another address
                 self._put(replace(self.table[peer.name], address=peer.address))
             self.number += 1
-            self.strangers[peer.name] = Stranger(peer, self.number, self.desk.now + GREETED)
+            self.strangers[peer.name] = UnverifiedPeer(peer, self.number, self.context.now + GREETED)
             self._say(peer.name, Ping, self.number)
         return False
 
@@ -540,23 +556,23 @@
             if relay.asker in self.table:
                 self._say(relay.asker, Ack, relay.number, about=sender)
         else:
-            self.desk.count("late acks")
+            self.context.increment(Metric.LATE_ACKS)
 
     def _nack(self, sender: str, words: Nack):
         if self.probe and self.probe.number == words.number and sender in self.probe.helpers:
             self.probe.nacks += 1
 
-    def _ask(self, sender: str, words: Ask):
+    def _ask(self, sender: str, words: PingRequest):
         if words.target not in self.table or words.target == self.name or len(self.relays) >= RELAYS:
             return self._say(sender, Nack, words.number)
         self.number += 1
-        until = self.desk.now + DIRECT * self.pact.probe_s
+        until = self.context.now + DIRECT * self.settings.probe_s
         self.relays[self.number] = Relay(sender, words.number, words.target, until)
         self._say(words.target, Ping, self.number)
 
-    def _compare(self, sender: str, words: Compare):
+    def _compare(self, sender: str, words: DigestExchange):
         if len(words.digests) != BUCKETS * BYTES:
-            return self.desk.count("dropped out of range")
+            return self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
         mine = self._digests()
         differ = [
             place
@@ -566,67 +582,63 @@
         if not differ:
             return
         if not words.answer:
-            self._say(sender, Compare, mine, True)
+            self._say(sender, DigestExchange, mine, True)
         if sender not in self.owed and len(self.owed) >= OWED:
-            return self.desk.count("dropped comparisons")  # it compares again
-        self.owed[sender] = Owed(differ, [])
+            return self.context.increment(Metric.DROPPED_DIGEST_EXCHANGES)  # it compares again
+        self.owed[sender] = PendingPush(differ, [])
         self._ship_to(sender)
 
-    def _pieces(self, sender: str, words: Pieces):
+    def _pieces(self, sender: str, words: StatePush):
         """All that is in them is folded already."""
 
     # What is told
 
-    def _fold(self, told: Told):
-        """Take in one piece. A higher life beats all of a lower one, then a higher turn, then the worse
+    def _fold(self, told: GossipItem):
+        """Take in one piece. A higher incarnation beats all of a lower one, then a higher turn, then the
+        worse
         state; but GONE is only what its witnesses accuse."""
         peer = told.peer
         if peer.name == self.name:
             return self._own(peer)
         known = self.table.get(peer.name)
         if known is None:
-            if peer.state >= State.GONE:
+            if peer.state >= PeerState.GONE:
                 return  # it would be passed round for ever by those that forget it at different times
             if not self._room():
                 return
             self._enter(peer)
-        elif peer.life < known.life:
-            return self.desk.count("dropped old life")
-        elif (peer.life, peer.turn) > (known.life, known.turn):
-            if peer.state == State.GONE and known.state >= State.GONE:
+        elif peer.incarnation < known.incarnation:
+            return self.context.increment(Metric.DROPPED_OLD_INCARNATION)
+        elif (peer.incarnation, peer.turn) > (known.incarnation, known.turn):
+            if peer.state == PeerState.GONE and known.state >= PeerState.GONE:
                 self._put(replace(peer, state=known.state))
             else:
                 self._enter(peer)
         elif peer.turn < known.turn:
             return
-        elif peer.state == State.LEFT and known.state != State.LEFT:
+        elif peer.state == PeerState.LEFT and known.state != PeerState.LEFT:
             self._enter(peer)
-        if peer.state in (State.SUSPECT, State.GONE) and self.table[peer.name].state < State.GONE:
+        if peer.state in (PeerState.SUSPECT, PeerState.GONE) and self.table[peer.name].state < PeerState.GONE:
             self._accuse(peer.name, told.by)
 
     def _own(self, said: Peer):
         mine = self.me
-        if said.life < mine.life:
-            return self.desk.count("dropped old life")
+        if said.incarnation < mine.incarnation:
+            return self.context.increment(Metric.DROPPED_OLD_INCARNATION)
         if (said.address, said.zone) != (mine.address, mine.zone):
             found = f"{mine.address} in zone {mine.zone!r}, {said.address} in zone {said.zone!r}"
-            self.trouble = TwoUnderOneName(self.name, found)
-            self.desk.note(
-                "two agents under one name",
-                what=self.trouble.what,
-                found=self.trouble.found,
-                do=self.trouble.do,
-            )
-        if said.life > mine.life:
-            self.higher = max(self.higher, said.life)
+            self.error = DuplicateNameError(self.name, found)
+            self.context.log_event(events.DuplicateName.of(self.error))
+        if said.incarnation > mine.incarnation:
+            self.higher = max(self.higher, said.incarnation)
         elif (
             (said.address, said.zone) == (mine.address, mine.zone)
-            and mine.state == State.ALIVE
-            and (said.turn > mine.turn or said.turn == mine.turn and said.state != State.ALIVE)
+            and mine.state == PeerState.ALIVE
+            and (said.turn > mine.turn or said.turn == mine.turn and said.state != PeerState.ALIVE)
         ):
-            if said.state != State.ALIVE:
+            if said.state != PeerState.ALIVE:
                 self._worse(1)
-                self.desk.count("refutations")
+                self.context.increment(Metric.REFUTATIONS)
             self._refute(said.turn)
 
     def _refute(self, turn: int):
@@ -636,46 +648,46 @@
     def _enter(self, peer: Peer):
         """Take what a peer says of itself in place of what was known; a suspicion begins with _accuse."""
         name, known = peer.name, self.table.get(peer.name)
-        if known and known.state == State.GONE and known.life == peer.life:
-            self.back[name] = self.desk.now
+        if known and known.state == PeerState.GONE and known.incarnation == peer.incarnation:
+            self.back[name] = self.context.now
         for each in (self.cases, self.warnings, self.warned, self.kept, self.strangers):
             each.pop(name, None)
-        if peer.state == State.LEFT:
-            self.kept[name] = self.desk.now + KEPT
-        elif known is None or known.state > State.SUSPECT:
-            self.round.insert(self.desk.random.randint(0, len(self.round)), name)
-        self._put(replace(peer, state=State.LEFT if peer.state == State.LEFT else State.ALIVE))
+        if peer.state == PeerState.LEFT:
+            self.kept[name] = self.context.now + KEPT
+        elif known is None or known.state > PeerState.SUSPECT:
+            self.round.insert(self.context.random.randint(0, len(self.round)), name)
+        self._put(replace(peer, state=PeerState.LEFT if peer.state == PeerState.LEFT else PeerState.ALIVE))
         self._spread(name)
 
     def _accuse(self, name: str, by: tuple[str, ...], mine: bool = False, quiet: bool = False):
         case, known = self.cases.get(name), self.table[name]
         new = [each for each in by if self._counts(each, name)] + [self.name] * mine
         new = [each for each in dict.fromkeys(new) if not case or each not in case.by]
-        if known.state == State.ALIVE and not quiet and (new or by):
-            self._warn(Told(replace(known, state=State.SUSPECT), by or (self.name,)))
-        if not new or case and len(case.by) >= WITNESSES:
+        if known.state == PeerState.ALIVE and not quiet and (new or by):
+            self._warn(GossipItem(replace(known, state=PeerState.SUSPECT), by or (self.name,)))
+        if not new or case and len(case.by) >= MAX_ACCUSERS:
             return
         if case is None:
-            case = self.cases[name] = Case(self.desk.now, [])
-        case.by = (case.by + new)[:WITNESSES]
-        if known.state == State.ALIVE:
-            self._put(replace(known, state=State.SUSPECT))
-            self.desk.count("suspicions")
-            self.desk.count("accusations", int(mine))  # those of them that are this agent's own
+            case = self.cases[name] = Suspicion(self.context.now, [])
+        case.by = (case.by + new)[:MAX_ACCUSERS]
+        if known.state == PeerState.ALIVE:
+            self._put(replace(known, state=PeerState.SUSPECT))
+            self.context.increment(Metric.SUSPICIONS)
+            self.context.increment(Metric.ACCUSATIONS, int(mine))  # those of them that are this agent's own
         self._spread(name)
 
     def _counts(self, witness: str, accused: str) -> bool:
         peer = self.table.get(witness)
         return (
             peer is not None
-            and peer.state <= State.SUSPECT
+            and peer.state <= PeerState.SUSPECT
             and witness not in (accused, self.name)
-            and self.desk.now - self.back.get(witness, -inf) >= FRESH
+            and self.context.now - self.back.get(witness, -inf) >= FRESH
         )
 
-    def _warn(self, told: Told):
-        name, now = told.peer.name, self.desk.now
-        if now - self.warned.get(name, -inf) >= self.pact.suspect_s / 2 and len(self.warnings) < WARNINGS:
+    def _warn(self, told: GossipItem):
+        name, now = told.peer.name, self.context.now
+        if now - self.warned.get(name, -inf) >= self.settings.suspect_s / 2 and len(self.warnings) < WARNINGS:
             self.warned[name] = now
             self.warnings[name] = told
 
@@ -685,7 +697,7 @@
         old = self.table.get(peer.name)
         self.table[peer.name] = peer
         self.sorted = None
-        self.version += shown(old) != shown(peer)
+        self.version += public_state(old) != public_state(peer)
 
     def _forget(self, name: str):
         for each in (
@@ -701,39 +713,39 @@
             each.pop(name, None)
 
     def _room(self) -> bool:
-        if len(self.table) < self.pact.most_agents:
+        if len(self.table) < self.settings.most_agents:
             return True
         if self.kept:
             self._forget(min(self.kept, key=lambda name: (self.kept[name], name)))
             return True
-        self.desk.count("dropped no room")
+        self.context.increment(Metric.DROPPED_NO_ROOM)
         if not self.full:
             self.full = True
-            self.desk.note("no room for more agents", most_agents=self.pact.most_agents)
+            self.context.log_event(events.MembershipFull(self.settings.most_agents))
         return False
 
     def _digests(self) -> bytes:
         parts = [[] for _ in range(BUCKETS)]
         for name, peer in self.live().items():
-            parts[bucket(name)].append(f"{name}\0{peer.life}\0{peer.turn}\n")
+            parts[bucket(name)].append(f"{name}\0{peer.incarnation}\0{peer.turn}\n")
         return b"".join(blake2b("".join(part).encode(), digest_size=BYTES).digest() for part in parts)
 
-    def _others(self, worst: State) -> list[str]:
+    def _others(self, worst: PeerState) -> list[str]:
         return [name for name, peer in self.live().items() if peer.state <= worst and name != self.name]
 
     def _some(self, names: list[str], most: int) -> list[str]:
-        return self.desk.random.sample(names, min(most, len(names)))
+        return self.context.random.sample(names, min(most, len(names)))
 
     def _jitter(self) -> float:
-        return 0.75 + self.desk.random.random() / 2
+        return 0.75 + self.context.random.random() / 2
 
     def _worse(self, by: int):
         self.health = min(WORST, max(0, self.health + by))
 
     # Sending
 
-    def _piece(self, name: str) -> Told:
-        return Told(self.table[name], tuple(self.cases[name].by) if name in self.cases else ())
+    def _piece(self, name: str) -> GossipItem:
+        return GossipItem(self.table[name], tuple(self.cases[name].by) if name in self.cases else ())
 
     def _spread(self, name: str):
         self.place += 1
@@ -743,19 +755,19 @@
         """Send with as much gossip as fits: first what `to` is accused of, and what is known of `about`."""
         room = ROOM - len(msgpack.encode(kind(*fields, self.me, ()))) - 2
         told, taken = [], {self.name: True}
-        first = [to] if to in self.table and self.table[to].state != State.ALIVE else []
+        first = [to] if to in self.table and self.table[to].state != PeerState.ALIVE else []
         first += [about] if about in self.table else []
         for name in first:
             taken[name] = True
             told.append(self._piece(name))
             room -= len(msgpack.encode(told[-1]))
         most = 3 * ceil(log2(self.size() + 1))
-        for name in nsmallest(PIECES, self.news, key=self.news.__getitem__):
+        for name in nsmallest(MAX_GOSSIP_ITEMS, self.news, key=self.news.__getitem__):
             sent, place = self.news[name]
             if name not in taken:
                 piece = self._piece(name)
                 size = len(msgpack.encode(piece))
-                if size > room or len(told) >= PIECES:
+                if size > room or len(told) >= MAX_GOSSIP_ITEMS:
                     continue
                 room -= size
                 told.append(piece)
@@ -764,18 +776,18 @@
             self.news[name] = (sent + 1, place)  # of itself, each message tells anyway
             if sent + 1 >= most:
                 del self.news[name]
-        self.desk.send(to, kind(*fields, self.me, tuple(told)))
+        self.context.send(to, kind(*fields, self.me, tuple(told)))
 
     def _ship(self):
         for name in list(self.warnings)[:SHIPPED]:
-            self.desk.send(name, Pieces(self.me, (self.warnings.pop(name),)))
+            self.context.send(name, StatePush(self.me, (self.warnings.pop(name),)))
         for name in list(self.owed)[:SHIPPED]:
             self._ship_to(name)
 
     def _ship_to(self, to: str):
         owed, told = self.owed.pop(to), []
-        room = ROOM - len(msgpack.encode(Pieces(self.me, ()))) - 2
-        while (owed.names or owed.parts) and len(told) < PIECES:
+        room = ROOM - len(msgpack.encode(StatePush(self.me, ()))) - 2
+        while (owed.names or owed.parts) and len(told) < MAX_GOSSIP_ITEMS:
             if not owed.names:
                 part = owed.parts.pop()
                 owed.names = [name for name in self.table if bucket(name) == part]
@@ -789,4 +801,4 @@
             owed.names.pop()
         if owed.names or owed.parts:
             self.owed[to] = owed  # at the end of the queue
-        self.desk.send(to, Pieces(self.me, tuple(told)))
+        self.context.send(to, StatePush(self.me, tuple(told)))
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -15,18 +15,29 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from cartdeal.fleet import errors
+from cartdeal.fleet import errors, events
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.consensus.ring_consensus import Epochs
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.hybrid_clock import HybridClock, Stamp
-from cartdeal.fleet.idempotency import Question, Verdict, earlier, in_doubt, judge, may_repeat, may_turn_back
+from cartdeal.fleet.consensus.ring_consensus import RingConsensus
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
+from cartdeal.fleet.events import LogEvent
+from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
+from cartdeal.fleet.idempotency import (
+    AdmissionDecision,
+    AdmissionRequest,
+    decide,
+    decide_unknown,
+    matching_attempts,
+    may_reject,
+    may_repeat,
+)
 from cartdeal.fleet.membership import swim
-from cartdeal.fleet.membership.swim import Members
+from cartdeal.fleet.membership.swim import Membership
+from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import quota_leases
-from cartdeal.fleet.quota.quota_leases import Lending
+from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import replica, schema
-from cartdeal.fleet.replication.records import Certainty, Mark
+from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
 
 COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
@@ -36,12 +47,12 @@
 KNOWN_PEERS = 4  # addresses kept of unidentified clients, as a multiple of the most agents there may be
 
 
-class Waiting:
+class PendingAdmission:
     """A request that waits for the fleet's word, or has had it and is not ended yet."""
 
     __slots__ = ("question", "until", "by", "mark", "step", "limit_wait")
 
-    def __init__(self, question: Question, until: float):
+    def __init__(self, question: AdmissionRequest, until: float):
         self.question, self.until = question, until
         self.by, self.mark = "", None  # its own mark, once it is claimed
         self.step = "spend"  # then "claim" or "denied", and "open"
@@ -49,25 +60,27 @@
 
 
 class Node:
-    def __init__(self, pact: Pact, seed, now: float, wall: float):
-        self.pact, self.asked, self.figured = pact, [], Counter()
+    def __init__(self, settings: FleetSettings, seed, now: float, wall: float):
+        self.settings = settings
+        self.effects: list[Effect] = []
+        self.counters: Counter[str] = Counter()
         self.now, self.offset = now, wall - now
-        self.name, self.address = pact.name, pact.address
-        self.random = Random(f"{seed}/{pact.name}/{int(wall * 1e3)}")
-        self.life = int(wall * 1e3) << 16 | self.random.getrandbits(16)
-        self.count_ = 0  # requests so far; with the life, no number is ever given out twice
-        self.waiting: dict[int, Waiting] = {}
+        self.name, self.address = settings.name, settings.address
+        self.random = Random(f"{seed}/{settings.name}/{int(wall * 1e3)}")
+        self.incarnation = int(wall * 1e3) << 16 | self.random.getrandbits(16)
+        self.count_ = 0  # requests so far; with the incarnation, no number is ever given out twice
+        self.waiting: dict[int, PendingAdmission] = {}
         self.open = 0  # of these, how many still wait for the fleet's word
         self.addresses: dict[str, str] = {}
         # By peer: whether it goes by a ring; how far its clock was ahead of `now`, at most, since the last
         # look.
         self.clocks: dict[str, tuple[bool, float]] = {}
         self.look_at, self.ticked = now, now
-        self.clock = HybridClock(pact.name, pact.clock_ahead_s)
-        self.members = Members(self, pact)
-        self.epochs = Epochs(self, pact)
-        self.replica = Replica(self, pact, self.clock, self.claimed, self.sure)
-        self.lending = Lending(self, pact, self.spent, self.sure)
+        self.clock = HybridClock(settings.name, settings.clock_ahead_s)
+        self.members = Membership(self, settings)
+        self.epochs = RingConsensus(self, settings)
+        self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
+        self.lending = QuotaLeases(self, settings, self.spent, self.sure)
         self.parts = {
             kind: part
             for module, part in (
@@ -76,7 +89,7 @@
                 (replica, self.replica),
                 (quota_leases, self.lending),
             )
-            for kind in module.WORDS
+            for kind in module.MESSAGE_TYPES
         }
         self.ring = None
         self.fenced = self.held_late = self.caught_up = False
@@ -99,32 +112,33 @@
 
     def send(self, to: str, words: Struct):
         peer = self.members.table.get(to)
-        address = peer.address if peer else self.pact.seeds.get(to) or self.addresses.get(to)
+        address = peer.address if peer else self.settings.seeds.get(to) or self.addresses.get(to)
         if address and to != self.name:
-            self.asked.append(("send", to, address, words))
+            self.effects.append(SendMessage(to, address, words))
         else:
-            self.count("no address")
+            self.increment(Metric.NO_ADDRESS)
 
-    def note(self, kind: str, **about):
-        self.asked.append(("note", kind, about))
+    def log_event(self, event: LogEvent):
+        self.effects.append(WriteLog(event))
 
-    def count(self, what: str, more: int = 1):
-        self.figured[what] += more
+    def increment(self, counter: str, by: int = 1):
+        self.counters[counter] += by
 
     # Events
 
-    def heard(self, sender: str, life: int, address: str, wall_ms: int, words: Struct):
+    def heard(self, sender: str, incarnation: int, address: str, wall_ms: int, words: Struct):
         """A message whose digest was right: that its sender knows the key is all that it proves."""
         part = self.parts.get(type(words))
         if part is None or sender == self.name:
-            return self.count("dropped own name")
+            return self.increment(Metric.DROPPED_OWN_NAME)
         peer = self.members.table.get(sender)
-        if peer and life < peer.life and part is not self.members:
-            return self.count("dropped old life")  # members answer with the life that is known
+        if peer and incarnation < peer.incarnation and part is not self.members:
+            # members answer with the incarnation that is known
+            return self.increment(Metric.DROPPED_OLD_INCARNATION)
         in_ring = part is self.epochs and getattr(words, "has", 1) > 0
         if not self.timely(sender, wall_ms, in_ring) and part is self.replica:
             return  # what it stamps can't be believed; that it is there, and what ring it has, can
-        if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.pact.most_agents:
+        if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.settings.most_agents:
             self.addresses[sender] = address
         part.heard(sender, words)
         self.follow()
@@ -141,10 +155,10 @@
         if self.ring is None:
             return True  # of no standing yet
         try:
-            self.clock.hear(Stamp(wall_ms, 0, sender), self.wall)
-        except errors.ClockAhead as trouble:
-            self.count("dropped clock ahead")
-            self.note("clock ahead", peer=sender, words=str(trouble))
+            self.clock.hear(Timestamp(wall_ms, 0, sender), self.wall)
+        except errors.ClockAheadError as error:
+            self.increment(Metric.DROPPED_CLOCK_AHEAD)
+            self.log_event(events.PeerClockAhead(sender, str(error)))
             return False
         self.offset = max(self.offset, offset)
         return True
@@ -161,7 +175,7 @@
         as it came would be refused by all the others for good."""
         seats = self.ring.by_name
         offsets = [offset for name, (_, offset) in self.clocks.items() if name in seats]
-        far = self.pact.clock_ahead_s
+        far = self.settings.clock_ahead_s
         odd = max(
             sum(each - self.offset > far for each in offsets),
             sum(self.offset - each > far for each in offsets),
@@ -173,10 +187,10 @@
     def go_by(self, offsets):
         """The middle one, and of two the one ahead: a time between them would be nobody's."""
         offset = median_high(offsets)
-        if abs(offset - self.offset) > self.pact.clock_ahead_s:
-            self.note("own clock set", by_s=round(offset - self.offset, 3), agents=len(self.clocks))
+        if abs(offset - self.offset) > self.settings.clock_ahead_s:
+            self.log_event(events.ClockAdjusted(round(offset - self.offset, 3), len(self.clocks)))
             self.offset = offset
-            self.clock = self.replica.clock = HybridClock(self.name, self.pact.clock_ahead_s)
+            self.clock = self.replica.clock = HybridClock(self.name, self.settings.clock_ahead_s)
 
     def tick(self):
         if self.now - self.ticked > LOOK / 4:  # stopped: what came in meanwhile is old
@@ -185,13 +199,16 @@
         if self.ring is not None and self.now >= self.look_at:
             self.look_at_clock()
         self.members.tick()
-        known = self.members.knew_life()
-        if known >= self.life and known >> 16 < int(self.wall * 1e3) + 86_400_000:
+        known = self.members.known_incarnation()
+        if known >= self.incarnation and known >> 16 < int(self.wall * 1e3) + 86_400_000:
             # Its own name is remembered from a later start, by a clock that was ahead then.
-            # The next number would be that of any start that learnt of the same life and died unheard of.
-            self.life = (known >> 16) + 1 + self.random.getrandbits(8) << 16 | self.random.getrandbits(16)
-            self.note("own life raised", life=self.life)
-        self.epochs.tick(self.members.live(), lambda ring, live: schema.agree(ring, live, self.pact))
+            # The next number would be that of any start that learnt of the same incarnation and died unheard
+            # of.
+            self.incarnation = (known >> 16) + 1 + self.random.getrandbits(8) << 16 | self.random.getrandbits(
+                16
+            )
+            self.log_event(events.IncarnationRaised(self.incarnation))
+        self.epochs.tick(self.members.live(), lambda ring, live: schema.agree(ring, live, self.settings))
         self.follow()
         self.replica.tick()
         self.lending.tick()
@@ -199,15 +216,16 @@
         if self.replica.all_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
             # Where agents are restarted one after the other, the next one has to wait for this.
-            self.note("caught up" if self.caught_up else "catching up", epoch=self.ring and self.ring.epoch)
+            event = events.CaughtUp if self.caught_up else events.CatchingUp
+            self.log_event(event(self.ring and self.ring.epoch))
         me = self.members.table.get(self.name)
         caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
         if me and (self.replica.moved, caught) != (me.moved, me.caught):
             self.members.about_me(moved=self.replica.moved, caught=caught)
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
-            if self.now >= each.until + self.pact.tick_s:
+            if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
-                self.count("overdue")
+                self.increment(Metric.OVERDUE_DECISIONS)
                 self.doubt(ticket, each)
 
     def follow(self):
@@ -217,7 +235,7 @@
             if self.ring is None:
                 self.set_clock()
             self.ring = ring
-            self.note("ring", epoch=ring.epoch, seats=len(ring.seats), written=ring.written, phase=ring.phase)
+            self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
             self.replica.rings(ring, self.epochs.former, self.epochs.since)
             self.lending.rings(ring, self.epochs.former, self.epochs.since)
             self.lending.written(schema.governs(ring.written, ring.phase))
@@ -225,37 +243,37 @@
 
     def fence(self, ring):
         """A program too old for what the fleet writes now takes no part; its marks are still carried over."""
-        trouble = schema.refused(self.pact.reads, ring)
-        if trouble and not self.fenced:
-            self.note("fenced", words=str(trouble))
-        self.fenced = trouble is not None
-        back = schema.step_back_refused(ring, self.pact)
+        error = schema.refused(self.settings.reads, ring)
+        if error and not self.fenced:
+            self.log_event(events.Fenced(str(error)))
+        self.fenced = error is not None
+        back = schema.step_back_refused(ring, self.settings)
         if back and not self.held_late:
-            self.note("hold refused", words=str(back))
+            self.log_event(events.SchemaHoldRefused(str(back)))
         self.held_late = back is not None
 
     @property
     def young(self) -> bool:
         """Whether marks of before the fleet was founded may still be due. It is founded anew where all of its
         agents went at once, and nobody knows then what ran before."""
-        lasts = self.pact.longest_mark_s + 2 * self.pact.clock_ahead_s
+        lasts = self.settings.longest_mark_s + 2 * self.settings.clock_ahead_s
         return self.ring is None or self.wall < self.ring.founded_ms / 1e3 + lasts
 
     def sure(self) -> bool:
         """Whether this agent may answer as an owner."""
         return not self.fenced and self.epochs.sure()
 
-    def ask(self, ticket: int, question: Question):
+    def ask(self, ticket: int, question: AdmissionRequest):
         """May this request go on to the balancer? The word comes by a `decided`, `wait_s` from now at
         most."""
-        if self.open >= self.pact.most_waiting:
-            self.count("too many waiting")
+        if self.open >= self.settings.most_waiting:
+            self.increment(Metric.PENDING_ADMISSIONS_FULL)
             return self.decide(ticket, self.doubtful(question), self.come_again())
-        until = self.now + min(self.pact.wait_s, question.limit_s / 2)
-        self.waiting[ticket] = Waiting(question, until)
+        until = self.now + min(self.settings.wait_s, question.limit_s / 2)
+        self.waiting[ticket] = PendingAdmission(question, until)
         self.open += 1
-        self.count("asked")
-        if question.tenant in self.pact.limits:
+        self.increment(Metric.ADMISSION_REQUESTS)
+        if question.tenant in self.settings.limits:
             self.lending.spend(ticket, question.tenant, until)
         else:
             self.spent(ticket, True, 0.0, True)
@@ -293,12 +311,12 @@
         """Whether all that it holds is with others, too."""
         return self.replica.settled
 
-    def reread(self, pact: Pact):
+    def reread(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.pact = self.members.pact = self.epochs.pact = self.replica.pact = pact
-        self.epochs.damper.share, self.epochs.damper.wait = pact.damp_share, pact.damp_s
-        self.lending.reread(pact)
-        self.members.about_me(capacity=pact.capacity)
+        self.settings = self.members.settings = self.epochs.settings = self.replica.settings = settings
+        self.epochs.damper.share, self.epochs.damper.wait = settings.damp_share, settings.damp_s
+        self.lending.reread(settings)
+        self.members.about_me(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
@@ -309,10 +327,10 @@
         if each is None or each.step != "spend":
             return
         question = each.question
-        if not sure and self.pact.limit_doubt == "serve":
+        if not sure and self.settings.limit_doubt == "serve":
             ok = True
         if ok and not question.marked:
-            return self.settle(ticket, each, Verdict.PASS)
+            return self.settle(ticket, each, AdmissionDecision.ADMIT)
         if question.marked and self.now >= each.until:
             return self.doubt(ticket, each)  # no time is left to ask for its marks
         each.limit_wait = wait_s
@@ -326,40 +344,52 @@
             self.replica.read(ticket, f"s/{question.session}", each.until)
         else:
             self.settle(
-                ticket, each, Verdict.LIMITED if sure else Verdict.TURN_BACK, wait_s or self.come_again()
+                ticket,
+                each,
+                AdmissionDecision.RATE_LIMITED if sure else AdmissionDecision.REJECT,
+                wait_s or self.come_again(),
             )
 
-    def claimed(self, ticket: int, marks: tuple[Mark, ...], sure: bool):
+    def claimed(self, ticket: int, marks: tuple[AttemptRecord, ...], sure: bool):
         each = self.waiting.get(ticket)
         if each is None or each.step not in ("claim", "denied"):
             return
         question, wall_ms = each.question, int(self.wall * 1e3)
-        slack, marking = int(self.pact.clock_ahead_s * 1e3), self.pact.clients_mark
+        slack, marking = int(self.settings.clock_ahead_s * 1e3), self.settings.clients_mark
         if not sure or self.fenced:  # fenced, it can't read all that the owners told it
             return self.doubt(ticket, each)
-        if self.young and may_repeat(question, marking) and not earlier(question, marks, marking):
+        if self.young and may_repeat(question, marking) and not matching_attempts(question, marks, marking):
             return self.doubt(ticket, each)
         if each.step == "denied":
-            if may_turn_back(question, marks, wall_ms, slack, marking):
-                return self.settle(ticket, each, Verdict.LIMITED, each.limit_wait or self.come_again())
-            return self.settle(ticket, each, Verdict.TERMINATE)
-        verdict, earlier_attempts = judge(question, marks, wall_ms, slack, marking)
+            if may_reject(question, marks, wall_ms, slack, marking):
+                return self.settle(
+                    ticket, each, AdmissionDecision.RATE_LIMITED, each.limit_wait or self.come_again()
+                )
+            return self.settle(ticket, each, AdmissionDecision.FAIL)
+        verdict, earlier_attempts = decide(question, marks, wall_ms, slack, marking)
         self.settle(ticket, each, verdict, 0.0, earlier_attempts)
 
     # Ways of ending the wait
 
-    def doubt(self, ticket: int, each: Waiting):
-        self.count("in doubt")
+    def doubt(self, ticket: int, each: PendingAdmission):
+        self.increment(Metric.DECIDED_UNKNOWN)
         self.settle(ticket, each, self.doubtful(each.question), self.come_again())
 
-    def doubtful(self, question: Question) -> Verdict:
+    def doubtful(self, question: AdmissionRequest) -> AdmissionDecision:
         if not question.marked:
-            return Verdict.TURN_BACK
-        return in_doubt(question, self.pact.on_doubt, self.pact.clients_mark)
-
-    def settle(self, ticket: int, each: Waiting, verdict: Verdict, wait: float = 0.0, earlier_attempts=()):
+            return AdmissionDecision.REJECT
+        return decide_unknown(question, self.settings.on_doubt, self.settings.clients_mark)
+
+    def settle(
+        self,
+        ticket: int,
+        each: PendingAdmission,
+        verdict: AdmissionDecision,
+        wait: float = 0.0,
+        earlier_attempts=(),
+    ):
         self.open -= 1
-        if verdict is Verdict.PASS:
+        if verdict is AdmissionDecision.ADMIT:
             each.step = "open"
         else:
             del self.waiting[ticket]
@@ -368,22 +398,24 @@
                 self.refine(each, certainty=int(Certainty.NEVER_RAN))
         self.decide(ticket, verdict, wait, earlier_attempts)
 
-    def decide(self, ticket: int, verdict: Verdict, wait: float, earlier_attempts=()):
-        self.count(verdict.value)
-        wait = 0.0 if verdict in (Verdict.PASS, Verdict.TERMINATE) else wait
-        self.asked.append(("decided", ticket, verdict.value, wait, earlier_attempts))
+    def decide(self, ticket: int, verdict: AdmissionDecision, wait: float, earlier_attempts=()):
+        self.increment(verdict.value)
+        wait = 0.0 if verdict in (AdmissionDecision.ADMIT, AdmissionDecision.FAIL) else wait
+        self.effects.append(DeliverDecision(ticket, verdict, wait, earlier_attempts))
 
     def come_again(self) -> float:
         return COME_AGAIN * (1.0 + 0.5 * self.random.random())
 
     # Marks and uses
 
-    def mark(self, question: Question) -> Mark:
+    def mark(self, question: AdmissionRequest) -> AttemptRecord:
         self.count_ += 1
         now_ms = int(self.wall * 1e3)
-        lasts = question.window_s + question.limit_s if question.repeat == "d" else self.pact.longest_mark_s
-        return Mark(
-            by=f"{self.name}/{self.life}/{self.count_}",
+        lasts = (
+            question.window_s + question.limit_s if question.repeat == "d" else self.settings.longest_mark_s
+        )
+        return AttemptRecord(
+            by=f"{self.name}/{self.incarnation}/{self.count_}",
             key=question.key,
             repeat=question.repeat,
             group=question.group,
@@ -392,11 +424,11 @@
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.pact.longest_mark_s)),
+            until_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
             extra={},
         )
 
-    def refine(self, each: Waiting, **changes):
+    def refine(self, each: PendingAdmission, **changes):
         mark = each.mark
         certainty = max(mark.certainty, changes.pop("certainty", 0))
         each.mark = replace(mark, certainty=certainty, **changes)
@@ -407,7 +439,7 @@
         """By tenant and period, for operators: nothing is decided by it."""
         for tenant, served in self.lending.served.items():
             if served > self.served[tenant]:
-                period = int(self.wall // self.pact.period_s)
+                period = int(self.wall // self.settings.period_s)
                 self.replica.count_use(tenant, period, served - self.served[tenant])
                 self.served[tenant] = served
 
@@ -424,5 +456,5 @@
             "waiting": self.open,
             **self.replica.figures(),
             **self.lending.figures(),
-            **self.figured,
+            **self.counters,
         }
--- a/cartdeal/fleet/quota/ledger.py
+++ b/cartdeal/fleet/quota/ledger.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 STEPS = 16  # rings that are remembered; older ones count as unknown, and with them nothing is lent
-CRUMB = 1e-9  # what is less than this is rounding
+MIN_TOKENS = 1e-9  # what is less than this is rounding
 
 
 def waterfill(total: float, wants: list[float]) -> list[float]:
@@ -27,7 +27,7 @@
     return parts
 
 
-class Demand:
+class DemandMeter:
     """Requests a second, averaged over `over_s`."""
 
     def __init__(self, over_s: float):
@@ -40,7 +40,7 @@
         self.rate, self.at = self.now(now) + 1 / self.over_s, now
 
 
-class Step:
+class OwnershipStep:
     """A ring in force here from `at` to `end`; None: a time of which nothing is known. `proven`: the last
     time that a majority was known to have stayed with it."""
 
@@ -48,7 +48,7 @@
         self.number, self.ring, self.at, self.end, self.proven = number, ring, at, inf, -inf
 
 
-class Tenure:
+class OwnershipHistory:
     """Which share of a key's limit its agent may lend: the least by all rings in force within the last fence.
 
     A ring not heard of may have had other owners, who still lend. So after a gap in the epochs, as after a
@@ -57,17 +57,18 @@
 
     def __init__(self, start: float, fence: float, share_in):
         self.fence, self.share_in = fence, share_in  # share_in(ring, key) -> share, 0 to 1
-        self.steps = [Step(0, None, start)]
+        self.steps = [OwnershipStep(0, None, start)]
 
     @property
-    def step(self) -> Step:
+    def step(self) -> OwnershipStep:
         return self.steps[-1]
 
     def learn(self, ring, former, now: float):
         """`former`: the ring of the epoch before, where that is known."""
         had = self.step.ring
         if had is None and len(self.steps) == 1 and ring.epoch == 1:
-            # No ring was before the first, so the fence is about the own earlier life and counts from the
+            # No ring was before the first, so the fence is about the own earlier incarnation and counts from
+            # the
             # start.
             self.add(ring, now)
             self.steps[0].end = self.steps[0].at
@@ -80,7 +81,7 @@
 
     def add(self, ring, now: float):
         self.step.end = now
-        self.steps.append(Step(self.step.number + 1, ring, now))
+        self.steps.append(OwnershipStep(self.step.number + 1, ring, now))
         if len(self.steps) > STEPS:
             del self.steps[0]
             self.steps[0].ring = None
@@ -102,7 +103,7 @@
         return (0.0, inf) if low == inf else (low, until)
 
 
-class Loan:
+class TokenLease:
     """Counted by the owner until `until`, or until its holder says that it has it no more. `whole`: tokens
     given in this period, where amounts are whole."""
 
@@ -111,14 +112,14 @@
 
 
 class Holder:
-    """An owner's book on one life of one agent. `sequence`: its last word heard."""
+    """An owner's book on one incarnation of one agent. `sequence`: its last word heard."""
 
     def __init__(self):
         self.sequence, self.demand, self.heard, self.loans = 0, 0.0, -inf, []
         self.rate = self.burst = 0.0  # the most of any of its loans: it may use one of them, at most
 
 
-class Given(Struct):
+class LeaseGrant(Struct):
     """What an owner answers: (rate, burst) from now on, `tokens` at once; `wait`: when to come back for
     more."""
 
@@ -132,12 +133,16 @@
     wait: float = 0.0
 
 
-PERIOD, REFILL, PIECE = 1, 2, 3  # Given.how; 0: nothing
-ASK_ANY, ASK_WHOLE, ASK_PIECE = 0, 1, 2  # what a holder can use: anything, whole amounts, no standing loan
+WHOLE_PERIOD, REFILL_RATE, SINGLE_TOKEN = 1, 2, 3  # LeaseGrant.how; 0: nothing
+REQUEST_ANY, REQUEST_WHOLE_TOKENS, REQUEST_SINGLE_TOKEN = (
+    0,
+    1,
+    2,
+)  # what a holder can use: anything, whole amounts, no standing loan
 
 RESERVE = 1 / 16  # of the rate, never lent: it fills the bucket, for newcomers
 ROOM = 0.75  # of its demand is lent to a holder as a rate; the rest it draws as it comes
-CROWD = 16  # with more holders, who wants what is counted once in an eighth of a lease
+MANY_HOLDERS = 16  # with more holders, who wants what is counted once in an eighth of a lease
 PIECEMEAL = 5.0  # with fewer tokens for each holder, of burst or in a lease, they are lent singly
 
 
@@ -146,9 +151,9 @@
     next one, and `ready` those of this one. Filled up to `at`, never beyond the time for which the ring is
     proven."""
 
-    def __init__(self, key: bytes, limit, tenure: Tenure, pact, version: int):
+    def __init__(self, key: bytes, limit, tenure: OwnershipHistory, settings, version: int):
         self.key, self.tenure, self.version = key, tenure, version
-        self.lease, self.drift, self.period_s = pact.lease_s, 1 + pact.clock_drift, pact.period_s
+        self.lease, self.drift, self.period_s = settings.lease_s, 1 + settings.clock_drift, settings.period_s
         self.counted_s = self.lease * self.drift + 0.01  # the slowest clock's lease
         self.holders: dict[tuple[str, int], Holder] = {}
         self.out_rate = self.out_burst = 0.0  # on loan
@@ -167,7 +172,7 @@
 
     # Filling
 
-    def keep(self, holder: Holder, loans: list[Loan]):
+    def keep(self, holder: Holder, loans: list[TokenLease]):
         """Counts these loans of it, and no others."""
         rate = max([loan.rate for loan in loans], default=0.0)
         burst = max([loan.burst for loan in loans], default=0.0)
@@ -175,7 +180,7 @@
         self.out_burst += burst - holder.burst
         holder.loans, holder.rate, holder.burst = loans, rate, burst
 
-    def add(self, key: tuple[str, int], holder: Holder, loan: Loan):
+    def add(self, key: tuple[str, int], holder: Holder, loan: TokenLease):
         self.keep(holder, [*holder.loans, loan])
         heappush(self.expiries, (loan.until, key))
 
@@ -230,19 +235,19 @@
         if version == 1:
             whole = share * self.rate * self.period_s
             earned = min(self.tokens + (self.ready if was == 1 and whole < 1 else 0.0), whole + 1)
-            if self.out_burst > CRUMB:  # still on loan from before periods were counted
+            if self.out_burst > MIN_TOKENS:  # still on loan from before periods were counted
                 earned = min(earned, max(share * self.burst - self.out_burst, 0.0))
-            self.ready = float(floor(earned + CRUMB))
+            self.ready = float(floor(earned + MIN_TOKENS))
             self.tokens = max(earned - self.ready, 0.0)
         else:
             self.tokens, self.ready = min(self.tokens, self.most(share)), 0.0
 
     # Lending
 
-    def book(self, name: str, life: int) -> Holder:
-        found = self.holders.get((name, life))
+    def book(self, name: str, incarnation: int) -> Holder:
+        found = self.holders.get((name, incarnation))
         if found is None:
-            found = self.holders[name, life] = Holder()
+            found = self.holders[name, incarnation] = Holder()
         return found
 
     def tidy(self, now: float):
@@ -266,11 +271,11 @@
             if self.version != 1:
                 self.tokens = min(self.tokens + tokens, self.most(share))
             elif loan.whole:
-                self.ready += min(floor(tokens + CRUMB), loan.whole)
+                self.ready += min(floor(tokens + MIN_TOKENS), loan.whole)
         # What fills from now on fills without these loans; so nothing before now may be counted later.
         self.at = max(self.at, now)
 
-    def lend(self, who: str, life: int, holder: Holder, ask, now: float, number: int) -> Given:
+    def lend(self, who: str, incarnation: int, holder: Holder, ask, now: float, number: int) -> LeaseGrant:
         """`ask`: see lending.Ask; the bucket is at `now`, and its ring is proven."""
         holder.sequence, holder.demand, holder.heard = ask.sequence, ask.demand, now
         kept = [loan for loan in holder.loans if loan.number == ask.holds and loan.until > now]
@@ -279,7 +284,7 @@
         self.keep(holder, kept)
         share, _ = self.tenure.share(self.key, now)
         if self.version == 1:
-            return self.lend_whole(who, life, holder, ask, now, number, share)
+            return self.lend_whole(who, incarnation, holder, ask, now, number, share)
         rate, burst = share * self.rate, share * self.burst
         others, lent, mine = self.out_rate - holder.rate, self.out_burst - holder.burst, holder.burst
         top = 0.0
@@ -287,9 +292,9 @@
             top = min(ask.top, ask.most)
             self.tokens += ask.back
         self.tokens = max(min(self.tokens, burst - lent - mine), 0.0)
-        if self.crowd <= CROWD or now - self.counted_at >= self.lease / 8:
+        if self.crowd <= MANY_HOLDERS or now - self.counted_at >= self.lease / 8:
             self.census(now, rate)
-        if self.piecemeal or ask.mode != ASK_ANY:
+        if self.piecemeal or ask.mode != REQUEST_ANY:
             given = self.piece(who, ask, burst - lent, top)
         else:
             given = self.standing(holder, ask, rate, others, burst, lent, mine, top)
@@ -300,7 +305,9 @@
         if given.how:
             self.tokens = max(min(self.tokens - given.tokens, burst - lent - max(mine, given.burst)), 0.0)
             given.number, given.left = number, self.lease
-            self.add((who, life), holder, Loan(number, given.rate, given.burst, now + self.counted_s))
+            self.add(
+                (who, incarnation), holder, TokenLease(number, given.rate, given.burst, now + self.counted_s)
+            )
         return given
 
     def want(self, holder, rate) -> float:
@@ -317,15 +324,15 @@
             self.burst < enough * (self.crowd + 1) or self.rate * self.lease < enough * self.crowd
         )
 
-    def piece(self, who, ask, room, top) -> Given:
+    def piece(self, who, ask, room, top) -> LeaseGrant:
         """Single tokens, for requests that wait: no rate, and a cap of just what was given."""
         # A token may have to be put together from the parts of several owners. Were each to serve whom it
         # heard first, two holders would get parts that neither can use: all prefer the one that had least of
         # late.
         rank, (best, since) = (ask.had, who), self.rival
         tokens = min(self.tokens, ask.waits, room - top)
-        if ask.mode == ASK_WHOLE:
-            tokens = floor(tokens + CRUMB)
+        if ask.mode == REQUEST_WHOLE_TOKENS:
+            tokens = floor(tokens + MIN_TOKENS)
         if self.at - since >= self.lease / 8:
             best = ()
         if best and best < rank and self.tokens - tokens < min(1.0, room):
@@ -335,11 +342,15 @@
                 self.rival = (rank, self.at)
         elif best and best[1] == who:
             self.rival = ((), -inf)
-        if tokens <= CRUMB:
-            return Given()
-        return Given(how=PERIOD if ask.mode == ASK_WHOLE else PIECE, tokens=tokens, burst=top + tokens)
+        if tokens <= MIN_TOKENS:
+            return LeaseGrant()
+        return LeaseGrant(
+            how=WHOLE_PERIOD if ask.mode == REQUEST_WHOLE_TOKENS else SINGLE_TOKEN,
+            tokens=tokens,
+            burst=top + tokens,
+        )
 
-    def standing(self, holder, ask, rate, others, burst, lent, mine, top) -> Given:
+    def standing(self, holder, ask, rate, others, burst, lent, mine, top) -> LeaseGrant:
         """A rate by demand, a cap to go with it, and what the bucket has for it at once."""
         part = min(self.want(holder, rate), self.water)
         room = burst - lent
@@ -349,16 +360,16 @@
         cap = part / (self.wanted or 1.0) * burst * self.crowd / (self.crowd + 1)
         cap = max(top + tokens, min(cap, room - (self.tokens - tokens)))
         part = max(min(part, rate - others), 0.0)
-        if tokens <= CRUMB and (part <= CRUMB or cap <= CRUMB):
-            return Given()
-        return Given(how=REFILL, rate=part, burst=min(cap, room), tokens=tokens)
+        if tokens <= MIN_TOKENS and (part <= MIN_TOKENS or cap <= MIN_TOKENS):
+            return LeaseGrant()
+        return LeaseGrant(how=REFILL_RATE, rate=part, burst=min(cap, room), tokens=tokens)
 
-    def lend_whole(self, who, life, holder, ask, now, number, share) -> Given:
+    def lend_whole(self, who, incarnation, holder, ask, now, number, share) -> LeaseGrant:
         ends = self.ends
         fair = max(1, -(-int(self.ready) // 2))
         tokens = min(int(self.ready), max(-int(-ask.waits // 1), min(-int(-ask.want // 1), fair)))
         if tokens < 1:
-            return Given(
+            return LeaseGrant(
                 wait=max(ends - now, 0.0)
                 if share * self.rate * self.period_s >= 1
                 else max((1 - self.tokens) / max(share * self.rate, 1e-6), ends - now)
@@ -366,6 +377,8 @@
         self.ready -= tokens
         had = sum(loan.whole for loan in holder.loans)
         self.keep(holder, [loan for loan in holder.loans if not loan.whole])
-        self.add((who, life), holder, Loan(number, 0.0, 0.0, ends, had + tokens))
+        self.add((who, incarnation), holder, TokenLease(number, 0.0, 0.0, ends, had + tokens))
         # By the slowest clock, too, it is over when the period is.
-        return Given(number, PERIOD, tokens=float(tokens), left=(ends - now) / self.drift, period=self.period)
+        return LeaseGrant(
+            number, WHOLE_PERIOD, tokens=float(tokens), left=(ends - now) / self.drift, period=self.period
+        )
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -29,18 +29,19 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
+from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota.ledger import (
-    ASK_ANY,
-    ASK_PIECE,
-    ASK_WHOLE,
-    CRUMB,
-    PERIOD,
-    PIECE,
-    REFILL,
+    MIN_TOKENS,
+    REFILL_RATE,
+    REQUEST_ANY,
+    REQUEST_SINGLE_TOKEN,
+    REQUEST_WHOLE_TOKENS,
+    SINGLE_TOKEN,
+    WHOLE_PERIOD,
     Bucket,
-    Demand,
-    Given,
-    Tenure,
+    DemandMeter,
+    LeaseGrant,
+    OwnershipHistory,
 )
 from cartdeal.fleet.ring.hash_ring import owners
 
@@ -51,8 +52,9 @@
 QUIET = 2  # leases without a request, after which a loan is given back
 
 
-class Ask(Struct, frozen=True, array_like=True):
-    """For one tenant. `sequence` rises by holder's life; `holds`: the one loan from this owner that is in use
+class LeaseRequest(Struct, frozen=True, array_like=True):
+    """For one tenant. `sequence` rises by holder's incarnation; `holds`: the one loan from this owner that is
+    in use
     (0: none, none is ever used again). `most`: what that loan's bucket is capped at from now on; `top`: while
     this ask waits for its answer. `back`: tokens taken out of it and given back; `waits`: tokens for requests
     that wait; `want`: tokens that would be of use; `demand`: requests a second, the owner's share of them;
@@ -68,10 +70,10 @@
     want: float = 0.0
     demand: float = 0.0
     had: float = 0.0
-    mode: int = ASK_ANY
+    mode: int = REQUEST_ANY
 
 
-class Back(Struct, frozen=True, array_like=True):
+class LeaseReturn(Struct, frozen=True, array_like=True):
     """Nothing from this owner is in use any more. `tokens` were left of loan `holds`."""
 
     tenant: str
@@ -80,19 +82,21 @@
     tokens: float
 
 
-class Asks(Struct, frozen=True, array_like=True, tag="l.asks"):
-    """`life`: the sender's; `owner_life`: that of the owner who gave the loans which are spoken of (0:
+class LeaseRequestBatch(Struct, frozen=True, array_like=True, tag="l.asks"):
+    """`incarnation`: the sender's; `owner_incarnation`: that of the owner who gave the loans which are spoken
+    of (0:
     unknown)."""
 
     DATAGRAM: ClassVar[bool] = False
-    life: int
-    owner_life: int
-    asks: tuple[Ask, ...] = ()
-    backs: tuple[Back, ...] = ()
+    incarnation: int
+    owner_incarnation: int
+    asks: tuple[LeaseRequest, ...] = ()
+    backs: tuple[LeaseReturn, ...] = ()
 
 
-class Answer(Struct, frozen=True, array_like=True):
-    """To the ask `sequence`. `how`: PERIOD, REFILL, PIECE, or 0: none left (`certain`) or not for this agent
+class LeaseResponse(Struct, frozen=True, array_like=True):
+    """To the ask `sequence`. `how`: WHOLE_PERIOD, REFILL_RATE, SINGLE_TOKEN, or 0: none left (`certain`) or
+    not for this agent
     to say. `left`: seconds, counted by the holder from when it asked; `wait`: when there may be more."""
 
     tenant: str
@@ -108,27 +112,32 @@
     wait: float = 0.0
 
 
-class Loans(Struct, frozen=True, array_like=True, tag="l.loans"):
-    """`life`: the owner's; `holder_life`: that of the one who asked."""
+class LeaseResponseBatch(Struct, frozen=True, array_like=True, tag="l.loans"):
+    """`incarnation`: the owner's; `holder_incarnation`: that of the one who asked."""
 
     DATAGRAM: ClassVar[bool] = False
-    life: int
-    holder_life: int
-    answers: tuple[Answer, ...]
+    incarnation: int
+    holder_incarnation: int
+    answers: tuple[LeaseResponse, ...]
 
 
-WORDS = (Asks, Loans)
+MESSAGE_TYPES = (LeaseRequestBatch, LeaseResponseBatch)
 
 
-def fits(*amounts: float) -> bool:
+def are_valid_amounts(*amounts: float) -> bool:
     return all(isfinite(amount) and 0 <= amount <= MOST_TOKENS for amount in amounts)
 
 
-class Held:
+class HeldLease:
     """A loan in use here. `most`: its bucket's cap; `top`: a lower one while an ask waits."""
 
-    def __init__(self, life: int, answer: Answer, asked: float, until: float):
-        self.life, self.number, self.how, self.period = life, answer.number, answer.how, answer.period
+    def __init__(self, incarnation: int, answer: LeaseResponse, asked: float, until: float):
+        self.incarnation, self.number, self.how, self.period = (
+            incarnation,
+            answer.number,
+            answer.how,
+            answer.period,
+        )
         self.rate, self.most, self.top = answer.rate, answer.burst, inf
         self.level, self.at, self.asked, self.until = 0.0, asked, asked, until
 
@@ -139,7 +148,7 @@
         self.at = max(self.at, now)
 
 
-class Line:
+class OwnerExchange:
     """What was said to one owner for one tenant: the ask that waits (`sequence` 0: none), and whether the
     owner leaves requests without an answer for longer than they may wait."""
 
@@ -148,14 +157,14 @@
         self.more = False  # whether the owner may have more than it gave
 
 
-class Ward:
+class TenantQuota:
     """One tenant's use at this agent."""
 
     def __init__(self, tenant: str, lease: float):
         self.tenant, self.key = tenant, f"u/{tenant}".encode()
-        self.demand, self.had = Demand(lease), Demand(2 * lease)
-        self.loans: dict[str, Held] = {}
-        self.lines: dict[str, Line] = {}
+        self.demand, self.had = DemandMeter(lease), DemandMeter(2 * lease)
+        self.loans: dict[str, HeldLease] = {}
+        self.lines: dict[str, OwnerExchange] = {}
         self.waiting: deque[tuple[int, float]] = deque()
         self.used = self.told = -inf  # told: when an owner last said for certain what there is
         self.dry_until, self.hint, self.due = -inf, 0.0, inf
@@ -165,7 +174,9 @@
     @property
     def low(self) -> float:
         """With fewer tokens than this, more are asked for before a request has to wait."""
-        return max(1.0, sum(held.most for held in self.loans.values()) / 4) if self.how != PIECE else 0.0
+        return (
+            max(1.0, sum(held.most for held in self.loans.values()) / 4) if self.how != SINGLE_TOKEN else 0.0
+        )
 
     def level(self, now: float) -> float:
         """Tokens that may be used at this moment; what is over is forgotten."""
@@ -180,7 +191,7 @@
 
     def take(self, now: float) -> bool:
         """Takes one token, from several loans where none has a whole one."""
-        if self.level(now) < 1 - CRUMB:
+        if self.level(now) < 1 - MIN_TOKENS:
             return False
         left = 1.0
         for held in sorted(self.loans.values(), key=lambda held: -held.level):
@@ -195,28 +206,28 @@
         return any(line.sequence and not line.silent and line.asked > since for line in self.lines.values())
 
 
-class Lending:
+class QuotaLeases:
     """`spent(ticket, ok, wait_s, sure)` answers each spend() once: ok: served; else wait_s: when to come
     back; not sure: no owner could be asked. `sure()`: whether the ring last told by rings() is still vouched
     for."""
 
-    def __init__(self, desk, pact, spent, sure):
-        self.desk, self.pact, self.spent, self.sure = desk, pact, spent, sure
-        self.life, self.start = desk.life, desk.now
-        drift = pact.clock_drift
+    def __init__(self, context, settings, spent, sure):
+        self.context, self.settings, self.spent, self.sure = context, settings, spent, sure
+        self.incarnation, self.start = context.incarnation, context.now
+        drift = settings.clock_drift
         # The slowest former owner may be sure for one lease and lend then for another; a tenth to be on the
         # safe side of what is rounded on the way.
-        self.fence = pact.lease_s * (2 + 4 * drift + 0.1)
-        self.tenure = Tenure(desk.now, self.fence, self.share_in)
-        self.ring, self.version, self.parting = None, pact.reads[0], False
-        self.wards: dict[str, Ward] = {}  # used lately here
+        self.fence = settings.lease_s * (2 + 4 * drift + 0.1)
+        self.tenure = OwnershipHistory(context.now, self.fence, self.share_in)
+        self.ring, self.version, self.parting = None, settings.reads[0], False
+        self.wards: dict[str, TenantQuota] = {}  # used lately here
         self.queue: dict[str, None] = {}  # tenants with requests that wait
         self.waits = 0
         self.due: list[tuple[float, str]] = []
         self.buckets: dict[str, Bucket] = {}  # of limits this agent owns a part of: no more than limits
         self.numbers = self.sequences = 0
-        self.lives: dict[str, int] = {}  # of owners, as they said
-        self.outbox: dict[str, tuple[list[Ask], list[Back]]] = {}
+        self.incarnations: dict[str, int] = {}  # of owners, as they said
+        self.outbox: dict[str, tuple[list[LeaseRequest], list[LeaseReturn]]] = {}
         self.sweep: list[str] = []
         self.served, self.denied = Counter(), Counter()
 
@@ -226,26 +237,28 @@
         """Called in the event in which the ring was learnt, before anything else is. `former`: of the epoch
         before."""
         self.ring = ring
-        self.tenure.learn(ring, former, max(since, self.desk.now))
+        self.tenure.learn(ring, former, max(since, self.context.now))
         for ward in self.wards.values():
             names = self.owners(ward)
             ward.lines = {name: line for name, line in ward.lines.items() if name in names or line.sequence}
-        self.lives = {name: life for name, life in self.lives.items() if name in ring.by_name}
+        self.incarnations = {
+            name: incarnation for name, incarnation in self.incarnations.items() if name in ring.by_name
+        }
 
     def written(self, version: int):
         """The schema version that the fleet writes now; each owner follows at the end of its period."""
         self.version = 1 if version < 2 else 2
 
-    def reread(self, pact):
+    def reread(self, settings):
         """New limits. A lower one holds at once for all that is lent from now on, what is on loan ends with
         its lease. While owners differ, the tenant has some of each limit, and never more than the greater of
         the two."""
-        self.pact = replace(self.pact, limits=pact.limits, most_waiting=pact.most_waiting)
-        now = self.desk.now
+        self.settings = replace(self.settings, limits=settings.limits, most_waiting=settings.most_waiting)
+        now = self.context.now
         for tenant in self.buckets:
             # One that has no limit now keeps its bucket: it may get one again while loans are out.
-            if tenant in pact.limits:
-                self.bucket(tenant, now).limited(pact.limits[tenant])
+            if tenant in settings.limits:
+                self.bucket(tenant, now).limited(settings.limits[tenant])
 
     def leaving(self):
         """Gives back all that is on loan here. Requests after that are served by single tokens."""
@@ -258,25 +271,27 @@
 
     def spend(self, ticket: int, tenant: str, until: float):
         """May one request of this tenant be served? `until`: the local time at which it waits no longer."""
-        now = self.desk.now
-        if tenant not in self.pact.limits:
+        now = self.context.now
+        if tenant not in self.settings.limits:
             self.served[tenant] += 1
             return self.spent(ticket, True, 0.0, True)
         ward = self.wards.get(tenant)
         if ward is None:
-            ward = self.wards[tenant] = Ward(tenant, self.pact.lease_s)
+            ward = self.wards[tenant] = TenantQuota(tenant, self.settings.lease_s)
             self.plan(ward, now)
         ward.demand.mark(now)
         ward.used = now
         if not ward.waiting and ward.take(now):
             self.serve(ward, ticket, now)
-            if ward.level(now) < ward.low and now >= max(ward.dry_until, ward.asked + self.pact.lease_s / 8):
+            if ward.level(now) < ward.low and now >= max(
+                ward.dry_until, ward.asked + self.settings.lease_s / 8
+            ):
                 self.ask(ward, now)
                 self.flush()
             return
-        if self.ring is None or now < ward.dry_until or self.waits >= self.pact.most_waiting:
-            if self.waits >= self.pact.most_waiting:
-                self.desk.count("lending full")
+        if self.ring is None or now < ward.dry_until or self.waits >= self.settings.most_waiting:
+            if self.waits >= self.settings.most_waiting:
+                self.context.increment(Metric.ADMISSION_QUEUE_FULL)
             return self.deny(ward, ticket, now, self.ring is not None)
         ward.waiting.append((ticket, until))
         self.waits += 1
@@ -296,21 +311,21 @@
         rate = sum(held.rate for held in ward.loans.values())
         wait = (1 - ward.level(now)) / rate if rate else max(ward.hint, ward.dry_until - now)
         # All that are told the same would come back at once.
-        wait = max(wait, LEAST_WAIT) * (1 + 0.5 * self.desk.random.random())
-        self.spent(ticket, False, wait, may_be_sure and now - ward.told < self.pact.lease_s)
+        wait = max(wait, LEAST_WAIT) * (1 + 0.5 * self.context.random.random())
+        self.spent(ticket, False, wait, may_be_sure and now - ward.told < self.settings.lease_s)
 
     def settle(self, ward, now):
         """Serves those that wait from what there is; once every owner has answered, turns the rest away."""
         while ward.waiting and ward.take(now):
             self.serve(ward, self.unqueue(ward), now)
-        if ward.pending(now - self.pact.wait_s):
+        if ward.pending(now - self.settings.wait_s):
             return
         more = [name for name, line in ward.lines.items() if line.more] if ward.waiting else ()
         if more:  # these had all that was asked for, but more came to wait meanwhile
             return self.ask(ward, now, more)
-        if ward.waiting or ward.hint and ward.how != PIECE and ward.level(now) < 1:
-            pause = min(max(ward.hint, LEAST_WAIT), self.pact.lease_s / 3)
-            ward.dry_until = now + pause * (1 + 0.5 * self.desk.random.random())
+        if ward.waiting or ward.hint and ward.how != SINGLE_TOKEN and ward.level(now) < 1:
+            pause = min(max(ward.hint, LEAST_WAIT), self.settings.lease_s / 3)
+            ward.dry_until = now + pause * (1 + 0.5 * self.context.random.random())
         while ward.waiting:
             self.deny(ward, self.unqueue(ward), now)
         self.spare(ward, now)
@@ -318,9 +333,9 @@
     def spare(self, ward, now):
         """Gives back single tokens that nobody waits for, and whole ones that would be void before they are
         used."""
-        few = ward.demand.now(now) * self.pact.period_s < 4
-        if any(held.how == PIECE or held.how == PERIOD and few for held in ward.loans.values()):
-            self.give_back(ward, (PIECE, PERIOD) if few else (PIECE,))
+        few = ward.demand.now(now) * self.settings.period_s < 4
+        if any(held.how == SINGLE_TOKEN or held.how == WHOLE_PERIOD and few for held in ward.loans.values()):
+            self.give_back(ward, (SINGLE_TOKEN, WHOLE_PERIOD) if few else (SINGLE_TOKEN,))
 
     def unqueue(self, ward) -> int:
         self.waits -= 1
@@ -332,32 +347,38 @@
     # As a holder
 
     def owners(self, ward) -> tuple[str, ...]:
-        return owners(self.ring, ward.key, self.pact.copies) if self.ring is not None else ()
+        return owners(self.ring, ward.key, self.settings.copies) if self.ring is not None else ()
 
     def plan(self, ward, now):
-        ward.due = now + self.pact.lease_s / 6 * (0.9 + 0.1 * self.desk.random.random())
+        ward.due = now + self.settings.lease_s / 6 * (0.9 + 0.1 * self.context.random.random())
         heappush(self.due, (ward.due, ward.tenant))
 
     def ask(self, ward, now, names=None):
-        """Asks owners that owe no answer, or have owed one for too long."""
+        """LeaseRequestBatch owners that owe no answer, or have owed one for too long."""
         ward.level(now)
-        if not ward.pending(now - self.pact.wait_s):
+        if not ward.pending(now - self.settings.wait_s):
             ward.hint = 0.0
         names_all = self.owners(ward)
         for name in names_all if names is None else names:
             line = ward.lines.get(name)
             if line is None:
-                line = ward.lines[name] = Line()
-            if line.sequence and now < line.asked + self.pact.lease_s / 4:
+                line = ward.lines[name] = OwnerExchange()
+            if line.sequence and now < line.asked + self.settings.lease_s / 4:
                 continue
             self.sequences += 1
             line.sequence, line.asked, line.more = self.sequences, now, False
             ward.asked = now
             demand = ward.demand.now(now) / len(names_all)
             keep = 1 / len(names_all) + demand * (
-                self.pact.period_s / 4 if ward.how == PERIOD else self.pact.lease_s
+                self.settings.period_s / 4 if ward.how == WHOLE_PERIOD else self.settings.lease_s
+            )
+            mode = (
+                REQUEST_SINGLE_TOKEN
+                if self.parting
+                else REQUEST_ANY
+                if self.settings.reads[1] >= 2
+                else REQUEST_WHOLE_TOKENS
             )
-            mode = ASK_PIECE if self.parting else ASK_ANY if self.pact.reads[1] >= 2 else ASK_WHOLE
             words = {
                 "waits": float(len(ward.waiting)),
                 "want": keep,
@@ -366,14 +387,14 @@
                 "mode": mode,
             }
             held = ward.loans.get(name)
-            if held is not None and held.life == self.lives.get(name):
+            if held is not None and held.incarnation == self.incarnations.get(name):
                 back = 0.0
-                if held.how == REFILL and not ward.waiting and held.level > 2 * keep:
+                if held.how == REFILL_RATE and not ward.waiting and held.level > 2 * keep:
                     back = held.level - keep
                     held.level = held.most = keep
                 # The answer's tokens must find room under the cap that the owner counts, whenever they come.
                 room = max(held.most - held.level, 0.0)
-                held.top = held.level + min(held.rate * self.pact.tick_s, room / 2)
+                held.top = held.level + min(held.rate * self.settings.tick_s, room / 2)
                 words |= {
                     "holds": held.number,
                     "most": held.most,
@@ -382,14 +403,14 @@
                     "want": max(keep - held.level, 0.0),
                 }
             elif held is not None:
-                del ward.loans[name]  # from an earlier life of its owner
-            self.box(name)[0].append(Ask(ward.tenant, line.sequence, **words))
+                del ward.loans[name]  # from an earlier incarnation of its owner
+            self.box(name)[0].append(LeaseRequest(ward.tenant, line.sequence, **words))
 
-    def answered(self, sender, life, answer: Answer, now) -> Ward | None:
+    def answered(self, sender, incarnation, answer: LeaseResponse, now) -> TenantQuota | None:
         ward = self.wards.get(answer.tenant)
         line = ward.lines.get(sender) if ward else None
         if line is None or not answer.sequence or line.sequence != answer.sequence:
-            self.desk.count("dropped late loan")
+            self.context.increment(Metric.DROPPED_LATE_LEASE)
             return None
         line.sequence, line.silent, line.more = 0, False, answer.certain and not answer.wait
         ward.level(now)
@@ -400,31 +421,33 @@
             ward.told = now
         if answer.wait > 0:
             ward.hint = min(answer.wait, ward.hint or inf)
-        until = line.asked + min(answer.left, self.pact.lease_s)
+        until = line.asked + min(answer.left, self.settings.lease_s)
         if not answer.how or now >= until:
             return ward
         ward.how = answer.how
-        new = Held(life, answer, line.asked, until)
+        new = HeldLease(incarnation, answer, line.asked, until)
         level = 0.0
-        if held is not None and held.life == life:
+        if held is not None and held.incarnation == incarnation:
             # Whole amounts are of one period of the owner's; in the next they are void.
-            if held.how != PERIOD or new.how == PERIOD and held.period == new.period:
+            if held.how != WHOLE_PERIOD or new.how == WHOLE_PERIOD and held.period == new.period:
                 level = held.level
         new.level, new.at = level + answer.tokens, now
-        if new.how == PERIOD:
+        if new.how == WHOLE_PERIOD:
             new.most = new.level
         new.level = min(new.level, new.most)
         ward.loans[sender] = new
         return ward
 
-    def give_back(self, ward, hows=(PERIOD, REFILL, PIECE)):
+    def give_back(self, ward, hows=(WHOLE_PERIOD, REFILL_RATE, SINGLE_TOKEN)):
         """Lets loans go, of some kinds or all, and with them the asks that wait for more."""
         for name, held in list(ward.loans.items()):
             if held.how in hows:
                 del ward.loans[name]
-                if held.life == self.lives.get(name):
+                if held.incarnation == self.incarnations.get(name):
                     self.sequences += 1
-                    self.box(name)[1].append(Back(ward.tenant, self.sequences, held.number, held.level))
+                    self.box(name)[1].append(
+                        LeaseReturn(ward.tenant, self.sequences, held.number, held.level)
+                    )
                 line = ward.lines.get(name)
                 if line is not None:
                     line.sequence = 0
@@ -437,22 +460,24 @@
         turns = 0
         while self.outbox:
             name = next(iter(self.outbox))
-            turns += name == self.desk.name
+            turns += name == self.context.name
             if turns > OWN_TURNS:
                 # An answer of the own owner's part may lead to the next ask: the event has to end.
-                return self.desk.count("own asks put off")
+                return self.context.increment(Metric.OWN_REQUESTS_DEFERRED)
             asks, backs = self.outbox.pop(name)
-            life = self.life if name == self.desk.name else self.lives.get(name, 0)
+            incarnation = self.incarnation if name == self.context.name else self.incarnations.get(name, 0)
             while asks or backs:
-                words = Asks(self.life, life, tuple(asks[:MOST_A_MESSAGE]), tuple(backs[:MOST_A_MESSAGE]))
+                words = LeaseRequestBatch(
+                    self.incarnation, incarnation, tuple(asks[:MOST_A_MESSAGE]), tuple(backs[:MOST_A_MESSAGE])
+                )
                 asks, backs = asks[MOST_A_MESSAGE:], backs[MOST_A_MESSAGE:]
                 self.say(name, words)
 
     def say(self, name, words):
-        if name == self.desk.name:
+        if name == self.context.name:
             self.take_in(name, words)
         else:
-            self.desk.send(name, words)
+            self.context.send(name, words)
 
     # Time
 
@@ -461,7 +486,7 @@
         return min((self.wards[tenant].waiting[0][1] for tenant in self.queue), default=inf)
 
     def tick(self):
-        now = self.desk.now
+        now = self.context.now
         if self.ring is not None and self.sure():
             self.tenure.prove(now)
         for tenant in list(self.queue):
@@ -485,33 +510,33 @@
                 self.serve(ward, self.unqueue(ward), now)
                 continue
             for line in ward.lines.values():
-                line.silent = line.silent or line.sequence > 0 and now - line.asked >= self.pact.wait_s
+                line.silent = line.silent or line.sequence > 0 and now - line.asked >= self.settings.wait_s
             self.deny(ward, self.unqueue(ward), now)
 
     def renew(self, ward, now):
-        lease = self.pact.lease_s
+        lease = self.settings.lease_s
         if now - ward.used >= QUIET * lease and not ward.waiting:
             self.give_back(ward)
             del self.wards[ward.tenant]
             return
         ward.level(now)
-        standing = [held for held in ward.loans.values() if held.how == REFILL]
+        standing = [held for held in ward.loans.values() if held.how == REFILL_RATE]
         if standing and not self.parting:
             names = []
             for name in self.owners(ward):
                 held, line = ward.loans.get(name), ward.lines.get(name)
                 due = (line.asked if line else -inf) + lease / 3
-                if line and line.sequence or now >= due and (held is None or held.how == REFILL):
+                if line and line.sequence or now >= due and (held is None or held.how == REFILL_RATE):
                     names.append(name)
             self.ask(ward, now, names)
-        elif not ward.waiting and not ward.pending(now - self.pact.wait_s):
+        elif not ward.waiting and not ward.pending(now - self.settings.wait_s):
             self.spare(ward, now)
         self.plan(ward, now)
 
     def figures(self) -> dict:
         """For operators: by tenant, what is on loan from here, what is left, and requests that were turned
         away."""
-        now, lent, unlent = self.desk.now, {}, {}
+        now, lent, unlent = self.context.now, {}, {}
         for tenant, bucket in self.buckets.items():
             rate, burst = bucket.out_rate, bucket.out_burst
             share, _ = self.tenure.share(bucket.key, now)
@@ -525,41 +550,43 @@
     # As an owner
 
     def share_in(self, ring, key: bytes) -> float:
-        names = owners(ring, key, self.pact.copies)
-        return 1 / len(names) if self.desk.name in names else 0.0
+        names = owners(ring, key, self.settings.copies)
+        return 1 / len(names) if self.context.name in names else 0.0
 
     def bucket(self, tenant: str, now: float) -> Bucket:
         """The bucket, brought to this moment as far as the ring is proven."""
         found = self.buckets.get(tenant)
         if found is None:
             found = self.buckets[tenant] = Bucket(
-                f"u/{tenant}".encode(), self.pact.limits[tenant], self.tenure, self.pact, self.version
+                f"u/{tenant}".encode(), self.settings.limits[tenant], self.tenure, self.settings, self.version
             )
-        period = int((now - self.start) / self.pact.period_s)
-        found.touch(now, period, self.start + period * self.pact.period_s, self.version)
+        period = int((now - self.start) / self.settings.period_s)
+        found.touch(now, period, self.start + period * self.settings.period_s, self.version)
         return found
 
-    def asked(self, sender, life, same_life: bool, ask: Ask, lends: bool, now) -> Answer | None:
-        if ask.tenant not in self.pact.limits or not fits(
+    def asked(
+        self, sender, incarnation, same_life: bool, ask: LeaseRequest, lends: bool, now
+    ) -> LeaseResponse | None:
+        if ask.tenant not in self.settings.limits or not are_valid_amounts(
             ask.most, ask.top, ask.back, ask.waits, ask.want, ask.demand, ask.had
         ):
-            self.desk.count("dropped ask")
-            return Answer(ask.tenant, ask.sequence, False, wait=self.pact.lease_s)
+            self.context.increment(Metric.DROPPED_LEASE_REQUEST)
+            return LeaseResponse(ask.tenant, ask.sequence, False, wait=self.settings.lease_s)
         if not lends:
-            return Answer(ask.tenant, ask.sequence, False, wait=self.pact.lease_s / 4)
+            return LeaseResponse(ask.tenant, ask.sequence, False, wait=self.settings.lease_s / 4)
         bucket = self.bucket(ask.tenant, now)
         share, _ = self.tenure.share(bucket.key, now)
         if not share:
-            return Answer(ask.tenant, ask.sequence, False, wait=self.pact.lease_s / 4)
-        holder = bucket.book(sender, life)
+            return LeaseResponse(ask.tenant, ask.sequence, False, wait=self.settings.lease_s / 4)
+        holder = bucket.book(sender, incarnation)
         if ask.sequence <= holder.sequence:
-            self.desk.count("dropped old ask")
+            self.context.increment(Metric.DROPPED_OLD_LEASE_REQUEST)
             return None
         if not same_life:
             ask = replace(ask, holds=0)
         self.numbers += 1
-        given: Given = bucket.lend(sender, life, holder, ask, now, self.numbers)
-        return Answer(
+        given: LeaseGrant = bucket.lend(sender, incarnation, holder, ask, now, self.numbers)
+        return LeaseResponse(
             ask.tenant,
             ask.sequence,
             True,
@@ -573,11 +600,13 @@
             min(given.wait, MOST_TOKENS),
         )
 
-    def returned(self, sender, life, back: Back, now):
+    def returned(self, sender, incarnation, back: LeaseReturn, now):
         bucket = self.buckets.get(back.tenant)
-        holder = bucket.holders.get((sender, life)) if bucket and fits(back.tokens) else None
+        holder = (
+            bucket.holders.get((sender, incarnation)) if bucket and are_valid_amounts(back.tokens) else None
+        )
         if holder is None or back.sequence <= holder.sequence:
-            return self.desk.count("dropped old return")
+            return self.context.increment(Metric.DROPPED_OLD_LEASE_RETURN)
         self.bucket(back.tenant, now)
         holder.sequence = back.sequence
         bucket.returned(holder, back.holds, back.tokens, now)
@@ -589,30 +618,30 @@
         self.flush()
 
     def take_in(self, sender, words):
-        now = self.desk.now
-        if isinstance(words, Asks):
+        now = self.context.now
+        if isinstance(words, LeaseRequestBatch):
             lends = self.ring is not None and self.sure()
             if lends:
                 self.tenure.prove(now)
-            same = words.owner_life == self.life
+            same = words.owner_incarnation == self.incarnation
             for back in words.backs[:MOST_A_MESSAGE]:
                 if same:
-                    self.returned(sender, words.life, back, now)
+                    self.returned(sender, words.incarnation, back, now)
             answers = []
             for ask in words.asks[:MOST_A_MESSAGE]:
-                answer = self.asked(sender, words.life, same, ask, lends, now)
+                answer = self.asked(sender, words.incarnation, same, ask, lends, now)
                 if answer is not None:
                     answers.append(answer)
             if answers:
-                self.say(sender, Loans(self.life, words.life, tuple(answers)))
-        elif words.holder_life != self.life:
-            self.desk.count("dropped old life's loan")
+                self.say(sender, LeaseResponseBatch(self.incarnation, words.incarnation, tuple(answers)))
+        elif words.holder_incarnation != self.incarnation:
+            self.context.increment(Metric.DROPPED_OLD_INCARNATIONS_LEASE)
         else:
-            self.lives[sender] = max(words.life, self.lives.get(sender, 0))
+            self.incarnations[sender] = max(words.incarnation, self.incarnations.get(sender, 0))
             wards = {}
             for answer in words.answers[:MOST_A_MESSAGE]:
-                if fits(answer.rate, answer.burst, answer.tokens, answer.left, answer.wait):
-                    ward = self.answered(sender, words.life, answer, now)
+                if are_valid_amounts(answer.rate, answer.burst, answer.tokens, answer.left, answer.wait):
+                    ward = self.answered(sender, words.incarnation, answer, now)
                     if ward is not None:
                         wards[ward.tenant] = ward
             for ward in wards.values():
--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -13,9 +13,12 @@
   the former one afterwards. An owner by the present ring that has caught up lacks no more than these, and
   counts as one.
 - One that restarted from nothing may have been among the W itself: for it only owners by the present ring
-  count, asked after a lease since its start, when no claim is open that its former life answered. It counts
-  as restarted until its ring was vouched for once: no former life can have been in a later ring before.
-- In the first ring of all, one of whom no co-owner knows another life has nothing to catch up with; as many
+  count, asked after a lease since its start, when no claim is open that its former incarnation answered. It
+  counts
+  as restarted until its ring was vouched for once: no former incarnation can have been in a later ring
+  before.
+- In the first ring of all, one of whom no co-owner knows another incarnation has nothing to catch up with; as
+many
   have to say so as would have to tell one that restarted.
 - After the longest mark, twice the slack between clocks and a lease, all that could be lacking is over.
 Owners are by key, ranges by hash. A whole range counts as caught up when so few seats have not told of it
@@ -28,47 +31,49 @@
 
 RANGES = 64
 ALL = (1 << RANGES) - 1  # a bit for each range
-DEEPEST = 8  # neighbouring epochs through which a key is followed back
-MOST_KEYS = 10_000  # caught up with one by one, before their range was; the oldest is forgotten
+MAX_DEPTH = 8  # neighbouring epochs through which a key is followed back
+MAX_SINGLE_KEYS = 10_000  # caught up with one by one, before their range was; the oldest is forgotten
 
 FIRST, RESTARTED, GAINING = "first", "restarted", "gaining"
 
 
-def raw_of(key: str) -> bytes:
+def key_bytes(key: str) -> bytes:
     return key.encode("utf-8", "surrogatepass")
 
 
 def range_of(key: str) -> int:
-    return blake2b(raw_of(key), digest_size=1).digest()[0] % RANGES
+    return blake2b(key_bytes(key), digest_size=1).digest()[0] % RANGES
 
 
-class Era:
+class CatchUp:
     """One ring, from when it was learnt until its seats change. Times are local, monotonic seconds.
 
     `was`, `now`: by source, a bit for each range in which it has told all that it had as an owner that was
-    caught up by the former ring, or is by this one. `clean`: who knows no other life of ours.
+    caught up by the former ring, or is by this one. `clean`: who knows no other incarnation of ours.
     """
 
     def __init__(
         self,
         name: str,
-        pact,
+        settings,
         ring: Ring,
         former: Ring | None,
         way: str,
         since: float,
         start: float,
-        before: "Era | None",
+        before: "CatchUp | None",
     ):
-        self.name, self.copies, self.ring, self.former, self.way = name, pact.copies, ring, former, way
-        self.before = before if before and before.depth < DEEPEST else None
+        self.name, self.copies, self.ring, self.former, self.way = name, settings.copies, ring, former, way
+        self.before = before if before and before.depth < MAX_DEPTH else None
         self.depth = 1 + (self.before.depth if self.before else 0)
-        self.n, self.w, self.r = quorum(pact, ring)
-        self.former_n, self.former_w, _ = quorum(pact, former) if former else (0, 0, 0)
+        self.n, self.w, self.r = quorum(settings, ring)
+        self.former_n, self.former_w, _ = quorum(settings, former) if former else (0, 0, 0)
         self.others = tuple(each for each in ring.names if each != name)
-        self.ready_at = start + pact.lease_s * (1 + pact.clock_drift)  # when a restarted one may be told
-        self.over_at = since + (1 + pact.clock_drift) * (
-            pact.longest_mark_s + 2 * pact.clock_ahead_s + pact.lease_s
+        self.ready_at = start + settings.lease_s * (
+            1 + settings.clock_drift
+        )  # when a restarted one may be told
+        self.over_at = since + (1 + settings.clock_drift) * (
+            settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
         )
         self.was: dict[str, int] = {}
         self.now: dict[str, int] = {}
@@ -89,7 +94,7 @@
         self.now[source] = self.now.get(source, 0) | now
 
     def restarted(self):
-        """Somebody knows another life of ours in the first ring."""
+        """Somebody knows another incarnation of ours in the first ring."""
         if self.way == FIRST:
             self.way, self.whole = RESTARTED, 0
             self.clean, self.was, self.now = {}, {}, {}
@@ -134,10 +139,10 @@
 
     def enough(self, key: str, was, now_too, now: float) -> bool:
         """Whether it is enough that these told of a key; `was`, `now_too` as above, for this key alone."""
-        here = owners(self.ring, raw_of(key), self.copies)
+        here = owners(self.ring, key_bytes(key), self.copies)
         if self.way != GAINING:
             return sum(each in now_too for each in here if each != self.name) >= self.n - self.w + 1
-        there = owners(self.former, raw_of(key), self.copies)
+        there = owners(self.former, key_bytes(key), self.copies)
         mine = self.name in there and self.before is not None and self.before.caught_up(key, now)
         if mine and self.n >= self.former_n:
             return True
@@ -149,7 +154,7 @@
         return (
             self.before is not None
             and self.former is not None
-            and self.name in owners(self.former, raw_of(key), self.copies)
+            and self.name in owners(self.former, key_bytes(key), self.copies)
             and self.before.caught_up(key, now)
         )
 
@@ -159,13 +164,13 @@
 
     def keep(self, key: str):
         self.keys[key] = None
-        if len(self.keys) > MOST_KEYS:
+        if len(self.keys) > MAX_SINGLE_KEYS:
             del self.keys[next(iter(self.keys))]
 
 
-def quorum(pact, ring: Ring) -> tuple[int, int, int]:
+def quorum(settings, ring: Ring) -> tuple[int, int, int]:
     """Owners of a key, how many must write, how many answer; with fewer owners than copies, most of them."""
-    n = min(pact.copies, len(ring.seats))
-    if n == pact.copies:
-        return n, pact.write_by, pact.read_by
+    n = min(settings.copies, len(ring.seats))
+    if n == settings.copies:
+        return n, settings.write_by, settings.read_by
     return n, n // 2 + 1, n // 2 + 1
--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -17,14 +17,14 @@
 from msgspec import Struct
 from msgspec.structs import force_setattr, replace
 
-from cartdeal.fleet.errors import BadRecord, ClockAhead
-
-MOST_PLACES = 32  # of one mark; with more, ELSEWHERE says that the rest is forgotten
-ELSEWHERE = ("*", -1)  # it may have been at any place
-KEPT_PERIODS = 16  # of a tenant's use; older are dropped: at 250 agents a record is full
-MOST_COUNTS = 4096  # of a tenant's use; the newest are kept
-MOST_PARTS = 1024  # of a tenant's limit; those that last longest are kept
-MOST_UNKNOWN = 32 * 1024  # bytes of unknown fields in a record; more makes it full
+from cartdeal.fleet.errors import ClockAheadError, InvalidRecordError
+
+MAX_LOCATIONS = 32  # of one mark; with more, UNKNOWN_LOCATION says that the rest is forgotten
+UNKNOWN_LOCATION = ("*", -1)  # it may have been at any place
+RETAINED_PERIODS = 16  # of a tenant's use; older are dropped: at 250 agents a record is full
+MAX_COUNTS = 4096  # of a tenant's use; the newest are kept
+MAX_SHARES = 1024  # of a tenant's limit; those that last longest are kept
+MAX_UNKNOWN_BYTES = 32 * 1024  # bytes of unknown fields in a record; more makes it full
 GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
 
 # Fields of a session that say again, in another form, what its marks say. Version 1 has reserved these names:
@@ -43,8 +43,9 @@
     ANSWERED = 3
 
 
-class Mark(Struct, frozen=True):
-    """One request of a session. One agent writes it (`by`: "name/life/number"); copies may be of any age."""
+class AttemptRecord(Struct, frozen=True):
+    """One request of a session. One agent writes it (`by`: "name/incarnation/number"); copies may be of any
+    age."""
 
     by: str
     key: str
@@ -72,11 +73,11 @@
 class Session(Struct):
     """Where a session's requests went. `beyond`: the version it takes to read it whole, if this isn't it."""
 
-    marks: dict[str, Mark] = {}  # by -> mark
+    marks: dict[str, AttemptRecord] = {}  # by -> mark
     extra: dict = {}  # unknown fields
     beyond: int = 0
 
-    def open_marks(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[Mark, ...]:
+    def open_marks(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[AttemptRecord, ...]:
         """The marks of a request that still bind a repeat: not over by the slowest clock, and may have
         run."""
         return tuple(
@@ -92,10 +93,10 @@
         return len(self.marks) >= most_marks or _heavy(self.extra)
 
 
-class Use(Struct):
+class UsageCounter(Struct):
     """What a tenant was served, by whom and when, and the parts of its limit that are lent."""
 
-    counts: dict[tuple[str, int, int], int] = {}  # (agent, life, period) -> served; single writers
+    counts: dict[tuple[str, int, int], int] = {}  # (agent, incarnation, period) -> served; single writers
     parts: dict[str, tuple[int, float, float]] = {}  # holder -> (until period, rate, burst)
     extra: dict = {}
     beyond: int = 0
@@ -107,8 +108,8 @@
         return sum(each for (_, _, when), each in self.counts.items() if when == period)
 
 
-KINDS = {"s": Session, "u": Use}
-Record = Session | Use
+KINDS = {"s": Session, "u": UsageCounter}
+Record = Session | UsageCounter
 
 
 def kind_of(record: Record) -> str:
@@ -124,14 +125,14 @@
 
 
 def merge(a: Record, b: Record) -> Record:
-    """All that either knows. Raises BadRecord when they're of two kinds. Neither is changed."""
+    """All that either knows. Raises InvalidRecordError when they're of two kinds. Neither is changed."""
     if type(a) is not type(b):
-        raise BadRecord("two copies of one record", f"{type(a).__name__} and {type(b).__name__}")
+        raise InvalidRecordError("two copies of one record", f"{type(a).__name__} and {type(b).__name__}")
     beyond = max(a.beyond, b.beyond)
     if isinstance(a, Session):
         marks = dict(a.marks)
         for by, mark in b.marks.items():
-            marks[by] = merge_marks(marks[by], mark) if by in marks else mark
+            marks[by] = merge_attempts(marks[by], mark) if by in marks else mark
         return Session(marks, _merge_extra(a.extra, b.extra, AGAIN), beyond)
     counts = dict(a.counts)
     for which, served in b.counts.items():
@@ -139,14 +140,14 @@
     parts = dict(a.parts)
     for holder, part in b.parts.items():
         parts[holder] = max(part, parts.get(holder, part), key=rank)
-    return trimmed(Use(counts, parts, _merge_extra(a.extra, b.extra), beyond))
+    return trimmed(UsageCounter(counts, parts, _merge_extra(a.extra, b.extra), beyond))
 
 
-def merge_marks(a: Mark, b: Mark) -> Mark:
+def merge_attempts(a: AttemptRecord, b: AttemptRecord) -> AttemptRecord:
     """One mark from two copies. Where fixed fields differ, a writer broke the rules: the careful wins."""
     if a is b or a == b and not (a.extra or b.extra):
         return a
-    return Mark(
+    return AttemptRecord(
         max(a.by, b.by),
         max(a.key, b.key),
         max(a.repeat, b.repeat),
@@ -161,26 +162,28 @@
     )
 
 
-def trimmed(use: Use) -> Use:
+def trimmed(use: UsageCounter) -> UsageCounter:
     """Without what is over a bound. It's the same whatever came first: the newest of all are among the newest
     of each copy that had them, so no copy has dropped them before."""
     counts, parts = use.counts, use.parts
     if counts:
-        oldest = max(period for _, _, period in counts) - KEPT_PERIODS
+        oldest = max(period for _, _, period in counts) - RETAINED_PERIODS
         counts = {which: served for which, served in counts.items() if which[2] > oldest}
-    if len(counts) > MOST_COUNTS:
-        newest = sorted(counts, key=lambda which: (which[2], which), reverse=True)[:MOST_COUNTS]
+    if len(counts) > MAX_COUNTS:
+        newest = sorted(counts, key=lambda which: (which[2], which), reverse=True)[:MAX_COUNTS]
         counts = {which: counts[which] for which in newest}
-    if len(parts) > MOST_PARTS:
-        longest = sorted(parts, key=lambda holder: (rank(parts[holder]), holder), reverse=True)[:MOST_PARTS]
+    if len(parts) > MAX_SHARES:
+        longest = sorted(parts, key=lambda holder: (rank(parts[holder]), holder), reverse=True)[:MAX_SHARES]
         parts = {holder: parts[holder] for holder in longest}
-    return Use(counts, parts, use.extra, use.beyond)
+    return UsageCounter(counts, parts, use.extra, use.beyond)
 
 
 def expired(record: Record, wall_ms: int, slack_ms: int) -> Record:
     """The record without marks that are over by every clock allowed. Call it on what arrives, too: an old
     agent may pass on marks that are over, in a form that it can't read."""
-    if isinstance(record, Use) or all(mark.until_ms + slack_ms > wall_ms for mark in record.marks.values()):
+    if isinstance(record, UsageCounter) or all(
+        mark.until_ms + slack_ms > wall_ms for mark in record.marks.values()
+    ):
         return record
     marks = {by: mark for by, mark in record.marks.items() if mark.until_ms + slack_ms > wall_ms}
     return Session(marks, record.extra, record.beyond)
@@ -193,19 +196,23 @@
     return not (record.counts or record.parts or record.extra)
 
 
-def too_far(record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s=1.0) -> ClockAhead | None:
+def check_clock(
+    record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s=1.0
+) -> ClockAheadError | None:
     """Says whose mark lasts longer than any may, or whose use is of a time to come: its clock is ahead, and
     the record isn't to be taken in. One far period would push out all that was counted by then."""
     if isinstance(record, Session):
         for by, mark in sorted(record.marks.items()):
             if mark.until_ms > wall_ms + longest_ms + slack_ms:
                 lasts = (mark.until_ms - wall_ms) / 1000
-                return ClockAhead(f"a mark of {by}", f"lasts {lasts:.3f} s from now")
+                return ClockAheadError(f"a mark of {by}", f"lasts {lasts:.3f} s from now")
     else:
         newest = int((wall_ms + slack_ms) / 1e3 // period_s) + 1
-        for agent, life, period in sorted(record.counts):
+        for agent, incarnation, period in sorted(record.counts):
             if period > newest:
-                return ClockAhead(f"a use of {agent}/{life}", f"period {period}, {newest} at most")
+                return ClockAheadError(
+                    f"a use of {agent}/{incarnation}", f"period {period}, {newest} at most"
+                )
     return None
 
 
@@ -220,7 +227,7 @@
     return blake2b(encoder.encode(said), digest_size=16).digest()
 
 
-def part_fields(use: Use) -> dict:
+def part_fields(use: UsageCounter) -> dict:
     return {holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in use.parts.items()}
 
 
@@ -236,12 +243,12 @@
         return Session(marks, record.extra, record.beyond)
     counts = {which: served for which, served in both.counts.items() if theirs.counts.get(which) != served}
     parts = {holder: part for holder, part in both.parts.items() if theirs.parts.get(holder) != part}
-    return Use(counts, parts, record.extra, record.beyond)
+    return UsageCounter(counts, parts, record.extra, record.beyond)
 
 
-def gained(mark: Mark, **more) -> Mark:
+def advanced(mark: AttemptRecord, **more) -> AttemptRecord:
     """The writer's own next copy of a mark: like `replace`, but it can only gain."""
-    return merge_marks(mark, replace(mark, **more))
+    return merge_attempts(mark, replace(mark, **more))
 
 
 def rank(value):
@@ -281,14 +288,14 @@
 
 
 def _places(places) -> tuple:
-    known = sorted(set(places) - {ELSEWHERE})
-    if len(known) > MOST_PLACES or ELSEWHERE in places:
-        known = [ELSEWHERE, *known[:MOST_PLACES]]
+    known = sorted(set(places) - {UNKNOWN_LOCATION})
+    if len(known) > MAX_LOCATIONS or UNKNOWN_LOCATION in places:
+        known = [UNKNOWN_LOCATION, *known[:MAX_LOCATIONS]]
     return tuple(known)
 
 
 def _heavy(extra: dict) -> bool:
-    return bool(extra) and len(encoder.encode(extra)) > MOST_UNKNOWN
+    return bool(extra) and len(encoder.encode(extra)) > MAX_UNKNOWN_BYTES
 
 
 def differ(a, b) -> bool:
