--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -16,10 +16,21 @@
 
 from msgspec import Struct
 
-from cartdeal.fleet.errors import BadRecord, RecordTooLarge
+from cartdeal.fleet import events
+from cartdeal.fleet.errors import InvalidRecordError, RecordTooLargeError
+from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.replication import records, schema
-from cartdeal.fleet.replication.catch_up import ALL, FIRST, GAINING, RANGES, RESTARTED, Era, range_of, raw_of
-from cartdeal.fleet.replication.records import Mark, Record, Session, Use
+from cartdeal.fleet.replication.catch_up import (
+    ALL,
+    FIRST,
+    GAINING,
+    RANGES,
+    RESTARTED,
+    CatchUp,
+    key_bytes,
+    range_of,
+)
+from cartdeal.fleet.replication.records import AttemptRecord, Record, Session, UsageCounter
 from cartdeal.fleet.ring.hash_ring import Ring, owners
 
 PIECE = 32 * 1024  # bytes of records in one message; one record alone may have more
@@ -39,24 +50,24 @@
 LEARN = 1.0  # seconds for which an owner goes on asking for one key
 
 
-class Claim(Struct, frozen=True, array_like=True, tag="r.claim"):
+class WriteRequest(Struct, frozen=True, array_like=True, tag="r.claim"):
     """`by`: the claim's own mark, "" for a read; `record`: what to merge, bytes as schema.py writes them."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     key: str
     by: str
     record: bytes
 
 
-class Told(Struct, frozen=True, array_like=True, tag="r.told"):
+class WriteResponse(Struct, frozen=True, array_like=True, tag="r.told"):
     """`record`: what the owner had; it counts as known whatever the flags say."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     wrote: bool
     caught_up: bool
@@ -64,42 +75,42 @@
     record: bytes
 
 
-class Give(Struct, frozen=True, array_like=True, tag="r.give"):
+class HintDelivery(Struct, frozen=True, array_like=True, tag="r.give"):
     """Records to merge, (key, bytes) each; number 0 wants no answer."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     records: tuple[tuple[str, bytes], ...]
 
 
-class Took(Struct, frozen=True, array_like=True, tag="r.took"):
+class HintAck(Struct, frozen=True, array_like=True, tag="r.took"):
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     refused: tuple[str, ...]
 
 
-class Look(Struct, frozen=True, array_like=True, tag="r.look"):
+class DigestRequest(Struct, frozen=True, array_like=True, tag="r.look"):
     """The start of a comparison. `whole`: the asker's digests, by range, of what both own, in one."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     whole: bytes
 
 
-class Seen(Struct, frozen=True, array_like=True, tag="r.seen"):
+class DigestResponse(Struct, frozen=True, array_like=True, tag="r.seen"):
     """`was`, `now`: for which ranges the answerer counts as a source, by the ring of epoch `former` and by
     this one; `left`: ranges in which it has records that it no longer owns and the asker does; `knew`:
-    another life of the asker; `sums`: digests by range, 8 bytes each, b"" where all are equal."""
+    another incarnation of the asker; `sums`: digests by range, 8 bytes each, b"" where all are equal."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     former: int
     was: int
@@ -109,57 +120,57 @@
     sums: bytes
 
 
-class Enumerate(Struct, frozen=True, array_like=True, tag="r.list"):
+class KeyListRequest(Struct, frozen=True, array_like=True, tag="r.list"):
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     place: int
     after: str
 
 
-class Enumerated(Struct, frozen=True, array_like=True, tag="r.listed"):
+class KeyListResponse(Struct, frozen=True, array_like=True, tag="r.listed"):
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     entries: tuple[tuple[str, bytes], ...]
     end: bool
 
 
-class Fetch(Struct, frozen=True, array_like=True, tag="r.fetch"):
+class FetchRequest(Struct, frozen=True, array_like=True, tag="r.fetch"):
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     keys: tuple[str, ...]
 
 
-class Brought(Struct, frozen=True, array_like=True, tag="r.brought"):
+class FetchResponse(Struct, frozen=True, array_like=True, tag="r.brought"):
     """`count`: how many of the keys asked for, from the first, this answers; those not there are over."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     count: int
     records: tuple[tuple[str, bytes], ...]
 
 
-class Know(Struct, frozen=True, array_like=True, tag="r.know"):
+class ReadRepairRequest(Struct, frozen=True, array_like=True, tag="r.know"):
     """An owner that has not caught up with a key asks its former owners, and the others."""
 
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     key: str
 
 
-class Known(Struct, frozen=True, array_like=True, tag="r.known"):
+class ReadRepairResponse(Struct, frozen=True, array_like=True, tag="r.known"):
     DATAGRAM: ClassVar[bool] = False
     number: int
-    life: int
+    incarnation: int
     epoch: int
     former: int
     was: bool
@@ -167,23 +178,37 @@
     record: bytes
 
 
-class Past(Struct, frozen=True, array_like=True, tag="r.past"):
+class StaleEpoch(Struct, frozen=True, array_like=True, tag="r.past"):
     """Said to one that asks by an older epoch."""
 
     DATAGRAM: ClassVar[bool] = False
     epoch: int
 
 
-WORDS = (Claim, Told, Give, Took, Look, Seen, Enumerate, Enumerated, Fetch, Brought, Know, Known, Past)
-
-
-class Kept:
+MESSAGE_TYPES = (
+    WriteRequest,
+    WriteResponse,
+    HintDelivery,
+    HintAck,
+    DigestRequest,
+    DigestResponse,
+    KeyListRequest,
+    KeyListResponse,
+    FetchRequest,
+    FetchResponse,
+    ReadRepairRequest,
+    ReadRepairResponse,
+    StaleEpoch,
+)
+
+
+class StoredRecord:
     """A copy, as bytes."""
 
     __slots__ = ("data", "digest", "sum", "owners", "era", "due", "stage")
 
 
-class Open:
+class PendingOperation:
     """A claim or read that has not been answered, or not by all owners."""
 
     __slots__ = (
@@ -204,7 +229,7 @@
     )
 
 
-class Own:
+class Hint:
     """What this agent wrote under a key and not all owners have yet. `lacks`: owner -> turn that it needs."""
 
     __slots__ = ("record", "turn", "lacks")
@@ -213,7 +238,7 @@
         self.record, self.turn, self.lacks = record, 0, {}
 
 
-class Line:
+class HintQueue:
     """What is to be sent to one owner: one message at a time is on its way."""
 
     __slots__ = ("keys", "out", "number", "sent_at", "next_at", "pause")
@@ -222,7 +247,7 @@
         self.keys, self.out, self.number, self.sent_at, self.next_at, self.pause = {}, {}, 0, 0.0, 0.0, AGAIN
 
 
-class Talk:
+class AntiEntropySession:
     """A comparison with one peer, step by step; `was`, `now`: what its end counts for."""
 
     __slots__ = (
@@ -247,8 +272,8 @@
         self.todo, self.place, self.after, self.end, self.want, self.theirs = [], 0, "", False, [], {}
 
 
-class Learning:
-    """A key that an owner asks about, and the claims that wait for it: (asker, number, life, by)."""
+class PendingRepair:
+    """A key that an owner asks about, and the claims that wait for it: (asker, number, incarnation, by)."""
 
     __slots__ = ("number", "until", "asked_at", "was", "now", "waiters")
 
@@ -256,20 +281,22 @@
 class Replica:
     """`done(ticket, marks, sure)` answers each claim and read once. `sure()`: if our ring is vouched for."""
 
-    def __init__(self, desk, pact, clock, done, sure):
-        self.desk, self.pact, self.clock, self.done, self.sure = desk, pact, clock, done, sure
-        self.name, self.life = desk.name, desk.life
-        self.start = desk.now
+    def __init__(self, context, settings, clock, done, sure):
+        self.context, self.settings, self.clock, self.done, self.sure = context, settings, clock, done, sure
+        self.name, self.incarnation = context.name, context.incarnation
+        self.start = context.now
         self.ring: Ring | None = None
-        self.era: Era | None = None
+        self.era: CatchUp | None = None
         self.newest = 0  # epoch that anyone spoke of
         self.vouched = False  # our ring was, at least once since the start
         self.count = 0  # numbers given out
-        self.slack_ms = int(pact.clock_ahead_s * 1e3)
-        self.lives: dict[str, tuple[int, bool]] = {}  # of a peer: one of them, and whether there is another
+        self.slack_ms = int(settings.clock_ahead_s * 1e3)
+        self.incarnations: dict[
+            str, tuple[int, bool]
+        ] = {}  # of a peer: one of them, and whether there is another
         # Owner
-        self.store: dict[str, Kept] = {}
-        self.ranges: list[dict[str, Kept]] = [{} for _ in range(RANGES)]
+        self.store: dict[str, StoredRecord] = {}
+        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGES)]
         self.warm: dict[str, Record] = {}  # never changed in place
         self.sums: dict[str, list[int]] = {}  # peer -> digest by range of what both own
         self.left: dict[str, list[int]] = {}  # peer -> how many records by range it owns and we only keep
@@ -278,26 +305,26 @@
         self.stage = (1, "steady")
         self.old_form = 0  # records not in the form written now
         self.to_move: list[int] = []
-        self.learning: dict[str, Learning] = {}
+        self.learning: dict[str, PendingRepair] = {}
         # Asker
-        self.open: dict[int, Open] = {}
-        self.mine: dict[str, Own] = {}
-        self.uses: dict[str, Use] = {}  # own counts of the last periods, by tenant
-        self.coming: dict[str, Use] = {}  # others' counts, merged into the store once a second
+        self.open: dict[int, PendingOperation] = {}
+        self.mine: dict[str, Hint] = {}
+        self.uses: dict[str, UsageCounter] = {}  # own counts of the last periods, by tenant
+        self.coming: dict[str, UsageCounter] = {}  # others' counts, merged into the store once a second
         self.used: dict[str, None] = {}  # of these, which have grown since they were told
-        self.lines: dict[str, Line] = {}
+        self.lines: dict[str, HintQueue] = {}
         self.handing: dict[str, dict[str, None]] = {}  # key no longer ours -> new owners to be given it
         self.was_full = False
         # Comparisons
-        self.talks: dict[str, Talk] = {}
+        self.talks: dict[str, AntiEntropySession] = {}
         self.asked: dict[str, tuple[float, float]] = {}  # source -> when to ask again, and the pause
-        self.compare_at = self.start + COMPARE * desk.random.random()
+        self.compare_at = self.start + COMPARE * context.random.random()
         self.sweep_at = self.use_at = self.start
         self.parting: dict[str, None] | None = None  # co-owners to compare with before the end
 
     @property
     def wall_ms(self) -> int:
-        return int(self.desk.wall * 1e3)
+        return int(self.context.wall * 1e3)
 
     def next(self) -> int:
         self.count += 1
@@ -306,8 +333,8 @@
     # Rings
 
     def rings(self, ring: Ring, former: Ring | None, since: float | None = None):
-        """A new epoch; `former`: the ring before it, if known; `since`: desk.now when it was learnt."""
-        old, era, now = self.ring, self.era, self.desk.now
+        """A new epoch; `former`: the ring before it, if known; `since`: context.now when it was learnt."""
+        old, era, now = self.ring, self.era, self.context.now
         if ring == old:
             return
         since = now if since is None else since
@@ -327,7 +354,7 @@
                 way = GAINING if self.vouched and follows else RESTARTED
             before = era if way == GAINING and next_one and former == old else None
             former = former if way == GAINING else None
-            self.era = Era(self.name, self.pact, ring, former, way, since, start, before)
+            self.era = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
             self.asked = {}
             self.place_anew()
         self.learning = {}
@@ -358,14 +385,16 @@
             self.unplaced.pop()
 
     def owners(self, key: str) -> tuple[str, ...]:
-        return owners(self.ring, raw_of(key), self.pact.copies) if self.ring else ()
+        return owners(self.ring, key_bytes(key), self.settings.copies) if self.ring else ()
 
-    def seat(self, key: str, kept: Kept):
+    def seat(self, key: str, kept: StoredRecord):
         kept.era, kept.owners = self.era, self.owners(key)
         self.add(key, kept, 1)
         if self.era.way == GAINING and len(self.era.sources) > MOST_ASKED:
             here = self.ring.by_name
-            before = [each for each in owners(self.era.former, raw_of(key), self.pact.copies) if each in here]
+            before = [
+                each for each in owners(self.era.former, key_bytes(key), self.settings.copies) if each in here
+            ]
             if before[:1] == [self.name]:  # one of the former owners gives it to the new ones, unasked
                 gainers = [each for each in kept.owners if each not in before]
                 if gainers:
@@ -373,7 +402,7 @@
                     for each in gainers:
                         self.line(each).keys[key] = None
 
-    def add(self, key: str, kept: Kept, more: int):
+    def add(self, key: str, kept: StoredRecord, more: int):
         """Counts a record in or out of what is compared by range."""
         place = range_of(key)
         ours = self.name in kept.owners
@@ -396,7 +425,7 @@
     def record(self, key: str) -> Record | None:
         record = self.warm.get(key)
         if record is None and key in self.store:
-            record = schema.decode(key[0], self.store[key].data, self.pact.reads[1])
+            record = schema.decode(key[0], self.store[key].data, self.settings.reads[1])
             self.keep_warm(key, record)
         return record
 
@@ -407,22 +436,26 @@
             del self.warm[next(iter(self.warm))]
 
     def written(self, key: str, record: Record) -> bytes:
-        return schema.encode(key[0], record, *self.stage, knows=self.pact.reads[1])
+        return schema.encode(key[0], record, *self.stage, knows=self.settings.reads[1])
 
     def read_in(self, key: str, raw: bytes) -> Record | None:
         """A record that came from outside, or None: it is dropped and counted."""
         if not (2 <= len(key) <= LONGEST_KEY and key[:2] in ("s/", "u/")):
-            return self.desk.count("dropped bad key")
+            return self.context.increment(Metric.DROPPED_BAD_KEY)
         try:
-            record = schema.decode(key[0], raw, self.pact.reads[1])
-        except BadRecord:
-            return self.desk.count("dropped bad record")
-        trouble = records.too_far(
-            record, self.wall_ms, int(self.pact.longest_mark_s * 1e3), self.slack_ms, self.pact.period_s
+            record = schema.decode(key[0], raw, self.settings.reads[1])
+        except InvalidRecordError:
+            return self.context.increment(Metric.DROPPED_BAD_RECORD)
+        error = records.check_clock(
+            record,
+            self.wall_ms,
+            int(self.settings.longest_mark_s * 1e3),
+            self.slack_ms,
+            self.settings.period_s,
         )
-        if trouble:
-            self.desk.note("clock ahead", words=str(trouble))
-            return self.desk.count("dropped clock ahead")
+        if error:
+            self.context.log_event(events.RecordClockAhead(str(error)))
+            return self.context.increment(Metric.DROPPED_CLOCK_AHEAD)
         return records.expired(record, self.wall_ms, self.slack_ms)
 
     def merge(self, key: str, record: Record) -> bool:
@@ -435,10 +468,10 @@
             if kept:
                 self.drop(key)
             return True
-        if not kept and len(self.store) >= self.pact.most_records:
+        if not kept and len(self.store) >= self.settings.most_records:
             self.sweep(SWEPT)
-            if len(self.store) >= self.pact.most_records:
-                self.desk.count("records full")
+            if len(self.store) >= self.settings.most_records:
+                self.context.increment(Metric.RECORDS_FULL)
                 return False
         return self.put(key, record)
 
@@ -448,27 +481,27 @@
             return True
         try:
             data = self.written(key, record)
-        except RecordTooLarge as trouble:
-            self.desk.count("records too large")
-            self.desk.note("record too large", words=str(trouble))
+        except RecordTooLargeError as error:
+            self.context.increment(Metric.RECORDS_TOO_LARGE)
+            self.context.log_event(events.RecordTooLarge(str(error)))
             return False
         self.keep_warm(key, record)
         place = range_of(key)
         if kept is None:
-            kept = self.store[key] = self.ranges[place][key] = Kept()
+            kept = self.store[key] = self.ranges[place][key] = StoredRecord()
             kept.era, kept.due = None, 0
         else:
             self.old_form -= kept.stage != self.stage
             if kept.era is self.era:
                 self.add(key, kept, -1)
         kept.data, kept.digest, kept.stage = data, digest, self.stage
-        kept.sum = int.from_bytes(blake2b(raw_of(key) + digest, digest_size=8).digest())
+        kept.sum = int.from_bytes(blake2b(key_bytes(key) + digest, digest_size=8).digest())
         if kept.era is self.era and self.era is not None:
             self.add(key, kept, 1)
         elif self.era is not None:
             self.seat(key, kept)
         if isinstance(record, Session):
-            longest = self.wall_ms + int(1e3 * self.pact.longest_mark_s) + self.slack_ms
+            longest = self.wall_ms + int(1e3 * self.settings.longest_mark_s) + self.slack_ms
             due = self.slack_ms + min((mark.until_ms for mark in record.marks.values()), default=longest)
             if due != kept.due:
                 kept.due = due
@@ -503,7 +536,7 @@
     @property
     def moved(self) -> int:
         """The version that all it keeps is written in."""
-        return schema.moved(self.ring, self.old_form) if self.ring else self.pact.reads[0]
+        return schema.moved(self.ring, self.old_form) if self.ring else self.settings.reads[0]
 
     def move(self):
         """Some of what is in an older form is written in the present one."""
@@ -520,11 +553,11 @@
 
     # Asking
 
-    def claim(self, ticket: int, key: str, mark: Mark, until: float):
+    def claim(self, ticket: int, key: str, mark: AttemptRecord, until: float):
         """Writes a mark at all owners and asks what they had before."""
         own = self.mine.get(key)
-        if own and own.record.full(self.pact.most_marks_a_session):
-            self.desk.count("marks full")
+        if own and own.record.full(self.settings.most_marks_a_session):
+            self.context.increment(Metric.ATTEMPTS_FULL)
             return self.done(ticket, self.marks(key, mark.by), False)
         if self.has_room(ticket):
             self.own(key, Session({mark.by: mark}))
@@ -535,20 +568,20 @@
             self.begin(ticket, key, None, until)
 
     def has_room(self, ticket: int) -> bool:
-        if len(self.open) >= self.pact.most_waiting:
+        if len(self.open) >= self.settings.most_waiting:
             ended = next((number for number, each in self.open.items() if each.ended), None)
             if ended is None:
-                self.desk.count("claims full")
+                self.context.increment(Metric.PENDING_OPERATIONS_FULL)
                 self.done(ticket, (), False)
                 return False
             self.close(ended)
         return True
 
-    def begin(self, ticket: int, key: str, mark: Mark | None, until: float):
-        each = Open()
+    def begin(self, ticket: int, key: str, mark: AttemptRecord | None, until: float):
+        each = PendingOperation()
         each.ticket, each.key, each.mark, each.ended = ticket, key, mark, False
         # One that restarted counts on it that no claim is open for longer than a lease.
-        each.until = min(until, self.desk.now + self.pact.lease_s)
+        each.until = min(until, self.context.now + self.settings.lease_s)
         each.by = mark.by if mark else ""
         each.known = Session()
         number = self.next()
@@ -557,7 +590,7 @@
 
     def put_to_owners(self, number: int):
         each, ring = self.open[number], self.ring
-        each.wrote, each.read, each.owners, each.asked_at = {}, {}, (), self.desk.now
+        each.wrote, each.read, each.owners, each.asked_at = {}, {}, (), self.context.now
         if ring is None:
             return
         each.owners, each.epoch = self.owners(each.key), ring.epoch
@@ -572,28 +605,28 @@
             if own:  # earlier marks that not all have yet go along
                 raw, each.turn = self.sendable(each.key, own.record) or b"", own.turn
             raw = raw or self.sendable(each.key, Session({each.by: each.mark})) or b""
-        words = Claim(number, self.life, each.epoch, each.key, each.by, raw)
+        words = WriteRequest(number, self.incarnation, each.epoch, each.key, each.by, raw)
         for name in whom:
             if name != self.name:
-                self.desk.send(name, words)
+                self.context.send(name, words)
         if self.name in whom:
             told = self.serve(self.name, words)
             if told:
                 self.heard_told(self.name, told)
 
-    def heard_told(self, sender: str, words: Told):
+    def heard_told(self, sender: str, words: WriteResponse):
         each = self.open.get(words.number)
-        if each is None or words.life != self.life or sender not in each.owners:
-            return self.desk.count("dropped late answer")
+        if each is None or words.incarnation != self.incarnation or sender not in each.owners:
+            return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         if words.epoch != each.epoch:
-            return self.desk.count("dropped old epoch")
+            return self.context.increment(Metric.DROPPED_OLD_EPOCH)
         if words.record:
             record = self.read_in(each.key, words.record)
             if record is None:
                 return
             each.known = records.merge(each.known, record)
         if words.full:
-            self.desk.count("owners full")
+            self.context.increment(Metric.OWNED_LIMITS_FULL)
         if words.wrote and each.by:
             each.wrote[sender] = None
             self.has(each.key, sender, each.turn)
@@ -601,19 +634,19 @@
                 self.settle(each.key, self.mine[each.key])
         if words.caught_up:
             each.read[sender] = None
-        if self.desk.now > each.until:
+        if self.context.now > each.until:
             return self.close(words.number)  # we were stopped: what came in meanwhile may be of any age
         if not each.ended and len(each.wrote) >= each.need[0] and len(each.read) >= each.need[1]:
             self.end(each, True)
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
             self.open.pop(words.number, None)
 
-    def end(self, each: Open, sure: bool):
+    def end(self, each: PendingOperation, sure: bool):
         each.ended = True
-        self.desk.count("claims sure" if sure else "claims not sure")
+        self.context.increment(Metric.WRITES_CERTAIN if sure else "claims not sure")
         self.done(each.ticket, self.marks(each.key, each.by, each.known), sure)
 
-    def marks(self, key: str, by: str, known: Session | None = None) -> tuple[Mark, ...]:
+    def marks(self, key: str, by: str, known: Session | None = None) -> tuple[AttemptRecord, ...]:
         """What is known of a session, our own marks that are still on their way included, but for one."""
         known, own = known or Session(), self.mine.get(key)
         if own:
@@ -632,7 +665,7 @@
 
     # What this agent wrote
 
-    def refine(self, key: str, mark: Mark):
+    def refine(self, key: str, mark: AttemptRecord):
         """More is known of an own mark; told to all owners, whenever they can be reached."""
         self.own(key, Session({mark.by: mark}))
         self.enqueue(key)
@@ -640,12 +673,16 @@
 
     def count_use(self, tenant: str, period: int, served: int):
         """So many more were served; told about once a second."""
-        which = (self.name, self.desk.life, period)
-        counts = {each: n for each, n in self.uses.get(tenant, Use()).counts.items() if each[2] > period - 3}
+        which = (self.name, self.context.incarnation, period)
+        counts = {
+            each: n
+            for each, n in self.uses.get(tenant, UsageCounter()).counts.items()
+            if each[2] > period - 3
+        }
         counts[which] = counts.get(which, 0) + served
         self.uses.pop(tenant, None)
-        self.uses[tenant] = Use(counts)
-        if len(self.uses) > self.pact.most_records:
+        self.uses[tenant] = UsageCounter(counts)
+        if len(self.uses) > self.settings.most_records:
             del self.uses[next(iter(self.uses))]
         self.used[tenant] = None
 
@@ -660,16 +697,16 @@
             self.enqueue(key)
             self.take_own(key)
 
-    def own(self, key: str, record: Record) -> Own:
+    def own(self, key: str, record: Record) -> Hint:
         own = self.mine.get(key)
         if own is None:
-            if len(self.mine) >= self.pact.most_hints:
+            if len(self.mine) >= self.settings.most_hints:
                 del self.mine[next(iter(self.mine))]
-                self.desk.count("hints dropped")
+                self.context.increment(Metric.HINTS_DROPPED)
                 if not self.was_full:
                     self.was_full = True
-                    self.desk.note("hints full", most=self.pact.most_hints)
-            own = self.mine[key] = Own(record)
+                    self.context.log_event(events.HintsFull(self.settings.most_hints))
+            own = self.mine[key] = Hint(record)
         else:
             own.record = records.merge(own.record, record)
         own.turn = self.next()
@@ -684,7 +721,11 @@
             self.settle(key, own)
 
     def take(self, key: str, record: Record) -> bool:
-        if isinstance(record, Session) or key not in self.store or len(self.coming) >= self.pact.most_waiting:
+        if (
+            isinstance(record, Session)
+            or key not in self.store
+            or len(self.coming) >= self.settings.most_waiting
+        ):
             return self.merge(key, record)
         self.coming[key] = records.merge(self.coming[key], record) if key in self.coming else record
         return True
@@ -693,9 +734,9 @@
         """After a change of ring: who has an own mark already still has it, the new owners lack it."""
         self.lines = {name: line for name, line in self.lines.items() if name in self.ring.by_name}
         for line in self.lines.values():
-            line.out, line.next_at, line.pause = {}, self.desk.now, AGAIN
+            line.out, line.next_at, line.pause = {}, self.context.now, AGAIN
         for key, own in list(self.mine.items()):
-            had = owners(old, raw_of(key), self.pact.copies) if old else ()
+            had = owners(old, key_bytes(key), self.settings.copies) if old else ()
             lacks = {}
             for name in self.owners(key):
                 if name != self.name and (name not in had or name in own.lacks):
@@ -710,16 +751,16 @@
             del own.lacks[owner]
             self.settle(key, own)
 
-    def settle(self, key: str, own: Own):
+    def settle(self, key: str, own: Hint):
         if self.ring and not own.lacks and self.mine.get(key) is own:
             del self.mine[key]
-            if self.was_full and len(self.mine) < self.pact.most_hints // 2:
+            if self.was_full and len(self.mine) < self.settings.most_hints // 2:
                 self.was_full = False
 
-    def line(self, owner: str) -> Line:
+    def line(self, owner: str) -> HintQueue:
         line = self.lines.get(owner)
         if line is None:
-            line = self.lines[owner] = Line()
+            line = self.lines[owner] = HintQueue()
         return line
 
     def enqueue(self, key: str):
@@ -729,9 +770,9 @@
                 self.line(owner).keys[key] = None
                 self.send_line(owner, self.lines[owner])
 
-    def send_line(self, owner: str, line: Line, again: bool = False):
+    def send_line(self, owner: str, line: HintQueue, again: bool = False):
         """The next records for an owner, unless some are on their way."""
-        if (line.out and not again) or not self.ring or self.desk.now < line.next_at:
+        if (line.out and not again) or not self.ring or self.context.now < line.next_at:
             return
         out, chosen, size = {}, [], 0
         for key in list(islice(line.keys, MOST_ITEMS // 2)):
@@ -756,27 +797,32 @@
         line.out = out
         if not chosen:
             return self.lines.pop(owner, None)
-        line.number, line.sent_at = self.next(), self.desk.now
-        line.next_at = self.desk.now + line.pause * (0.75 + 0.5 * self.desk.random.random())
+        line.number, line.sent_at = self.next(), self.context.now
+        line.next_at = self.context.now + line.pause * (0.75 + 0.5 * self.context.random.random())
         line.pause = min(2 * line.pause, LONGEST_PAUSE)
-        self.desk.send(owner, Give(line.number, self.life, self.ring.epoch, tuple(chosen)))
+        self.context.send(owner, HintDelivery(line.number, self.incarnation, self.ring.epoch, tuple(chosen)))
 
     def sendable(self, key: str, record: Record) -> bytes | None:
         try:
             raw = self.written(key, record)
-        except RecordTooLarge:
+        except RecordTooLargeError:
             raw = b""
         if raw and len(raw) <= LARGEST:
             return raw
-        self.desk.count("records too large")
+        self.context.increment(Metric.RECORDS_TOO_LARGE)
         return None
 
-    def heard_took(self, sender: str, words: Took):
+    def heard_took(self, sender: str, words: HintAck):
         line = self.lines.get(sender)
-        if line is None or words.number != line.number or words.life != self.life or not line.out:
-            return self.desk.count("dropped late answer")
+        if (
+            line is None
+            or words.number != line.number
+            or words.incarnation != self.incarnation
+            or not line.out
+        ):
+            return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         if self.ring is None or words.epoch != self.ring.epoch:
-            return self.desk.count("dropped old epoch")
+            return self.context.increment(Metric.DROPPED_OLD_EPOCH)
         out, line.out, refused = line.out, {}, set(words.refused)
         for key, turn in out.items():
             if key in refused:
@@ -793,16 +839,16 @@
                     line.keys.pop(key, None)
         if refused:
             # No room there, or a clock is wrong: the pause grows as if it were absent, but less.
-            self.desk.count("hints refused")
+            self.context.increment(Metric.HINTS_REJECTED)
             line.pause = min(line.pause, 1.0)
         else:
-            line.pause, line.next_at = AGAIN, self.desk.now
+            line.pause, line.next_at = AGAIN, self.context.now
             self.send_line(sender, line)
 
     def flush_lines(self):
         for owner in sorted(self.lines):
             line = self.lines.get(owner)
-            if line and self.desk.now >= line.next_at:
+            if line and self.context.now >= line.next_at:
                 self.send_line(owner, line, again=True)
 
     def came_back(self, sender: str):
@@ -815,33 +861,33 @@
 
     def timely(self, sender: str, words) -> bool:
         """Whether it asks by our epoch; one with an older ring learns that there is a newer."""
-        other, known = self.lives.get(sender, (words.life, False))
-        if sender in self.lives or len(self.lives) < 2 * self.pact.most_agents:
-            self.lives[sender] = (other, known or words.life != other)
+        other, known = self.incarnations.get(sender, (words.incarnation, False))
+        if sender in self.incarnations or len(self.incarnations) < 2 * self.settings.most_agents:
+            self.incarnations[sender] = (other, known or words.incarnation != other)
         if self.ring is not None and words.epoch == self.ring.epoch:
             return True
         self.newest = max(self.newest, words.epoch)
         if self.ring is not None and words.epoch < self.ring.epoch:
-            self.desk.count("dropped old epoch")
-            self.desk.send(sender, Past(self.ring.epoch))
+            self.context.increment(Metric.DROPPED_OLD_EPOCH)
+            self.context.send(sender, StaleEpoch(self.ring.epoch))
         else:
-            self.desk.count("dropped newer epoch")
+            self.context.increment(Metric.DROPPED_NEWER_EPOCH)
         return False
 
-    def heard_claim(self, sender: str, words: Claim):
+    def heard_claim(self, sender: str, words: WriteRequest):
         if self.timely(sender, words):
             told = self.serve(sender, words)
             if told:
-                self.desk.send(sender, told)
+                self.context.send(sender, told)
 
-    def serve(self, asker: str, words: Claim) -> Told | None:
+    def serve(self, asker: str, words: WriteRequest) -> WriteResponse | None:
         """The owner's part of a claim, our own included."""
         if not self.sure():
-            return self.desk.count("not sure")
+            return self.context.increment(Metric.NO_VALID_LEASE)
         self.vouched = True
         key = words.key
         if self.name not in self.owners(key) or not key.startswith("s/"):
-            return self.desk.count("dropped not owner")
+            return self.context.increment(Metric.DROPPED_NOT_OWNER)
         new = None
         if words.by and words.record:
             new = self.read_in(key, words.record)
@@ -851,29 +897,31 @@
         had = records.expired(had, self.wall_ms, self.slack_ms)
         wrote = full = False
         if new is not None:
-            full = words.by not in had.marks and had.full(self.pact.most_marks_a_session)
+            full = words.by not in had.marks and had.full(self.settings.most_marks_a_session)
             full = full or not self.merge(key, new)
             wrote = not full and words.by in new.marks
             if full:
-                self.desk.count("marks full")
+                self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
             self.put(key, had)  # moved when read
         if not self.caught_up(key):
-            self.learn(key, (asker, words.number, words.life, words.by))
-        return self.answer(words.number, words.life, key, words.by, had, wrote, full)
+            self.learn(key, (asker, words.number, words.incarnation, words.by))
+        return self.answer(words.number, words.incarnation, key, words.by, had, wrote, full)
 
-    def answer(self, number, life, key: str, by: str, had: Session, wrote: bool, full: bool) -> Told:
+    def answer(
+        self, number, incarnation, key: str, by: str, had: Session, wrote: bool, full: bool
+    ) -> WriteResponse:
         marks = {name: mark for name, mark in had.marks.items() if name != by}
         raw = b""
         if marks or had.beyond:
             raw = self.sendable(key, Session(marks, had.extra, had.beyond))
         caught_up = raw is not None and self.caught_up(key)
-        return Told(number, life, self.ring.epoch, wrote, caught_up, full, raw or b"")
+        return WriteResponse(number, incarnation, self.ring.epoch, wrote, caught_up, full, raw or b"")
 
     def caught_up(self, key: str) -> bool:
-        return self.era is not None and self.era.caught_up(key, self.desk.now)
+        return self.era is not None and self.era.caught_up(key, self.context.now)
 
-    def heard_give(self, sender: str, words: Give):
+    def heard_give(self, sender: str, words: HintDelivery):
         if not self.timely(sender, words):
             return
         refused = []
@@ -882,7 +930,7 @@
             if record is None or self.name in self.owners(key) and not self.take(key, record):
                 refused.append(key)
         if words.number:
-            self.desk.send(sender, Took(words.number, words.life, words.epoch, tuple(refused)))
+            self.context.send(sender, HintAck(words.number, words.incarnation, words.epoch, tuple(refused)))
 
     # One key that has not been caught up with
 
@@ -893,29 +941,29 @@
             if waiter not in each.waiters and len(each.waiters) < 16:
                 each.waiters.append(waiter)
             return
-        if self.era.way == FIRST or self.era.way == RESTARTED and self.desk.now < self.era.ready_at:
+        if self.era.way == FIRST or self.era.way == RESTARTED and self.context.now < self.era.ready_at:
             return
-        if len(self.learning) >= self.pact.most_waiting:
-            return self.desk.count("learning full")
-        each = self.learning[key] = Learning()
-        each.number, each.until, each.waiters = self.next(), self.desk.now + LEARN, [waiter]
+        if len(self.learning) >= self.settings.most_waiting:
+            return self.context.increment(Metric.PENDING_REPAIRS_FULL)
+        each = self.learning[key] = PendingRepair()
+        each.number, each.until, each.waiters = self.next(), self.context.now + LEARN, [waiter]
         each.was, each.now = {}, {}
         self.ask_about(key, each)
 
-    def ask_about(self, key: str, each: Learning):
-        each.asked_at = self.desk.now
+    def ask_about(self, key: str, each: PendingRepair):
+        each.asked_at = self.context.now
         whom = dict.fromkeys(self.owners(key))
         if self.era.way == GAINING:
-            whom |= dict.fromkeys(owners(self.era.former, raw_of(key), self.pact.copies))
-        words = Know(each.number, self.life, self.ring.epoch, key)
+            whom |= dict.fromkeys(owners(self.era.former, key_bytes(key), self.settings.copies))
+        words = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
         for name in whom:
             if name != self.name and name not in each.was and name not in each.now:
-                self.desk.send(name, words)
+                self.context.send(name, words)
 
-    def heard_know(self, sender: str, words: Know):
+    def heard_know(self, sender: str, words: ReadRepairRequest):
         if not self.timely(sender, words) or not self.sure():
             return
-        era, now, key = self.era, self.desk.now, words.key
+        era, now, key = self.era, self.context.now, words.key
         was = era.was_caught_up(key, now)
         here = self.name in self.owners(key) and era.caught_up(key, now)
         record, raw = self.record(key), b""
@@ -923,12 +971,20 @@
             raw = self.sendable(key, records.expired(record, self.wall_ms, self.slack_ms))
         if raw is not None:
             former = era.former.epoch if era.former else 0
-            self.desk.send(sender, Known(words.number, words.life, words.epoch, former, was, here, raw))
+            self.context.send(
+                sender,
+                ReadRepairResponse(words.number, words.incarnation, words.epoch, former, was, here, raw),
+            )
 
-    def heard_known(self, sender: str, words: Known):
+    def heard_known(self, sender: str, words: ReadRepairResponse):
         found = [(key, each) for key, each in self.learning.items() if each.number == words.number]
-        if not found or words.life != self.life or self.ring is None or words.epoch != self.ring.epoch:
-            return self.desk.count("dropped late answer")
+        if (
+            not found
+            or words.incarnation != self.incarnation
+            or self.ring is None
+            or words.epoch != self.ring.epoch
+        ):
+            return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         (key, each), era = found[0], self.era
         if words.record:
             record = self.read_in(key, words.record)
@@ -938,16 +994,16 @@
             each.was[sender] = None
         if words.now:
             each.now[sender] = None
-        if era.enough(key, each.was, each.now, self.desk.now):
+        if era.enough(key, each.was, each.now, self.context.now):
             del self.learning[key]
             era.keep(key)
             had = records.expired(self.record(key) or Session(), self.wall_ms, self.slack_ms)
-            for asker, number, life, by in each.waiters:
-                told = self.answer(number, life, key, by, had, by in had.marks, False)
+            for asker, number, incarnation, by in each.waiters:
+                told = self.answer(number, incarnation, key, by, had, by in had.marks, False)
                 if asker == self.name:
                     self.heard_told(asker, told)
                 else:
-                    self.desk.send(asker, told)
+                    self.context.send(asker, told)
 
     # Comparisons
 
@@ -961,46 +1017,56 @@
     def begin_talk(self, peer: str):
         if peer in self.talks or len(self.talks) >= TALKS or self.unplaced:
             return
-        talk = self.talks[peer] = Talk()
+        talk = self.talks[peer] = AntiEntropySession()
         era = self.era
-        talk.counts = era.way != RESTARTED or self.desk.now >= era.ready_at
-        self.say(peer, talk, Look(0, self.life, self.ring.epoch, self.whole(peer)))
+        talk.counts = era.way != RESTARTED or self.context.now >= era.ready_at
+        self.say(peer, talk, DigestRequest(0, self.incarnation, self.ring.epoch, self.whole(peer)))
 
-    def say(self, peer: str, talk: Talk, words):
+    def say(self, peer: str, talk: AntiEntropySession, words):
         talk.number = self.next()
         talk.words = type(words)(talk.number, *(getattr(words, name) for name in words.__struct_fields__[1:]))
-        talk.sent_at, talk.tries = self.desk.now, 1
-        self.desk.send(peer, talk.words)
+        talk.sent_at, talk.tries = self.context.now, 1
+        self.context.send(peer, talk.words)
 
-    def answered(self, sender: str, words, to) -> Talk | None:
+    def answered(self, sender: str, words, to) -> AntiEntropySession | None:
         talk = self.talks.get(sender)
         if (
             talk is None
             or words.number != talk.number
-            or words.life != self.life
+            or words.incarnation != self.incarnation
             or type(talk.words) is not to
             or words.epoch != self.ring.epoch
         ):
-            return self.desk.count("dropped late answer")
+            return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         return talk
 
-    def heard_look(self, sender: str, words: Look):
+    def heard_look(self, sender: str, words: DigestRequest):
         if not self.timely(sender, words):
             return
         if self.unplaced:
-            return self.desk.count("not placed yet")
-        era, now = self.era, self.desk.now
+            return self.context.increment(Metric.NOT_PLACED_YET)
+        era, now = self.era, self.context.now
         sums = b"" if self.whole(sender) == words.whole else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
         here = era.ranges(now) if self.name in self.ring.by_name else 0
-        former, knew = era.former.epoch if era.former else 0, self.lives.get(sender, (0, True))[1]
-        self.desk.send(
+        former, knew = era.former.epoch if era.former else 0, self.incarnations.get(sender, (0, True))[1]
+        self.context.send(
             sender,
-            Seen(words.number, words.life, words.epoch, former, era.was_whole(now), here, left, knew, sums),
+            DigestResponse(
+                words.number,
+                words.incarnation,
+                words.epoch,
+                former,
+                era.was_whole(now),
+                here,
+                left,
+                knew,
+                sums,
+            ),
         )
 
-    def heard_seen(self, sender: str, words: Seen):
-        talk = self.answered(sender, words, Look)
+    def heard_seen(self, sender: str, words: DigestResponse):
+        talk = self.answered(sender, words, DigestRequest)
         if talk is None or len(words.sums) not in (0, 8 * RANGES):
             return
         era = self.era
@@ -1021,20 +1087,20 @@
             else:
                 self.told(sender, talk, 1 << place)
         talk.todo = differ
-        self.desk.random.shuffle(talk.todo)
+        self.context.random.shuffle(talk.todo)
         talk.end = True
         talk.place = -1
         self.go_on(sender, talk)
 
-    def told(self, peer: str, talk: Talk, bits: int):
+    def told(self, peer: str, talk: AntiEntropySession, bits: int):
         if talk.counts:
             self.era.told(peer, talk.was & bits, talk.now & bits)
 
-    def go_on(self, peer: str, talk: Talk):
+    def go_on(self, peer: str, talk: AntiEntropySession):
         """The next step: the records that differ, the next page of digests, the next range."""
         epoch = self.ring.epoch
         if talk.want:
-            return self.say(peer, talk, Fetch(0, self.life, epoch, tuple(talk.want[:PAGE])))
+            return self.say(peer, talk, FetchRequest(0, self.incarnation, epoch, tuple(talk.want[:PAGE])))
         if talk.end:
             if talk.place >= 0:
                 self.told(peer, talk, 1 << talk.place)
@@ -1044,7 +1110,7 @@
                     self.parting.pop(peer, None)
                 return
             talk.place, talk.after, talk.end = talk.todo.pop(), "", False
-        self.say(peer, talk, Enumerate(0, self.life, epoch, talk.place, talk.after))
+        self.say(peer, talk, KeyListRequest(0, self.incarnation, epoch, talk.place, talk.after))
 
     def shared(self, peer: str, place: int, after: str, ours: bool = False) -> list[str]:
         """Keys of a range that a peer owns, in order; `ours`: that we do, too."""
@@ -1054,15 +1120,17 @@
             if key > after and peer in kept.owners and (not ours or self.name in kept.owners)
         )
 
-    def heard_list(self, sender: str, words: Enumerate):
+    def heard_list(self, sender: str, words: KeyListRequest):
         if not self.timely(sender, words) or self.unplaced or not 0 <= words.place < RANGES:
             return
         keys = self.shared(sender, words.place, words.after)
         entries = tuple((key, self.store[key].digest[:8]) for key in keys[:PAGE])
-        self.desk.send(sender, Enumerated(words.number, words.life, words.epoch, entries, len(keys) <= PAGE))
+        self.context.send(
+            sender, KeyListResponse(words.number, words.incarnation, words.epoch, entries, len(keys) <= PAGE)
+        )
 
-    def heard_listed(self, sender: str, words: Enumerated):
-        talk = self.answered(sender, words, Enumerate)
+    def heard_listed(self, sender: str, words: KeyListResponse):
+        talk = self.answered(sender, words, KeyListRequest)
         if talk is None or len(words.entries) > PAGE or not words.end and not words.entries:
             return
         theirs = {
@@ -1096,14 +1164,14 @@
             if raw is None:
                 continue
             if piece and (size + len(raw) > PIECE or len(piece) >= MOST_ITEMS // 2):
-                self.desk.send(peer, Give(0, self.life, self.ring.epoch, tuple(piece)))
+                self.context.send(peer, HintDelivery(0, self.incarnation, self.ring.epoch, tuple(piece)))
                 piece, size = [], 0
             piece.append((key, raw))
             size += len(raw) + len(key)
         if piece:
-            self.desk.send(peer, Give(0, self.life, self.ring.epoch, tuple(piece)))
+            self.context.send(peer, HintDelivery(0, self.incarnation, self.ring.epoch, tuple(piece)))
 
-    def heard_fetch(self, sender: str, words: Fetch):
+    def heard_fetch(self, sender: str, words: FetchRequest):
         if not self.timely(sender, words):
             return
         piece, size, count = [], 0, 0
@@ -1118,10 +1186,12 @@
                 piece.append((key, raw))
                 size += len(raw) + len(key)
         if count:  # else it can't have that record: it must not take it for one that is over
-            self.desk.send(sender, Brought(words.number, words.life, words.epoch, count, tuple(piece)))
+            self.context.send(
+                sender, FetchResponse(words.number, words.incarnation, words.epoch, count, tuple(piece))
+            )
 
-    def heard_brought(self, sender: str, words: Brought):
-        talk = self.answered(sender, words, Fetch)
+    def heard_brought(self, sender: str, words: FetchResponse):
+        talk = self.answered(sender, words, FetchRequest)
         if talk is None or not 0 < words.count <= len(talk.want):
             return
         asked, talk.want = talk.want[: words.count], talk.want[words.count :]
@@ -1142,7 +1212,7 @@
     # Time
 
     def tick(self):
-        now = self.desk.now
+        now = self.context.now
         for number in [number for number, each in self.open.items() if now >= each.until]:
             self.close(number)
         if self.ring is None:
@@ -1169,7 +1239,7 @@
             self.sweep_at = now + 1.0
             self.forget(now)
         if now >= self.use_at:
-            self.use_at = now + 0.75 + 0.5 * self.desk.random.random()
+            self.use_at = now + 0.75 + 0.5 * self.context.random.random()
             self.tell_uses()
         self.flush_lines()
 
@@ -1189,7 +1259,7 @@
                         self.parting.pop(peer, None)
                 else:
                     talk.tries, talk.sent_at = talk.tries + 1, now
-                    self.desk.send(peer, talk.words)
+                    self.context.send(peer, talk.words)
         era = self.era
         if not self.unplaced and not era.done(now) and self.name in self.ring.by_name:
             if era.way != GAINING or len(era.sources) <= MOST_ASKED:
@@ -1198,12 +1268,12 @@
             for peer in list(self.parting):
                 self.begin_talk(peer)
         if now >= self.compare_at:
-            self.compare_at = now + COMPARE * (0.75 + 0.5 * self.desk.random.random())
+            self.compare_at = now + COMPARE * (0.75 + 0.5 * self.context.random.random())
             peers = sorted(self.sums) or [name for name in self.ring.names if name != self.name]
             if peers and self.name in self.ring.by_name:
-                self.begin_talk(self.desk.random.choice(peers))
+                self.begin_talk(self.context.random.choice(peers))
 
-    def catch_up(self, era: Era, now: float):
+    def catch_up(self, era: CatchUp, now: float):
         for source in era.sources:
             if source in self.talks or len(self.talks) >= TALKS:
                 continue
@@ -1219,7 +1289,7 @@
                 if era.way == RESTARTED and now < era.ready_at:
                     again_at = max(era.ready_at, now + AGAIN)  # its records now, its word then
                 else:
-                    again_at = now + pause * (0.75 + 0.5 * self.desk.random.random())
+                    again_at = now + pause * (0.75 + 0.5 * self.context.random.random())
                 self.asked[source] = (again_at, pause)
                 self.begin_talk(source)
 
@@ -1247,7 +1317,7 @@
         """The agent is about to end: it compares with all co-owners once, and tells what they lack."""
         self.parting = dict.fromkeys(sorted(self.sums))
         for line in self.lines.values():
-            line.next_at, line.pause = self.desk.now, AGAIN
+            line.next_at, line.pause = self.context.now, AGAIN
         self.flush_lines()
 
     @property
@@ -1274,12 +1344,12 @@
             if self.name in names and (not peer or peer in names):
                 record = records.expired(self.record(key), self.wall_ms, self.slack_ms)
                 if not records.empty(record):
-                    total.update(raw_of(key) + records.digest(record))
+                    total.update(key_bytes(key) + records.digest(record))
         return total.digest()
 
     @property
     def all_caught_up(self) -> bool:
-        return self.era is not None and self.era.ranges(self.desk.now) == ALL
+        return self.era is not None and self.era.ranges(self.context.now) == ALL
 
     def figures(self) -> dict:
         era = self.era
@@ -1289,7 +1359,7 @@
             "hints_for": len(self.lines),
             "claims": sum(not each.ended for each in self.open.values()),
             "learning": len(self.learning),
-            "caught_up": era.ranges(self.desk.now).bit_count() if era else 0,
+            "caught_up": era.ranges(self.context.now).bit_count() if era else 0,
             "comparing": len(self.talks),
             "old_form": self.old_form,
             "moved": self.moved,
@@ -1298,27 +1368,27 @@
     def heard(self, sender: str, words):
         while self.open:
             number = next(iter(self.open))
-            if self.open[number].until > self.desk.now:
+            if self.open[number].until > self.context.now:
                 break
             self.close(number)
         self.came_back(sender)
-        if isinstance(words, Past):
+        if isinstance(words, StaleEpoch):
             self.newest = max(self.newest, words.epoch)
-            return self.desk.count("told of a newer ring")
+            return self.context.increment(Metric.NEWER_RING_ANNOUNCED)
         HANDLERS[type(words)](self, sender, words)
 
 
 HANDLERS = {
-    Claim: Replica.heard_claim,
-    Told: Replica.heard_told,
-    Give: Replica.heard_give,
-    Took: Replica.heard_took,
-    Look: Replica.heard_look,
-    Seen: Replica.heard_seen,
-    Enumerate: Replica.heard_list,
-    Enumerated: Replica.heard_listed,
-    Fetch: Replica.heard_fetch,
-    Brought: Replica.heard_brought,
-    Know: Replica.heard_know,
-    Known: Replica.heard_known,
+    WriteRequest: Replica.heard_claim,
+    WriteResponse: Replica.heard_told,
+    HintDelivery: Replica.heard_give,
+    HintAck: Replica.heard_took,
+    DigestRequest: Replica.heard_look,
+    DigestResponse: Replica.heard_seen,
+    KeyListRequest: Replica.heard_list,
+    KeyListResponse: Replica.heard_listed,
+    FetchRequest: Replica.heard_fetch,
+    FetchResponse: Replica.heard_brought,
+    ReadRepairRequest: Replica.heard_know,
+    ReadRepairResponse: Replica.heard_known,
 }
--- a/cartdeal/fleet/replication/schema.py
+++ b/cartdeal/fleet/replication/schema.py
@@ -18,9 +18,14 @@
 
 import msgspec
 
-from cartdeal.fleet.errors import BadRecord, RecordTooLarge, SchemaNarrowed, SchemaRefused
+from cartdeal.fleet.errors import (
+    InvalidRecordError,
+    RecordTooLargeError,
+    SchemaDowngradeError,
+    UnsupportedSchemaError,
+)
 from cartdeal.fleet.replication import records
-from cartdeal.fleet.replication.records import Certainty, Mark, Record, Session, Use
+from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Record, Session, UsageCounter
 
 VERSIONS = (1, 2)
 PHASES = ("steady", "widen", "move", "narrow")
@@ -30,12 +35,12 @@
 MOST_DEPTH = 8
 MOST_TEXT = 512  # characters of a name or key
 MOST_NUMBER = 1 << 53
-MOST_LIFE = 1 << 63
+MAX_INCARNATION = 1 << 63
 
 SIMPLE = frozenset((type(None), bool, int, float, str, bytes))
 
 decoder = msgspec.msgpack.Decoder()
-OWN = tuple(name for name in Mark.__struct_fields__ if name != "extra")
+OWN = tuple(name for name in AttemptRecord.__struct_fields__ if name != "extra")
 
 
 # Bytes
@@ -44,14 +49,14 @@
 def encode(kind: str, record: Record, written: int, phase: str, knows: int = VERSIONS[-1]) -> bytes:
     """The record in the form that the fleet writes now, if this program knows it; equal records, equal bytes.
 
-    Raises RecordTooLarge for what no agent would read.
+    Raises RecordTooLargeError for what no agent would read.
     """
     own = [version for version in forms(written, phase) if version <= knows] or [knows]
     needs = max(min(own), record.beyond)
     text = {**record.extra, "kind": kind, "v": max(own[-1], needs), "needs": needs}
     if kind == "s":
         if len(record.marks) > MOST_MARKS:
-            raise RecordTooLarge("a session", f"{len(record.marks)} marks")
+            raise RecordTooLargeError("a session", f"{len(record.marks)} marks")
         marks = [record.marks[by].fields() for by in sorted(record.marks)]
         if own[0] == 1:
             text["marks"] = marks
@@ -63,7 +68,7 @@
             text["parts"] = records.part_fields(record)
     raw = records.encoder.encode(text)
     if len(raw) > MOST_BYTES:
-        raise RecordTooLarge("a record", f"{len(raw)} bytes")
+        raise RecordTooLargeError("a record", f"{len(raw)} bytes")
     return raw
 
 
@@ -71,11 +76,11 @@
     """The record, from bytes of any version; `beyond` is set where it takes a newer program to read it whole.
 
     Where a session has both forms and they differ, both count: an old agent adds to its own form only.
-    Raises BadRecord, whatever the bytes.
+    Raises InvalidRecordError, whatever the bytes.
     """
     text = _opened(raw)
     if text.pop("kind") != kind:
-        raise BadRecord(f"a record under {kind}/", "one of another kind")
+        raise InvalidRecordError(f"a record under {kind}/", "one of another kind")
     text.pop("v")
     needs = text.pop("needs")
     beyond = needs if needs > knows else 0
@@ -91,17 +96,22 @@
         record.extra = text
         return record
     counts = {}
-    for each in _listed(text.pop("counts", []), "counts", records.MOST_COUNTS):
+    for each in _listed(text.pop("counts", []), "counts", records.MAX_COUNTS):
         if len(_listed(each, "a count", 4)) != 4:
-            raise BadRecord("a count", f"{len(each)} numbers")
-        which = (_text(each[0], "agent", 1), _whole(each[1], "life", MOST_LIFE), _whole(each[2], "period"))
+            raise InvalidRecordError("a count", f"{len(each)} numbers")
+        which = (
+            _text(each[0], "agent", 1),
+            _whole(each[1], "incarnation", MAX_INCARNATION),
+            _whole(each[2], "period"),
+        )
         counts[which] = max(_whole(each[3], "served"), counts.get(which, 0))
     parts = _parts(text.pop("parts", {})) if knows >= 2 else {}
-    return records.trimmed(Use(counts, parts, text, beyond))
+    return records.trimmed(UsageCounter(counts, parts, text, beyond))
 
 
 def needs_move(raw: bytes, written: int, phase: str, knows: int = VERSIONS[-1]) -> bool:
-    """Whether bytes differ from what would be written now. Raises BadRecord for what no move can mend."""
+    """Whether bytes differ from what would be written now. Raises InvalidRecordError for what no move can
+    mend."""
     kind = _opened(raw)["kind"]
     return encode(kind, decode(kind, raw, knows), written, phase, knows) != raw
 
@@ -124,7 +134,7 @@
     return governs(ring.written, ring.phase) if left else forms(ring.written, ring.phase)[-1]
 
 
-def agree(ring, live, pact) -> tuple[int, str]:
+def agree(ring, live, settings) -> tuple[int, str]:
     """What the fleet writes in the epoch after `ring`: the same step, one forward or one back.
 
     `live`: name -> what is known of an agent: `state` (0 and 1: live), `reads` (lowest, highest), `moved`.
@@ -144,7 +154,7 @@
     if ring.phase == "narrow":
         return (target, "steady")
     able = all(each.reads[0] <= target <= each.reads[1] for each in live.values() if each.state <= 1)
-    if not able or 0 < pact.hold_version < target:
+    if not able or 0 < settings.hold_version < target:
         return (ring.written, {"move": "widen"}.get(ring.phase, "steady"))
     if ring.phase == "move":
         done = all(each is not None and each.moved >= target for each in seats)
@@ -152,24 +162,24 @@
     return (ring.written, "widen" if ring.phase == "steady" else "move")
 
 
-def step_back_refused(ring, pact) -> SchemaNarrowed | None:
+def step_back_refused(ring, settings) -> SchemaDowngradeError | None:
     """What to tell an operator who holds a version that the fleet has left for good. `agree` doesn't raise:
     a fleet that could draw no further ring would lose more."""
     least = governs(ring.written, ring.phase)
-    if 0 < pact.hold_version < least:
-        found = f"{pact.hold_version}, the fleet writes {least} alone"
-        return SchemaNarrowed(f"hold_version of {pact.name}", found)
+    if 0 < settings.hold_version < least:
+        found = f"{settings.hold_version}, the fleet writes {least} alone"
+        return SchemaDowngradeError(f"hold_version of {settings.name}", found)
     return None
 
 
-def refused(reads: tuple[int, int], ring) -> SchemaRefused | None:
+def refused(reads: tuple[int, int], ring) -> UnsupportedSchemaError | None:
     """Why an agent that reads only these versions gets no seat. The agent asks it of itself, too, and then
     answers no read. Its marks aren't lost: whoever gets its records decodes and merges them as ever."""
     least = governs(ring.written, ring.phase)
     if reads[0] <= least <= reads[1]:
         return None
     found = f"reads versions {reads[0]} to {reads[1]}, the fleet writes {least}"
-    return SchemaRefused("an agent's program", found)
+    return UnsupportedSchemaError("an agent's program", found)
 
 
 # Checks: nothing that comes from a peer is used before it went through here.
@@ -177,18 +187,18 @@
 
 def _opened(raw: bytes) -> dict:
     if len(raw) > MOST_BYTES:
-        raise BadRecord("a record", f"{len(raw)} bytes")
+        raise InvalidRecordError("a record", f"{len(raw)} bytes")
     try:
         text = decoder.decode(raw)
-    except (msgspec.MsgspecError, RecursionError, ValueError, TypeError, OverflowError) as trouble:
-        raise BadRecord("a record", type(trouble).__name__) from None
+    except (msgspec.MsgspecError, RecursionError, ValueError, TypeError, OverflowError) as error:
+        raise InvalidRecordError("a record", type(error).__name__) from None
     if not isinstance(text, dict):
-        raise BadRecord("a record", type(text).__name__)
+        raise InvalidRecordError("a record", type(text).__name__)
     _plain(text)
     _among(text.get("kind"), "a record's kind", tuple(records.KINDS))
     needs = _whole(text.get("needs"), "needs", 1000)
     if not 1 <= needs <= _whole(text.get("v"), "v", 1000):
-        raise BadRecord("a record's version", f"needs {needs}, is of {text['v']}")
+        raise InvalidRecordError("a record's version", f"needs {needs}, is of {text['v']}")
     return text
 
 
@@ -201,47 +211,53 @@
             if type(each) is dict:
                 for name in each:
                     if type(name) is not str:
-                        raise BadRecord("a field's name", type(name).__name__)
+                        raise InvalidRecordError("a field's name", type(name).__name__)
                 each = each.values()
             for value in each:
                 kind = type(value)
                 if kind is dict or kind is list:
                     below.append(value)
                 elif kind not in SIMPLE or value != value:
-                    raise BadRecord("a value", "nan" if kind is float else kind.__name__)
+                    raise InvalidRecordError("a value", "nan" if kind is float else kind.__name__)
         if not below:
             return
         level = below
-    raise BadRecord("a value", f"more than {MOST_DEPTH} deep")
+    raise InvalidRecordError("a value", f"more than {MOST_DEPTH} deep")
 
 
 def _whole(value, what: str, most: int = MOST_NUMBER) -> int:
     if type(value) is not int or not 0 <= value <= most:
-        raise BadRecord(what, "out of range" if type(value) is int else type(value).__name__)
+        raise InvalidRecordError(what, "out of range" if type(value) is int else type(value).__name__)
     return value
 
 
 def _text(value, what: str, least: int = 0) -> str:
     if type(value) is not str or not least <= len(value) <= MOST_TEXT:
-        raise BadRecord(what, f"{len(value)} characters" if type(value) is str else type(value).__name__)
+        raise InvalidRecordError(
+            what, f"{len(value)} characters" if type(value) is str else type(value).__name__
+        )
     return value
 
 
 def _listed(value, what: str, most: int) -> list:
     if type(value) is not list or len(value) > most:
-        raise BadRecord(what, f"{len(value)} of them" if type(value) is list else type(value).__name__)
+        raise InvalidRecordError(
+            what, f"{len(value)} of them" if type(value) is list else type(value).__name__
+        )
     return value
 
 
 def _mapped(value, what: str, most: int) -> dict:
     if type(value) is not dict or len(value) > most:
-        raise BadRecord(what, f"{len(value)} of them" if type(value) is dict else type(value).__name__)
+        raise InvalidRecordError(
+            what, f"{len(value)} of them" if type(value) is dict else type(value).__name__
+        )
     return value
 
 
 def _among(value, what: str, words: tuple) -> str:
     if value not in words:
-        raise BadRecord(what, "none of " + ", ".join(words))
+        raise InvalidRecordError(what, "none of " + ", ".join(words))
     return value
 
 
@@ -265,27 +281,27 @@
             yield name, mark
 
 
-def _mark(value, grouped: str = "") -> Mark:
+def _mark(value, grouped: str = "") -> AttemptRecord:
     value = dict(_mapped(value, "a mark", 64))
     if grouped:
         group, _, window = grouped.partition("/")
         if not (window.isascii() and window.isdigit() and len(window) < 17):
-            raise BadRecord("a group's name", f"{len(grouped)} characters")
+            raise InvalidRecordError("a group's name", f"{len(grouped)} characters")
         if "group" in value or "window_ms" in value:
-            raise BadRecord("a mark in a group", "a group of its own")
+            raise InvalidRecordError("a mark in a group", "a group of its own")
         value |= {"group": group, "window_ms": int(window)}
     missing = [name for name in OWN if name not in value]
     if missing:
-        raise BadRecord("a mark", "no " + ", ".join(missing))
+        raise InvalidRecordError("a mark", "no " + ", ".join(missing))
     own = {name: value.pop(name) for name in OWN}
     places = []
-    for each in _listed(own["places"], "places", records.MOST_PLACES + 1):
+    for each in _listed(own["places"], "places", records.MAX_LOCATIONS + 1):
         if len(_listed(each, "a place", 2)) != 2:
-            raise BadRecord("a place", f"{len(each)} parts")
-        if each != list(records.ELSEWHERE):
+            raise InvalidRecordError("a place", f"{len(each)} parts")
+        if each != list(records.UNKNOWN_LOCATION):
             _whole(each[1], "cell")
         places.append((_text(each[0], "zone"), each[1]))
-    return Mark(
+    return AttemptRecord(
         _text(own["by"], "by", 1),
         _text(own["key"], "key"),
         _among(own["repeat"], "repeat", ("d", "u")),
@@ -300,19 +316,19 @@
     )
 
 
-def _add(record: Session, mark: Mark):
+def _add(record: Session, mark: AttemptRecord):
     known = record.marks.get(mark.by)
-    record.marks[mark.by] = records.merge_marks(known, mark) if known else mark
+    record.marks[mark.by] = records.merge_attempts(known, mark) if known else mark
 
 
 def _parts(value) -> dict:
     parts = {}
-    for holder, each in _mapped(value, "parts", records.MOST_PARTS).items():
+    for holder, each in _mapped(value, "parts", records.MAX_SHARES).items():
         if len(_listed(each, "a part", 3)) != 3:
-            raise BadRecord("a part", f"{len(each)} numbers")
+            raise InvalidRecordError("a part", f"{len(each)} numbers")
         until, *shares = each
         for share in shares:
             if type(share) is not float or not 0 <= share <= MOST_NUMBER:
-                raise BadRecord("a part's rate or burst", type(share).__name__)
+                raise InvalidRecordError("a part's rate or burst", type(share).__name__)
         parts[_text(holder, "holder", 1)] = (_whole(until, "until"), *shares)
     return parts
--- a/cartdeal/fleet/ring/hash_ring.py
+++ b/cartdeal/fleet/ring/hash_ring.py
@@ -14,16 +14,16 @@
 from msgspec import Struct
 
 PHASES = ("steady", "widen", "move", "narrow")
-MOST_EPOCH = 1 << 40
-MOST_CAPACITY = 1e6
-LONGEST_NAME = 100
-CACHED = 8192  # keys whose owners a ring remembers; the first in goes first out
+MAX_EPOCH = 1 << 40
+MAX_CAPACITY = 1e6
+MAX_NAME_LENGTH = 100
+MAX_CACHED_KEYS = 8192  # keys whose owners a ring remembers; the first in goes first out
 HALF = 0.5  # of what a seat is to have, an agent takes on at most so much in one epoch, then the rest
 MASK = (1 << 64) - 1
 LANE = 128
 
 
-class Seat(Struct, frozen=True, array_like=True):
+class RingMember(Struct, frozen=True, array_like=True):
     """An agent's place in a ring; `capacity` in (0, 1e6], any unit, the same throughout the fleet."""
 
     name: str
@@ -36,7 +36,7 @@
     `founded_ms`: the wall time at which the first ring was proposed, the same in all that follow."""
 
     epoch: int
-    seats: tuple[Seat, ...]
+    seats: tuple[RingMember, ...]
     written: int = 1
     phase: str = "steady"
     founded_ms: int = 0
@@ -46,7 +46,7 @@
         return tuple(seat.name for seat in self.seats)
 
     @cached_property
-    def by_name(self) -> dict[str, Seat]:
+    def by_name(self) -> dict[str, RingMember]:
         return {seat.name: seat for seat in self.seats}
 
     @cached_property
@@ -62,8 +62,8 @@
         return blake2b(msgspec.msgpack.encode(self), digest_size=16).digest()
 
     @cached_property
-    def drawn(self) -> "Draw":
-        return Draw(self)
+    def drawn(self) -> "RendezvousHash":
+        return RendezvousHash(self)
 
 
 def digest(ring: Ring) -> bytes:
@@ -71,20 +71,20 @@
     return ring.digest
 
 
-def sound(ring: Ring, most: int) -> bool:
+def is_valid_ring(ring: Ring, most: int) -> bool:
     """Whether a ring that came from outside can be used; `most`: seats at most."""
     names = [seat.name for seat in ring.seats]
     return (
-        0 < ring.epoch < MOST_EPOCH
+        0 < ring.epoch < MAX_EPOCH
         and 0 < len(names) <= most
         and ring.phase in PHASES
         and 0 <= ring.written < 1 << 20
         and 0 <= ring.founded_ms < 1 << 53
         and all(a < b for a, b in pairwise(names))
         and all(
-            0 < len(seat.name) <= LONGEST_NAME
-            and len(seat.zone) <= LONGEST_NAME
-            and 0 < seat.capacity <= MOST_CAPACITY
+            0 < len(seat.name) <= MAX_NAME_LENGTH
+            and len(seat.zone) <= MAX_NAME_LENGTH
+            and 0 < seat.capacity <= MAX_CAPACITY
             for seat in ring.seats
         )
     )  # NaN is not over 0
@@ -93,11 +93,11 @@
 # Owners
 
 
-def number(words: bytes) -> int:
+def hash_number(words: bytes) -> int:
     return int.from_bytes(blake2b(words, digest_size=8).digest(), "little")
 
 
-class Draw:
+class RendezvousHash:
     """Draws a key's owners in one ring: a seat's wait is -ln(u) / capacity, u from key and name; the
     shortest waits own the key (Thaler & Ravishankar 1998; by logarithm: Schindelhauer & Schomaker 2005).
 
@@ -110,7 +110,7 @@
         self.names = [seat.name for seat in seats]
         self.turns = [-1 / seat.capacity for seat in seats]
         self.ones = sum(1 << LANE * place for place in range(len(seats)))
-        self.salts = sum(number(seat.name.encode()) << LANE * place for place, seat in enumerate(seats))
+        self.salts = sum(hash_number(seat.name.encode()) << LANE * place for place, seat in enumerate(seats))
         self.low = self.ones * MASK
         ends = [place for place in range(1, len(seats)) if seats[place].zone != seats[place - 1].zone]
         self.zones = list(pairwise([0, *ends, len(seats)]))
@@ -119,7 +119,7 @@
     def owners(self, key: bytes, n: int) -> tuple[str, ...]:
         found = self.known.get((key, n))
         if found is None:
-            if len(self.known) >= CACHED:
+            if len(self.known) >= MAX_CACHED_KEYS:
                 del self.known[next(iter(self.known))]
             found = self.known[key, n] = self.drawn(key, n)
         return found
@@ -139,7 +139,7 @@
     def waits(self, key: bytes) -> list[float]:
         """Of each seat, by zone and name. One whole number holds all seats' 64 bits, 128 apart, so that
         spreading them (as choice.py's `mixed`: Stafford's 13th) takes a few long operations."""
-        low, x = self.low, self.salts ^ number(key) * self.ones
+        low, x = self.low, self.salts ^ hash_number(key) * self.ones
         x = ((x ^ x >> 30) & low) * 0xBF58476D1CE4E5B9 & low
         x = ((x ^ x >> 27) & low) * 0x94D049BB133111EB & low
         bits = ((x ^ x >> 31) & low).to_bytes(16 * len(self.turns), "little")
@@ -158,7 +158,7 @@
 # From one ring to another
 
 
-def least(old: Ring, new: Ring) -> float:
+def minimal_movement(old: Ring, new: Ring) -> float:
     """The share of keys that must change their first owner, whatever way owners are found (0 to 1)."""
     was, now = old.by_name, new.by_name
     return sum(
@@ -167,7 +167,7 @@
     )
 
 
-def moved(old: Ring, new: Ring) -> float:
+def moved_share(old: Ring, new: Ring) -> float:
     """The share of keys whose first owner changes (0 to 1), exactly, for ever so many keys.
 
     A key stays with i if i waits shortest in both rings: 1 / sum over j of max(w_j / w_i, v_j / v_i)
@@ -188,7 +188,7 @@
     return max(0.0, 1 - same)
 
 
-def plan(old: Ring, wanted: dict[str, Seat], step_share: float) -> Ring:
+def plan(old: Ring, wanted: dict[str, RingMember], step_share: float) -> Ring:
     """The next ring on the way to `wanted` (not empty), or `old` itself when that is reached.
 
     Seats that are not wanted go at once: nobody is there to keep their keys. The rest moves no more than what
@@ -215,34 +215,34 @@
             goal = seat.capacity if had >= HALF * seat.capacity else HALF * seat.capacity
             now = goal if part == 1 else had + part * (goal - had)
             if now > 0:
-                seats.append(Seat(name, seat.zone, now))
+                seats.append(RingMember(name, seat.zone, now))
         return Ring(old.epoch + 1, tuple(seats), old.written, old.phase, old.founded_ms)
 
     new = toward(1)
-    if moved(left, new) > room:
+    if moved_share(left, new) > room:
         low, high = 0.0, 1.0
         while room > 0 and (high - low > 0.01 * high):
             part = (low + high) / 2
-            low, high = (part, high) if moved(left, toward(part)) <= room else (low, part)
+            low, high = (part, high) if moved_share(left, toward(part)) <= room else (low, part)
         new = toward(low)
     return old if new.seats == old.seats else new
 
 
-class Step(Struct, frozen=True, array_like=True):
+class RingStep(Struct, frozen=True, array_like=True):
     """A ring by what differs from the one before, whose digest is `base`: small where few seats change."""
 
     epoch: int
     base: bytes
     gone: tuple[str, ...]
-    seats: tuple[Seat, ...]  # those that are new or differ
+    seats: tuple[RingMember, ...]  # those that are new or differ
     written: int
     phase: str
     founded_ms: int = 0  # in the first one
 
 
-def step(old: Ring, new: Ring) -> Step:
+def step_between(old: Ring, new: Ring) -> RingStep:
     was = old.by_name
-    return Step(
+    return RingStep(
         new.epoch,
         old.digest,
         tuple(name for name in old.names if name not in new.by_name),
@@ -253,7 +253,7 @@
     )
 
 
-def stepped(old: Ring, taken: Step) -> Ring:
+def apply_step(old: Ring, taken: RingStep) -> Ring:
     """The ring that `taken` leads to from `old`; ValueError where it doesn't start there."""
     if taken.base != old.digest:
         raise ValueError("a step from another ring")
@@ -272,10 +272,11 @@
 # Damping
 
 
-class Sight(Struct):
-    """Since when an agent has been there without a break, by the same life and about the same capacity."""
+class Observation(Struct):
+    """Since when an agent has been there without a break, by the same incarnation and about the same
+    capacity."""
 
-    life: int
+    incarnation: int
     capacity: float
     since: float
 
@@ -287,14 +288,15 @@
     It keeps no aim of its own, so two agents that see the same ring and peers never pull it to and fro.
     """
 
-    def __init__(self, pact):
-        self.share, self.wait = pact.damp_share, pact.damp_s
+    def __init__(self, settings):
+        self.share, self.wait = settings.damp_share, settings.damp_s
         self.watched, self.last = 0.0, None
-        self.seen: dict[str, Sight] = {}
+        self.seen: dict[str, Observation] = {}
         self.missed: dict[str, float] = {}
 
-    def wanted(self, live: dict, ring: Ring, now: float) -> dict[str, Seat]:
-        """Name -> seat. `live`: name -> what has .name, .zone, .capacity, .life; `now` in seconds, local."""
+    def wanted(self, live: dict, ring: Ring, now: float) -> dict[str, RingMember]:
+        """Name -> seat. `live`: name -> what has .name, .zone, .capacity, .incarnation; `now` in seconds,
+        local."""
         if self.last is not None:
             self.watched += max(0.0, min(now - self.last, self.wait / 4))
         self.last = now
@@ -305,11 +307,11 @@
             seat = ring.by_name.get(name)
             if seat is None:
                 if steady:
-                    wanted[name] = Seat(name, peer.zone, float(peer.capacity))
+                    wanted[name] = RingMember(name, peer.zone, float(peer.capacity))
             elif steady and abs(peer.capacity - seat.capacity) > self.share * seat.capacity:
-                wanted[name] = Seat(name, peer.zone, float(peer.capacity))
+                wanted[name] = RingMember(name, peer.zone, float(peer.capacity))
             elif steady and peer.zone != seat.zone:
-                wanted[name] = Seat(name, peer.zone, seat.capacity)
+                wanted[name] = RingMember(name, peer.zone, seat.capacity)
             else:
                 wanted[name] = seat
         for name, since in self.missed.items():
@@ -323,10 +325,10 @@
             sight = self.seen.get(name)
             if (
                 not sight
-                or sight.life != peer.life
+                or sight.incarnation != peer.incarnation
                 or abs(peer.capacity - sight.capacity) > self.share * sight.capacity
             ):
-                sight = Sight(peer.life, peer.capacity, self.watched)
+                sight = Observation(peer.incarnation, peer.capacity, self.watched)
             seen[name] = sight
         for name in ring.names:
             if name not in live:
@@ -334,6 +336,6 @@
         self.seen, self.missed = seen, missed
 
 
-def gone_for(damper: Damper) -> dict[str, float]:
+def absence_durations(damper: Damper) -> dict[str, float]:
     """Seconds for which each absent seat has been missed."""
     return {name: damper.watched - since for name, since in damper.missed.items()}
--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -4,14 +4,17 @@
 thinks: what goes wrong is drawn from the seed alone.
 """
 
-from cartdeal.fleet.context import Limit, Pact
-from cartdeal.fleet.idempotency import Question
-from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
+from cartdeal.fleet.context import FleetSettings, RateLimit
+from cartdeal.fleet.idempotency import AdmissionRequest
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 from cartdeal.simulated_time import seeded_random
 
-LIMITS = {"shop": Limit(60.0, 60.0), "deli": Limit(1.5, 2.0)}  # one lent by rates, one by single tokens
-SHOP = Question(tenant="shop", workload="w")
-PRESSED = 1.4  # times its limit, as often do clients of the shop ask
+LIMITS = {
+    "shop": RateLimit(60.0, 60.0),
+    "deli": RateLimit(1.5, 2.0),
+}  # one lent by rates, one by single tokens
+SHOP = AdmissionRequest(tenant="shop", workload="w")
+OVERLOAD_FACTOR = 1.4  # times its limit, as often do clients of the shop ask
 SESSIONS = 40  # that clients share, so that their marks stand side by side
 FAULTS = {  # kind -> how often, beside the others
     "kill": 5,
@@ -28,7 +31,7 @@
 }
 
 
-class Day:
+class FaultSchedule:
     def __init__(
         self,
         seed: int,
@@ -41,7 +44,7 @@
         terms: dict,
     ):
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(agents)}
-        pact = Pact(
+        settings = FleetSettings(
             **{
                 "fleet": "day",
                 "name": "",
@@ -52,10 +55,10 @@
                 **terms,
             }
         )
-        self.fleet = fleet = Memory(pact, seed)
+        self.fleet = fleet = InMemoryFleet(settings, seed)
         self.fates, self.people = seeded_random(seed, "day/faults"), seeded_random(seed, "day/clients")
         self.seconds, self.pause_s, self.requests, self.upgrade = seconds, pause_s, requests, upgrade
-        self.pressed = PRESSED * LIMITS["shop"].rate
+        self.pressed = OVERLOAD_FACTOR * LIMITS["shop"].rate
         self.cuts: list[set] = []
         self.patient: list[str] = []
         self.joined, self.at, self.log = 0, 0.0, []
@@ -159,7 +162,7 @@
 
     def weather(self, name):
         fates = self.fates
-        self.fleet.weather = Weather(
+        self.fleet.weather = NetworkConditions(
             lose=0.3 * fates.random(),
             double=0.2 * fates.random(),
             jitter_s=fates.choice([0.002, 0.02, 0.1]),
@@ -167,7 +170,7 @@
             late_s=5.0,
         )
         self.wrote("weather", self.fleet.weather)
-        self.after(fates.uniform(2.0, 12.0), setattr, self.fleet, "weather", Weather())
+        self.after(fates.uniform(2.0, 12.0), setattr, self.fleet, "weather", NetworkConditions())
 
     def capacity(self, name):
         capacity = self.fates.choice([0.5, 1.0, 1.1, 2.0, 4.0])
@@ -201,9 +204,9 @@
             patience = takes + people.choice([0.3, 1.0])
             self.patient.append(f"i{number + 1}")
         # It comes no more when its deadline is over; no mark lasts for longer.
-        limit = fleet.pact.longest_mark_s - window
+        limit = fleet.settings.longest_mark_s - window
         tries = min(people.randrange(1, 5), int(limit / (patience + 0.8)))
-        question = Question(
+        question = AdmissionRequest(
             tenant=tenant,
             session=f"{people.randrange(SESSIONS):02}",
             key=f"k{number}",
@@ -226,7 +229,7 @@
     def play(self, quiet: float) -> dict:
         fleet, clock = self.fleet, self.fleet.clock
         founded = fleet.until(fleet.one_ring, 30.0)
-        fleet.run(fleet.pact.longest_mark_s + 3.0)  # until nothing of before its founding may be due
+        fleet.run(fleet.settings.longest_mark_s + 3.0)  # until nothing of before its founding may be due
         self.at = clock.now
         clock.after(0.0, self.client)
         clock.after(0.0, self.shopper)
@@ -240,19 +243,19 @@
         for name, place in fleet.places.items():
             if place.stopped:
                 place.go_on()
-            reads = {"reads": (1, 2)} if self.upgrade and place.pact.reads != (1, 2) else {}
+            reads = {"reads": (1, 2)} if self.upgrade and place.settings.reads != (1, 2) else {}
             if reads:
                 fleet.kill(name)
             if place.node is None:
                 fleet.start(name, **reads)
-        fleet.weather, self.cuts = Weather(), []
+        fleet.weather, self.cuts = NetworkConditions(), []
         self.joint()
         self.wrote("healed")
         return self.judged(founded, clients, quiet)
 
     def settled(self) -> bool:
         """One ring, of all that run, in the newest version that all read and the operator allows."""
-        ring, version = next(iter(self.fleet.nodes().values())).ring, self.fleet.pact.hold_version or 2
+        ring, version = next(iter(self.fleet.nodes().values())).ring, self.fleet.settings.hold_version or 2
         return (
             self.fleet.one_ring()
             and set(ring.names) == set(self.fleet.nodes())
@@ -267,7 +270,7 @@
         one_ring = fleet.until(self.settled, quiet) + 4.0
         equal = fleet.until(fleet.equal_copies, quiet, 0.5) + fleet.clock.now - healed
         # The fleet is as before: all that come are served.
-        self.requests, self.pressed = clients, PRESSED * LIMITS["shop"].rate
+        self.requests, self.pressed = clients, OVERLOAD_FACTOR * LIMITS["shop"].rate
         self.client()
         self.shopper()
         since = fleet.clock.now
@@ -301,7 +304,7 @@
             "marks_lost": lost,
             "over_limit": round(max(map(judge.over, judge.limits)), 3),
             "rings": len(judge.shown),
-            "notes": dict(sorted(fleet.noted.items())),
+            "events": dict(sorted(fleet.event_counts.items())),
         }
 
     def served(self, intents) -> float:
@@ -309,7 +312,7 @@
         return round(sum("completed" in self.fleet.outcomes[each] for each in intents) / len(intents), 4)
 
 
-def day(
+def run_day(
     seed: int,
     agents: int = 6,
     seconds: float = 60.0,
@@ -324,6 +327,7 @@
     """Figures of one day. `pause_s`: between faults, on average; `requests`: a second; `upgrade`: the program
     is brought up agent by agent, and one rolled back; `apart`: share by which monotonic clocks differ;
     `terms`: further keys of the operator file. "found" lists what the judge found; "one_ring_s" and "equal_s"
-    count from when all was healed, "served_after" and "shop_after" (of a limit that is asked for PRESSED
+    count from when all was healed, "served_after" and "shop_after" (of a limit that is asked for
+    OVERLOAD_FACTOR
     times) are of 20 s after that; "waited" is seconds; "messages" and "bytes" are by agent and second."""
-    return Day(seed, agents, seconds, pause_s, requests, upgrade, apart, terms).play(quiet)
+    return FaultSchedule(seed, agents, seconds, pause_s, requests, upgrade, apart, terms).play(quiet)
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -11,17 +11,18 @@
 import msgspec
 
 from cartdeal.fleet import codec
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.effects import DeliverDecision, SendMessage
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.simulation.invariant_checker import Judge
+from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-IN_SOCKETS = 2_000  # messages that the sockets of a stopped agent hold
+MAX_HELD_EVENTS = 2_000  # messages that the sockets of a stopped agent hold
 CELLS = 2  # of each zone, where servers stand
 
 
-class Weather(msgspec.Struct):
+class NetworkConditions(msgspec.Struct):
     """What the network does to messages; shares 0 to 1, times in seconds."""
 
     lose: float = 0.0
@@ -36,18 +37,18 @@
     """One that wants one effect and comes again when its agent dies or turns it back."""
 
     intent: str
-    question: Question
+    question: AdmissionRequest
     tries: int
     agents: tuple[str, ...]
     work_s: float
     patience_s: float
 
 
-class Place:
+class SimulatedHost:
     """Where an agent runs: its process, its clocks, its sockets."""
 
-    def __init__(self, fleet, pact: Pact):
-        self.fleet, self.pact = fleet, pact
+    def __init__(self, fleet, settings: FleetSettings):
+        self.fleet, self.settings = fleet, settings
         self.node: Node | None = None
         self.starts, self.stopped, self.held = 0, False, []
         self.rate, self.skew = 1.0, 0.0  # of its monotonic clock; of its wall clock
@@ -69,19 +70,19 @@
         self.starts, self.stopped, self.born, self.held = self.starts + 1, False, fleet.clock.now, []
         self.tickets = {}
         wall = 1_700_000_000.0 + fleet.clock.now + self.skew
-        fleet.judge.started(self.pact.name, fleet.clock.now, self.pact.reads)
-        make = fleet.makers.get(self.pact.name, Node)
-        self.node = make(self.pact, f"{fleet.seed}/{self.starts}", 1000.0, wall)
+        fleet.judge.started(self.settings.name, fleet.clock.now, self.settings.reads)
+        make = fleet.makers.get(self.settings.name, Node)
+        self.node = make(self.settings, f"{fleet.seed}/{self.starts}", 1000.0, wall)
         self.carry_out(self.node)
         self.tick(self.node)
 
     def kill(self):
         if self.node is None:
             return
-        self.fleet.judge.died(self.pact.name, self.fleet.clock.now)
+        self.fleet.judge.died(self.settings.name, self.fleet.clock.now)
         self.node, self.stopped, self.held, self.asked = None, False, [], {}
         for client, tries in list(self.tickets.values()):
-            self.fleet.broke_off(client, tries, self.pact.name)
+            self.fleet.broke_off(client, tries, self.settings.name)
         self.tickets = {}
 
     def stop(self):
@@ -100,7 +101,7 @@
         if not self.stopped:
             self.play(node.tick)
         if not once:
-            pause = self.pact.tick_s * (0.9 + 0.2 * self.fleet.random.random()) / self.rate
+            pause = self.settings.tick_s * (0.9 + 0.2 * self.fleet.random.random()) / self.rate
             self.fleet.clock.after(pause, self.tick, node)
 
     def play(self, event, *args):
@@ -109,7 +110,7 @@
         if node is None:
             return
         if self.stopped:
-            if len(self.held) < IN_SOCKETS:
+            if len(self.held) < MAX_HELD_EVENTS:
                 self.held.append((self.play, event, *args))
             return
         self.clocks(node)
@@ -117,29 +118,32 @@
         self.carry_out(node)
 
     def carry_out(self, node: Node):
-        asked, node.asked = node.asked, []
-        for verb, *args in asked:
-            if verb == "send":
-                self.fleet.carry(self, node, *args)
-            elif verb == "decided":
-                self.fleet.decided(self, *args)
+        effects, node.effects = node.effects, []
+        for effect in effects:
+            if type(effect) is SendMessage:
+                self.fleet.carry(self, node, effect.recipient, effect.address, effect.message)
+            elif type(effect) is DeliverDecision:
+                self.fleet.decided(
+                    self, effect.ticket, effect.decision, effect.retry_after_s, effect.earlier_attempts
+                )
             else:
-                self.fleet.notes.append((self.fleet.clock.now, self.pact.name, *args))
-                self.fleet.noted[args[0]] += 1
+                event = effect.event
+                self.fleet.events.append((self.fleet.clock.now, self.settings.name, event))
+                self.fleet.event_counts[event.MESSAGE] += 1
 
 
-class Memory:
-    """A fleet. `pact` is what all share; each agent gets its own name, zone, capacity."""
+class InMemoryFleet:
+    """A fleet. `settings` is what all share; each agent gets its own name, zone, capacity."""
 
-    def __init__(self, pact: Pact, seed: int, weather: Weather | None = None):
-        self.pact, self.seed, self.clock = pact, seed, SimulatedClock()
+    def __init__(self, settings: FleetSettings, seed: int, weather: NetworkConditions | None = None):
+        self.settings, self.seed, self.clock = settings, seed, SimulatedClock()
         self.random, self.fates = seeded_random(seed, "fleet"), seeded_random(seed, "weather")
-        self.weather = weather or Weather()
-        self.judge = Judge(pact)
+        self.weather = weather or NetworkConditions()
+        self.judge = InvariantChecker(settings)
         self.makers = {}  # name -> what makes its node, in place of Node
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, SimulatedHost] = {}
         self.cuts: set[tuple[str, str]] = set()  # (from, to) that nothing passes
-        self.count, self.noted, self.notes = Counter(), Counter(), []
+        self.count, self.event_counts, self.events = Counter(), Counter(), []
         self.bytes = Counter()
         self.outcomes: dict[str, list[str]] = {}
         self.waits: list[float] = []
@@ -147,11 +151,11 @@
 
     # Agents
 
-    def add(self, name: str, zone: str = "", start: bool = True, **changes) -> Place:
-        pact = msgspec.structs.replace(
-            self.pact, name=name, address=f"10.0.0.1:{len(self.places) + 1}", zone=zone, **changes
+    def add(self, name: str, zone: str = "", start: bool = True, **changes) -> SimulatedHost:
+        settings = msgspec.structs.replace(
+            self.settings, name=name, address=f"10.0.0.1:{len(self.places) + 1}", zone=zone, **changes
         )
-        self.places[name] = place = Place(self, pact)
+        self.places[name] = place = SimulatedHost(self, settings)
         if start:
             place.start()
         return place
@@ -161,7 +165,7 @@
 
     def start(self, name, **changes):
         place = self.places[name]
-        place.pact = msgspec.structs.replace(place.pact, **changes)
+        place.settings = msgspec.structs.replace(place.settings, **changes)
         place.start()
 
     def leave(self, name):
@@ -183,7 +187,7 @@
 
     def capacity(self, name, capacity: float):
         place = self.places[name]
-        place.pact = msgspec.structs.replace(place.pact, capacity=capacity)
+        place.settings = msgspec.structs.replace(place.settings, capacity=capacity)
         if place.node:
             place.play(lambda: place.node.members.about_me(capacity=capacity))
 
@@ -209,16 +213,18 @@
 
     def carry(self, place, node, to, address, words):
         weather, fates = self.weather, self.fates
-        raw = codec.encode(place.pact, node.name, node.life, node.address, int(node.wall * 1e3), words)
+        raw = codec.encode(
+            place.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), words
+        )
         datagram = type(words).DATAGRAM
         self.count["messages"] += 1
         self.count[type(words).__struct_config__.tag] += 1
         self.bytes[node.name] += len(raw)
-        self.judge.said(self.clock.now, node.name, node.life, to, words)
+        self.judge.said(self.clock.now, node.name, node.incarnation, to, words)
         target = self.places.get(to)
         if (node.name, to) in self.cuts or target and target.stopped:
             self.judge.out_of_reach(self.clock.now)
-        if target is None or target.pact.address != address or (node.name, to) in self.cuts:
+        if target is None or target.settings.address != address or (node.name, to) in self.cuts:
             return
         for _ in range(1 + (fates.random() < weather.double)):
             # A stream that breaks loses what is on its way, a datagram is just lost.
@@ -233,12 +239,12 @@
         place = self.places[to]
         if place.node is None or (sender, to) in self.cuts:
             return
-        heard = codec.decode(place.pact, raw)
+        heard = codec.decode(place.settings, raw)
         place.play(place.node.heard, *heard)
 
     # Clients
 
-    def intend(self, question: Question, agents, tries=1, work_s=0.05, patience_s=1.0) -> str:
+    def intend(self, question: AdmissionRequest, agents, tries=1, work_s=0.05, patience_s=1.0) -> str:
         """A client wants one effect; it comes to the first of the agents, then to the next."""
         self.intents += 1
         intent = f"i{self.intents}"
@@ -247,14 +253,14 @@
         self.come(Client(intent, question, tries, tuple(agents), work_s, patience_s), 0)
         return intent
 
-    def come_again(self, intent: str, question: Question, agent: str, work_s=0.05, patience_s=1.0):
+    def come_again(self, intent: str, question: AdmissionRequest, agent: str, work_s=0.05, patience_s=1.0):
         """The client of an earlier request comes once more, at another agent."""
         self.come(Client(intent, question, 2, (agent, agent), work_s, patience_s), 1)
 
     def come(self, client: Client, turn: int):
         place = self.places[client.agents[turn % len(client.agents)]]
         if place.node is None:
-            return self.broke_off(client, turn, place.pact.name)
+            return self.broke_off(client, turn, place.settings.name)
         place.issued += 1
         ticket = place.issued
         place.tickets[ticket] = client, turn
@@ -272,7 +278,7 @@
         found = place.tickets.get(ticket) if place.node is node else None
         if found:
             del place.tickets[ticket]
-            self.broke_off(*found, place.pact.name)
+            self.broke_off(*found, place.settings.name)
 
     def broke_off(self, client, turn, name):
         self.outcomes[client.intent].append("broke off")
@@ -285,27 +291,31 @@
     def decided(self, place, ticket, verdict, wait, earlier_attempts):
         if ticket in place.asked:
             self.waits.append(self.clock.now - place.asked.pop(ticket))
-            self.judge.waited(place.pact.name, self.waits[-1])
+            self.judge.waited(place.settings.name, self.waits[-1])
         found = place.tickets.get(ticket)
         if found is None:
             # Its client went away; what the fleet's word is meets nobody.
-            if verdict == "pass":
+            if verdict is AdmissionDecision.ADMIT:
                 place.node.ended(ticket, "never")
                 self.clock.after(0.0, self.flush, place, place.node)
             return
         client, turn = found
-        if verdict == "pass":
+        if verdict is AdmissionDecision.ADMIT:
             self.judge.went_on(client.question.tenant, self.clock.now)
             if client.question.marked:
                 key = f"s/{client.question.session}"
                 self.judge.marked(
-                    place.pact.name, self.clock.now, key, client.question.key, self.marks_at(place.node, key)
+                    place.settings.name,
+                    self.clock.now,
+                    key,
+                    client.question.key,
+                    self.marks_at(place.node, key),
                 )
             return self.clock.after(0.0, self.send_attempt, place, place.node, ticket, earlier_attempts)
         del place.tickets[ticket]
-        self.judge.answered(client.intent, self.clock.now, place.pact.name, verdict)
-        self.outcomes[client.intent].append(verdict)
-        if verdict != "terminate":
+        self.judge.answered(client.intent, self.clock.now, place.settings.name, verdict.value)
+        self.outcomes[client.intent].append(verdict.value)
+        if verdict is not AdmissionDecision.FAIL:
             self.again(client, turn, max(0.01, wait))
 
     def flush(self, place, node):
@@ -318,7 +328,7 @@
         if found is None:
             return
         client, turn = found
-        zone, cell = place.pact.zone, self.random.randrange(CELLS)
+        zone, cell = place.settings.zone, self.random.randrange(CELLS)
         for bound_zone, bound_cell, group, _ in earlier_attempts:
             if group == "zone":
                 zone = bound_zone
@@ -332,10 +342,10 @@
         if not good or place.stopped:
             place.tickets.pop(ticket)
             place.play(node.ended, ticket, "never")
-            self.outcomes[client.intent].append("terminate")
+            self.outcomes[client.intent].append(AdmissionDecision.FAIL.value)
             return
         place.play(node.went, ticket, zone, cell)
-        self.judge.attempt(client.intent, self.clock.now, zone, cell, place.pact.name)
+        self.judge.attempt(client.intent, self.clock.now, zone, cell, place.settings.name)
         self.clock.after(client.work_s, self.answer, place, node, ticket)
 
     def answer(self, place, node, ticket):
@@ -346,7 +356,7 @@
             return
         client, _ = found
         place.play(node.ended, ticket, "answered")
-        self.judge.answered(client.intent, self.clock.now, place.pact.name, "completed")
+        self.judge.answered(client.intent, self.clock.now, place.settings.name, "completed")
         self.outcomes[client.intent].append("completed")
 
     # What is looked at
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -9,11 +9,12 @@
 from typing import NamedTuple
 
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.errors import BadRecord
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.errors import InvalidRecordError
+from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import replica, schema
 from cartdeal.fleet.replication.catch_up import quorum
-from cartdeal.fleet.ring.hash_ring import Ring, Seat, least, owners, stepped
+from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
 
 HAIR = 1e-6
 SAMPLE = 300  # keys that are looked at when a ring changes
@@ -27,7 +28,7 @@
 }
 
 
-class Ran(NamedTuple):
+class Execution(NamedTuple):
     """An attempt that reached a server, which may have acted on it."""
 
     at: float
@@ -36,7 +37,7 @@
     agent: str
 
 
-class Written(NamedTuple):
+class WrittenRecord(NamedTuple):
     """A mark of a request that went on: it said that it was written."""
 
     at: float
@@ -44,21 +45,23 @@
     until_ms: int
 
 
-class Judge:
-    def __init__(self, pact: Pact):
-        self.pact, self.limits = pact, pact.limits
+class InvariantChecker:
+    def __init__(self, settings: FleetSettings):
+        self.settings, self.limits = settings, settings.limits
         self.violations: list[str] = []
         self.intents: dict[str, tuple] = {}  # intent -> (repeat, group, window)
-        self.ran: dict[str, list[Ran]] = defaultdict(list)
+        self.ran: dict[str, list[Execution]] = defaultdict(list)
         self.told: dict[str, list] = defaultdict(list)  # intent -> (at, agent, verdict)
         self.served: dict[str, list[float]] = defaultdict(list)  # tenant -> when a request of it went on
         # Processes
         self.starts: dict[str, list[float]] = defaultdict(list)
         self.deaths: list[tuple[float, str]] = []
         self.programs: dict[str, tuple[int, int]] = {}  # agent -> versions that its program reads
-        self.lives: dict[tuple[str, int], int] = {}  # (agent, life) -> number of the start that used it
+        self.incarnations: dict[
+            tuple[str, int], int
+        ] = {}  # (agent, incarnation) -> number of the start that used it
         # Rings, as they are said: by digest
-        seeds = tuple(Seat(name, "", 1.0) for name in sorted(pact.seeds))
+        seeds = tuple(RingMember(name, "", 1.0) for name in sorted(settings.seeds))
         self.rings = {Ring(0, seeds).digest: Ring(0, seeds)}
         self.base: dict[bytes, bytes] = {}
         self.ballots: dict[tuple, bytes] = {}  # (base, number, proposer) -> ring
@@ -73,7 +76,7 @@
         self.claims: dict[tuple[str, int, int], tuple[str, str, str, int]] = {}
         self.latest: dict[tuple[str, str, str], str] = {}  # (agent, record, key of the request) -> mark
         self.writers: dict[str, dict[str, None]] = defaultdict(dict)
-        self.marks: dict[tuple[str, str], Written] = {}
+        self.marks: dict[tuple[str, str], WrittenRecord] = {}
         self.until: dict[str, int] = {}
         self.unreached = -1.0  # when a message last met a cut, or an agent that was stopped
 
@@ -103,11 +106,11 @@
                     f"{intent}: deduplicated, ran {apart:.3f} s apart at {past.agent} and {agent}, "
                     f"{past.zone}/{past.cell} and {zone}/{cell}"
                 )
-        before.append(Ran(at, zone, cell, agent))
+        before.append(Execution(at, zone, cell, agent))
 
     def answered(self, intent: str, at: float, agent: str, verdict: str):
         repeat, group, window = self.intents[intent]
-        if verdict in ("turn_back", "limited"):
+        if verdict in (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value):
             for past in self.ran[intent]:
                 if repeat == "u" or repeat == "d" and (group != "all" or at - past.at > window + HAIR):
                     self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
@@ -115,7 +118,7 @@
 
     def waited(self, agent: str, seconds: float):
         """For the fleet's word. A tick more than is allowed, as that's when an agent looks at its clock."""
-        if seconds > self.pact.wait_s + 1.2 * self.pact.tick_s:
+        if seconds > self.settings.wait_s + 1.2 * self.settings.tick_s:
             self.violated(f"{agent}: a request waited for {seconds:.3f} s")
 
     def went_on(self, tenant: str, at: float):
@@ -134,26 +137,26 @@
     def out_of_reach(self, at: float):
         self.unreached = at
 
-    def said(self, at: float, sender: str, life: int, to: str, words):
+    def said(self, at: float, sender: str, incarnation: int, to: str, words):
         start = len(self.starts[sender])
-        if self.lives.setdefault((sender, life), start) != start:
-            self.violated(f"{sender}: life {life} given out twice")
-            self.lives[sender, life] = start
+        if self.incarnations.setdefault((sender, incarnation), start) != start:
+            self.violated(f"{sender}: incarnation {incarnation} given out twice")
+            self.incarnations[sender, incarnation] = start
         kind = type(words)
-        if kind is replica.Claim:
+        if kind is replica.WriteRequest:
             self.claimed(sender, words)
-        elif kind is replica.Told:
-            if words.wrote and (to, words.life, words.number) in self.claims:
-                self.writers[self.claims[to, words.life, words.number][2]][sender] = None
+        elif kind is replica.WriteResponse:
+            if words.wrote and (to, words.incarnation, words.number) in self.claims:
+                self.writers[self.claims[to, words.incarnation, words.number][2]][sender] = None
         elif kind.__module__ == ring_consensus.__name__:
             self.of_rings(at, sender, to, words)
 
     def of_rings(self, at, sender, to, words):
         kind = type(words)
-        if kind is ring_consensus.Whole:
+        if kind is ring_consensus.RingSnapshot:
             self.rings.setdefault(words.former.digest, words.former)
             self.learn(words.former.digest, words.step)
-        elif kind is ring_consensus.Next:
+        elif kind is ring_consensus.RingUpdate:
             self.learn(words.step.base, words.step)
         else:
             if kind is ring_consensus.Accept:
@@ -172,7 +175,7 @@
     def learn(self, base: bytes, step) -> Ring | None:
         if base not in self.rings:
             return None
-        ring = stepped(self.rings[base], step)
+        ring = apply_step(self.rings[base], step)
         self.rings[ring.digest] = ring
         self.base.setdefault(ring.digest, base)
         return ring
@@ -237,7 +240,7 @@
                 former.by_name.get(name) == ring.by_name.get(name) for name in (here, there)
             ):
                 return self.violated(f"epoch {ring.epoch}: a key moved from {here} to {there}, which stayed")
-        share = least(former, ring)
+        share = minimal_movement(former, ring)
         if moves / SAMPLE > 2 * share / (1 + share) + ALLOWANCE:
             self.violated(f"epoch {ring.epoch}: {moves / SAMPLE:.2f} of the keys moved, {share:.2f} had to")
 
@@ -248,7 +251,7 @@
             return
         try:
             mark = schema.decode("s", words.record).marks.get(words.by)
-        except BadRecord:
+        except InvalidRecordError:
             mark = None
         if mark is None:
             return self.violated(f"{agent}: claims {words.by} without it")
@@ -256,7 +259,7 @@
         if self.fixed.setdefault(words.by, fixed) != fixed:
             self.violated(f"{agent}: gave out {words.by} twice")
         self.until[words.by] = mark.until_ms
-        self.claims[agent, words.life, words.number] = words.key, mark.key, words.by, mark.until_ms
+        self.claims[agent, words.incarnation, words.number] = words.key, mark.key, words.by, mark.until_ms
         self.latest[agent, words.key, mark.key] = words.by
 
     def marked(self, agent: str, at: float, record: str, key: str, own_copy):
@@ -267,11 +270,11 @@
         if by is None and ring is not None and len(ring.seats) == 1:
             return  # nobody to tell
         has = {**self.writers[by], **({agent: None} if by in own_copy else {})}
-        need = quorum(self.pact, ring)[1] if ring else self.pact.write_by
+        need = quorum(self.settings, ring)[1] if ring else self.settings.write_by
         if len(has) < need:
             self.violated(f"{agent}: went on though {by} was written at {len(has)} of {need}")
         if by:
-            self.marks[record, by] = Written(at, agent, self.until[by])
+            self.marks[record, by] = WrittenRecord(at, agent, self.until[by])
 
     def lost(self, copies: dict[str, dict], now: float, wall_ms: float) -> int:
         """Marks that are not over and that no copy has. `copies`: agent -> record -> its marks. There is no
@@ -283,8 +286,8 @@
                 continue
             lost += 1
             down = self.down_at_once(each.at, now)
-            most = self.pact.copies if self.unreached < each.at else self.pact.write_by
-            if down < min(most, len(self.pact.seeds)):
+            most = self.settings.copies if self.unreached < each.at else self.settings.write_by
+            if down < min(most, len(self.settings.seeds)):
                 self.violated(f"{by}: lost, though no more than {down} agents were down at once")
         return lost
 
@@ -318,10 +321,10 @@
         Runs a bucket of the limit over what was served, as a server of the whole fleet would have; anew
         where another version came to govern, and once with room for a change over the whole time.
         """
-        limit, pact, times = self.limits[tenant], self.pact, sorted(self.served[tenant])
-        by_period = 2 * limit.rate * pact.period_s + pact.copies
+        limit, settings, times = self.limits[tenant], self.settings, sorted(self.served[tenant])
+        by_period = 2 * limit.rate * settings.period_s + settings.copies
         versions = self.versions()
-        rest = pact.lease_s * (1 + pact.clock_drift) + 2 * pact.period_s
+        rest = settings.lease_s * (1 + settings.clock_drift) + 2 * settings.period_s
         worst = self.overfull(times, limit.rate, limit.burst + by_period)
         for (at, version), (end, _) in zip(versions, [*versions[1:], (float("inf"), 0)], strict=True):
             here = [each for each in times if (at + rest if at else 0.0) <= each < end]
--- a/cartdeal/fleet/transport.py
+++ b/cartdeal/fleet/transport.py
@@ -8,6 +8,7 @@
 
 import logging
 from collections import Counter, OrderedDict, deque
+from collections.abc import Callable
 from random import Random
 from time import monotonic, time
 from typing import NamedTuple
@@ -19,31 +20,36 @@
 
 from cartdeal.fleet import codec
 from cartdeal.fleet.configuration import address as place
-from cartdeal.fleet.errors import TooLong, Trouble, UnknownWords
+from cartdeal.fleet.effects import DeliverDecision, SendMessage, WriteLog
+from cartdeal.fleet.errors import FleetError, MessageTooLargeError, UnknownMessageError
+from cartdeal.fleet.metrics import Metric
 from cartdeal.sockets import BindError, bind_socket
 from cartdeal.supervision import RESTART_DELAY, supervise
 
-CONNECT = 1.0  # how long a connection to a peer may take
-STALLED = 2.0  # how long a peer may take to accept what is written
-FIRST_PAUSE, LONGEST_PAUSE = 0.1, 3.0  # between tries to connect, by chance 0.5 to 1.5 times that
-STALE = 5.0  # what has waited for so long is not sent any more: who asked has given up
-IDLE = 30.0  # after which a stream that carries nothing is closed by the one that writes ...
-SILENT = 90.0  # ... and by the one that reads
-GREET = 2.0  # how long a connection may take to its first message
-STRANGERS = 1024  # connections that have brought none yet
+CONNECT_TIMEOUT_S = 1.0  # how long a connection to a peer may take
+WRITE_TIMEOUT_S = 2.0  # how long a peer may take to accept what is written
+FIRST_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = (
+    0.1,
+    3.0,
+)  # between tries to connect, by chance 0.5 to 1.5 times that
+MAX_QUEUE_AGE_S = 5.0  # what has waited for so long is not sent any more: who asked has given up
+WRITER_IDLE_TIMEOUT_S = 30.0  # after which a stream that carries nothing is closed by the one that writes ...
+READER_IDLE_TIMEOUT_S = 90.0  # ... and by the one that reads
+FIRST_MESSAGE_TIMEOUT_S = 2.0  # how long a connection may take to its first message
+MAX_UNIDENTIFIED_CONNECTIONS = 1024  # connections that have brought none yet
 BACKLOG = 1024  # connections that wait to be accepted
-QUEUE = 1024  # messages that wait for one peer
-BATCH = 65536  # bytes written at once, or little more
-READ = 65536  # bytes read at once
-TURN = 16  # datagrams read before the others have a turn
-NOTED = 1024  # faults of peers that are remembered as told
-REPORT = 60.0  # seconds between lines of figures
-DOORS = 20  # tries to find one port for both kinds of socket
+MAX_QUEUED_MESSAGES = 1024  # messages that wait for one peer
+WRITE_BATCH_BYTES = 65536  # bytes written at once, or little more
+READ_BYTES = 65536  # bytes read at once
+DATAGRAMS_PER_TURN = 16  # datagrams read before the others have a turn
+MAX_REPORTED_FAULTS = 1024  # faults of peers that are remembered as told
+REPORT_INTERVAL_S = 60.0  # seconds between lines of figures
+BIND_ATTEMPTS = 20  # tries to find one port for both kinds of socket
 
 log = logging.getLogger("cartdeal.fleet")
 
 
-class Bounds(NamedTuple):
+class TransportLimits(NamedTuple):
     """What the host may take: connections each way, bytes of messages that wait, bytes of those half come."""
 
     streams: int = 1024
@@ -51,7 +57,7 @@
     half: int = 16 << 20
 
 
-class Road:
+class PeerConnection:
     """What waits for one peer's stream, and the greenlet that writes it."""
 
     def __init__(self, address):
@@ -59,24 +65,30 @@
         self.used, self.greenlet = monotonic(), None
 
 
-class Host:
-    """`make(pact, seed, now, wall)` gives the node; `decided(ticket, verdict, wait, heed)` gets its words on
+class PeerTransport:
+    """`make(settings, seed, now, wall)` gives the node; `decided(ticket, verdict, wait, heed)` gets its words
+    on
     a request. Raises BindError."""
 
-    def __init__(self, pact, listen, make, decided, bounds: Bounds | None = None):
-        self.words, self.listener = doors(listen)
+    def __init__(self, settings, listen, make, decided, bounds: TransportLimits | None = None):
+        self.words, self.listener = listeners(listen)
         self.port = self.listener.getsockname()[1]
-        if not place(pact.address):
-            pact = replace(pact, address=f"{listen[0]}:{self.port}")
-        self.pact, self.decided, self.bounds = pact, decided, bounds or Bounds()
-        self.random, self.figured = Random(), Counter()
+        if not place(settings.address):
+            settings = replace(settings, address=f"{listen[0]}:{self.port}")
+        self.settings, self.decided, self.bounds = settings, decided, bounds or TransportLimits()
+        self.random = Random()
+        self.counters: Counter[str] = Counter()
         self.events, self.busy = deque(), False
-        self.roads: OrderedDict[tuple, Road] = OrderedDict()  # the one least lately used first
+        self.roads: OrderedDict[tuple, PeerConnection] = OrderedDict()  # the one least lately used first
         self.waiting = self.half = 0
         self.readers: dict = {}  # greenlet of each connection from a peer -> [socket, known, last heard]
         self.told: OrderedDict[tuple, float] = OrderedDict()
-        self.verbs = {"send": self.send, "decided": decided, "note": self.note}
-        self.node = make(pact, self.random.getrandbits(64), monotonic(), time())
+        self.handlers: dict[type, Callable] = {
+            SendMessage: self.send,
+            DeliverDecision: decided,
+            WriteLog: self.write_log,
+        }
+        self.node = make(settings, self.random.getrandbits(64), monotonic(), time())
 
     def start(self):
         self.carry_out()
@@ -112,31 +124,31 @@
             getattr(node, event)(*args)
         except Exception:
             # A broken part must not take the agent with it; the gate answers what it leaves undecided.
-            self.figured["events failed"] += 1
+            self.increment(Metric.EVENTS_FAILED)
             log.exception("event failed", extra={"event": event})
         self.carry_out()
 
     def carry_out(self):
-        asked, self.node.asked = self.node.asked, []
-        for verb, *args in asked:
+        effects, self.node.effects = self.node.effects, []
+        for effect in effects:
             try:
-                self.verbs[verb](*args)
+                self.handlers[type(effect)](effect)
             except Exception:
-                self.figured["effects failed"] += 1
-                log.exception("effect failed", extra={"effect": verb})
+                self.increment(Metric.EFFECTS_FAILED)
+                log.exception("effect failed", extra={"effect": type(effect).__name__})
 
     def tick(self):
         while True:
-            gevent.sleep(self.pact.tick_s * (0.9 + 0.2 * self.random.random()))
+            gevent.sleep(self.settings.tick_s * (0.9 + 0.2 * self.random.random()))
             self.dispatch("tick")
 
     def report(self):
         while True:
-            gevent.sleep(REPORT * (0.9 + 0.2 * self.random.random()))
+            gevent.sleep(REPORT_INTERVAL_S * (0.9 + 0.2 * self.random.random()))
             log.info(
                 "figures",
                 extra={
-                    "words": " ".join(
+                    "text": " ".join(
                         f"{key.replace(' ', '_')}={value}" for key, value in sorted(self.figures().items())
                     )
                 },
@@ -145,32 +157,42 @@
     def figures(self) -> dict:
         return {
             **self.node.figures(),
-            **self.figured,
+            **self.counters,
             "streams out": len(self.roads),
             "streams in": len(self.readers),
             "bytes waiting": self.waiting,
         }
 
-    def note(self, kind: str, about: dict):
-        log.info(kind, extra={"words": " ".join(f"{key}={value}" for key, value in about.items())})
+    def increment(self, counter: str, by: int = 1):
+        """Adds to a counter of the transport's own."""
+        self.counters[counter] += by
+
+    def write_log(self, effect: WriteLog):
+        """Writes an event of the node to the log."""
+        fields = effect.event.fields()
+        log.info(
+            effect.event.MESSAGE, extra={"text": " ".join(f"{key}={value}" for key, value in fields.items())}
+        )
 
     # To peers
 
-    def send(self, to: str, address: str, words):
+    def send(self, effect: SendMessage):
+        """Sends a message by datagram or stream, as its type says."""
+        to, address, words = effect.recipient, effect.address, effect.message
         at = place(address)
         if at is None:
-            self.figured["dropped no address"] += 1
+            self.increment(Metric.DROPPED_NO_ADDRESS)
             return self.tell_once("bad address", to, f"{to} at {str(address)[:64]!r}")
         try:
-            raw = codec.inner(words)
-        except TooLong as trouble:
-            self.figured["dropped too long"] += 1
-            return self.tell_once("not sent", type(words).__name__, str(trouble))
+            raw = codec.encode_message(words)
+        except MessageTooLargeError as error:
+            self.increment(Metric.DROPPED_TOO_LARGE)
+            return self.tell_once("not sent", type(words).__name__, str(error))
         if words.DATAGRAM:
             try:
                 self.words.sendto(self.stamped(raw), at)
             except OSError:  # a full buffer is one, too: a datagram may be lost
-                self.figured["dropped datagrams"] += 1
+                self.increment(Metric.DROPPED_DATAGRAMS)
         else:
             self.queue(at, raw)
 
@@ -178,32 +200,36 @@
         """What has waited is stamped when it goes out: its time would seem that of a clock behind."""
         node = self.node
         wall = node.wall + monotonic() - node.now
-        text = codec.enveloped(self.pact, node.name, node.life, node.address, int(wall * 1e3), raw)
-        self.figured["sent messages"] += 1
-        self.figured["sent bytes"] += len(text)
+        text = codec.seal_message(
+            self.settings, node.name, node.incarnation, node.address, int(wall * 1e3), raw
+        )
+        self.increment(Metric.SENT_MESSAGES)
+        self.increment(Metric.SENT_BYTES, len(text))
         return text
 
     def queue(self, at, raw: bytes):
         road = self.roads.get(at)
         if road is None:
             if len(self.roads) >= self.bounds.streams and not self.close_least_used():
-                self.figured["dropped no stream"] += 1
+                self.increment(Metric.DROPPED_NO_STREAM)
                 return
-            road = self.roads[at] = Road(at)
+            road = self.roads[at] = PeerConnection(at)
             road.greenlet = gevent.spawn(self.write, road)
         self.roads.move_to_end(at)
-        while road.queue and (len(road.queue) >= QUEUE or self.waiting + len(raw) > self.bounds.waiting):
+        while road.queue and (
+            len(road.queue) >= MAX_QUEUED_MESSAGES or self.waiting + len(raw) > self.bounds.waiting
+        ):
             self.take(road)
-            self.figured["dropped oldest"] += 1
+            self.increment(Metric.DROPPED_OLDEST)
         if self.waiting + len(raw) > self.bounds.waiting:
-            self.figured["dropped no memory"] += 1
+            self.increment(Metric.DROPPED_NO_MEMORY)
             return
         road.queue.append((monotonic(), raw))
         self.waiting += len(raw)
         road.used = monotonic()
         road.more.set()
 
-    def take(self, road: Road) -> bytes:
+    def take(self, road: PeerConnection) -> bytes:
         _, raw = road.queue.popleft()
         self.waiting -= len(raw)
         return raw
@@ -217,13 +243,13 @@
                 return True
         return False
 
-    def write(self, road: Road):
-        sock, pause = None, FIRST_PAUSE
+    def write(self, road: PeerConnection):
+        sock, pause = None, FIRST_RECONNECT_DELAY_S
         try:
             while True:
                 while not road.queue:
                     road.more.clear()
-                    if not road.more.wait(IDLE):
+                    if not road.more.wait(WRITER_IDLE_TIMEOUT_S):
                         return
                 try:
                     if sock is not None and ended(sock):
@@ -233,15 +259,15 @@
                         sock = connected(road.address)
                     text = self.batch(road)
                     if text:
-                        sock.settimeout(STALLED)
+                        sock.settimeout(WRITE_TIMEOUT_S)
                         sock.sendall(text)
-                        pause = FIRST_PAUSE
+                        pause = FIRST_RECONNECT_DELAY_S
                 except OSError:
                     # What was on its way is lost: whether the peer has read it can't be known.
-                    self.figured["streams failed"] += 1
+                    self.increment(Metric.STREAMS_FAILED)
                     sock = sock and sock.close()
                     gevent.sleep(pause * (0.5 + self.random.random()))
-                    pause = min(LONGEST_PAUSE, 2 * pause)
+                    pause = min(MAX_RECONNECT_DELAY_S, 2 * pause)
                     self.drop_stale(road)
         except Exception:
             log.exception("stream died", extra={"address": road.address})
@@ -253,18 +279,18 @@
             if self.roads.get(road.address) is road:
                 del self.roads[road.address]
 
-    def batch(self, road: Road) -> bytes:
+    def batch(self, road: PeerConnection) -> bytes:
         self.drop_stale(road)
         parts, size = [], 0
-        while road.queue and size < BATCH:
-            parts.append(codec.framed(self.stamped(self.take(road))))
+        while road.queue and size < WRITE_BATCH_BYTES:
+            parts.append(codec.frame_message(self.stamped(self.take(road))))
             size += len(parts[-1])
         return b"".join(parts)
 
-    def drop_stale(self, road: Road):
-        while road.queue and road.queue[0][0] < monotonic() - STALE:
+    def drop_stale(self, road: PeerConnection):
+        while road.queue and road.queue[0][0] < monotonic() - MAX_QUEUE_AGE_S:
             self.take(road)
-            self.figured["dropped stale"] += 1
+            self.increment(Metric.DROPPED_STALE)
 
     def flush(self, until: float):
         """Waits until all is written, or the time is up."""
@@ -277,29 +303,29 @@
         turn = 0
         while True:
             turn += 1
-            if not turn % TURN:
+            if not turn % DATAGRAMS_PER_TURN:
                 gevent.sleep(0)  # one that sends without pause must not have the agent for itself
             try:
-                text, peer = self.words.recvfrom(codec.LONGEST_DATAGRAM + 1)
+                text, peer = self.words.recvfrom(codec.MAX_DATAGRAM + 1)
             except BlockingIOError:
                 socket.wait_read(self.words.fileno())
                 continue
-            self.take_in(text, peer, codec.LONGEST_DATAGRAM)
+            self.take_in(text, peer, codec.MAX_DATAGRAM)
 
     def accept(self):
         while True:
             try:
                 sock, peer = self.listener.accept()
-            except OSError as trouble:
-                log.warning("accept failed", extra={"words": str(trouble)})
+            except OSError as error:
+                log.warning("accept failed", extra={"text": str(error)})
                 gevent.sleep(RESTART_DELAY)
                 continue
             strangers = [each for each, (_, known, _) in self.readers.items() if not known]
-            if len(strangers) >= STRANGERS or len(self.readers) >= self.bounds.streams:
+            if len(strangers) >= MAX_UNIDENTIFIED_CONNECTIONS or len(self.readers) >= self.bounds.streams:
                 # The one longest silent goes, one that has said nothing yet first: it comes again when it has
                 # something to say.
                 least = min(strangers or self.readers, key=lambda each: self.readers[each][2])
-                self.figured["closed no room"] += 1
+                self.increment(Metric.CLOSED_NO_ROOM)
                 self.readers.pop(least)[0].close()
                 least.kill(block=False)
             reader = gevent.spawn(self.read, sock, peer)
@@ -307,29 +333,29 @@
             gevent.sleep(0)  # what it has said already is read before the next one may take its place
 
     def read(self, sock, peer):
-        state, frames, half = self.readers[gevent.getcurrent()], codec.Frames(), 0
-        until = monotonic() + GREET
+        state, frames, half = self.readers[gevent.getcurrent()], codec.FrameReader(), 0
+        until = monotonic() + FIRST_MESSAGE_TIMEOUT_S
         try:
             while True:
-                sock.settimeout(SILENT if state[1] else max(0.001, until - monotonic()))
-                more = sock.recv(READ)
+                sock.settimeout(READER_IDLE_TIMEOUT_S if state[1] else max(0.001, until - monotonic()))
+                more = sock.recv(READ_BYTES)
                 if not more:
                     return
                 messages = frames.dispatch(more)
                 self.half += len(frames.rest) - half
                 half = len(frames.rest)
                 for text in messages:
-                    if not self.take_in(text, peer, codec.LONGEST_FRAME):
+                    if not self.take_in(text, peer, codec.MAX_FRAME):
                         return
                     state[1], state[2] = True, monotonic()
                 if self.half > self.bounds.half:
-                    self.figured["closed half"] += 1
+                    self.increment(Metric.CLOSED_PARTIAL_MESSAGES)
                     return
                 gevent.sleep(0)
         except TimeoutError:
-            self.figured["closed silent"] += 1
-        except Trouble as trouble:
-            self.refuse(trouble, peer)
+            self.increment(Metric.CLOSED_IDLE)
+        except FleetError as error:
+            self.refuse(error, peer)
         except OSError:
             pass
         finally:
@@ -340,38 +366,38 @@
     def take_in(self, text: bytes, peer, most: int) -> bool:
         """Whether the one who said it may go on."""
         try:
-            said = codec.decode(self.pact, text, most)
-        except UnknownWords as trouble:
-            self.refuse(trouble, peer)
+            said = codec.decode(self.settings, text, most)
+        except UnknownMessageError as error:
+            self.refuse(error, peer)
             return True
-        except Trouble as trouble:
-            self.refuse(trouble, peer)
+        except FleetError as error:
+            self.refuse(error, peer)
             return False
-        self.figured["heard messages"] += 1
-        self.figured["heard bytes"] += len(text)
+        self.increment(Metric.RECEIVED_MESSAGES)
+        self.increment(Metric.RECEIVED_BYTES, len(text))
         self.dispatch("heard", *said)
         return True
 
-    def refuse(self, trouble: Trouble, peer):
-        kind = type(trouble).__name__
-        self.figured[f"refused {kind}"] += 1
-        self.tell_once("refused", (kind, peer[0]), f"{kind} from {peer[0]}:{peer[1]}: {trouble}")
+    def refuse(self, error: FleetError, peer):
+        kind = type(error).__name__
+        self.increment(f"refused {kind}")
+        self.tell_once("refused", (kind, peer[0]), f"{kind} from {peer[0]}:{peer[1]}: {error}")
 
     def tell_once(self, what: str, about, words: str):
         """Of one fault of one peer the log has one line in a while; the figures have them all."""
         now = monotonic()
         if now < self.told.get((what, about), 0.0):
             return
-        self.told[what, about] = now + REPORT
+        self.told[what, about] = now + REPORT_INTERVAL_S
         self.told.move_to_end((what, about))
-        if len(self.told) > NOTED:
+        if len(self.told) > MAX_REPORTED_FAULTS:
             self.told.popitem(last=False)
-        log.warning(what, extra={"words": words})
+        log.warning(what, extra={"text": words})
 
 
-def doors(listen):
+def listeners(listen):
     """A socket for datagrams and one that listens, on one port."""
-    for left in reversed(range(DOORS if listen[1] == 0 else 1)):
+    for left in reversed(range(BIND_ATTEMPTS if listen[1] == 0 else 1)):
         listener = bind_socket(socket.SOCK_STREAM, listen)
         try:
             words = bind_socket(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
@@ -389,7 +415,7 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.settimeout(CONNECT)
+        sock.settimeout(CONNECT_TIMEOUT_S)
         sock.connect(at)
     except BaseException:
         sock.close()
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -105,10 +105,10 @@
 
 def memory(seed, agents: int, limits: dict, **terms):
     """A fleet whose first agents found it; all start within a second."""
-    from cartdeal.fleet.context import Pact
-    from cartdeal.fleet.simulation.in_memory_fleet import Memory
+    from cartdeal.fleet.context import FleetSettings
+    from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
-    class Counted(Memory):
+    class Counted(InMemoryFleet):
         """Counts bytes by tag, too."""
 
         bytes_by_tag = Counter()
@@ -120,7 +120,7 @@
 
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
     fleet, fates = (
-        Counted(Pact(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
+        Counted(FleetSettings(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
         seeded_random(seed, "starts"),
     )
     fleet.bytes_by_tag = Counter()
@@ -140,11 +140,11 @@
 def answers(fleet, names) -> bool:
     """Whether each of these completes requests with marks. One that founds a fleet knows nothing of what was
     before it for as long as a mark may last."""
-    from cartdeal.fleet.idempotency import Question
+    from cartdeal.fleet.idempotency import AdmissionRequest
 
     asked = [
         fleet.intend(
-            Question(
+            AdmissionRequest(
                 tenant="", session=f"probe {fleet.intents}", key="k", repeat="u", limit_s=2.0, workload="w"
             ),
             [name],
@@ -194,18 +194,18 @@
 
 def copies(terms: Copies, seed: int) -> dict:
     """Messages and bytes are an agent's in a second; times are from the start, and from when the cut ends."""
-    from cartdeal.fleet.context import Limit
-    from cartdeal.fleet.idempotency import Question
+    from cartdeal.fleet.context import RateLimit
+    from cartdeal.fleet.idempotency import AdmissionRequest
 
     agents, coming = terms.agents, terms.rate * terms.agents
-    fleet = memory(seed, agents, {"shop": Limit(2 * coming, coming)})
+    fleet = memory(seed, agents, {"shop": RateLimit(2 * coming, coming)})
     people, names = seeded_random(seed, "people"), list(fleet.places)
     intents, going = [], [True]
 
     def client():
         if going[0]:
             session = f"{people.randrange(10 * agents)}"
-            question = Question(
+            question = AdmissionRequest(
                 tenant="shop", session=session, key=f"k{fleet.intents}", repeat="u", limit_s=2.0, workload="w"
             )
             intents.append(fleet.intend(question, [people.choice(names)]))
@@ -255,9 +255,9 @@
 
 
 def days(terms: Days, seed: int) -> dict:
-    from cartdeal.fleet.simulation.fault_schedule import day
+    from cartdeal.fleet.simulation.fault_schedule import run_day
 
-    row = day(
+    row = run_day(
         seed,
         terms.agents,
         terms.seconds,
@@ -277,16 +277,16 @@
     """Agents are told to end and come back with a program that reads (1, 2) in place of (1, 1), one after the
     other. Served: of requests without a limit, two thirds of them with a mark; clients try three agents.
     Budget: what the limited tenant got of its rate. Times are from the first restart."""
-    from cartdeal.fleet.context import Limit
-    from cartdeal.fleet.idempotency import Question
+    from cartdeal.fleet.context import RateLimit
+    from cartdeal.fleet.idempotency import AdmissionRequest
 
-    fleet = memory(seed, terms.agents, {"shop": Limit(terms.limit, terms.limit)}, reads=(1, 1))
+    fleet = memory(seed, terms.agents, {"shop": RateLimit(terms.limit, terms.limit)}, reads=(1, 1))
     people, names, judge = seeded_random(seed, "people"), list(fleet.places), fleet.judge
     open_, lost = [], {}
 
     def free():
         repeat = people.choice(("i", "d", "u"))
-        question = Question(
+        question = AdmissionRequest(
             tenant="",
             session=f"{people.randrange(200)}",
             key=f"k{fleet.intents}",
@@ -299,7 +299,7 @@
         fleet.clock.after(people.expovariate(terms.requests), free)
 
     def limited():
-        fleet.intend(Question(tenant="shop", workload="w"), people.sample(names, 2))
+        fleet.intend(AdmissionRequest(tenant="shop", workload="w"), people.sample(names, 2))
         fleet.clock.after(people.expovariate(2 * terms.limit), limited)
 
     def look():
--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -11,8 +11,17 @@
 
 import numpy as np
 
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.ring.hash_ring import Damper, Ring, Seat, least, moved, number, owners, plan
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.ring.hash_ring import (
+    Damper,
+    Ring,
+    RingMember,
+    hash_number,
+    minimal_movement,
+    moved_share,
+    owners,
+    plan,
+)
 
 KEYS = 50_000  # for loads
 COPIED = 1_500  # keys, for copies
@@ -21,16 +30,16 @@
 STEP = 0.5  # seconds between two looks of the damper
 
 
-def fleet(seed: int, agents: int) -> dict[str, Seat]:
+def fleet(seed: int, agents: int) -> dict[str, RingMember]:
     """Capacities of 1 to 64, as many between 1 and 2 as between 32 and 64; three zones."""
     dice = Random(f"{seed} {agents}")
     return {
-        name: Seat(name, f"z{place % 3}", float(round(2 ** dice.uniform(0, 6))))
+        name: RingMember(name, f"z{place % 3}", float(round(2 ** dice.uniform(0, 6))))
         for place, name in enumerate(f"agent-{place:04}" for place in range(agents))
     }
 
 
-def story(event: str, seats: dict[str, Seat], seed: int) -> list[tuple[float, dict[str, Seat]]]:
+def story(event: str, seats: dict[str, RingMember], seed: int) -> list[tuple[float, dict[str, RingMember]]]:
     """Who is live from when on (seconds), the same for all variants; the first is in force before."""
     name = max(seats, key=lambda each: (seats[each].capacity, each))
     largest, rest = seats[name], {each: seat for each, seat in seats.items() if each != name}
@@ -39,7 +48,7 @@
     if event == "leave":
         return [(0.0, seats), (10.0, rest)]
     if event == "capacity":  # of the largest, to a half
-        return [(0.0, seats), (10.0, seats | {name: Seat(name, largest.zone, largest.capacity / 2)})]
+        return [(0.0, seats), (10.0, seats | {name: RingMember(name, largest.zone, largest.capacity / 2)})]
     if event == "turnover":  # three join in one step while the largest fails
         names = sorted(rest)[:3]
         return [(0.0, {each: seat for each, seat in seats.items() if each not in names}), (10.0, rest)]
@@ -49,14 +58,14 @@
 
     def wobbling():
         return {
-            each: Seat(each, seat.zone, seat.capacity * dice.choice((0.9, 1.1)))
+            each: RingMember(each, seat.zone, seat.capacity * dice.choice((0.9, 1.1)))
             for each, seat in seats.items()
         }
 
     return [(0.0, seats), *((10.0 + turn, wobbling()) for turn in range(10)), (20.0, seats)]
 
 
-def drawn(seats: dict[str, Seat], epoch=1) -> Ring:
+def drawn(seats: dict[str, RingMember], epoch=1) -> Ring:
     return Ring(epoch, tuple(seats[name] for name in sorted(seats)))
 
 
@@ -64,16 +73,16 @@
 
 
 def damped(told):
-    pact = Pact(fleet="lab", name="lab")
-    damper, ring, now, last = Damper(pact), drawn(told[0][1]), 0.0, told[-1][0]
+    fleet_settings = FleetSettings(fleet="lab", name="lab")
+    damper, ring, now, last = Damper(fleet_settings), drawn(told[0][1]), 0.0, told[-1][0]
     rings, quiet, left = [ring], 0, list(told)
-    while now <= last or quiet < 8 * pact.damp_s:
+    while now <= last or quiet < 8 * fleet_settings.damp_s:
         if left and left[0][0] <= now:
             live = {
-                name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, life=1)
+                name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, incarnation=1)
                 for name, seat in left.pop(0)[1].items()
             }
-        new = plan(ring, damper.wanted(live, ring, now), pact.step_share)
+        new = plan(ring, damper.wanted(live, ring, now), fleet_settings.step_share)
         if new is not ring:
             rings.append(new)
         quiet, ring, now = 0 if new is not ring else quiet + 1, new, now + STEP
@@ -93,7 +102,7 @@
         for seat in ring.seats:
             many = max(1, round(POINTS * seat.capacity))
             had = known.setdefault(seat.name, [])
-            had += [number(b"%s/%d" % (seat.name.encode(), n)) for n in range(len(had), many)]
+            had += [hash_number(b"%s/%d" % (seat.name.encode(), n)) for n in range(len(had), many)]
             spots.append(np.array(had[:many], dtype=np.uint64))
         spot = np.concatenate(spots)
         order = np.argsort(spot, kind="stable")
@@ -117,12 +126,12 @@
 
 
 def key_spots(seed: int, many: int) -> np.ndarray:
-    return np.array([number(b"%d/%d" % (seed, n)) for n in range(many)], dtype=np.uint64)
+    return np.array([hash_number(b"%d/%d" % (seed, n)) for n in range(many)], dtype=np.uint64)
 
 
 def first_owners(ring: Ring, spots: np.ndarray) -> np.ndarray:
     """Places in the ring's seats: what ring.owners says, for many keys at once."""
-    salts = np.array([number(seat.name.encode()) for seat in ring.seats], dtype=np.uint64)
+    salts = np.array([hash_number(seat.name.encode()) for seat in ring.seats], dtype=np.uint64)
     turns = np.array([-1 / seat.capacity for seat in ring.seats])
     found = []
     for part in np.array_split(spots, max(1, len(spots) * len(salts) // 2_000_000)):
@@ -133,7 +142,7 @@
     return np.concatenate(found)
 
 
-def fullest(shares: dict[str, float], fair: dict[str, Seat]) -> float:
+def fullest(shares: dict[str, float], fair: dict[str, RingMember]) -> float:
     whole = sum(seat.capacity for seat in fair.values())
     return max(share * whole / fair[name].capacity for name, share in shares.items())
 
@@ -159,7 +168,7 @@
     """
     told = story(event, fleet(seed, agents), seed)
     begin, end = told[0][1], told[-1][1]
-    floor = least(drawn(begin), drawn(told[1][1]))
+    floor = minimal_movement(drawn(begin), drawn(told[1][1]))
     rings = damped(told) if variant == "cartdeal" else at_once(told)
     spots, copies = key_spots(seed, KEYS), ""
     if variant == "circle":
@@ -169,7 +178,7 @@
         went = sum(between(old.seats, new.seats) for old, new in pairwise(rings))
         shares, held = circle(rings[-1].seats).shares(), circle(rings[-1].seats).owner(spots)
     else:
-        went = sum(moved(old, new) for old, new in pairwise(rings))
+        went = sum(moved_share(old, new) for old, new in pairwise(rings))
         shares = {seat.name: seat.capacity / rings[-1].capacity for seat in rings[-1].seats}
         held = first_owners(rings[-1], spots)
         if len(rings) <= 10:
--- a/tests/data/make_fleet_samples.py
+++ b/tests/data/make_fleet_samples.py
@@ -20,11 +20,11 @@
 from typing import get_args
 
 import msgspec
+from cartdeal.fleet.desk import Pact
+from cartdeal.fleet.records import Certainty, Mark, Session, Use
 from msgspec import inspect
 
 from cartdeal.fleet import ranges, records, ring, schema, wire
-from cartdeal.fleet.desk import Pact
-from cartdeal.fleet.records import Certainty, Mark, Session, Use
 
 FILE = Path(__file__).with_name("fleet_samples.json")
 FLEET = {"fleet": "sample-fleet", "name": "agent-0", "key": bytes(range(32))}
--- a/tests/fleet/stories/ring.feature
+++ b/tests/fleet/stories/ring.feature
@@ -93,7 +93,7 @@
     And a0, a1 and a2 are killed
     And 60 seconds pass
     Then the ring is the same as before
-    And an operator was told of: ring stuck
+    And an operator was told of: ring majority lost
     When a0, a1 and a2 are started
     Then all agents have one ring of 4 within 15 seconds
 
--- a/tests/fleet/stories/schema.feature
+++ b/tests/fleet/stories/schema.feature
@@ -42,7 +42,7 @@
     And a0 is killed
     And 2 seconds pass
     Then its sheet ran once
-    And the client was told: broke off, terminate
+    And the client was told: broke off, fail
 
   Scenario: Half the fleet is rolled back in mid-move
     Given a fleet of 6 agents in 3 zones
--- a/tests/fleet/stories/sessions.feature
+++ b/tests/fleet/stories/sessions.feature
@@ -7,7 +7,7 @@
     And a0 is killed
     And 3 seconds pass
     Then its sheet ran once
-    And the client was told: broke off, terminate
+    And the client was told: broke off, fail
 
   Scenario: An agent restarts from nothing under its own name in the middle of counting
     Given a fleet of 3 agents in 3 zones
@@ -32,7 +32,7 @@
     And the fleet has settled
     When a client sends a request that is deduplicated everywhere for 3 seconds to a0, and comes again at a1, a2 after 4 seconds
     And 7 seconds pass
-    Then the client was told: broke off, terminate
+    Then the client was told: broke off, fail
 
   Scenario: One agent's clock is 10 s ahead when it starts
     Given a fleet of 3 agents in 3 zones
@@ -51,7 +51,7 @@
     And a client submits its sheet at a1, which takes 5 seconds, and would come again at a0
     And a1 is killed
     And 3 seconds pass
-    Then the client was told: broke off, terminate
+    Then the client was told: broke off, fail
 
   Scenario: An agent's clock jumps 10 s ahead and later 10 s back while it runs
     Given a fleet of 3 agents in 3 zones
@@ -63,7 +63,7 @@
     And 1 second passes
     And a0 is killed
     And 1 second passes
-    Then the client was told: broke off, terminate
+    Then the client was told: broke off, fail
     And all owners know that the sheet may have run
 
   Scenario: A hears B, and B doesn't hear A
@@ -158,7 +158,7 @@
     And the fleet has settled
     When 12 clients of one session submit their sheets at all agents
     Then some of the 12 sheets ran
-    And it was counted: marks full
+    And it was counted: attempts full
 
   Scenario: An agent is stopped with a sheet on its way, and goes on after another one was asked
     Given a fleet of 3 agents in 3 zones
@@ -185,7 +185,7 @@
     And 20 seconds pass
     And 20 clients submit their sheets at all agents
     Then most of the 20 sheets ran
-    And an operator was told of: own clock set
+    And an operator was told of: clock adjusted
 
   Scenario: Agents whose clocks are off come back together, and go by the time of those that are there
     Given a fleet of 7 agents in 3 zones
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -9,8 +9,9 @@
 from cartdeal.agent.front import hashed
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.fleet import configuration
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.effects import DeliverDecision
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
 from tests.test_reducer import Desk
 
@@ -31,7 +32,7 @@
 
 
 class GateDesk(Desk):
-    """The reducer's desk with a gate whose word the test gives."""
+    """The reducer's context with a gate whose word the test gives."""
 
     def __init__(self, folder, servers=SERVERS):
         known = {
@@ -70,44 +71,56 @@
 
 
 @pytest.fixture
-def desk(tmp_path):
+def context(tmp_path):
     return GateDesk(tmp_path)
 
 
-def test_no_attempt_before_the_fleets_word_and_each_one_is_told(desk):
-    desk.take(ONCE)
-    assert not desk.of("send_attempt") and not desk.reducer.balancer.requests and desk.of("admit")[0][0] == 1
-    desk.play(0.01, "admitted", 1, ())
-    kinds = [verb for verb, *_ in desk.told]
-    assert kinds == ["admit", "went", "send_attempt"] and desk.of("went") == [[1, "a", desk.of("went")[0][2]]]
-    desk.end(1, 0)
-    assert desk.statuses() == [200] and desk.of("settled") == [[1, "answered"]]
-    desk.play(0.0, "admitted", 1, ())
-    assert len(desk.of("send_attempt")) == 1
+def test_no_attempt_before_the_fleets_word_and_each_one_is_told(context):
+    context.take(ONCE)
+    assert (
+        not context.of("send_attempt")
+        and not context.reducer.balancer.requests
+        and context.of("admit")[0][0] == 1
+    )
+    context.play(0.01, "admitted", 1, ())
+    kinds = [verb for verb, *_ in context.told]
+    assert kinds == ["admit", "went", "send_attempt"] and context.of("went") == [
+        [1, "a", context.of("went")[0][2]]
+    ]
+    context.end(1, 0)
+    assert context.statuses() == [200] and context.of("settled") == [[1, "answered"]]
+    context.play(0.0, "admitted", 1, ())
+    assert len(context.of("send_attempt")) == 1
 
 
 @pytest.mark.parametrize("status", [429, 502, 503])
-def test_declined_request_is_answered_and_never_attempt(desk, status):
-    desk.take(ONCE)
-    desk.play(0.01, "declined", 1, status, 0.7)
-    assert desk.of("answer") == [["line 1", status, b"", b"", 0.7]] and desk.of("settled") == [[1, "never"]]
-    desk.play(0.01, "admitted", 1, ())
-    desk.play(0.01, "declined", 1, 502, 0.0)
-    assert len(desk.statuses()) == 1 and not desk.of("send_attempt") and not desk.reducer.requests
-
-
-def test_word_that_comes_after_the_client_has_gone_meets_nobody(desk):
-    desk.take(MARK)
-    desk.play(0.01, "client_disconnected", 1)
-    desk.play(0.01, "admitted", 1, ())
-    assert desk.of("settled") == [[1, "never"]] and not desk.of("send_attempt") and not desk.reducer.requests
+def test_declined_request_is_answered_and_never_attempt(context, status):
+    context.take(ONCE)
+    context.play(0.01, "declined", 1, status, 0.7)
+    assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("settled") == [
+        [1, "never"]
+    ]
+    context.play(0.01, "admitted", 1, ())
+    context.play(0.01, "declined", 1, 502, 0.0)
+    assert len(context.statuses()) == 1 and not context.of("send_attempt") and not context.reducer.requests
+
+
+def test_word_that_comes_after_the_client_has_gone_meets_nobody(context):
+    context.take(MARK)
+    context.play(0.01, "client_disconnected", 1)
+    context.play(0.01, "admitted", 1, ())
+    assert (
+        context.of("settled") == [[1, "never"]]
+        and not context.of("send_attempt")
+        and not context.reducer.requests
+    )
 
 
 @pytest.mark.parametrize("request_class, status", [(READ, 503), (ONCE, 502), (MARK, 502)])
-def test_without_a_word_by_its_deadline_only_a_harmless_one_may_come_again(desk, request_class, status):
-    desk.take(request_class)
-    desk.play(2.1, "overdue", 1)
-    assert desk.statuses() == [status] and desk.of("settled") == [[1, "never"]]
+def test_without_a_word_by_its_deadline_only_a_harmless_one_may_come_again(context, request_class, status):
+    context.take(request_class)
+    context.play(2.1, "overdue", 1)
+    assert context.statuses() == [status] and context.of("settled") == [[1, "never"]]
 
 
 @pytest.mark.parametrize(
@@ -131,22 +144,22 @@
         ),
     ],
 )
-def test_what_the_fleet_is_told_when_all_is_over(desk, endings, ran):
-    desk.take(ONCE)
-    desk.play(0.01, "admitted", 1, ())
+def test_what_the_fleet_is_told_when_all_is_over(context, endings, ran):
+    context.take(ONCE)
+    context.play(0.01, "admitted", 1, ())
     for attempt, (reason, progress, status) in enumerate(endings):
-        assert not desk.of("settled")
-        desk.end(1, attempt, reason, progress, status)
-    assert desk.of("settled") == [[1, ran]] and not desk.reducer.requests
+        assert not context.of("settled")
+        context.end(1, attempt, reason, progress, status)
+    assert context.of("settled") == [[1, ran]] and not context.reducer.requests
 
 
-def test_an_answer_that_comes_for_a_client_that_has_gone_is_no_answer(desk):
-    desk.take(ONCE)
-    desk.play(0.01, "admitted", 1, ())
-    desk.play(0.01, "client_disconnected", 1)
-    assert not desk.of("settled")
-    desk.end(1, 0)
-    assert desk.of("settled") == [[1, "maybe"]]
+def test_an_answer_that_comes_for_a_client_that_has_gone_is_no_answer(context):
+    context.take(ONCE)
+    context.play(0.01, "admitted", 1, ())
+    context.play(0.01, "client_disconnected", 1)
+    assert not context.of("settled")
+    context.end(1, 0)
+    assert context.of("settled") == [[1, "maybe"]]
 
 
 @pytest.mark.parametrize(
@@ -167,71 +180,71 @@
 ):
     went = set()
     for key in range(8):
-        desk = GateDesk(tmp_path)
-        desk.take(request_class)
-        desk.reducer.requests[1].request = desk.reducer.requests[1].request._replace(key=key + 1)
-        desk.play(0.01, "admitted", 1, desk.earlier_attempts(*places, group=group))
-        desk.play(2.0, "woken", 0)
-        assert len(desk.of("send_attempt")) == len(desk.of("went")) <= 1
-        went |= {args[2] for args in desk.of("send_attempt")}
+        context = GateDesk(tmp_path)
+        context.take(request_class)
+        context.reducer.requests[1].request = context.reducer.requests[1].request._replace(key=key + 1)
+        context.play(0.01, "admitted", 1, context.earlier_attempts(*places, group=group))
+        context.play(2.0, "woken", 0)
+        assert len(context.of("send_attempt")) == len(context.of("went")) <= 1
+        went |= {args[2] for args in context.of("send_attempt")}
         if allowed:
-            assert desk.of("send_attempt"), "an allowed server was not found"
-            desk.end(1, desk.of("send_attempt")[0][1])
-            assert desk.statuses() == [200]
+            assert context.of("send_attempt"), "an allowed server was not found"
+            context.end(1, context.of("send_attempt")[0][1])
+            assert context.statuses() == [200]
         else:
-            assert desk.statuses() == [502] and desk.of("settled") == [[1, "never"]]
+            assert context.statuses() == [502] and context.of("settled") == [[1, "never"]]
     assert went <= allowed
 
 
 @pytest.mark.parametrize("lasts, group, status", [(4.0, "all", 503), (0.5, "all", 502), (4.0, "zone", 502)])
 def test_rejected_only_where_a_repeat_is_harmless_by_the_earlier_one_too(tmp_path, lasts, group, status):
-    desk = GateDesk(tmp_path, servers=[])
-    desk.take(MARK)
-    desk.play(0.01, "admitted", 1, desk.earlier_attempts(("a", 1), group=group, lasts=lasts))
-    desk.play(1.0, "woken", 0)
-    assert desk.statuses() == [status]
-
-
-def test_no_further_attempt_once_the_earlier_ones_window_is_over(desk):
-    desk.take(MARK)
-    desk.play(0.01, "admitted", 1, desk.earlier_attempts(("", -1), group="all", lasts=0.2))
-    assert len(desk.of("send_attempt")) == 1
-    desk.play(
+    context = GateDesk(tmp_path, servers=[])
+    context.take(MARK)
+    context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
+    context.play(1.0, "woken", 0)
+    assert context.statuses() == [status]
+
+
+def test_no_further_attempt_once_the_earlier_ones_window_is_over(context):
+    context.take(MARK)
+    context.play(0.01, "admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
+    assert len(context.of("send_attempt")) == 1
+    context.play(
         0.3,
         "attempt_ended",
         1,
-        desk.at[1, 0],
+        context.at[1, 0],
         0,
         AttemptResult(FailureReason.BROKEN, Progress.NOT_CONNECTED, 0.1),
     )
-    assert len(desk.of("send_attempt")) == 1 and desk.statuses() == [502]
+    assert len(context.of("send_attempt")) == 1 and context.statuses() == [502]
 
 
-def test_a_request_lasts_no_longer_than_its_mark(desk):
+def test_a_request_lasts_no_longer_than_its_mark(context):
     for request_class, lasts in ((READ, 60.0), (MARK, 26.0), (ONCE, 30.0)):
-        desk.take(request_class, wait=60.0)
-        _, _, deadline = desk.of("admit")[-1]
-        assert deadline == pytest.approx(desk.reducer.now + lasts)
+        context.take(request_class, wait=60.0)
+        _, _, deadline = context.of("admit")[-1]
+        assert deadline == pytest.approx(context.reducer.now + lasts)
 
 
-def test_a_long_day_with_admission_control_leaves_nothing_behind(desk):
+def test_a_long_day_with_admission_control_leaves_nothing_behind(context):
     for day in range(200):
         entry = ServerEntry(f"n{day}", "127.0.0.1:9", "b", cell=day % 3)
-        desk.play(0.1, "listed", ServerList(day + 2, False, (entry,)))
-        desk.take(day % 5)
-        number = desk.reducer.count
-        desk.play(
-            0.01, "admitted", number, desk.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else ()
+        context.play(0.1, "listed", ServerList(day + 2, False, (entry,)))
+        context.take(day % 5)
+        number = context.reducer.count
+        context.play(
+            0.01, "admitted", number, context.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else ()
         )
-        if (number, 0) in desk.at:
-            desk.end(number, 0)
-        desk.play(1.0, "woken", 0)
+        if (number, 0) in context.at:
+            context.end(number, 0)
+        context.play(1.0, "woken", 0)
         for attempt in range(1, 3):
-            if number in desk.reducer.requests and (number, attempt) in desk.at:
-                desk.end(number, attempt)
-        desk.play(1.0, "overdue", number)
-    assert not desk.reducer.requests and not desk.reducer.balancer.requests
-    assert len(desk.of("settled")) == 200
+            if number in context.reducer.requests and (number, attempt) in context.at:
+                context.end(number, attempt)
+        context.play(1.0, "overdue", number)
+    assert not context.reducer.requests and not context.reducer.balancer.requests
+    assert len(context.of("settled")) == 200
 
 
 # The gate itself, over a scripted node
@@ -240,9 +253,14 @@
 class Scripted:
     """Gives the words that a test lays down, by request class; with none, it is silent."""
 
-    def __init__(self, pact, seed, now, wall):
-        self.name, self.address, self.life, self.gone = pact.name, pact.address, 1, True
-        self.asked, self.now, self.wall, self.words, self.got = [], now, wall, {}, []
+    def __init__(self, fleet_settings, seed, now, wall):
+        self.name, self.address, self.incarnation, self.gone = (
+            fleet_settings.name,
+            fleet_settings.address,
+            1,
+            True,
+        )
+        self.effects, self.now, self.wall, self.words, self.got = [], now, wall, {}, []
 
     def ask(self, ticket, question):
         self.got.append(("ask", ticket, question))
@@ -250,7 +268,7 @@
             self.word(ticket, *word)
 
     def word(self, ticket, verdict, wait=0.0, earlier_attempts=()):
-        self.asked.append(("decided", ticket, verdict, wait, earlier_attempts))
+        self.effects.append(DeliverDecision(ticket, AdmissionDecision(verdict), wait, earlier_attempts))
 
     def __getattr__(self, event):
         if event.startswith("_") or event not in ("went", "ended", "leaving", "parting", "reread", "heard"):
@@ -264,7 +282,7 @@
         return {}
 
 
-PACT = Pact(fleet="f", name="n0", key=b"k" * 16, seeds={"n1": "127.0.0.1:9"}, wait_s=0.05)
+FLEET_SETTINGS = FleetSettings(fleet="f", name="n0", key=b"k" * 16, seeds={"n1": "127.0.0.1:9"}, wait_s=0.05)
 SETTINGS = SETTINGS | {"workloads": WORKLOADS, "tenants": [{"name": "x"}, {"name": "y"}]}
 
 
@@ -273,11 +291,11 @@
     monkeypatch.setattr("cartdeal.agent.admission.Node", Scripted)
     made = []
 
-    def make(pact=PACT, **more):
-        fleet = configuration.FleetConfiguration(pact, ("127.0.0.1", 0))
+    def make(fleet_settings=FLEET_SETTINGS, **more):
+        fleet = configuration.FleetConfiguration(fleet_settings, ("127.0.0.1", 0))
         made.append(Deployment(tmp_path, fleet=fleet, settings=SETTINGS, **more))
         node = made[-1].agent.admission.host.node
-        node.words |= {kind["name"]: ("pass",) for kind in WORKLOADS}
+        node.words |= {kind["name"]: ("admit",) for kind in WORKLOADS}
         return made[-1], node
 
     with gevent.Timeout(20):
@@ -313,7 +331,7 @@
     deployment.ask("/mark/1", "POST", body)  # without its key it promises nothing
     deployment.ask("/read/1")
     mark, once, again, bare, read = [each[2] for each in node.got if each[0] == "ask"]
-    assert mark == Question(
+    assert mark == AdmissionRequest(
         tenant="y",
         session=f"{hashed(b'7f'):016x}",
         key="k1",
@@ -335,7 +353,7 @@
 
 @pytest.mark.parametrize(
     "word, status, pause",
-    [(("limited", 0.7), 429, b"0.700"), (("turn_back", 0.5), 503, b"0.500"), (("terminate",), 502, None)],
+    [(("rate limited", 0.7), 429, b"0.700"), (("reject", 0.5), 503, b"0.500"), (("fail",), 502, None)],
 )
 def test_the_fleets_no_reaches_the_client_and_no_server(deploy, word, status, pause):
     deployment, node = deploy()
@@ -345,24 +363,31 @@
 
 
 @pytest.mark.parametrize(
-    "pact, path, headers, status",
+    "fleet_settings, path, headers, status",
     [
-        (PACT, "/read/1", {}, 503),
-        (PACT, "/once/1", {}, 503),
-        (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a"}, 503),
-        (replace(PACT, clients_mark=True), "/once/1", {"Cookie": "sid=a", "X_Retried": "1"}, 502),
-        (replace(PACT, clients_mark=True, on_doubt="terminate"), "/once/1", {"Cookie": "sid=a"}, 502),
+        (FLEET_SETTINGS, "/read/1", {}, 503),
+        (FLEET_SETTINGS, "/once/1", {}, 503),
+        (replace(FLEET_SETTINGS, clients_mark=True), "/once/1", {"Cookie": "sid=a"}, 503),
+        (replace(FLEET_SETTINGS, clients_mark=True), "/once/1", {"Cookie": "sid=a", "X_Retried": "1"}, 502),
+        (
+            replace(FLEET_SETTINGS, clients_mark=True, on_doubt="terminate"),
+            "/once/1",
+            {"Cookie": "sid=a"},
+            502,
+        ),
     ],
 )
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_fleet_without_a_word_costs_a_request_a_bounded_wait(deploy, pact, path, headers, status, broken):
-    deployment, node = deploy(pact)
+def test_a_fleet_without_a_word_costs_a_request_a_bounded_wait(
+    deploy, fleet_settings, path, headers, status, broken
+):
+    deployment, node = deploy(fleet_settings)
     node.words.clear()
     if broken:
         node.ask = None  # an error in the middle of the event
     assert asked(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
     assert not deployment.seen() and not deployment.agent.admission.open and deployment.agent.reducer.now
-    deployment.agent.admission.host.dispatch("word", 1, "pass")
+    deployment.agent.admission.host.dispatch("word", 1, "admit")
     gevent.sleep(0)
     assert not deployment.seen()
 
@@ -374,7 +399,7 @@
     waiting.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
     until(lambda: node.got)
     deployment.agent.admission.host.dispatch(
-        "word", 1, "pass", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
+        "word", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
@@ -391,7 +416,7 @@
     waiting.close()
     until(lambda: node.got[-1] == ("ended", 1, "never"))
     assert not deployment.agent.admission.open
-    deployment.agent.admission.host.dispatch("word", 1, "pass")
+    deployment.agent.admission.host.dispatch("word", 1, "admit")
     assert not deployment.agent.reducer.requests and not deployment.seen()
 
 
@@ -405,14 +430,14 @@
 
 def test_a_withheld_attempt_ends_by_an_event_and_the_request_is_failed(deploy):
     deployment, node = deploy(servers=2)
-    node.words["zoned"] = ("pass", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
+    node.words["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
     assert asked(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
     assert not deployment.seen() and ("ended", 1, "never") in node.got
 
 
 def test_file_that_is_read_again(deploy, tmp_path, monkeypatch, caplog):
     caplog.set_level("INFO")
-    deployment, node = deploy(replace(PACT, seeds={"n1": "127.0.0.1:9"}))
+    deployment, node = deploy(replace(FLEET_SETTINGS, seeds={"n1": "127.0.0.1:9"}))
     file = tmp_path / "fleet.toml"
     monkeypatch.setenv("PROXY_FLEET", str(file))
     monkeypatch.setenv("PROXY_CONFIG", str(tmp_path / "config.json"))
@@ -423,9 +448,16 @@
         assert caplog.messages[-2] == said and not [each for each in node.got if each[0] == "reread"]
     file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
     deployment.agent.reread()
-    ((_, pact),) = [each for each in node.got if each[0] == "reread"]
-    assert (pact.wait_s, pact.copies, pact.seeds) == (0.2, 3, {"n1": "127.0.0.1:8"})
-    assert caplog.records[-2].needs_restart == "zone copies" and deployment.agent.admission.host.pact == pact
+    ((_, fleet_settings),) = [each for each in node.got if each[0] == "reread"]
+    assert (fleet_settings.wait_s, fleet_settings.copies, fleet_settings.seeds) == (
+        0.2,
+        3,
+        {"n1": "127.0.0.1:8"},
+    )
+    assert (
+        caplog.records[-2].needs_restart == "zone copies"
+        and deployment.agent.admission.host.settings == fleet_settings
+    )
 
 
 def test_an_agent_that_ends_hands_over_and_says_its_last_words(deploy):
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -16,21 +16,18 @@
 import msgspec
 import pytest
 
-from cartdeal.fleet.context import Pact as Settings
-from cartdeal.fleet.errors import Trouble as Refusal
-from cartdeal.fleet.replication.catch_up import range_of, raw_of
+from cartdeal.fleet.codec import FrameReader, encode_message, frame_message, message_decoder
+from cartdeal.fleet.codec import decode as decode_envelope
+from cartdeal.fleet.codec import encode as encode_envelope
+from cartdeal.fleet.context import FleetSettings as Settings
+from cartdeal.fleet.errors import FleetError as Refusal
+from cartdeal.fleet.replication.catch_up import key_bytes, range_of
 from cartdeal.fleet.replication.records import digest as record_digest
 from cartdeal.fleet.replication.records import session_key, use_key
-from cartdeal.fleet.ring.hash_ring import Ring, Step, owners, stepped
-from cartdeal.fleet.ring.hash_ring import digest as ring_digest
 from cartdeal.fleet.replication.schema import decode as decode_record
 from cartdeal.fleet.replication.schema import encode as encode_record
-from cartdeal.fleet.codec import Frames as FrameReader
-from cartdeal.fleet.codec import decode as decode_envelope
-from cartdeal.fleet.codec import encode as encode_envelope
-from cartdeal.fleet.codec import framed
-from cartdeal.fleet.codec import inner as encode_message
-from cartdeal.fleet.codec import tongue as message_decoder
+from cartdeal.fleet.ring.hash_ring import Ring, RingStep, apply_step, owners
+from cartdeal.fleet.ring.hash_ring import digest as ring_digest
 
 
 def settings(fleet: str, name: str, key: bytes):
@@ -116,7 +113,7 @@
 @each_of(ENVELOPES)
 def test_frame(sample):
     raw, frame = bytes.fromhex(sample["bytes"]), bytes.fromhex(sample["frame"])
-    assert framed(raw) == frame
+    assert frame_message(raw) == frame
     assert FrameReader().dispatch(frame) == [raw]
 
 
@@ -212,10 +209,12 @@
     assert ring_digest(ring).hex() == sample["digest"]
     for key, by_number in sample["owners"]:
         for number, names in enumerate(by_number, 1):
-            assert list(owners(ring, raw_of(key), number)) == names, key
+            assert list(owners(ring, key_bytes(key), number)) == names, key
 
 
 def test_step_between_rings():
     sample = PLACEMENT["step"]
-    ring = stepped(msgspec.convert(sample["from"], Ring), msgspec.convert(restored(sample["values"]), Step))
+    ring = apply_step(
+        msgspec.convert(sample["from"], Ring), msgspec.convert(restored(sample["values"]), RingStep)
+    )
     assert text_of(ring) == json.dumps(sample["to"])
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -5,8 +5,8 @@
 from msgspec.structs import fields
 
 from cartdeal.fleet import configuration
-from cartdeal.fleet.context import Limit, Pact
-from cartdeal.fleet.errors import WrongConfiguration
+from cartdeal.fleet.context import FleetSettings, RateLimit
+from cartdeal.fleet.errors import InvalidConfigurationError
 from tests.scene import SETTINGS, agent_config
 
 KEY, SEEDS = "k" * 16, '[seeds]\na1 = "127.0.0.1:7001"\na2 = "127.0.0.1:7002"\n'
@@ -24,14 +24,14 @@
 def test_one_file_serves_many_agents_and_what_is_left_out_has_its_default(tmp_path):
     found = read(tmp_path, GOOD + SEEDS + LIMITS)
     assert found.listen == ("127.0.0.1", 7001)
-    assert found.pact == Pact(
+    assert found.settings == FleetSettings(
         fleet="f",
         name="a1",
         key=KEY.encode(),
         address="127.0.0.1:7001",
         zone="a",
         seeds={"a1": "127.0.0.1:7001", "a2": "127.0.0.1:7002"},
-        limits={"x": Limit(5.0, 2.0)},
+        limits={"x": RateLimit(5.0, 2.0)},
     )
     other = read(
         tmp_path,
@@ -40,9 +40,9 @@
         PROXY_FLEET_LISTEN="0.0.0.0:7009",
         PROXY_FLEET_ADDRESS="10.0.0.9:7009",
     )
-    assert other.listen == ("0.0.0.0", 7009) and other.pact.address == "10.0.0.9:7009"
+    assert other.listen == ("0.0.0.0", 7009) and other.settings.address == "10.0.0.9:7009"
     (tmp_path / "key").write_text(KEY + "\n")
-    assert read(tmp_path, 'fleet = "f"\nkey_file = "key"\n' + SEEDS).pact.key == KEY.encode()
+    assert read(tmp_path, 'fleet = "f"\nkey_file = "key"\n' + SEEDS).settings.key == KEY.encode()
 
 
 @pytest.mark.parametrize(
@@ -93,10 +93,10 @@
     ],
 )
 def test_each_fault_names_file_key_found_and_wanted(tmp_path, text, key, found, wanted):
-    with pytest.raises(WrongConfiguration) as trouble:
+    with pytest.raises(InvalidConfigurationError) as trouble:
         read(tmp_path, text if "[" in text else text + SEEDS)
-    assert trouble.value.what == f"{tmp_path / 'fleet.toml'}: {key}"
-    assert (trouble.value.found, wanted in trouble.value.do) == (found, True), trouble.value
+    assert trouble.value.subject == f"{tmp_path / 'fleet.toml'}: {key}"
+    assert (trouble.value.observed, wanted in trouble.value.remedy) == (found, True), trouble.value
     assert "secret" not in str(trouble.value) and KEY not in str(trouble.value)
 
 
@@ -104,15 +104,15 @@
 def test_a_file_that_is_no_toml_or_is_not_there_is_refused(tmp_path, text):
     (tmp_path / "bad.toml").write_bytes(text.encode(errors="surrogateescape"))
     for file in ("bad.toml", "none.toml"):
-        with pytest.raises(WrongConfiguration, match="TOML|readable"):
+        with pytest.raises(InvalidConfigurationError, match="TOML|readable"):
             configuration.read(agent_config(tmp_path), {"PROXY_FLEET": str(tmp_path / file)})
-    with pytest.raises(WrongConfiguration, match="PROXY_FLEET_LISTEN: found 'x'"):
+    with pytest.raises(InvalidConfigurationError, match="PROXY_FLEET_LISTEN: found 'x'"):
         read(tmp_path, GOOD + SEEDS, PROXY_FLEET_LISTEN="x")
 
 
 def test_what_a_running_agent_takes_over(tmp_path):
-    old = read(tmp_path, GOOD + SEEDS + LIMITS).pact
-    new = read(tmp_path, GOOD + "copies = 5\nwrite_by = 3\nread_by = 3\nwait_s = 0.2\n" + SEEDS).pact
+    old = read(tmp_path, GOOD + SEEDS + LIMITS).settings
+    new = read(tmp_path, GOOD + "copies = 5\nwrite_by = 3\nread_by = 3\nwait_s = 0.2\n" + SEEDS).settings
     kept, restart = configuration.taken_over(old, new)
     assert (kept.wait_s, kept.limits, kept.copies) == (0.2, {}, 3)
     assert restart == ["copies", "write_by", "read_by"]
@@ -122,7 +122,7 @@
     text = Path("deploy/fleet.toml").read_text()
     (tmp_path / "fleet.key").write_text(KEY)
     found = read(tmp_path, text, PROXY_FLEET_NAME="orders-1")
-    assert found.pact.fleet == "orders" and found.listen == ("10.0.0.5", 7946)
+    assert found.settings.fleet == "orders" and found.listen == ("10.0.0.5", 7946)
     bare = tomllib.loads(
         "\n".join(
             line.removeprefix("# ")
@@ -130,7 +130,7 @@
             if line.removeprefix("# ").partition(" = ")[0] in configuration.KEYS
         )
     )
-    defaults = {each.name: each.default for each in fields(Pact)}
+    defaults = {each.name: each.default for each in fields(FleetSettings)}
     assert bare.keys() | {"seeds", "limits"} == configuration.KEYS.keys()
     assert configuration.KEYS.keys() - {"listen", "key_file"} == defaults.keys() - {"reads"}
     for key in bare.keys() - {"fleet", "name", "listen", "address", "key", "key_file", "zone"}:
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -10,10 +10,10 @@
 
 @pytest.mark.parametrize("each", errors.ALL, ids=lambda each: each.__name__)
 def test_each_error_says_what_an_operator_can_do(each):
-    assert each.do and each.__doc__ and "\n" not in each.__doc__.strip()
-    trouble = each("the clock of b", "x" * 1000)
-    assert (trouble.what, len(trouble.found), trouble.do) == ("the clock of b", 200, each.do)
-    assert each("a file", do="mend it").do == "mend it" and "the clock of b" in str(trouble)
+    assert each.remedy and each.__doc__ and "\n" not in each.__doc__.strip()
+    error = each("the clock of b", "x" * 1000)
+    assert (error.subject, len(error.observed), error.remedy) == ("the clock of b", 200, each.remedy)
+    assert each("a file", remedy="mend it").remedy == "mend it" and "the clock of b" in str(error)
 
 
 def test_the_table_has_every_type_in_the_order_of_the_page():
--- a/tests/fleet/test_fault_schedule.py
+++ b/tests/fleet/test_fault_schedule.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cartdeal.fleet.simulation.fault_schedule import day
+from cartdeal.fleet.simulation.fault_schedule import run_day
 
 DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
 SAY = f"from cartdeal.fleet.simulation.fault_schedule import day; print(day(3, **{DAY}))"
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("seed, upgrade", [(3, False), (7, True)])
 def test_no_rule_is_broken_and_the_fleet_is_whole_again_soon(seed, upgrade):
-    figures = day(seed, upgrade=upgrade, **DAY)
+    figures = run_day(seed, upgrade=upgrade, **DAY)
     assert figures["found"] == []
     assert figures["one_ring_s"] < 30.0 and figures["equal_s"] < 30.0 and figures["served_after"] > 0.5
 
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -4,27 +4,30 @@
 import pytest
 
 from cartdeal.fleet import node
-from cartdeal.fleet.consensus.ring_consensus import Epochs
-from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.consensus.ring_consensus import RingConsensus
+from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.hybrid_clock import HybridClock
-from cartdeal.fleet.idempotency import Question, Verdict
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.quota import quota_leases
-from cartdeal.fleet.quota.ledger import Tenure
-from cartdeal.fleet.quota.quota_leases import Held, Lending
+from cartdeal.fleet.quota.ledger import OwnershipHistory
+from cartdeal.fleet.quota.quota_leases import HeldLease, QuotaLeases
 from cartdeal.fleet.replication import records, replica, schema
-from cartdeal.fleet.replication.catch_up import ALL, Era
+from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
-from cartdeal.fleet.ring.hash_ring import Draw, Ring, number, owners
-from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
+from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
-SHOP = Question(tenant="shop", workload="read")
+SHOP = AdmissionRequest(tenant="shop", workload="read")
 
 
 def fleet(size, **terms):
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(size)}
-    memory = Memory(
-        Pact(fleet="f", name="", key=b"k" * 32, seeds=seeds, limits={"shop": Limit(100.0, 90.0)}, **terms), 1
+    memory = InMemoryFleet(
+        FleetSettings(
+            fleet="f", name="", key=b"k" * 32, seeds=seeds, limits={"shop": RateLimit(100.0, 90.0)}, **terms
+        ),
+        1,
     )
     for each in range(size):
         memory.add(f"a{each}", zone=f"z{each % 3}")
@@ -33,7 +36,7 @@
 
 
 def sheet(name, repeat="u", **more):
-    return Question(
+    return AdmissionRequest(
         **{
             "session": f"s{name}",
             "key": f"k{name}",
@@ -106,7 +109,7 @@
 
 
 def bad_weather(memory):
-    memory.weather = Weather(double=0.5, jitter_s=0.02, late=0.1, late_s=1.0)
+    memory.weather = NetworkConditions(double=0.5, jitter_s=0.02, late=0.1, late_s=1.0)
     ask_shop(memory, 10.0)
 
 
@@ -131,11 +134,11 @@
 
 def gossip(memory):
     """Sheets of few sessions are answered while messages come in any order."""
-    memory.weather = Weather(double=0.3, jitter_s=0.2, late=0.2, late_s=2.0)
+    memory.weather = NetworkConditions(double=0.3, jitter_s=0.2, late=0.2, late_s=2.0)
     for turn in range(120):
         memory.intend(sheet(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
         memory.run(0.1)
-    memory.weather = Weather()
+    memory.weather = NetworkConditions()
     memory.run(6.0)
     memory.lost()
 
@@ -193,8 +196,8 @@
 
 
 def number_again(plant):
-    def init(self, pact, seed, now, wall):
-        before(self, pact, "the same", now, 1_700_000_000.0)
+    def init(self, fleet_settings, seed, now, wall):
+        before(self, fleet_settings, "the same", now, 1_700_000_000.0)
         self.offset = wall - now
 
     before = Node.__init__
@@ -202,12 +205,20 @@
 
 
 def lease_without_end(plant):
-    before = Held.__init__
-    plant(Held, "__init__", lambda self, life, answer, asked, until: before(self, life, answer, asked, 1e9))
+    before = HeldLease.__init__
+    plant(
+        HeldLease,
+        "__init__",
+        lambda self, incarnation, answer, asked, until: before(self, incarnation, answer, asked, 1e9),
+    )
 
 
 def no_fence(plant):
-    plant(quota_leases, "Tenure", lambda start, fence, share_in: Tenure(start, 0.0, share_in))
+    plant(
+        quota_leases,
+        "OwnershipHistory",
+        lambda start, fence, share_in: OwnershipHistory(start, 0.0, share_in),
+    )
 
 
 def minority(plant):
@@ -215,7 +226,7 @@
 
 
 def no_vouching(plant):
-    plant(Epochs, "sure", lambda self: self.ring is not None)
+    plant(RingConsensus, "sure", lambda self: self.ring is not None)
 
 
 def field_dropped(plant):
@@ -229,8 +240,8 @@
 
 
 def answers_too_early(plant):
-    plant(Era, "caught_up", lambda *_: True)
-    plant(Era, "ranges", lambda *_: ALL)
+    plant(CatchUp, "caught_up", lambda *_: True)
+    plant(CatchUp, "ranges", lambda *_: ALL)
 
 
 def forgets_early(plant):
@@ -239,27 +250,35 @@
 
 
 def taken_twice(plant):
-    def answered(self, sender, life, answer, now):
+    def answered(self, sender, incarnation, answer, now):
         line = self.wards[answer.tenant].lines[sender] if answer.tenant in self.wards else None
         if line is None or line.sequence == answer.sequence:
-            return before(self, sender, life, answer, now)
+            return before(self, sender, incarnation, answer, now)
         waits, line.sequence = line.sequence, answer.sequence
-        ward = before(self, sender, life, answer, now)
+        ward = before(self, sender, incarnation, answer, now)
         line.sequence = waits
         return ward
 
-    before = Lending.answered
-    plant(Lending, "answered", answered)
+    before = QuotaLeases.answered
+    plant(QuotaLeases, "answered", answered)
 
 
 def all_are_able(plant):
-    def agree(ring, live, pact):
+    def agree(ring, live, fleet_settings):
         able = {name: schema_peer(peer) for name, peer in live.items()}
-        return before(ring, able, pact)
+        return before(ring, able, fleet_settings)
 
     def schema_peer(peer):
         return type(peer)(
-            peer.name, peer.address, peer.life, peer.turn, peer.state, peer.zone, peer.capacity, (1, 9), 9
+            peer.name,
+            peer.address,
+            peer.incarnation,
+            peer.turn,
+            peer.state,
+            peer.zone,
+            peer.capacity,
+            (1, 9),
+            9,
         )
 
     before = schema.agree
@@ -267,27 +286,27 @@
 
 
 def written_by_one(plant):
-    class Eager(replica.Open):
+    class Eager(replica.PendingOperation):
         need = property(lambda self: (1, 1), lambda self, need: None)
 
     plant(replica, "Open", Eager)
 
 
 def come_again(plant):
-    plant(node, "in_doubt", lambda *_: Verdict.TURN_BACK)
+    plant(node, "in_doubt", lambda *_: AdmissionDecision.REJECT)
 
 
 def places_forgotten(plant):
-    before = node.judge
+    before = node.decide
     plant(node, "judge", lambda *args: (before(*args)[0], ()))
 
 
 def by_remainder(plant):
     def drawn(self, key, n):
-        first = number(key) % len(self.names)
+        first = hash_number(key) % len(self.names)
         return tuple(sorted(self.names)[(first + turn) % len(self.names)] for turn in range(n))
 
-    plant(Draw, "drawn", drawn)
+    plant(RendezvousHash, "drawn", drawn)
 
 
 def believes_clocks(plant):
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -11,31 +11,32 @@
 from msgspec import msgpack
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.membership.swim import WORDS, Members, Peer, Pieces, State, Told
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.events import AgentDead
+from cartdeal.fleet.membership.swim import MESSAGE_TYPES, GossipItem, Membership, Peer, PeerState, StatePush
 
-decode = msgpack.Decoder(reduce(or_, WORDS)).decode
+decode = msgpack.Decoder(reduce(or_, MESSAGE_TYPES)).decode
 
 
 class Desk:
     wall = 0.0
     now = property(lambda self: self.net.now)
 
-    def __init__(self, net, name, life, port):
-        self.net, self.name, self.life, self.address = net, name, life, f"10.0.0.1:{port}"
+    def __init__(self, net, name, incarnation, port):
+        self.net, self.name, self.incarnation, self.address = net, name, incarnation, f"10.0.0.1:{port}"
         self.called = dict(net.seeds)  # by where it called from last
-        self.random, self.notes, self.counts = Random(f"{net.seed} {name} {life}"), [], Counter()
+        self.random, self.events, self.counts = Random(f"{net.seed} {name} {incarnation}"), [], Counter()
 
     def send(self, to, words):
         self.net.send(self.name, to, words)
 
-    def note(self, kind, **about):
-        self.notes.append(kind)
-        if kind == "agent gone":
-            self.net.gone[self.name, about["name"], self.now] = self.now
+    def log_event(self, event):
+        self.events.append(event.MESSAGE)
+        if isinstance(event, AgentDead):
+            self.net.gone[self.name, event.name, self.now] = self.now
 
-    def count(self, what, more=1):
-        self.counts[what] += more
+    def increment(self, counter, by=1):
+        self.counts[counter] += by
 
 
 class Net:
@@ -47,11 +48,13 @@
         self.agents, self.stopped, self.sent, self.size, self.gone = {}, {}, Counter(), Counter(), {}
         self.seeds = {f"n{i:03}": f"10.0.0.1:{i}" for i in range(3)}
 
-    def start(self, name, life=1, port=None):
-        pact = Pact(fleet="f", name=name, zone="z", seeds=self.seeds)
-        agent = self.agents[name] = Members(Desk(self, name, life, port or int(name[1:])), pact)
+    def start(self, name, incarnation=1, port=None):
+        fleet_settings = FleetSettings(fleet="f", name=name, zone="z", seeds=self.seeds)
+        agent = self.agents[name] = Membership(
+            Desk(self, name, incarnation, port or int(name[1:])), fleet_settings
+        )
         agent.join()
-        self.at(self.random.random() * pact.tick_s, self.tick, agent)
+        self.at(self.random.random() * fleet_settings.tick_s, self.tick, agent)
         return agent
 
     def fleet(self, count, seconds=15.0):
@@ -73,7 +76,7 @@
 
     def tick(self, agent):
         if self.agents.get(agent.name) is agent:
-            self.at(agent.pact.tick_s, self.tick, agent)
+            self.at(agent.settings.tick_s, self.tick, agent)
             if agent.name not in self.stopped:
                 agent.tick()
 
@@ -82,7 +85,7 @@
         assert len(data) <= 1_200 and words.DATAGRAM
         self.sent[sender] += 1
         self.size[sender] += len(data)
-        here, known = self.agents[sender].desk, self.agents[sender].table.get(to)
+        here, known = self.agents[sender].context, self.agents[sender].table.get(to)
         address = known.address if known else here.called.get(to)
         for _ in range(1 + (self.random.random() < self.double)):
             if self.random.random() >= self.loss and not self.cut(sender, to):
@@ -92,8 +95,8 @@
     def arrive(self, sender, to, data):
         if to[0] in self.stopped:
             self.stopped[to[0]].append((sender, to, data))
-        elif to[0] in self.agents and self.agents[to[0]].desk.address == to[1]:
-            self.agents[to[0]].desk.called[sender[0]] = sender[1]
+        elif to[0] in self.agents and self.agents[to[0]].context.address == to[1]:
+            self.agents[to[0]].context.called[sender[0]] = sender[1]
             self.agents[to[0]].heard(sender[0], decode(data))
 
     def states(self, of):
@@ -101,7 +104,7 @@
 
 
 def told(agent, sender, *pieces, **me):
-    agent.heard(sender, Pieces(peer(sender, **me), pieces))
+    agent.heard(sender, StatePush(peer(sender, **me), pieces))
 
 
 def peer(name, **more):
@@ -139,7 +142,7 @@
     net = Net(2, loss=0.1, double=0.05, delay=(0.001, 0.05))
     agents = net.fleet(40)
     net.run(120)
-    counts = sum((agent.desk.counts for agent in agents), Counter())
+    counts = sum((agent.context.counts for agent in agents), Counter())
     print(counts)
     assert counts["accusations"] < 25 and not net.gone and {agent.size() for agent in agents} == {40}
 
@@ -216,61 +219,69 @@
         net.arrive(*each)
     net.run(3)
     assert {agent.size() for agent in agents} == {10} and not net.gone and not agents[4].cases
-    word = Told(replace(agents[2].me, state=State.SUSPECT), ("n004",))  # of one that came back just now
+    word = GossipItem(
+        replace(agents[2].me, state=PeerState.SUSPECT), ("n004",)
+    )  # of one that came back just now
     told(agents[0], "n004", word)
-    assert agents[0].table["n002"].state == (State.ALIVE if seconds == 30 else State.SUSPECT)
+    assert agents[0].table["n002"].state == (PeerState.ALIVE if seconds == 30 else PeerState.SUSPECT)
     net.run(2)
     while agents[4].probe.done:
         net.run(0.01)
-    told(agents[4], "n001", Told(replace(agents[2].me, state=State.SUSPECT), ("n001", "n003")))
+    told(agents[4], "n001", GossipItem(replace(agents[2].me, state=PeerState.SUSPECT), ("n001", "n003")))
     turn, missed = agents[4].me.turn, agents[4].probe.peer.name
     net.now += seconds  # and what came meanwhile is lost
     agents[4].tick()
-    assert agents[4].table["n002"].state == State.SUSPECT and agents[4].me.turn > turn
-    assert missed == "n002" or agents[4].table[missed].state == State.ALIVE
+    assert agents[4].table["n002"].state == PeerState.SUSPECT and agents[4].me.turn > turn
+    assert missed == "n002" or agents[4].table[missed].state == PeerState.ALIVE
 
 
 def test_higher_life_replaces_a_lower_one_learns_of_it_and_the_same_twice_is_named():
     net = Net(6)
     first = net.fleet(5)[0]
-    net.start("n004", life=7)
+    net.start("n004", incarnation=7)
     net.run(3)
-    told(first, "n004", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))  # the former
-    assert first.table["n003"].state == State.ALIVE
-    assert first.table["n004"].life == 7 and net.states("n004") == {State.ALIVE}
-    agent = net.start("n004", life=5)  # its clock was set back
+    told(
+        first, "n004", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
+    )  # the former
+    assert first.table["n003"].state == PeerState.ALIVE
+    assert first.table["n004"].incarnation == 7 and net.states("n004") == {PeerState.ALIVE}
+    agent = net.start("n004", incarnation=5)  # its clock was set back
     net.run(3)
-    assert agent.knew_life() == 7 and first.table["n004"].life == 7 and not first.knew_life()
-    agent.desk.life = 8
+    assert (
+        agent.known_incarnation() == 7
+        and first.table["n004"].incarnation == 7
+        and not first.known_incarnation()
+    )
+    agent.context.incarnation = 8
     net.run(3)
-    assert first.table["n004"].life == 8 and not agent.knew_life()
+    assert first.table["n004"].incarnation == 8 and not agent.known_incarnation()
     net.agents.pop("n004")
     net.run(10)
-    agent = net.start("n004", life=9, port=77)
+    agent = net.start("n004", incarnation=9, port=77)
     net.run(3)
-    assert net.states("n004") == {State.ALIVE} and agent.size() == 5
-    mine = agent.me  # and another of the same life at another place
-    told(agent, "n000", Told(replace(mine, address="10.0.0.9:9", turn=9)))
-    assert agent.me == mine and agent.trouble.what == "n004" and "10.0.0.9:9" in agent.trouble.found
-    assert agent.desk.notes[-1] == "two agents under one name"
+    assert net.states("n004") == {PeerState.ALIVE} and agent.size() == 5
+    mine = agent.me  # and another of the same incarnation at another place
+    told(agent, "n000", GossipItem(replace(mine, address="10.0.0.9:9", turn=9)))
+    assert agent.me == mine and agent.error.subject == "n004" and "10.0.0.9:9" in agent.error.observed
+    assert agent.context.events[-1] == "duplicate name"
 
 
 def test_one_witness_or_hearsay_is_not_enough_and_the_accused_refutes():
     net = Net()
     agents = net.fleet(6)
-    first, accused = agents[0], replace(agents[5].me, state=State.GONE)
-    told(first, "n001", Told(accused, ("n001",)))
+    first, accused = agents[0], replace(agents[5].me, state=PeerState.GONE)
+    told(first, "n001", GossipItem(accused, ("n001",)))
     first._suspicions(net.now + 60)
-    assert first.table["n005"].state == State.SUSPECT and first.size() == 6
-    told(first, "n001", Told(accused, ("n001", "n002")))
-    assert first.table["n005"].state == State.SUSPECT
+    assert first.table["n005"].state == PeerState.SUSPECT and first.size() == 6
+    told(first, "n001", GossipItem(accused, ("n001", "n002")))
+    assert first.table["n005"].state == PeerState.SUSPECT
     first._suspicions(net.now + 60)
-    assert first.table["n005"].state == State.GONE
-    told(first, "n001", Told(replace(agents[4].me, state=State.SUSPECT), ("n001",)))
+    assert first.table["n005"].state == PeerState.GONE
+    told(first, "n001", GossipItem(replace(agents[4].me, state=PeerState.SUSPECT), ("n001",)))
     net.run(0.2)
     assert agents[4].me.turn == 1  # told at once
     net.run(5)
-    assert agents[5].me.turn > accused.turn and net.states("n005") == {State.ALIVE}
+    assert agents[5].me.turn > accused.turn and net.states("n005") == {PeerState.ALIVE}
 
 
 def test_old_gossip_raises_none_that_is_gone_until_it_is_forgotten():
@@ -278,11 +289,13 @@
     first = net.fleet(5)[0]
     late = net.agents.pop("n004").me
     net.run(15)
-    told(first, "n001", Told(late))
-    told(first, "n001", Told(replace(net.agents["n003"].me, state=State.SUSPECT), ("n004",)))  # no witness
-    assert net.states("n004") == {State.GONE} and first.table["n003"].state == State.ALIVE
+    told(first, "n001", GossipItem(late))
+    told(
+        first, "n001", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
+    )  # no witness
+    assert net.states("n004") == {PeerState.GONE} and first.table["n003"].state == PeerState.ALIVE
     net.run(75)
-    told(first, "n001", Told(replace(late, state=State.GONE), ("n001", "n002")))
+    told(first, "n001", GossipItem(replace(late, state=PeerState.GONE), ("n001", "n002")))
     assert not any("n004" in agent.table for agent in net.agents.values())
 
 
@@ -307,7 +320,7 @@
     net.run(1)
     net.agents.pop("n004")
     net.run(4)
-    assert net.states("n004") == {State.LEFT} and "n004" not in agents[0].live() and not net.gone
+    assert net.states("n004") == {PeerState.LEFT} and "n004" not in agents[0].live() and not net.gone
 
 
 def test_out_of_range_is_dropped_and_the_table_is_bounded():
@@ -319,19 +332,19 @@
         {"state": 9},
         {"reads": (2, 1)},
         {"address": "a" * 200},
-        {"life": 1 << 62},
+        {"incarnation": 1 << 62},
         {"moved": -1},
     ):
-        told(agent, "n001", Told(peer("n002", **{"turn": 5, **wrong})))
+        told(agent, "n001", GossipItem(peer("n002", **{"turn": 5, **wrong})))
         told(agent, "n007", **wrong)
-    told(agent, "n001", *[Told(peer("n002"))] * 65)
-    told(agent, "n001", Told(peer("n002"), ("n001",) * 5))
-    agent.heard("n001", Pieces(peer("n002"), ()))
-    assert agent.size() == 3 and agent.desk.counts["dropped out of range"] == 18
-    assert agent.desk.counts["dropped false sender"] == 1
+    told(agent, "n001", *[GossipItem(peer("n002"))] * 65)
+    told(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
+    agent.heard("n001", StatePush(peer("n002"), ()))
+    assert agent.size() == 3 and agent.context.counts["dropped out of range"] == 18
+    assert agent.context.counts["dropped wrong sender"] == 1
     for i in range(2000):
-        told(agent, "n001", Told(peer(f"n{i + 10}")))
-    assert len(agent.table) == 1024 and agent.desk.notes == ["no room for more agents"]
+        told(agent, "n001", GossipItem(peer(f"n{i + 10}")))
+    assert len(agent.table) == 1024 and agent.context.events == ["membership full"]
 
 
 def test_late_doubled_and_reordered_messages_change_nothing_and_the_same_seed_gives_the_same_trace():
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -2,18 +2,20 @@
 
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import Limit, Pact
-from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.context import FleetSettings, RateLimit
+from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.quota.quota_leases import Lending
-from cartdeal.fleet.simulation.in_memory_fleet import Memory
+from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
 SEEDS = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(3)}
 
 
 def fleet(seed=1, agents=3, **changes):
-    memory = Memory(
-        Pact(fleet="f", name="", key=b"k" * 32, seeds=SEEDS, limits={"shop": Limit(50.0, 20.0)}, **changes),
+    memory = InMemoryFleet(
+        FleetSettings(
+            fleet="f", name="", key=b"k" * 32, seeds=SEEDS, limits={"shop": RateLimit(50.0, 20.0)}, **changes
+        ),
         seed,
     )
     for number in range(agents):
@@ -24,7 +26,9 @@
 
 
 def unrepeatable(session="s1"):
-    return Question(tenant="", session=session, key="close", repeat="u", limit_s=2.0, workload="close")
+    return AdmissionRequest(
+        tenant="", session=session, key="close", repeat="u", limit_s=2.0, workload="close"
+    )
 
 
 def test_request_that_may_have_run_at_an_agent_that_died_does_not_run_again():
@@ -34,14 +38,14 @@
     assert len(memory.judge.ran[intent]) == 1
     memory.kill("a0")
     memory.run(5.0)
-    assert memory.outcomes[intent] == ["broke off", "terminate"]
+    assert memory.outcomes[intent] == ["broke off", "fail"]
     assert memory.judge.close() == []
 
 
 def test_limit_holds_for_all_agents_together():
     memory = fleet()
     for turn in range(1500):
-        memory.intend(Question(tenant="shop", workload="read"), [f"a{turn % 3}"])
+        memory.intend(AdmissionRequest(tenant="shop", workload="read"), [f"a{turn % 3}"])
         memory.run(0.002)
     assert memory.judge.close() == []
     assert len(memory.judge.served["shop"]) >= 0.85 * (20 + 3.0 * 50)
@@ -63,7 +67,7 @@
     assert {node.ring.written for node in nodes.values()} == {1}
     for name, node in nodes.items():
         changes = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
-        memory.places[name].play(node.reread, replace(node.pact, **changes))
+        memory.places[name].play(node.reread, replace(node.settings, **changes))
     memory.run(20.0)
     assert memory.one_ring()
     ring = nodes["a1"].ring
@@ -74,27 +78,27 @@
     """Seen once: an agent that was its own lender asked itself for ever, and answered nothing any more."""
     memory = fleet(agents=3)
 
-    def answered(self, sender, life, answer, now):
-        ward = before(self, sender, life, answer, now)
-        if ward and sender == self.desk.name:
+    def answered(self, sender, incarnation, answer, now):
+        ward = before(self, sender, incarnation, answer, now)
+        if ward and sender == self.context.name:
             ward.lines[sender].more = True
         return ward
 
-    before = Lending.answered
-    monkeypatch.setattr(Lending, "answered", answered)
+    before = QuotaLeases.answered
+    monkeypatch.setattr(QuotaLeases, "answered", answered)
     for _ in range(100):
-        memory.intend(Question(tenant="shop", workload="read"), ["a0"])
+        memory.intend(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
     memory.run(1.0)
-    assert memory.nodes()["a0"].figures()["own asks put off"]
+    assert memory.nodes()["a0"].figures()["own requests deferred"]
     assert memory.judge.close() == []
 
 
 def test_starts_that_learn_of_the_same_later_life_never_take_the_same_one():
-    lives = set()
+    incarnations = set()
     for seed in range(20):
-        node = Node(Pact(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
-        node.members.knew_life = lambda: 5_000_000 << 16
+        node = Node(FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
+        node.members.known_incarnation = lambda: 5_000_000 << 16
         node.tick()
-        assert node.life > 5_000_000 << 16
-        lives.add(node.life)
-    assert len(lives) == 20
+        assert node.incarnation > 5_000_000 << 16
+        incarnations.add(node.incarnation)
+    assert len(incarnations) == 20
