--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -12,19 +12,19 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import Limit, Pact
+from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.quota import ledger, quota_leases
-from cartdeal.fleet.quota.quota_leases import Lending
-from cartdeal.fleet.ring.hash_ring import Ring, Seat
+from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.ring.hash_ring import Ring, RingMember
 
-WIRE = msgspec.msgpack.Decoder(quota_leases.Asks | quota_leases.Loans)
+WIRE = msgspec.msgpack.Decoder(quota_leases.LeaseRequestBatch | quota_leases.LeaseResponseBatch)
 
 
 class Desk:
-    def __init__(self, net, name, life):
-        self.net, self.name, self.life, self.counted = net, name, life, Counter()
-        self.random, self.address = Random(f"{net.seed}/{name}/{life}"), ""
-        self.quick = net.random.uniform(1, 1 + net.pact.clock_drift)  # this clock against the judge's
+    def __init__(self, net, name, incarnation):
+        self.net, self.name, self.incarnation, self.counted = net, name, incarnation, Counter()
+        self.random, self.address = Random(f"{net.seed}/{name}/{incarnation}"), ""
+        self.quick = net.random.uniform(1, 1 + net.settings.clock_drift)  # this clock against the judge's
         self.ahead = net.random.uniform(-1e6, 1e6)
 
     @property
@@ -38,20 +38,22 @@
     def send(self, to, words):
         self.net.carry(self.name, to, words)
 
-    def note(self, kind, **about):
+    def log_event(self, event):
         pass
 
-    def count(self, what, more=1):
-        self.counted[what] += more
+    def increment(self, counter, by=1):
+        self.counted[counter] += by
 
 
 class Agent:
-    """A process life, with a stand-in for epochs.py that is as late and as sure as it may be."""
+    """A process incarnation, with a stand-in for epochs.py that is as late and as sure as it may be."""
 
     def __init__(self, net, name):
         self.net, self.ring, self.sure_until = net, None, -1e9
-        self.desk = Desk(net, name, next(net.lives))
-        self.part = net.kind(self.desk, net.pact, net.spent, lambda: self.desk.now < self.sure_until)
+        self.context = Desk(net, name, next(net.incarnations))
+        self.part = net.kind(
+            self.context, net.settings, net.spent, lambda: self.context.now < self.sure_until
+        )
         self.part.written(net.version)
         self.queue, self.stopped = [], False
 
@@ -59,16 +61,16 @@
         new = rings[-1]
         if self.ring is None or self.ring.epoch < new.epoch:
             self.ring = new
-            self.part.rings(new, rings[-2] if len(rings) > 1 else None, self.desk.now)
+            self.part.rings(new, rings[-2] if len(rings) > 1 else None, self.context.now)
             self.part.written(new.written)
 
 
 class Net:
-    def __init__(self, names="abc", seed=0, kind=Lending, version=2, **about):
+    def __init__(self, names="abc", seed=0, kind=QuotaLeases, version=2, **about):
         self.seed, self.random, self.now, self.kind, self.version = seed, Random(seed), 0.0, kind, version
-        self.limit = about.pop("limit", Limit(30.0, 30.0))
-        self.pact = Pact(fleet="f", name="", limits={"t": self.limit}, **about)
-        self.events, self.order, self.lives, self.tickets = [], count(), count(1), count(1)
+        self.limit = about.pop("limit", RateLimit(30.0, 30.0))
+        self.settings = FleetSettings(fleet="f", name="", limits={"t": self.limit}, **about)
+        self.events, self.order, self.incarnations, self.tickets = [], count(), count(1), count(1)
         self.lost = self.doubled = self.late = 0.0
         self.cut, self.sent, self.answers, self.waiting = set(), Counter(), [], {}
         self.rings, self.names, self.agents = [], list(names), {}
@@ -80,7 +82,7 @@
         heappush(self.events, (when, next(self.order), what))
 
     def decide(self, names):
-        seats = tuple(Seat(name, "", 1.0) for name in sorted(names))
+        seats = tuple(RingMember(name, "", 1.0) for name in sorted(names))
         self.rings.append(Ring(len(self.rings) + 1, seats, self.version))
 
     def turn(self):
@@ -88,28 +90,30 @@
         self.decide(self.rings[-1].names)
 
     def start(self, name):
-        # What waited in its earlier life died with it.
+        # What waited in its earlier incarnation died with it.
         self.waiting = {ticket: of for ticket, of in self.waiting.items() if of[1] != name}
         agent = self.agents[name] = Agent(self, name)
         self.at(self.now, partial(self.tick, agent))
         self.at(self.now, partial(self.vouch, agent))
 
     def tick(self, agent):
-        if self.agents[agent.desk.name] is agent:
+        if self.agents[agent.context.name] is agent:
             if not agent.stopped:
                 agent.part.tick()
-            self.at(self.now + self.pact.tick_s * self.random.uniform(0.9, 1.1), partial(self.tick, agent))
+            self.at(
+                self.now + self.settings.tick_s * self.random.uniform(0.9, 1.1), partial(self.tick, agent)
+            )
 
     def vouch(self, agent):
         """Asks a majority, unless cut off from it; what it hears is by then some time old."""
-        if self.agents[agent.desk.name] is not agent:
+        if self.agents[agent.context.name] is not agent:
             return
-        if not agent.stopped and (agent.desk.name, "majority") not in self.cut:
-            asked, took = agent.desk.now, self.random.uniform(0, 0.3)
+        if not agent.stopped and (agent.context.name, "majority") not in self.cut:
+            asked, took = agent.context.now, self.random.uniform(0, 0.3)
 
             def hears():
                 if not agent.stopped and agent.ring is self.rings[-1]:
-                    agent.sure_until = max(agent.sure_until, asked + self.pact.lease_s)
+                    agent.sure_until = max(agent.sure_until, asked + self.settings.lease_s)
                 elif not agent.stopped and self.random.random() < 0.7:
                     agent.learn(self.rings)
 
@@ -153,7 +157,7 @@
         if not agent.stopped:
             ticket = next(self.tickets)
             self.waiting[ticket] = (self.now, name)
-            agent.part.spend(ticket, tenant, agent.desk.now + self.pact.wait_s)
+            agent.part.spend(ticket, tenant, agent.context.now + self.settings.wait_s)
 
     def spent(self, ticket, ok, wait_s, sure):
         asked, name = self.waiting.pop(ticket)  # a second answer is a KeyError
@@ -185,10 +189,12 @@
         return worst - 1e-6
 
 
-def rough(seed, kind=Lending, until=30.0, steps=False, **about):
+def rough(seed, kind=QuotaLeases, until=30.0, steps=False, **about):
     """Everything at once: loss, doubles, lateness, cuts, stops, restarts, rings in quick succession."""
     chance = Random(f"rough {seed}")
-    limit = chance.choice((Limit(20.0, 60.0), Limit(5.0, 40.0), Limit(50.0, 20.0), Limit(2.0, 3.0)))
+    limit = chance.choice(
+        (RateLimit(20.0, 60.0), RateLimit(5.0, 40.0), RateLimit(50.0, 20.0), RateLimit(2.0, 3.0))
+    )
     names = "abcdef"[: chance.randint(2, 6)]
     net = Net(names, seed, kind, **{"limit": limit, "clock_drift": 0.05, **about})
     net.lost, net.doubled, net.late = (chance.choice((0.0, 0.05, 0.3)) for _ in range(3))
@@ -274,13 +280,13 @@
 def twice(part):
     """What comes doubled is taken twice: answers, and loans given back."""
 
-    def answered(sender, life, answer, now, real=part.answered):
+    def answered(sender, incarnation, answer, now, real=part.answered):
         line = part.wards[answer.tenant].lines.get(sender) if answer.tenant in part.wards else None
         if line and not line.sequence:
             line.sequence = answer.sequence
-        return real(sender, life, answer, now)
+        return real(sender, incarnation, answer, now)
 
-    def returned(sender, life, back, now):
+    def returned(sender, incarnation, back, now):
         part.bucket(back.tenant, now).tokens += back.tokens
 
     part.answered, part.returned = answered, returned
@@ -288,7 +294,7 @@
 
 def planted(fault):
     def make(*about):
-        part = Lending(*about)
+        part = QuotaLeases(*about)
         fault(part)
         return part
 
@@ -311,7 +317,7 @@
 
 def cut_off_while_another_owned(kind):
     """a owned by epoch 1 and owns by 3, and never heard of 2, in which d had its part and still has."""
-    net = Net("abcd", kind=kind, limit=Limit(2.0, 60.0))
+    net = Net("abcd", kind=kind, limit=RateLimit(2.0, 60.0))
     net.rings = [Ring(1, net.rings[0].seats[:3], 2)]
     net.at(10, partial(net.cut.add, ("a", "majority")))
     net.at(11, partial(net.decide, "bcd"))
@@ -325,18 +331,20 @@
 
 
 def test_a_gap_in_the_epochs_is_no_tenure():
-    assert cut_off_while_another_owned(Lending) <= 0 < cut_off_while_another_owned(planted(gap_overlooked))
+    assert (
+        cut_off_while_another_owned(QuotaLeases) <= 0 < cut_off_while_another_owned(planted(gap_overlooked))
+    )
 
 
 @pytest.mark.parametrize(
     "limit, version",
     [
-        (Limit(30, 30), 2),
-        (Limit(100, 300), 2),
-        (Limit(5, 10), 2),
-        (Limit(1, 5), 2),
-        (Limit(30, 30), 1),
-        (Limit(2, 3), 1),
+        (RateLimit(30, 30), 2),
+        (RateLimit(100, 300), 2),
+        (RateLimit(5, 10), 2),
+        (RateLimit(1, 5), 2),
+        (RateLimit(30, 30), 1),
+        (RateLimit(2, 3), 1),
     ],
 )
 def test_a_steady_uneven_tenant_gets_nine_tenths(limit, version):
@@ -363,7 +371,7 @@
 
 
 def test_what_a_leaving_agent_holds_is_lent_again_at_once():
-    net = Net("abcd", limit=Limit(1.0, 40.0))
+    net = Net("abcd", limit=RateLimit(1.0, 40.0))
     net.run(60)
     for _ in range(30):
         net.request("d")
@@ -377,7 +385,7 @@
 
 
 def test_cut_off_an_agent_answers_in_time_and_says_so():
-    net = Net("abcd", limit=Limit(50.0, 50.0))
+    net = Net("abcd", limit=RateLimit(50.0, 50.0))
     net.load("d", 30, 0, 20)
     net.at(
         10,
@@ -390,18 +398,18 @@
     mine = net.agents["d"].part
     late = [each for each in net.answers if each[0] > 14.5]
     assert len(late) > 100 and not any(ok or sure for _, _, ok, _, sure, _ in late)
-    assert max(took for *_, took in late) <= net.pact.wait_s + 2 * net.pact.tick_s
-    mine.pact = replace(mine.pact, most_waiting=0)  # full: turned away at once, counted
+    assert max(took for *_, took in late) <= net.settings.wait_s + 2 * net.settings.tick_s
+    mine.settings = replace(mine.settings, most_waiting=0)  # full: turned away at once, counted
     net.request("d")
-    assert net.answers[-1][2] is False and mine.desk.counted["lending full"] == 1
+    assert net.answers[-1][2] is False and mine.context.counted["admission queue full"] == 1
 
 
 def test_limits_read_anew_at_different_times_keep_to_the_greater():
-    net = Net("abc", limit=Limit(60.0, 60.0))
+    net = Net("abc", limit=RateLimit(60.0, 60.0))
     for name in "abc":
         net.load(name, 60, 0, 30)
     for when, name, limit in ((12, "a", 20.0), (14, "b", 20.0), (15, "c", 20.0), (22, "a", 60.0)):
-        new = replace(net.pact, limits={"t": Limit(limit, limit)})
+        new = replace(net.settings, limits={"t": RateLimit(limit, limit)})
         net.at(when, partial(net.agents[name].part.reread, new))
     net.run(30)
     assert net.over() <= 0 and net.over(20.0, 20.0) > 0
@@ -412,9 +420,9 @@
 def test_an_answer_in_flight_finds_room_under_the_cap():
     bucket = ledger.Bucket(
         b"u/t",
-        Limit(30.0, 30.0),
-        ledger.Tenure(0.0, 0.0, lambda ring, key: 1.0),
-        Pact(fleet="f", name="a"),
+        RateLimit(30.0, 30.0),
+        ledger.OwnershipHistory(0.0, 0.0, lambda ring, key: 1.0),
+        FleetSettings(fleet="f", name="a"),
         2,
     )
     bucket.tenure.learn(Ring(1, ()), None, 0.0)
@@ -422,7 +430,7 @@
     bucket.touch(10.0, 10, 10.0, 2)
     holder, held = bucket.book("b", 1), 0
     for turn in range(1, 6):
-        ask = quota_leases.Ask("t", turn, held, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
+        ask = quota_leases.LeaseRequest("t", turn, held, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
         given = bucket.lend("b", 1, holder, ask, 10.0, turn)
         assert given.tokens + (8.0 if held else 0.0) <= max(given.burst, 9.0 if held else 0.0)
         assert bucket.tokens + bucket.out_burst <= 30.0 + 1e-9
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -7,9 +7,17 @@
 from hypothesis import strategies as some
 
 from cartdeal.fleet import errors
-from cartdeal.fleet.hybrid_clock import HybridClock, Stamp
+from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
 from cartdeal.fleet.replication import records, schema
-from cartdeal.fleet.replication.records import Certainty, Mark, Session, Use, delta, digest, merge
+from cartdeal.fleet.replication.records import (
+    AttemptRecord,
+    Certainty,
+    Session,
+    UsageCounter,
+    delta,
+    digest,
+    merge,
+)
 
 STEPS = [(1, "steady"), (1, "widen"), (1, "move"), (1, "narrow"), (2, "steady")]
 
@@ -23,7 +31,7 @@
 extras = some.dictionaries(some.sampled_from(["xa", "xb"]), plain, max_size=2)
 places = some.lists(some.tuples(some.sampled_from(["", "a", "b"]), few), max_size=3).map(tuple)
 marks = some.builds(
-    Mark,
+    AttemptRecord,
     some.sampled_from(["a/1/1", "a/1/2", "b/7/1"]),
     some.sampled_from("kl"),
     some.sampled_from("du"),
@@ -45,7 +53,7 @@
 periods = some.sampled_from([0, 1, 120, 121, 122])
 parts = some.tuples(few, some.sampled_from([0.0, 1.5]), some.just(2.0))
 uses = some.builds(
-    Use,
+    UsageCounter,
     some.dictionaries(some.tuples(some.sampled_from("ab"), few, periods), few, max_size=5),
     some.dictionaries(some.sampled_from("gh"), parts),
     extras,
@@ -74,7 +82,7 @@
 @checked
 @given(alike, some.sampled_from(STEPS), some.sampled_from(STEPS))
 def test_every_version_reads_and_writes_back_every_other(three, written, rewritten):
-    record = records.trimmed(three[0]) if isinstance(three[0], Use) else three[0]
+    record = records.trimmed(three[0]) if isinstance(three[0], UsageCounter) else three[0]
     kind = records.kind_of(record)
     by_old = schema.decode(kind, raw_of(record, written), knows=1)
     passed = raw_of(merge(by_old, type(record)()), rewritten, knows=1)
@@ -104,12 +112,12 @@
 
 
 def test_what_only_an_old_agent_added_counts_beside_the_new_form():
-    first, added = (Mark(f"a/1/{n}", "k", "u", "zone", 5, until_ms=9) for n in (1, 2))
+    first, added = (AttemptRecord(f"a/1/{n}", "k", "u", "zone", 5, until_ms=9) for n in (1, 2))
     by_old = schema.decode("s", raw_of(Session({first.by: first}), (1, "narrow")), knows=1)
     by_old = merge(by_old, Session({added.by: added}))  # it can't see the first any more, and keeps it
     assert schema.decode("s", raw_of(by_old, knows=1)).marks == {first.by: first, added.by: added}
     by_old = schema.decode("s", raw_of(Session({first.by: first})), knows=1)
-    more = records.gained(by_old.marks[first.by], certainty=Certainty.ANSWERED)
+    more = records.advanced(by_old.marks[first.by], certainty=Certainty.ANSWERED)
     by_old = merge(by_old, Session({added.by: added, more.by: more}))
     assert schema.decode("s", raw_of(by_old, knows=1)).marks == {more.by: more, added.by: added}
 
@@ -128,7 +136,7 @@
 def test_bytes_are_never_trusted(raw, kind):
     try:
         raw_of(schema.decode(kind, raw))
-    except errors.Trouble:
+    except errors.FleetError:
         pass
 
 
@@ -140,7 +148,7 @@
     for bad in (raw[:at], raw[:at] + noise + raw[at + len(noise) :], raw + noise):
         try:
             raw_of(schema.decode(records.kind_of(three[0]), bad))
-        except errors.Trouble:
+        except errors.FleetError:
             pass
 
 
@@ -166,46 +174,52 @@
 def test_garbage_is_named_without_its_words(raw):
     if isinstance(raw, dict):
         raw = msgspec.msgpack.encode({"kind": "s", "v": 1, "needs": 1} | raw)
-    with pytest.raises(errors.BadRecord) as trouble:
+    with pytest.raises(errors.InvalidRecordError) as trouble:
         schema.decode("s", raw)
     assert len(str(trouble.value)) < 300
 
 
 def test_too_much_is_refused_not_cut():
-    many = {f"a/1/{n}": Mark(f"a/1/{n}", "k", "u", "all", 5) for n in range(1025)}
+    many = {f"a/1/{n}": AttemptRecord(f"a/1/{n}", "k", "u", "all", 5) for n in range(1025)}
     assert Session(many).full(64) and Session({}, {"x": b"." * 40_000}).full(64) and not Session().full(64)
     for record in (Session(many), Session({}, {"x": b"." * (1 << 18)})):
-        with pytest.raises(errors.RecordTooLarge):
+        with pytest.raises(errors.RecordTooLargeError):
             raw_of(record)
-    with pytest.raises(errors.BadRecord):
-        merge(Session(), Use())
+    with pytest.raises(errors.InvalidRecordError):
+        merge(Session(), UsageCounter())
 
 
 def test_the_places_of_a_mark_are_bounded_and_it_says_that_some_are_forgotten():
     one, two = (
-        Mark("a/1/1", "k", "d", "cell", 5, tuple(("z", n) for n in cells))
+        AttemptRecord("a/1/1", "k", "d", "cell", 5, tuple(("z", n) for n in cells))
         for cells in (range(20), range(15, 40))
     )
-    both = records.merge_marks(one, two).places
-    assert both[0] == records.ELSEWHERE and len(both) == 1 + records.MOST_PLACES
+    both = records.merge_attempts(one, two).places
+    assert both[0] == records.UNKNOWN_LOCATION and len(both) == 1 + records.MAX_LOCATIONS
     for more in (one, two):  # the first has no place that isn't kept
-        assert records.merge_marks(records.merge_marks(two, one), more).places == both
+        assert records.merge_attempts(records.merge_attempts(two, one), more).places == both
 
 
 def test_old_periods_and_the_least_parts_go_whatever_came_first():
     # Bounds are met by hypothesis only for periods; here for all of them.
     copies = [
-        Use(
-            {("a", life, period): 1 for life in range(300) for period in range(start, start + 20)},
+        UsageCounter(
+            {
+                ("a", incarnation, period): 1
+                for incarnation in range(300)
+                for period in range(start, start + 20)
+            },
             {f"h{n}": (n, 1.0, 1.0) for n in range(start * 10, start * 10 + 700)},
         )
         for start in (0, 60, 130)
     ]
     whole = [reduce(merge, order) for order in permutations(copies)]
     assert len({digest(each) for each in whole}) == 1
-    assert len(whole[0].counts) == records.MOST_COUNTS and len(whole[0].parts) == records.MOST_PARTS
-    assert min(period for _, _, period in whole[0].counts) > 149 - records.KEPT_PERIODS
-    late = merge(Use({("a", 1, 125): 2, ("b", 1, 125): 3, ("a", 1, 110): 1}), Use({("a", 1, 109): 1}))
+    assert len(whole[0].counts) == records.MAX_COUNTS and len(whole[0].parts) == records.MAX_SHARES
+    assert min(period for _, _, period in whole[0].counts) > 149 - records.RETAINED_PERIODS
+    late = merge(
+        UsageCounter({("a", 1, 125): 2, ("b", 1, 125): 3, ("a", 1, 110): 1}), UsageCounter({("a", 1, 109): 1})
+    )
     assert [late.served(period) for period in (109, 110, 125)] == [0, 1, 5]
 
 
@@ -216,32 +230,37 @@
         ("b/1/1", Certainty.NEVER_RAN, 3000),
     )
     held = Session(
-        {by: Mark(by, "k", "u", "all", 5, certainty=sure, until_ms=until) for by, sure, until in three}
+        {
+            by: AttemptRecord(by, "k", "u", "all", 5, certainty=sure, until_ms=until)
+            for by, sure, until in three
+        }
     )
     assert [mark.by for mark in held.open_marks("k", 2999, slack_ms=500)] == ["a/1/2"]
     assert [mark.by for mark in held.open_marks("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
     assert held.open_marks("l", 0) == () and records.expired(held, 1400, 500) is held
     assert sorted(records.expired(held, 1500, 500).marks) == ["a/1/2", "b/1/1"]
     assert records.empty(records.expired(held, 3500, 500))
-    assert records.too_far(held, 0, 2500, 500) is None
-    assert "a/1/2" in records.too_far(held, 0, 2000, 500).what
-    use = records.Use({("a", 1, 12): 3})
-    assert records.too_far(use, 11_000, 2000, 500) is None
-    assert "a/1" in records.too_far(use, 9_000, 2000, 500).what
+    assert records.check_clock(held, 0, 2500, 500) is None
+    assert "a/1/2" in records.check_clock(held, 0, 2000, 500).subject
+    use = records.UsageCounter({("a", 1, 12): 3})
+    assert records.check_clock(use, 11_000, 2000, 500) is None
+    assert "a/1" in records.check_clock(use, 9_000, 2000, 500).subject
 
 
 def test_a_clock_far_ahead_is_refused_and_one_that_jumps_back_counts_on():
     clock = HybridClock("a", 2.0)
     first = clock.tick(100.0)
-    assert clock.tick(90.0) == Stamp(100_000, 1, "a") > first  # back by ten seconds
-    assert clock.hear(Stamp(99_000, 0, "c"), 90.0) == Stamp(100_000, 2, "a")  # no harm: it isn't newer
-    with pytest.raises(errors.ClockAhead, match="clock of b"):
-        clock.hear(Stamp(103_001, 0, "b"), 101.0)
-    assert clock.last.wall_ms == 100_000 and clock.tick(101.0) == Stamp(101_000, 0, "a")
-    assert clock.hear(Stamp(102_000, 7, "c"), 101.0) == Stamp(102_000, 8, "a")
-    clock.last = Stamp(102_000, (1 << 31) - 1, "a")
-    assert clock.tick(101.0) == Stamp(102_001, 0, "a") and not clock.behind()
+    assert clock.tick(90.0) == Timestamp(100_000, 1, "a") > first  # back by ten seconds
+    assert clock.hear(Timestamp(99_000, 0, "c"), 90.0) == Timestamp(
+        100_000, 2, "a"
+    )  # no harm: it isn't newer
+    with pytest.raises(errors.ClockAheadError, match="clock of b"):
+        clock.hear(Timestamp(103_001, 0, "b"), 101.0)
+    assert clock.last.wall_ms == 100_000 and clock.tick(101.0) == Timestamp(101_000, 0, "a")
+    assert clock.hear(Timestamp(102_000, 7, "c"), 101.0) == Timestamp(102_000, 8, "a")
+    clock.last = Timestamp(102_000, (1 << 31) - 1, "a")
+    assert clock.tick(101.0) == Timestamp(102_001, 0, "a") and not clock.behind()
     for name in "bcd":
-        with pytest.raises(errors.ClockAhead):
-            clock.hear(Stamp(120_000, 0, name), 101.0)
+        with pytest.raises(errors.ClockAheadError):
+            clock.hear(Timestamp(120_000, 0, name), 101.0)
     assert clock.behind()  # all others are ahead: it is ours
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -5,47 +5,50 @@
 
 import msgspec
 
-from cartdeal.fleet.context import Pact
+from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.replication import replica
-from cartdeal.fleet.replication.records import Certainty, Mark, Session, digest, gained, merge
+from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
-from cartdeal.fleet.ring.hash_ring import Ring, Seat, owners
+from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-WORDS = msgspec.msgpack.Decoder(Union[replica.WORDS])  # noqa: UP007
-PACT = Pact(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
+WORDS = msgspec.msgpack.Decoder(Union[replica.MESSAGE_TYPES])  # noqa: UP007
+SETTINGS = FleetSettings(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
 
 
 def ring(epoch, *names, written=1, phase="steady"):
-    return Ring(epoch, tuple(Seat(name, "", 1.0) for name in sorted(names)), written, phase)
+    return Ring(epoch, tuple(RingMember(name, "", 1.0) for name in sorted(names)), written, phase)
 
 
 class Agent:
-    """A desk, the replica at it, and the process that can be stopped, killed and started from nothing."""
+    """A context, the replica at it, and the process that can be stopped, killed and started from nothing."""
 
-    def __init__(self, net, name, pact):
-        self.net, self.name, self.address, self.pact = net, name, name + ":1", pact
-        self.lives, self.counts, self.notes, self.skew = 0, Counter(), [], 0.0
+    def __init__(self, net, name, fleet_settings):
+        self.net, self.name, self.address, self.settings = net, name, name + ":1", fleet_settings
+        self.incarnations, self.counts, self.events, self.skew = 0, Counter(), [], 0.0
         self.start()
 
     def start(self):
-        self.lives += 1
-        self.life, self.random = self.lives, seeded_random(self.net.seed, f"{self.name}/{self.lives}")
+        self.incarnations += 1
+        self.incarnation, self.random = (
+            self.incarnations,
+            seeded_random(self.net.seed, f"{self.name}/{self.incarnations}"),
+        )
         self.answers, self.issued, self.held = {}, 0, []
         self.stopped, self.dead, self.sure = False, False, True
-        clock = HybridClock(self.name, self.pact.clock_ahead_s)
-        self.replica = Replica(self, self.pact, clock, self.done, lambda: self.sure)
+        clock = HybridClock(self.name, self.settings.clock_ahead_s)
+        self.replica = Replica(self, self.settings, clock, self.done, lambda: self.sure)
         self.tick(self.replica)
 
     now = property(lambda self: self.net.clock.now + 100)
     wall = property(lambda self: self.net.clock.now + 1_000_000 + self.skew)
 
-    def note(self, kind, **about):
-        self.notes.append(kind)
+    def log_event(self, event):
+        self.events.append(event.MESSAGE)
 
-    def count(self, what, more=1):
-        self.counts[what] += more
+    def increment(self, counter, by=1):
+        self.counts[counter] += by
 
     def send(self, to, words):
         self.net.carry(self.name, to, words)
@@ -77,8 +80,8 @@
     def mark(self, lasts=5.0, **more):
         self.issued += 1
         now = int(self.wall * 1e3)
-        return Mark(
-            f"{self.name}/{self.life}/{self.issued}",
+        return AttemptRecord(
+            f"{self.name}/{self.incarnation}/{self.issued}",
             "GET /",
             "u",
             "all",
@@ -109,12 +112,14 @@
 
 
 class Net:
-    def __init__(self, names="abc", seed=1, lose=0.0, double=0.0, late=0.0, former=None, epoch=1, **pact):
+    def __init__(
+        self, names="abc", seed=1, lose=0.0, double=0.0, late=0.0, former=None, epoch=1, **fleet_settings
+    ):
         self.clock, self.seed, self.random = SimulatedClock(), seed, seeded_random(seed, "net")
         self.lose, self.double, self.late = lose, double, late
         self.cuts, self.sent, self.bytes = set(), Counter(), 0
-        self.pact = msgspec.structs.replace(PACT, **pact)
-        self.agents = {name: Agent(self, name, self.pact) for name in names}
+        self.settings = msgspec.structs.replace(SETTINGS, **fleet_settings)
+        self.agents = {name: Agent(self, name, self.settings) for name in names}
         self.ring, self.former = ring(epoch, *names), former
         self.tell()
         self.run(0.5)
@@ -135,7 +140,7 @@
     def start(self, name):
         """Anew, from nothing, under the same name and ring."""
         if name not in self.agents:
-            self.agents[name] = Agent(self, name, self.pact)
+            self.agents[name] = Agent(self, name, self.settings)
         else:
             self[name].kill()
             self[name].start()
@@ -221,7 +226,7 @@
     assert net["b"].asked("y")[1] is True
     net["b"].sure = False
     assert net["c"].asked("y")[1] is False
-    assert net["b"].counts["not sure"]
+    assert net["b"].counts["no valid lease"]
 
 
 def test_a_one_way_cut_is_doubt_for_the_one_that_is_not_heard():
@@ -241,7 +246,7 @@
             agent = net["abcde"[turn % 5]]
             _, mark = agent.claim(turn % 11, lasts=9.0)
             net.run(0.03)
-            agent.replica.refine(f"s/{turn % 11}", gained(mark, certainty=Certainty.ANSWERED))
+            agent.replica.refine(f"s/{turn % 11}", advanced(mark, certainty=Certainty.ANSWERED))
             agent.replica.count_use("t", 1, 1)
         net.run(4)
         net.lose = 0
@@ -259,7 +264,7 @@
     ticket, mark = net["a"].claim("x", lasts=10.0)
     net.cut("c", "ab")
     net.run(0.1)
-    net["a"].replica.refine("s/x", gained(mark, certainty=Certainty.ANSWERED))
+    net["a"].replica.refine("s/x", advanced(mark, certainty=Certainty.ANSWERED))
     net.run(3)
     assert net["a"].replica.figures()["hints"] == 1
     net.cuts.clear()
@@ -276,7 +281,7 @@
         net.run(0.02)
     net.run(1)
     assert net["a"].replica.figures()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
-    assert net["a"].notes.count("hints full") == 1
+    assert net["a"].events.count("hints full") == 1
     net.cuts.clear()
     net.run(4)  # what was dropped is made good by comparing
     assert len(net["c"].replica.held()) == 50 and net.equal("abc")
@@ -333,7 +338,7 @@
 
 def test_owners_that_change_know_the_mark_and_a_new_one_answers_nothing_before():
     net = Net("abcd")
-    net.agents["e"] = Agent(net, "e", net.pact)
+    net.agents["e"] = Agent(net, "e", net.settings)
     net.tell("e")
     net.run(1)
     marks = {sid: net["a"].claim(sid, lasts=9.0)[1].by for sid in range(80)}
@@ -488,7 +493,7 @@
     assert not net["a"].replica.held() and not net["b"].replica.held() and not net["c"].replica.held()
     net["c"].skew = 20.0
     assert net["c"].asked("x")[1] is False  # its marks would bind for too long: refused, and said
-    assert "clock ahead" in net["a"].notes
+    assert "clock ahead" in net["a"].events
 
 
 def test_one_that_leaves_hands_over_what_others_lack():
--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -5,8 +5,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.ring.hash_ring import Damper, Ring, Seat, least, moved, owners, plan, sound, step, stepped
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.ring.hash_ring import (
+    Damper,
+    Ring,
+    RingMember,
+    apply_step,
+    is_valid_ring,
+    minimal_movement,
+    moved_share,
+    owners,
+    plan,
+    step_between,
+)
 from cartdeal.lab import rings
 
 KEYS = [b"s/%d" % n for n in range(4000)]
@@ -15,7 +26,9 @@
 
 
 def ring(capacities, zones=3, epoch=1):
-    return Ring(epoch, tuple(Seat(f"a{n:04}", f"z{n % zones}", float(c)) for n, c in enumerate(capacities)))
+    return Ring(
+        epoch, tuple(RingMember(f"a{n:04}", f"z{n % zones}", float(c)) for n, c in enumerate(capacities))
+    )
 
 
 def joined(old, *seats):
@@ -23,7 +36,9 @@
 
 
 seats = st.dictionaries(st.sampled_from([f"n{n}" for n in range(12)]), st.floats(1, 64), min_size=1).map(
-    lambda found: {name: Seat(name, f"z{int(name[1:]) % 3}", capacity) for name, capacity in found.items()}
+    lambda found: {
+        name: RingMember(name, f"z{int(name[1:]) % 3}", capacity) for name, capacity in found.items()
+    }
 )
 
 
@@ -63,7 +78,7 @@
 def test_one_joins_and_no_key_moves_between_two_old_agents(agents, zones, capacity):
     dice = Random(agents)
     old = ring([dice.choice((1, 8, 64)) for _ in range(agents)], zones)
-    new = joined(old, Seat("new", "z0", float(capacity)))
+    new = joined(old, RingMember("new", "z0", float(capacity)))
     share, first = capacity / new.capacity, 0
     for key in KEYS:
         was, now = owners(old, key, 3), owners(new, key, 3)
@@ -77,7 +92,7 @@
 @given(seats, seats)
 def test_what_moves_is_counted_exactly_and_at_most_twice_the_least(one, other):
     old, new = drawn(one), drawn(other)
-    share, floor = moved(old, new), least(old, new)
+    share, floor = moved_share(old, new), minimal_movement(old, new)
     seen = sum(owners(old, key, 1) != owners(new, key, 1) for key in KEYS[:400]) / 400
     assert abs(seen - share) < 4.5 * (share * (1 - share) / 400) ** 0.5 + 0.01
     assert floor - 1e-9 <= share <= 2 * floor / (1 + floor) + 1e-9
@@ -93,12 +108,12 @@
             break
         stay = [seat for seat in at.seats if seat.name in wanted]
         dead = 1 - sum(seat.capacity for seat in stay) / at.capacity
-        assert new.epoch == at.epoch + 1 and sound(new, 100) and set(new.names) <= set(wanted)
+        assert new.epoch == at.epoch + 1 and is_valid_ring(new, 100) and set(new.names) <= set(wanted)
         if stay:
             left = Ring(at.epoch, tuple(stay))
-            assert moved(left, new) <= max(0.0, share - dead) + 1e-9
+            assert moved_share(left, new) <= max(0.0, share - dead) + 1e-9
             for seat in new.seats:
-                had = left.by_name.get(seat.name, Seat("", "", 0.0)).capacity
+                had = left.by_name.get(seat.name, RingMember("", "", 0.0)).capacity
                 goal = wanted[seat.name].capacity
                 assert seat.capacity <= max(had, goal / 2) or had >= goal / 2
         at = new
@@ -108,9 +123,9 @@
 def test_three_join_in_one_step_while_one_fails():
     old = ring([8] * 6)
     wanted = {name: seat for name, seat in old.by_name.items() if name != "a0000"}
-    wanted |= {f"n{n}": Seat(f"n{n}", "z0", 64.0) for n in range(3)}
+    wanted |= {f"n{n}": RingMember(f"n{n}", "z0", 64.0) for n in range(3)}
     one = plan(old, wanted, 0.34)
-    assert "a0000" not in one.names and moved(old, one) <= 0.34 + 1e-9
+    assert "a0000" not in one.names and moved_share(old, one) <= 0.34 + 1e-9
     assert all(one.by_name[f"n{n}"].capacity < 32 for n in range(3))
 
 
@@ -127,9 +142,12 @@
 @given(seats, seats)
 def test_a_step_leads_to_the_same_ring(one, other):
     old, new = drawn(one), Ring(2, drawn(other).seats, 2, "move")
-    assert stepped(old, step(old, new)) == new and stepped(old, step(old, new)).digest == new.digest
+    assert (
+        apply_step(old, step_between(old, new)) == new
+        and apply_step(old, step_between(old, new)).digest == new.digest
+    )
     with pytest.raises(ValueError):
-        stepped(new, step(old, new))
+        apply_step(new, step_between(old, new))
 
 
 # Damping
@@ -139,10 +157,10 @@
     def __init__(self, capacities):
         self.ring = ring(capacities)
         self.live = {seat.name: self.peer(seat.name, seat.capacity) for seat in self.ring.seats}
-        self.damper, self.now, self.changes = Damper(Pact(fleet="f", name="a")), 0.0, 0
+        self.damper, self.now, self.changes = Damper(FleetSettings(fleet="f", name="a")), 0.0, 0
 
     def peer(self, name, capacity):
-        return SimpleNamespace(name=name, zone=f"z{int(name[1:]) % 3}", capacity=capacity, life=1)
+        return SimpleNamespace(name=name, zone=f"z{int(name[1:]) % 3}", capacity=capacity, incarnation=1)
 
     def run(self, seconds, each=lambda now: None):
         for _ in range(int(seconds * 5)):
@@ -195,7 +213,7 @@
     stranger = watch.live["a9999"] = watch.peer("a9999", 64.0)
 
     def restart(now):
-        watch.live["a0001"].life = stranger.life = int(now / 2)
+        watch.live["a0001"].incarnation = stranger.incarnation = int(now / 2)
 
     assert watch.run(60, restart).changes == 0
     watch.run(6)
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -9,24 +9,24 @@
 import pytest
 
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.consensus.ring_consensus import Epochs
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.ring.hash_ring import Ring, Seat, step, stepped
+from cartdeal.fleet.consensus.ring_consensus import RingConsensus
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, step_between
 
-CODEC = msgspec.msgpack.Decoder(ring_consensus.WORDS[0] | ring_consensus.WORDS[1])
-for kind in ring_consensus.WORDS[2:]:
+CODEC = msgspec.msgpack.Decoder(ring_consensus.MESSAGE_TYPES[0] | ring_consensus.MESSAGE_TYPES[1])
+for kind in ring_consensus.MESSAGE_TYPES[2:]:
     CODEC = msgspec.msgpack.Decoder(CODEC.type | kind)
 
 
 class Net:
     """Agents on one clock; each sees as live whom it has not lost sight of (`unseen`: pairs, seer first)."""
 
-    def __init__(self, names, seed=1, loss=0.0, slow=0.01, make=Epochs, **more):
+    def __init__(self, names, seed=1, loss=0.0, slow=0.01, make=RingConsensus, **more):
         self.random, self.loss, self.slow, self.make = Random(seed), loss, slow, make
         self.now, self.heap, self.turn, self.more = 0.0, [], 0, more
         self.cut, self.unseen, self.stopped = set(), set(), {}
         self.seeds = dict.fromkeys(names, "")
-        self.peers, self.agents, self.notes, self.counts = {}, {}, [], {}
+        self.peers, self.agents, self.events, self.counts = {}, {}, [], {}
         self.first, self.stale = {}, []
         self.decided, self.sent, self.bytes = {}, Counter(), Counter()
         self.written = (1, "steady")
@@ -35,24 +35,28 @@
 
     def start(self, name, capacity=1.0):
         self.turn += 1
-        pact = Pact(fleet="f", name=name, seeds=self.seeds, **self.more)
-        desk = SimpleNamespace(
-            now=self.now, wall=1e9 + self.now, name=name, life=self.turn, random=Random(f"{name} {self.turn}")
+        fleet_settings = FleetSettings(fleet="f", name=name, seeds=self.seeds, **self.more)
+        context = SimpleNamespace(
+            now=self.now,
+            wall=1e9 + self.now,
+            name=name,
+            incarnation=self.turn,
+            random=Random(f"{name} {self.turn}"),
         )
         self.counts[name] = Counter()
-        desk.send = lambda to, words: self.send(name, to, words)
-        desk.note = lambda kind, **about: self.notes.append((name, kind))
-        desk.count = lambda what, more=1: self.counts[name].update({what: more})
+        context.send = lambda to, words: self.send(name, to, words)
+        context.log_event = lambda event: self.events.append((name, event.MESSAGE))
+        context.increment = lambda counter, by=1: self.counts[name].update({counter: by})
         self.peers[name] = SimpleNamespace(
             name=name,
             zone=f"z{len(self.peers) % 3}",
             capacity=capacity,
             state=0,
-            life=self.turn,
+            incarnation=self.turn,
             reads=(1, 2),
             caught=1 << 40,
         )
-        self.agents[name] = agent = self.make(desk, pact)
+        self.agents[name] = agent = self.make(context, fleet_settings)
         self.at(0.1 * self.random.random(), self.tick, name, agent)
 
     def stop(self, name):
@@ -75,7 +79,7 @@
             if to in self.stopped:
                 return self.stopped[to].append((sender, to, raw))
             agent = self.agents[to]
-            agent.desk.now = self.now
+            agent.context.now = self.now
             agent.heard(sender, CODEC.decode(raw))
             self.judge(to, agent)
 
@@ -83,7 +87,7 @@
         if self.agents.get(name) is agent:
             self.at(0.1, self.tick, name, agent)
             if name not in self.stopped:
-                agent.desk.now = self.now
+                agent.context.now = self.now
                 agent.tick(
                     {
                         each: self.peers[each]
@@ -105,7 +109,7 @@
             epoch = agent.ring.epoch
             self.decided.setdefault(epoch, {}).setdefault(agent.ring.digest, name)
             self.first.setdefault(epoch, self.now)
-            if agent.sure() and self.now - self.first.get(epoch + 1, self.now) > agent.pact.lease_s:
+            if agent.sure() and self.now - self.first.get(epoch + 1, self.now) > agent.settings.lease_s:
                 self.stale.append((name, epoch))
 
     def split(self):
@@ -217,7 +221,7 @@
     net.run(40)
     assert not sure(net) and {agent.ring.epoch for agent in net.agents.values()} == {1}
     net.run(40)
-    assert sorted(net.notes) == [("d", "ring stuck"), ("e", "ring stuck")]
+    assert sorted(net.events) == [("d", "ring majority lost"), ("e", "ring majority lost")]
     net.start("a")  # what the note asks for: an agent under one of the names
     assert net.run(30, net.settled) and net.agreed("ade")
 
@@ -227,7 +231,7 @@
     for name in "abc":
         net.stop(name)
     net.run(50)
-    assert net.rings() == {None} and ("e", "ring stuck") in net.notes
+    assert net.rings() == {None} and ("e", "ring majority lost") in net.events
     net.start("c")
     assert net.run(20, net.settled) and net.agreed("cde")
 
@@ -236,7 +240,7 @@
     net = settled()
     net.unseen |= {("a", "c")}
     net.run(30)
-    assert net.agents["b"].ring.epoch == 1 and net.counts["a"]["ballots refused"]
+    assert net.agents["b"].ring.epoch == 1 and net.counts["a"]["ballots rejected"]
 
 
 def test_a_proposer_that_hears_nobody_holds_up_no_other():
@@ -253,7 +257,7 @@
     net.run(20)
     assert net.agents["a"].ring.names == ABC  # the table of members still has it
     agent = net.agents["c"]
-    agent.desk.now = net.now
+    agent.context.now = net.now
     assert not agent.sure()
     net.go_on("c")
     assert not agent.sure()  # by answers to what it asked before
@@ -269,7 +273,7 @@
     net.stopped[name] = []
     net.run(2.5)
     agent, kept = net.agents[name], net.stopped[name]
-    agent.desk.now = net.now
+    agent.context.now = net.now
     for sender, _, raw in kept:
         if isinstance(words := CODEC.decode(raw), ring_consensus.Promise | ring_consensus.Accepted):
             agent.heard(sender, words)
@@ -279,20 +283,20 @@
 def test_accepted_the_next_epoch_it_vouches_no_more():
     net = settled()
     agent, said = net.agents["b"], []
-    agent.desk.send = lambda to, words: said.append(words)
+    agent.context.send = lambda to, words: said.append(words)
     head = agent.ring.epoch, agent.ring.digest
-    agent.heard("c", ring_consensus.Vouch(*head, 9))
+    agent.heard("c", ring_consensus.LeaseRenewal(*head, 9))
     assert said.pop().ages[1] == 0
-    agent.heard("a", ring_consensus.Accept(*head, 7, step(agent.ring, Ring(2, agent.ring.seats, 2))))
+    agent.heard("a", ring_consensus.Accept(*head, 7, step_between(agent.ring, Ring(2, agent.ring.seats, 2))))
     assert isinstance(said.pop(), ring_consensus.Accepted) and agent.accepted_higher and not agent.sure()
-    agent.heard("c", ring_consensus.Vouch(*head, 10))
-    assert said.pop().ages[1] == ring_consensus.UNHEARD
+    agent.heard("c", ring_consensus.LeaseRenewal(*head, 10))
+    assert said.pop().ages[1] == ring_consensus.NOT_HEARD
 
 
 def test_accepted_by_one_and_its_proposer_dead_it_is_still_brought_to_an_end():
     net = settled()
     agent = net.agents["b"]
-    wanted = step(agent.ring, Ring(2, agent.ring.seats[1:]))
+    wanted = step_between(agent.ring, Ring(2, agent.ring.seats[1:]))
     agent.heard("a", ring_consensus.Accept(1, agent.ring.digest, 7, wanted))
     assert net.run(3, lambda: net.agents["c"].ring.epoch == 2)
     assert net.agents["c"].ring.names == ("b", "c") and not net.split()
@@ -301,13 +305,13 @@
 def test_what_a_majority_accepted_is_what_another_proposer_brings_to_an_end():
     net = settled(FIVE)
     old, other = net.agents["a"].ring, net.agents["e"]
-    first = step(old, Ring(2, old.seats[1:]))
+    first = step_between(old, Ring(2, old.seats[1:]))
     for name in "bcd":
         net.agents[name].heard("a", ring_consensus.Accept(1, old.digest, 7, first))
     other.top = 7
-    other.begin(step(old, Ring(2, old.seats[:-1])), ())
+    other.begin(step_between(old, Ring(2, old.seats[:-1])), ())
     net.run(1)
-    assert net.decided[2].keys() == {stepped(old, first).digest}
+    assert net.decided[2].keys() == {apply_step(old, first).digest}
 
 
 def test_a_restarted_voter_is_silent_for_two_leases_and_learns_the_ring():
@@ -316,10 +320,10 @@
     net.start("c")
     agent, said = net.agents["c"], []
     assert net.run(2, lambda: agent.ring is not None) and not agent.remembers
-    agent.desk.send = lambda to, words: said.append(words)
+    agent.context.send = lambda to, words: said.append(words)
     agent.heard("a", ring_consensus.Prepare(1, agent.ring.digest, 7, ()))
-    agent.heard("a", ring_consensus.Vouch(1, agent.ring.digest, 7))
-    assert said[0].why == "forgot" and said[1].ages[2] == ring_consensus.UNHEARD
+    agent.heard("a", ring_consensus.LeaseRenewal(1, agent.ring.digest, 7))
+    assert said[0].why == "forgot" and said[1].ages[2] == ring_consensus.NOT_HEARD
 
 
 def test_an_epoch_agreed_twice_ends_in_the_lower_digest_everywhere():
@@ -328,13 +332,13 @@
     twins = [Ring(2, old.seats, written, founded_ms=old.founded_ms) for written in (1, 2)]
     twins.sort(key=lambda ring: ring.digest)
     for name, ring in (("a", twins[1]), ("b", twins[0])):
-        net.agents[name].heard("c", ring_consensus.Next(step(old, ring)))
+        net.agents[name].heard("c", ring_consensus.RingUpdate(step_between(old, ring)))
         net.judge(name, net.agents[name])
     net.run(2)
     assert net.split() == [2] and net.rings() == {twins[0].digest}
-    assert {name for name, kind in net.notes if kind == "epoch twice"} >= {"a"}
-    net.agents["b"].heard("c", ring_consensus.Whole(old, step(old, twins[1])))
-    assert net.agents["b"].ring.digest == twins[0].digest and ("b", "epoch twice") in net.notes
+    assert {name for name, kind in net.events if kind == "conflicting rings"} >= {"a"}
+    net.agents["b"].heard("c", ring_consensus.RingSnapshot(old, step_between(old, twins[1])))
+    assert net.agents["b"].ring.digest == twins[0].digest and ("b", "conflicting rings") in net.events
 
 
 def test_rings_from_far_ahead_or_malformed_are_dropped_and_counted():
@@ -342,23 +346,25 @@
     agent, counts = net.agents["a"], net.counts["a"]
     ring = agent.ring
     one, two = ring.seats[:2]
-    agent.heard("b", ring_consensus.Vouch(1 << 30, b"", 1))
-    agent.heard("b", ring_consensus.Whole(Ring(1 << 30, ring.seats), step(ring, ring)))
-    assert counts["dropped far epoch"] == 2
+    agent.heard("b", ring_consensus.LeaseRenewal(1 << 30, b"", 1))
+    agent.heard("b", ring_consensus.RingSnapshot(Ring(1 << 30, ring.seats), step_between(ring, ring)))
+    assert counts["dropped distant epoch"] == 2
     for seats in [
         (two, one),
         (one, one),
         (),
-        (Seat("x", "", 0.0),),
-        (Seat("x", "", float("nan")),),
-        (Seat("x", "", 2e6),),
-        (Seat("", "", 1.0),),
+        (RingMember("x", "", 0.0),),
+        (RingMember("x", "", float("nan")),),
+        (RingMember("x", "", 2e6),),
+        (RingMember("", "", 1.0),),
     ]:
         former = Ring(7, seats)
-        agent.heard("b", ring_consensus.Whole(former, step(former, Ring(8, ring.seats))))
-        bad = msgspec.structs.replace(step(ring, ring), epoch=2, seats=seats, gone=() if seats else ABC)
+        agent.heard("b", ring_consensus.RingSnapshot(former, step_between(former, Ring(8, ring.seats))))
+        bad = msgspec.structs.replace(
+            step_between(ring, ring), epoch=2, seats=seats, gone=() if seats else ABC
+        )
         if seats not in [(two, one), (one, one)]:  # these are put in order, which makes them sound
-            agent.heard("b", ring_consensus.Next(bad))
+            agent.heard("b", ring_consensus.RingUpdate(bad))
             agent.heard("b", ring_consensus.Accept(1, ring.digest, 5, bad))
     assert counts["dropped malformed ring"] == 17 and agent.ring is ring and not agent.accepted_higher
 
@@ -384,7 +390,7 @@
     assert sum(net.bytes.values()) < 61 * 20 * 4000  # the whole ring went to the one that had none
 
 
-class Forgetful(Epochs):
+class Forgetful(RingConsensus):
     """Says that it accepted, and forgets."""
 
     def accept(self, sender, number, wanted):
@@ -393,13 +399,13 @@
         return answer
 
 
-class Loose(Epochs):
+class Loose(RingConsensus):
     """Vouches for an epoch after it accepted the next."""
 
     accepted_higher = False
 
 
-class Rash(Epochs):
+class Rash(RingConsensus):
     """Takes half of the voters for a majority."""
 
     def promise_came(self, attempt, sender, words):
@@ -410,7 +416,7 @@
 
 @pytest.mark.parametrize(
     "make, splits, stales",
-    [(Epochs, False, False), (Forgetful, True, True), (Rash, True, True), (Loose, False, True)],
+    [(RingConsensus, False, False), (Forgetful, True, True), (Rash, True, True), (Loose, False, True)],
 )
 def test_the_judge_sees_each_planted_breakage(make, splits, stales):
     split, stale = [], []
--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_schema.py
@@ -5,17 +5,24 @@
 from hypothesis import strategies as some
 
 from cartdeal.fleet import errors
-from cartdeal.fleet.context import Pact
+from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.replication import schema
-from cartdeal.fleet.replication.records import Certainty, Mark, Session, Use, gained, merge
+from cartdeal.fleet.replication.records import (
+    AttemptRecord,
+    Certainty,
+    Session,
+    UsageCounter,
+    advanced,
+    merge,
+)
 from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
 
 NEW, OLD = (1, 2), (1, 1)
-MARK = Mark("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
+MARK = AttemptRecord("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
 
 
-def pact(hold=0):
-    return Pact(fleet="f", name="a", hold_version=hold)
+def fleet_settings(hold=0):
+    return FleetSettings(fleet="f", name="a", hold_version=hold)
 
 
 def ring(written=1, phase="steady", names="abcde"):
@@ -43,7 +50,7 @@
         peers(OLD, moved=2),
         peers(moved=2),
     ):
-        here = ring(*agree(here, live, pact()))  # a new ring each time: nothing else is remembered
+        here = ring(*agree(here, live, fleet_settings()))  # a new ring each time: nothing else is remembered
         seen.append((here.written, here.phase))
     assert seen == [
         (1, "steady"),
@@ -60,17 +67,17 @@
 
 @pytest.mark.parametrize("phase", ["steady", "widen", "move", "narrow"])
 def test_a_minority_takes_no_step(phase):
-    assert agree(ring(1, phase), peers(moved=2, names="ab"), pact()) == (1, phase)
+    assert agree(ring(1, phase), peers(moved=2, names="ab"), fleet_settings()) == (1, phase)
     cut_off = peers(moved=2, names="ab") | peers(OLD, names="cde", state=2)
-    assert agree(ring(1, phase), cut_off, pact()) == (1, phase)
+    assert agree(ring(1, phase), cut_off, fleet_settings()) == (1, phase)
 
 
 def test_absent_seats_are_owed_a_look_until_they_lose_their_seat():
     moving, away = ring(1, "move"), peers(moved=2, names="abcd")
-    assert agree(moving, away, pact()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=1, state=2)}, pact()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=2, state=2)}, pact()) == (1, "narrow")
-    assert agree(ring(1, "move", "abcd"), away, pact()) == (1, "narrow")
+    assert agree(moving, away, fleet_settings()) == (1, "move")
+    assert agree(moving, away | {"e": peer(moved=1, state=2)}, fleet_settings()) == (1, "move")
+    assert agree(moving, away | {"e": peer(moved=2, state=2)}, fleet_settings()) == (1, "narrow")
+    assert agree(ring(1, "move", "abcd"), away, fleet_settings()) == (1, "narrow")
 
 
 @pytest.mark.parametrize(
@@ -83,22 +90,26 @@
     ids=["held", "half rolled back", "old one joins"],
 )
 def test_a_step_back_is_possible_until_narrowed(live, hold):
-    back = {phase: agree(ring(1, phase), live, pact(hold)) for phase in schema.PHASES}
+    back = {phase: agree(ring(1, phase), live, fleet_settings(hold)) for phase in schema.PHASES}
     assert back == {
         "steady": (1, "steady"),
         "widen": (1, "steady"),
         "move": (1, "widen"),
         "narrow": (2, "steady"),
     }
-    assert agree(ring(2), live, pact(hold)) == (2, "steady")
+    assert agree(ring(2), live, fleet_settings(hold)) == (2, "steady")
 
 
 def test_a_step_back_after_narrowing_is_refused_with_what_to_do():
     for here in (ring(1, "narrow"), ring(2)):
-        trouble = schema.step_back_refused(here, pact(hold=1))
-        assert isinstance(trouble, errors.SchemaNarrowed) and "hold_version" in trouble.do
-        assert schema.step_back_refused(here, pact()) is schema.step_back_refused(here, pact(hold=2)) is None
-    assert schema.step_back_refused(ring(1, "move"), pact(hold=1)) is None
+        trouble = schema.step_back_refused(here, fleet_settings(hold=1))
+        assert isinstance(trouble, errors.SchemaDowngradeError) and "hold_version" in trouble.remedy
+        assert (
+            schema.step_back_refused(here, fleet_settings())
+            is schema.step_back_refused(here, fleet_settings(hold=2))
+            is None
+        )
+    assert schema.step_back_refused(ring(1, "move"), fleet_settings(hold=1)) is None
 
 
 def test_an_old_agent_that_comes_back_after_narrowing_is_fenced_and_its_marks_carried_over():
@@ -107,13 +118,13 @@
     assert schema.refused((2, 3), ring(1, "move"))  # what hasn't moved yet it couldn't read
     for here in (ring(1, "narrow"), ring(2)):
         trouble = schema.refused(OLD, here)
-        assert isinstance(trouble, errors.SchemaRefused) and "program" in trouble.do
+        assert isinstance(trouble, errors.UnsupportedSchemaError) and "program" in trouble.remedy
         assert schema.refused(NEW, here) is None
-    later = Mark("b/1/1", "k", "u", "cell", 7, until_ms=9)
+    later = AttemptRecord("b/1/1", "k", "u", "cell", 7, until_ms=9)
     fleets = decode("s", encode("s", Session({MARK.by: MARK}), 2, "steady"))
-    kept = encode("s", Session({later.by: later, MARK.by: gained(MARK, certainty=3)}), 1, "move", knows=1)
+    kept = encode("s", Session({later.by: later, MARK.by: advanced(MARK, certainty=3)}), 1, "move", knows=1)
     both = merge(fleets, decode("s", kept))
-    assert both.marks == {later.by: later, MARK.by: gained(MARK, certainty=3)}
+    assert both.marks == {later.by: later, MARK.by: advanced(MARK, certainty=3)}
     # Read by the old agent, it says that there is more than that program can see.
     assert decode("s", encode("s", both, 2, "steady"), knows=1).beyond == 2
 
@@ -127,7 +138,7 @@
     assert {"marks", "by"} < schema.decoder.decode(raw).keys()
     assert "marks" not in schema.decoder.decode(encode("s", record, 1, "narrow"))
     assert list(schema.decoder.decode(raw)["by"]) == ["zone/5"]
-    use = Use({("a", 1, 3): 4}, {"h": (3, 5.0, 2.0)})
+    use = UsageCounter({("a", 1, 3): 4}, {"h": (3, 5.0, 2.0)})
     back = decode("u", encode("u", decode("u", encode("u", use, 1, "move"), 1), 1, "move", 1))
     assert back == use
     assert decode("u", encode("u", use, 1, "steady")) == use  # a step back loses no part that is lent
@@ -140,10 +151,10 @@
         assert [needs_move(each, *other) for other in raw] == [other != step for other in raw]
     # An old agent has added a mark to its own form of a record that had both.
     by_old = decode("s", raw[1, "move"], knows=1)
-    by_old.marks["b/1/1"] = Mark("b/1/1", "k", "d", "all", 5)
+    by_old.marks["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
     assert needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move")
     assert not needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move", knows=1)
-    with pytest.raises(errors.BadRecord):
+    with pytest.raises(errors.InvalidRecordError):
         needs_move(b"", 1, "move")
     assert [schema.moved(ring(1, phase), left) for phase in schema.PHASES for left in (1, 0)] == [
         1,
@@ -168,8 +179,8 @@
     line = [(1, "steady"), (1, "widen"), (1, "move"), (1, "narrow"), (2, "steady")]
     here = line[0]
     for live in views:
-        after = agree(ring(*here), live, pact(hold))
-        assert after == agree(ring(*here), dict(sorted(live.items(), reverse=True)), pact(hold))
+        after = agree(ring(*here), live, fleet_settings(hold))
+        assert after == agree(ring(*here), dict(sorted(live.items(), reverse=True)), fleet_settings(hold))
         step = line.index(after) - line.index(here)
         assert abs(step) <= 1 and (step >= 0 or line.index(here) < 3)
         if step and after != (2, "steady"):
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -6,15 +6,15 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from cartdeal.fleet.context import Limit, Pact
-from cartdeal.fleet.idempotency import Question
+from cartdeal.fleet.context import FleetSettings, RateLimit
+from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.replication.records import Certainty, Session
-from cartdeal.fleet.ring.hash_ring import Ring, least, owners
-from cartdeal.fleet.simulation.in_memory_fleet import Memory, Weather
+from cartdeal.fleet.ring.hash_ring import Ring, minimal_movement, owners
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
 scenarios("stories")
 
-SHOP = Question(tenant="shop", workload="read")
+SHOP = AdmissionRequest(tenant="shop", workload="read")
 TERMS = {  # an operator's words -> keys of the operator file
     "marks last": "longest_mark_s",
     "hints are kept": "most_hints",
@@ -34,12 +34,12 @@
     def begin(self):
         """Agents that come later are known to all by name, but are no seeds."""
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(self.size)}
-        pact = Pact(fleet="f", name="", key=b"k" * 32, seeds=seeds, **self.terms)
-        self.memory = memory = Memory(pact, 1)
+        fleet_settings = FleetSettings(fleet="f", name="", key=b"k" * 32, seeds=seeds, **self.terms)
+        self.memory = memory = InMemoryFleet(fleet_settings, 1)
         for number in range(self.size):
             self.add(f"a{number}")
         assert memory.until(memory.one_ring, 20.0) < 20.0
-        memory.run(pact.longest_mark_s + 16.0)  # until nothing of before its founding may be due
+        memory.run(fleet_settings.longest_mark_s + 16.0)  # until nothing of before its founding may be due
 
     def add(self, name, **changes):
         terms = {**self.each.get(name, {}), **changes}
@@ -60,7 +60,7 @@
     def come(self, agents, repeat="u", take=0.05, patience=None, **more):
         """A client comes to the first agent, and to the next one when it breaks off or is rejected."""
         number = len(self.clients)
-        question = Question(
+        question = AdmissionRequest(
             **{
                 "session": f"s{number}",
                 "key": f"k{number}",
@@ -139,7 +139,7 @@
 
 @steps(given, r"shop may have (?P<rate>\d+) requests a second and (?P<burst>\d+) at once")
 def _(story, rate, burst):
-    story.terms["limits"] = {"shop": Limit(float(rate), float(burst))}
+    story.terms["limits"] = {"shop": RateLimit(float(rate), float(burst))}
 
 
 @steps(given, rf"(?P<most>\d+) (?:seconds )?(?P<what>{'|'.join(TERMS)})")
@@ -233,12 +233,12 @@
 
 @when("messages are lost, doubled, up to 5 seconds late and out of order")
 def _(story):
-    story.memory.weather = Weather(lose=0.05, double=0.3, jitter_s=0.01, late=0.1, late_s=5.0)
+    story.memory.weather = NetworkConditions(lose=0.05, double=0.3, jitter_s=0.01, late=0.1, late_s=5.0)
 
 
 @when("the network is well again")
 def _(story):
-    story.memory.weather = Weather()
+    story.memory.weather = NetworkConditions()
 
 
 @steps(when, rf"the clock of {WHO} is set (?P<by>\d+) seconds (?P<way>ahead|back)")
@@ -425,12 +425,12 @@
 
 @steps(then, r"(?:an operator was told of: )(?P<note>.*)")
 def _(story, note):
-    assert story.memory.noted[note]
+    assert story.memory.event_counts[note]
 
 
 @steps(then, r"it was counted: (?P<what>.*)")
 def _(story, what):
-    assert sum(node.figured[what] for node in story.memory.nodes().values())
+    assert sum(node.counters[what] for node in story.memory.nodes().values())
 
 
 @when("the ring is looked at")
@@ -449,7 +449,7 @@
     """The judge has held each step to that; here the sum of them, by the first owners of 2,000 keys."""
     keys = [f"s/{n}".encode() for n in range(2000)]
     moved = sum(owners(story.before, key, 1) != owners(story.ring, key, 1) for key in keys) / 2000
-    assert moved <= least(story.before, story.ring) + 0.03 and story.before != story.ring, moved
+    assert moved <= minimal_movement(story.before, story.ring) + 0.03 and story.before != story.ring, moved
 
 
 @steps(then, r"each agent keeps its share of the keys")
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -10,8 +10,10 @@
 from msgspec import Struct
 
 from cartdeal.fleet import codec, errors
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.transport import Bounds, Host, Road
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.effects import DeliverDecision, SendMessage
+from cartdeal.fleet.idempotency import AdmissionDecision
+from cartdeal.fleet.transport import PeerConnection, PeerTransport, TransportLimits
 
 
 class Hail(Struct, frozen=True, tag="t.hail", array_like=True):
@@ -26,63 +28,81 @@
     parts: tuple[tuple[str, ...], ...] = ()
 
 
-PACT = Pact(fleet="f", name="a", key=b"k" * 32, address="127.0.0.1:7")
-REFUSALS = (errors.WrongFleet, errors.WrongDigest, errors.WrongVersion, errors.TooLong, errors.Unreadable)
+SETTINGS = FleetSettings(fleet="f", name="a", key=b"k" * 32, address="127.0.0.1:7")
+REFUSALS = (
+    errors.WrongFleetError,
+    errors.AuthenticationFailedError,
+    errors.UnsupportedEnvelopeError,
+    errors.MessageTooLargeError,
+    errors.MalformedMessageError,
+)
 
 
 @pytest.fixture(autouse=True)
-def tongue(monkeypatch):
+def message_decoder(monkeypatch):
     words = msgspec.msgpack.Decoder(Hail | Load)
-    monkeypatch.setattr(codec, "tongue", lambda: words)
+    monkeypatch.setattr(codec, "message_decoder", lambda: words)
 
 
-def sealed(body, pact=PACT, version=codec.VERSION):
-    return bytes([version]) + codec.seal(pact.key, body) + body
+def sealed(body, settings=SETTINGS, version=codec.VERSION):
+    return bytes([version]) + codec.sign(settings.key, body) + body
 
 
 def test_words_come_back_with_who_said_them():
-    text = codec.encode(PACT, "a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
-    assert codec.decode(PACT, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
+    text = codec.encode(SETTINGS, "a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
+    assert codec.decode(SETTINGS, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
 
 
 @pytest.mark.parametrize(
     "text, kind",
     [
-        (codec.encode(msgspec.structs.replace(PACT, fleet="g"), "a", 1, "", 9, Hail("x")), errors.WrongFleet),
         (
-            codec.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x")),
-            errors.WrongDigest,
+            codec.encode(msgspec.structs.replace(SETTINGS, fleet="g"), "a", 1, "", 9, Hail("x")),
+            errors.WrongFleetError,
+        ),
+        (
+            codec.encode(msgspec.structs.replace(SETTINGS, key=b"l" * 32), "a", 1, "", 9, Hail("x")),
+            errors.AuthenticationFailedError,
         ),
-        (b"\x02" + codec.encode(PACT, "a", 1, "", 9, Hail("x"))[1:], errors.WrongVersion),
-        (codec.encode(PACT, "a", 1, "", 9, Hail("x"))[:-1], errors.Unreadable),
-        (bytes(codec.LONGEST_FRAME + 1), errors.TooLong),
-        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.Unreadable),
-        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.Unreadable),
-        (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
-        (sealed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])), errors.Unreadable),
-        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"), errors.Unreadable),  # too deep
-        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"), errors.Unreadable),
-        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.Unreadable),
+        (b"\x02" + codec.encode(SETTINGS, "a", 1, "", 9, Hail("x"))[1:], errors.UnsupportedEnvelopeError),
+        (codec.encode(SETTINGS, "a", 1, "", 9, Hail("x"))[:-1], errors.MalformedMessageError),
+        (bytes(codec.MAX_FRAME + 1), errors.MessageTooLargeError),
+        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.MalformedMessageError),
+        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.MalformedMessageError),
+        (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.MalformedMessageError),
+        (
+            sealed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])),
+            errors.MalformedMessageError,
+        ),
+        (
+            sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"),
+            errors.MalformedMessageError,
+        ),  # too deep
+        (
+            sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"),
+            errors.MalformedMessageError,
+        ),
+        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.MalformedMessageError),
     ],
     ids=range(12),
 )
 def test_each_refusal_is_a_type_of_its_own(text, kind):
     with pytest.raises(kind) as trouble:
-        codec.decode(PACT, text)
-    assert trouble.value.do and len(str(trouble.value)) < 600
+        codec.decode(SETTINGS, text)
+    assert trouble.value.remedy and len(str(trouble.value)) < 600
 
 
 def test_words_too_long_are_not_sent():
-    with pytest.raises(errors.TooLong):
-        codec.encode(PACT, "a", 1, "", 9, Hail("x" * codec.LONGEST_DATAGRAM))
-    with pytest.raises(errors.TooLong):
-        codec.encode(PACT, "a", 1, "", 9, Load(bytes(codec.LONGEST_FRAME)))
+    with pytest.raises(errors.MessageTooLargeError):
+        codec.encode(SETTINGS, "a", 1, "", 9, Hail("x" * codec.MAX_DATAGRAM))
+    with pytest.raises(errors.MessageTooLargeError):
+        codec.encode(SETTINGS, "a", 1, "", 9, Load(bytes(codec.MAX_FRAME)))
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
 def test_whatever_is_changed_on_the_way_is_refused_by_type(data):
-    text = bytearray(codec.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))))
+    text = bytearray(codec.encode(SETTINGS, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))))
     for _ in range(data.draw(st.integers(1, 3))):
         place = data.draw(st.integers(0, len(text) - 1))
         kind = data.draw(st.sampled_from(["set", "cut", "more"]))
@@ -94,9 +114,9 @@
             text += data.draw(st.binary(min_size=1, max_size=9))
         if not text:
             return
-    if bytes(text) != codec.encode(PACT, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))):
+    if bytes(text) != codec.encode(SETTINGS, "a", 1, "", 9, Load(b"xyz", (("a",), ("b", "c")))):
         with pytest.raises(REFUSALS):
-            codec.decode(PACT, bytes(text))
+            codec.decode(SETTINGS, bytes(text))
 
 
 @settings(max_examples=300, deadline=None)
@@ -104,7 +124,7 @@
 def test_a_peer_that_has_the_key_can_say_nothing_that_ends_in_another_error(body):
     for text in (body, sealed(body), sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
         try:
-            codec.decode(PACT, text)
+            codec.decode(SETTINGS, text)
         except REFUSALS:
             pass
 
@@ -112,7 +132,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=40), max_size=8), st.lists(st.integers(1, 30), min_size=1))
 def test_frames_come_whole_whatever_the_split(messages, cuts):
-    stream, frames, got, cut = b"".join(map(codec.framed, messages)), codec.Frames(40), [], 0
+    stream, frames, got, cut = b"".join(map(codec.frame_message, messages)), codec.FrameReader(40), [], 0
     while stream:
         size = cuts[cut % len(cuts)]
         got += frames.dispatch(stream[:size])
@@ -120,26 +140,34 @@
     assert got == messages and not frames.rest
 
 
-@pytest.mark.parametrize("head, kind", [(bytes(4), errors.Unreadable), (b"\xff\xff\xff\xff", errors.TooLong)])
+@pytest.mark.parametrize(
+    "head, kind",
+    [(bytes(4), errors.MalformedMessageError), (b"\xff\xff\xff\xff", errors.MessageTooLargeError)],
+)
 def test_a_frame_that_can_not_be_is_refused_and_nothing_of_it_kept(head, kind):
-    frames = codec.Frames()
+    frames = codec.FrameReader()
     with pytest.raises(kind):
         frames.dispatch(head + bytes(100))
     assert not frames.rest
-    with pytest.raises(errors.Unreadable):
-        frames.dispatch(codec.framed(b"x"))
+    with pytest.raises(errors.MalformedMessageError):
+        frames.dispatch(codec.frame_message(b"x"))
 
 
 class Scripted:
     """A node that notes what it hears and says what a test tells it to."""
 
-    def __init__(self, pact, seed, now, wall):
-        self.pact, self.name, self.life, self.address = pact, pact.name, 7, pact.address
-        self.asked, self.now, self.wall, self.got, self.ticks, self.depth = [], now, wall, [], 0, 0
+    def __init__(self, fleet_settings, seed, now, wall):
+        self.settings, self.name, self.incarnation, self.address = (
+            fleet_settings,
+            fleet_settings.name,
+            7,
+            fleet_settings.address,
+        )
+        self.effects, self.now, self.wall, self.got, self.ticks, self.depth = [], now, wall, [], 0, 0
 
-    def heard(self, sender, life, address, wall_ms, words):
+    def heard(self, sender, incarnation, address, wall_ms, words):
         assert not self.depth
-        self.depth, self.got = 1, self.got + [(sender, life, address, words)]
+        self.depth, self.got = 1, self.got + [(sender, incarnation, address, words)]
         if words == Hail("die"):
             self.depth = 0
             raise ValueError("broken part")
@@ -149,10 +177,10 @@
         self.ticks += 1
 
     def say(self, to, address, *words):
-        self.asked += [("send", to, address, each) for each in words]
+        self.effects += [SendMessage(to, address, each) for each in words]
 
     def decide(self, *about):
-        self.asked.append(("decided", *about))
+        self.effects.append(DeliverDecision(*about, AdmissionDecision.ADMIT))
 
     def figures(self):
         return {"ticks": self.ticks}
@@ -163,8 +191,8 @@
     made = []
 
     def make(name, decided=None, bounds=None, start=True, **more):
-        pact = msgspec.structs.replace(PACT, name=name, address="", tick_s=0.01, **more)
-        made.append(Host(pact, ("127.0.0.1", 0), Scripted, decided, bounds))
+        fleet_settings = msgspec.structs.replace(SETTINGS, name=name, address="", tick_s=0.01, **more)
+        made.append(PeerTransport(fleet_settings, ("127.0.0.1", 0), Scripted, decided, bounds))
         made[-1].works = []
         if start:
             made[-1].start()
@@ -182,7 +210,7 @@
 
 
 def say(host, to, *words):
-    host.dispatch("say", to.pact.name, to.node.address, *words)
+    host.dispatch("say", to.settings.name, to.node.address, *words)
 
 
 def test_words_go_by_datagram_or_stream_and_come_with_their_sender(hosts):
@@ -194,16 +222,16 @@
     assert len(a.roads) == 1 and len(b.readers) == 1 and not b.half
     say(a, b, Hail("x" * 2000))
     a.dispatch("say", "b", "nowhere", Hail("x"))
-    assert a.figured["dropped too long"] == a.figured["dropped no address"] == 1
+    assert a.counters["dropped too large"] == a.counters["dropped no address"] == 1
 
 
 def test_an_event_that_comes_of_an_effect_is_played_after_it(hosts):
     seen = []
     a = hosts(
         "a",
-        decided=lambda ticket, *rest: seen.append(ticket)
-        or ticket < 3
-        and (a.dispatch("decide", ticket + 2), seen.append(-ticket)),
+        decided=lambda effect: seen.append(effect.ticket)
+        or effect.ticket < 3
+        and (a.dispatch("decide", effect.ticket + 2), seen.append(-effect.ticket)),
     )
     a.dispatch("decide", 1)
     assert seen == [1, -1, 3]
@@ -219,14 +247,14 @@
 @pytest.mark.parametrize(
     "text, kind",
     [
-        (bytes(4), "Unreadable"),
-        (b"\xff" * 8, "TooLong"),
-        (codec.framed(b"x" * 60), "WrongVersion"),
+        (bytes(4), "MalformedMessageError"),
+        (b"\xff" * 8, "MessageTooLargeError"),
+        (codec.frame_message(b"x" * 60), "UnsupportedEnvelopeError"),
         (
-            codec.framed(
-                codec.encode(msgspec.structs.replace(PACT, key=b"l" * 32), "a", 1, "", 9, Hail("x"))
+            codec.frame_message(
+                codec.encode(msgspec.structs.replace(SETTINGS, key=b"l" * 32), "a", 1, "", 9, Hail("x"))
             ),
-            "WrongDigest",
+            "AuthenticationFailedError",
         ),
     ],
 )
@@ -240,7 +268,7 @@
         assert bad.recv(1) == b""
     say(a, b, Load(b"y"))
     until(lambda: len(b.node.got) == 2)
-    assert b.figured[f"refused {kind}"] == 3 and len(b.readers) == 1 and not b.half
+    assert b.counters[f"refused {kind}"] == 3 and len(b.readers) == 1 and not b.half
     assert len([each for each in caplog.messages if each == "refused"]) == 1
 
 
@@ -248,15 +276,17 @@
     b = hosts("b")
     text = sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
     with socket.create_connection(("127.0.0.1", b.port)) as peer:
-        peer.sendall(codec.framed(text) + codec.framed(codec.encode(PACT, "a", 1, "", 9, Load(b"x"))))
+        peer.sendall(
+            codec.frame_message(text) + codec.frame_message(codec.encode(SETTINGS, "a", 1, "", 9, Load(b"x")))
+        )
         until(lambda: b.node.got)
-    assert b.figured["refused UnknownWords"] == 1 and len(b.node.got) == 1
+    assert b.counters["refused UnknownMessageError"] == 1 and len(b.node.got) == 1
 
 
 def test_unidentified_clients_have_little_time_and_room_and_a_known_peer_keeps_its_stream(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.STRANGERS", 3)
-    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 0.1)
-    a, b = hosts("a"), hosts("b", bounds=Bounds(half=100_000))
+    monkeypatch.setattr("cartdeal.fleet.transport.MAX_UNIDENTIFIED_CONNECTIONS", 3)
+    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 0.1)
+    a, b = hosts("a"), hosts("b", bounds=TransportLimits(half=100_000))
     say(a, b, Load(b"x"))
     until(lambda: b.node.got)
     silent = [socket.create_connection(("127.0.0.1", b.port)) for _ in range(8)]
@@ -269,17 +299,17 @@
         raise ConnectionResetError
     say(a, b, Load(b"y"))
     until(lambda: len(b.node.got) == 2 and len(b.readers) == 1)
-    assert b.figured["closed half"] == 1 and not b.half
+    assert b.counters["closed partial messages"] == 1 and not b.half
 
 
 def test_what_waits_for_a_peer_that_does_not_read_is_bounded_and_the_oldest_goes(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.QUEUE", 8)
-    a, b = hosts("a", bounds=Bounds(waiting=40_000_000)), hosts("b", start=False)
+    monkeypatch.setattr("cartdeal.fleet.transport.MAX_QUEUED_MESSAGES", 8)
+    a, b = hosts("a", bounds=TransportLimits(waiting=40_000_000)), hosts("b", start=False)
     for place in range(100):
         say(a, b, Load(bytes(500_000) + b"%d" % place))
         gevent.sleep(0)
-    assert a.figured["dropped oldest"] > 50 and a.waiting < 9 * 500_100
-    a.bounds = Bounds(waiting=1_000_000)
+    assert a.counters["dropped oldest"] > 50 and a.waiting < 9 * 500_100
+    a.bounds = TransportLimits(waiting=1_000_000)
     say(a, b, Load(bytes(500_000)))
     assert a.waiting < 1_000_000
     b.start()
@@ -287,8 +317,8 @@
 
 
 def test_a_peer_that_comes_back_is_reached_and_what_is_stale_is_not_sent(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_PAUSE", 0.01)
-    monkeypatch.setattr("cartdeal.fleet.transport.STALE", 0.2)
+    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_RECONNECT_DELAY_S", 0.01)
+    monkeypatch.setattr("cartdeal.fleet.transport.MAX_QUEUE_AGE_S", 0.2)
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(b"1"))
     until(lambda: b.node.got)
@@ -296,9 +326,11 @@
     old.stop()
     until(lambda: not old.readers)
     say(a, b, Load(b"2"))
-    until(lambda: a.figured["dropped stale"] == 1)
+    until(lambda: a.counters["dropped stale"] == 1)
     say(a, b, Load(b"3"))
-    back = Host(msgspec.structs.replace(PACT, name="b", address=""), ("127.0.0.1", port), Scripted, None)
+    back = PeerTransport(
+        msgspec.structs.replace(SETTINGS, name="b", address=""), ("127.0.0.1", port), Scripted, None
+    )
     back.start()
     until(lambda: back.node.got or say(a, b, Load(b"4")))
     assert Load(b"2") not in [each[3] for each in back.node.got]
@@ -307,8 +339,8 @@
 
 def test_what_waited_is_stamped_when_it_goes_out(hosts):
     a, b, times = hosts("a"), hosts("b"), []
-    b.node.heard = lambda sender, life, address, wall_ms, words: times.append(wall_ms)
-    a.roads[("127.0.0.1", b.port)] = road = Road(("127.0.0.1", b.port))  # nobody writes it yet
+    b.node.heard = lambda sender, incarnation, address, wall_ms, words: times.append(wall_ms)
+    a.roads[("127.0.0.1", b.port)] = road = PeerConnection(("127.0.0.1", b.port))  # nobody writes it yet
     say(a, b, Load(b"x"))
     gevent.sleep(0.3)
     before = int(time.time() * 1e3)
@@ -318,12 +350,12 @@
 
 
 def test_streams_are_bounded_and_close_when_they_carry_nothing(hosts, monkeypatch):
-    a, peers = hosts("a", bounds=Bounds(streams=2)), [hosts(name) for name in "bcd"]
+    a, peers = hosts("a", bounds=TransportLimits(streams=2)), [hosts(name) for name in "bcd"]
     for peer in peers:
         say(a, peer, Load(b"x"))
         until(lambda peer=peer: peer.node.got)
     assert len(a.roads) == 2
-    monkeypatch.setattr("cartdeal.fleet.transport.IDLE", 0.05)
+    monkeypatch.setattr("cartdeal.fleet.transport.WRITER_IDLE_TIMEOUT_S", 0.05)
     for peer in peers[1:]:
         say(a, peer, Load(b"y"))
     until(lambda: not a.roads and not any(peer.readers for peer in peers))
@@ -335,6 +367,6 @@
     for _ in range(200):
         stranger.sendto(b"noise", ("127.0.0.1", b.port))
     time.sleep(0.01)
-    gevent.spawn(lambda: ran.append(b.figured["refused Unreadable"]))
-    until(lambda: b.figured["refused Unreadable"] == 200)
+    gevent.spawn(lambda: ran.append(b.counters["refused MalformedMessageError"]))
+    until(lambda: b.counters["refused MalformedMessageError"] == 200)
     assert ran and ran[0] < 200
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -83,7 +83,7 @@
     def fate(self, text) -> list[float]:
         """After which delays the message goes on, once for each: none where it is lost."""
         world, random = self.world, self.world.random
-        sender = msgspec.msgpack.decode(text[1 + codec.SEAL :])[1]
+        sender = msgspec.msgpack.decode(text[1 + codec.MAC_LENGTH :])[1]
         if (sender, self.name) in world.cuts or random.random() < world.lose:
             return []
         return [random.random() * world.delay for _ in range(1 + (random.random() < world.double))]
@@ -101,7 +101,7 @@
             gevent.spawn(self.carry, sock)
 
     def carry(self, sock):
-        frames, there = codec.Frames(), None
+        frames, there = codec.FrameReader(), None
         try:
             there = socket.create_connection(self.to)
             self.open.append(there)
@@ -109,7 +109,7 @@
                 for text in frames.dispatch(more):
                     for delay in self.fate(text):
                         gevent.sleep(delay)
-                        there.sendall(codec.framed(text))
+                        there.sendall(codec.frame_message(text))
         except (OSError, TypeError):
             pass
         finally:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -209,52 +209,52 @@
 
 def test_repeat_reaches_its_server_within_the_window_or_not_at_all(tmp_path):
     for kind, within in ((READ, True), (MARK, False)):
-        desk = Desk(tmp_path)
-        desk.take(kind, wait=6.0)
-        desk.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
-        server = desk.at[1, 1]
-        assert desk.reducer.may_begin(1, 1, server)
-        desk.reducer.now += 4.0
-        assert desk.reducer.may_begin(1, 1, server) is within
-        desk.reducer.now += 2.0  # the deadline
-        assert not desk.reducer.may_begin(1, 1, server)
-        desk.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+        context = Desk(tmp_path)
+        context.take(kind, wait=6.0)
+        context.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
+        server = context.at[1, 1]
+        assert context.reducer.may_begin(1, 1, server)
+        context.reducer.now += 4.0
+        assert context.reducer.may_begin(1, 1, server) is within
+        context.reducer.now += 2.0  # the deadline
+        assert not context.reducer.may_begin(1, 1, server)
+        context.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
         # What may have run may be rejected only where a repeat does no harm.
-        assert desk.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
+        assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
 
 def test_non_idempotent_request_may_begin_once_its_earlier_attempt_never_ran(tmp_path):
-    desk = Desk(tmp_path)
-    desk.take(ONCE)
-    assert desk.reducer.may_begin(1, 0, desk.at[1, 0])
-    desk.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
-    assert desk.at[1, 1] != desk.at[1, 0] and desk.reducer.may_begin(1, 1, desk.at[1, 1])
-    assert not desk.reducer.may_begin(1, 0, desk.at[1, 0])  # that one has ended
+    context = Desk(tmp_path)
+    context.take(ONCE)
+    assert context.reducer.may_begin(1, 0, context.at[1, 0])
+    context.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_begin(1, 1, context.at[1, 1])
+    assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that one has ended
 
 
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
-    desk = GateDesk(tmp_path)
-    desk.take(GATED_MARK)
-    desk.play(0.01, "admitted", 1, desk.earlier_attempts(("a", 1), group="all", lasts=0.5))
-    server = desk.at[1, 0]
-    assert desk.reducer.may_begin(1, 0, server)
-    desk.reducer.now += 0.6
-    assert not desk.reducer.may_begin(1, 0, server)
+    context = GateDesk(tmp_path)
+    context.take(GATED_MARK)
+    context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    server = context.at[1, 0]
+    assert context.reducer.may_begin(1, 0, server)
+    context.reducer.now += 0.6
+    assert not context.reducer.may_begin(1, 0, server)
 
 
 @pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
 def test_server_that_moves_to_another_group_leaves_its_attempts_in_the_one_before(tmp_path, place):
-    desk = Desk(tmp_path)
-    desk.take(MARK)
-    balancer, server = desk.reducer.balancer, desk.at[1, 0]
+    context = Desk(tmp_path)
+    context.take(MARK)
+    balancer, server = context.reducer.balancer, context.at[1, 0]
     trace, _ = balancer.requests[1].traces[0]
     before = trace.zone, trace.cell
-    name = next(name for name, index in desk.reducer.indices.items() if index == server)
-    entry = ServerEntry(name.decode(), desk.reducer.servers[server].address, **place)
-    desk.play(0.0, "listed", ServerList(4, False, (entry,)))
-    assert (trace.zone, trace.cell) == before and not desk.reducer.may_begin(1, 0, server)
-    assert desk.reducer.indices[name] != server and server not in desk.reducer.servers
-    desk.end(1, 0)
-    assert server not in balancer.servers and not desk.reducer.pending_count
-    desk.play(0.0, "listed", ServerList(5, False, (entry,)))
+    name = next(name for name, index in context.reducer.indices.items() if index == server)
+    entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
+    context.play(0.0, "listed", ServerList(4, False, (entry,)))
+    assert (trace.zone, trace.cell) == before and not context.reducer.may_begin(1, 0, server)
+    assert context.reducer.indices[name] != server and server not in context.reducer.servers
+    context.end(1, 0)
+    assert server not in balancer.servers and not context.reducer.pending_count
+    context.play(0.0, "listed", ServerList(5, False, (entry,)))
     assert len(balancer.servers) == 2  # told again, it has not moved again
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -23,23 +23,33 @@
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.consensus.ring_consensus import Vouch, Vouched, Whole
-from cartdeal.fleet.context import Pact
-from cartdeal.fleet.membership.swim import Ack, Ask, Compare, Nack, Pieces, Ping, State, Told
+from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
+from cartdeal.fleet.context import FleetSettings
+from cartdeal.fleet.membership.swim import (
+    Ack,
+    DigestExchange,
+    GossipItem,
+    Nack,
+    PeerState,
+    Ping,
+    PingRequest,
+    StatePush,
+)
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ring.hash_ring import Ring, Seat, step
-from cartdeal.fleet.transport import Bounds
+from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
 from cartdeal.rig import play
 from cartdeal.rig.stands import DiscoveryService
 from cartdeal.terms import State as ServerState
 from tests.fleet import test_membership, test_ring_consensus, test_transport
 from tests.fleet.test_membership import peer
-from tests.fleet.test_transport import PACT, Load, until
+from tests.fleet.test_transport import SETTINGS, Load, until
 from tests.scene import config_file
 
 MANY = 1024
-hosts, tongue = test_transport.hosts, test_transport.tongue  # pytest finds fixtures by their names here
+# pytest finds fixtures by their names here
+hosts, message_decoder = test_transport.hosts, test_transport.message_decoder
 TCP_INFO_BACKLOG = 28  # of a listening socket: where TCP_INFO has the bound of its queue
 
 
@@ -146,8 +156,8 @@
         + "".join(f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY))
     )
     config = replace(config, name=f"{1:064}")
-    pact = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).pact
-    assert len(pact.seeds) == pact.most_agents == MANY
+    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).settings
+    assert len(fleet_settings.seeds) == fleet_settings.most_agents == MANY
 
 
 def test_bounds_of_rig_and_lab():
@@ -179,10 +189,10 @@
     """A real agent that all the others, here by their messages alone, have called and answered at once."""
     net, sent, peers = test_membership.Net(), [], [peer(f"n{n}") for n in range(1, many)]
     hub = net.start("n000")
-    hub.desk.send = lambda to, words: sent.append((to, words))
+    hub.context.send = lambda to, words: sent.append((to, words))
     for each in peers:
         hub.heard(each.name, Ping(1, each, ()))
-    assert len(hub.strangers) == many - 1 and not hub.desk.counts["dropped unidentified clients"]
+    assert len(hub.strangers) == many - 1 and not hub.context.counts["dropped unverified peers"]
     for each in peers:
         hub.heard(each.name, Ack(hub.strangers[each.name].number, each, ()))
     assert hub.size() == many and not hub.strangers
@@ -192,7 +202,7 @@
 
 def test_a_fleet_of_1024_is_told_to_one_that_joins():
     net, hub, peers, _ = full_hub(MANY - 1)
-    del hub.desk.send
+    del hub.context.send
     joiner = net.start(f"n{MANY}")
     net.run(15.0)
     assert set(joiner.table) == set(hub.table) and len(joiner.table) == MANY
@@ -201,25 +211,27 @@
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
     net, hub, peers, sent = full_hub()
     for each in peers:
-        hub.heard(each.name, Compare(bytes(64), True, each, ()))
+        hub.heard(each.name, DigestExchange(bytes(64), True, each, ()))
     names = {each.name for each in peers}
-    assert set(hub.owed) == names and {to for to, words in sent if isinstance(words, Pieces)} == names
+    assert set(hub.owed) == names and {to for to, words in sent if isinstance(words, StatePush)} == names
     # By need: each holds a part of the table.
     assert sum(len(each.names) for each in hub.owed.values()) < MANY * MANY / 8
     sent.clear()
     for each, target in zip(peers, peers[1:] + peers[:1], strict=True):
-        hub.heard(each.name, Ask(1, target.name, each, ()))
+        hub.heard(each.name, PingRequest(1, target.name, each, ()))
     assert len(hub.relays) == MANY - 1 and not any(isinstance(words, Nack) for _, words in sent)
     witness, *accused = peers
     for each in accused:
-        told = (Told(replace(each, state=State.SUSPECT), (witness.name,)),)
-        hub.heard(witness.name, Pieces(witness, told))
+        told = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
+        hub.heard(witness.name, StatePush(witness, told))
     assert len(hub.warnings) == MANY - 2
 
 
 def test_clocks_of_a_majority_of_1024_seats_set_one_that_is_wrong():
-    node = Node(Pact(fleet="f", name="a0", key=b"k" * 32, seeds={"a0": "10.0.0.1:1"}), "1", 1000.0, 1.7e9)
-    node.ring = Ring(1, tuple(Seat(f"a{n}", "z", 1.0) for n in range(MANY)))
+    node = Node(
+        FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds={"a0": "10.0.0.1:1"}), "1", 1000.0, 1.7e9
+    )
+    node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
     before = node.offset
     for seat in node.ring.seats[1:]:
         node.timely(seat.name, int((node.wall + 7) * 1e3), True)
@@ -231,19 +243,21 @@
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
     net = test_ring_consensus.Net([f"a{n}" for n in range(3)])
     agent, answered = net.agents["a0"], []
-    agent.desk.send = lambda to, words: answered.append(to) if isinstance(words, Vouched) else None
-    empty, ring = Ring(0, ()), Ring(1, tuple(Seat(f"b{n:04}", "z", 1.0) for n in range(MANY)))
+    agent.context.send = lambda to, words: answered.append(to) if isinstance(words, LeaseRenewalAck) else None
+    empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
     for seat in ring.seats:
-        agent.heard(seat.name, Vouch(ring.epoch, ring.digest, 1))
-    agent.learn(empty, step(empty, ring), ring)
+        agent.heard(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
+    agent.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
 
 
 def test_a_ring_of_1024_with_the_longest_names_fits_one_message():
-    seats = tuple(Seat(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
+    seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
-    assert len(codec.inner(Whole(former, step(former, ring)))) < codec.LONGEST_FRAME
-    assert len(codec.inner(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.LONGEST_FRAME
+    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME
+    assert (
+        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
+    )
 
 
 def called(host):
@@ -255,7 +269,7 @@
     for n in range(MANY):
         host.queue(("127.0.0.1", n + 1), b"x")
         host.tell_once("refused", n, "")
-    assert len(host.roads) == len(host.told) == MANY and not host.figured["dropped no stream"]
+    assert len(host.roads) == len(host.told) == MANY and not host.counters["dropped no stream"]
 
 
 def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(hosts):
@@ -268,22 +282,22 @@
 
 
 def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 20.0)
+    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
     host = hosts("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
-    until(lambda: len(host.readers) == len(many) or host.figured["closed no room"])
-    assert not host.figured["closed no room"]
+    until(lambda: len(host.readers) == len(many) or host.counters["closed no room"])
+    assert not host.counters["closed no room"]
 
 
 def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.GREET", 20.0)
-    host = hosts("a", bounds=Bounds(streams=4), start=False)
-    said = codec.framed(codec.encode(PACT, "b", 1, "", 9, Load(b"x")))
+    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
+    host = hosts("a", bounds=TransportLimits(streams=4), start=False)
+    said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, Load(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
         each.sendall(said)
     host.start()
     until(lambda: len(host.node.got) == len(many))
     silent = [called(host) for _ in range(20)]
-    until(lambda: host.figured["closed no room"] >= len(many) - 4 + len(silent))
+    until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
     assert sum(known for _, known, _ in host.readers.values()) == 3
