--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -87,14 +87,14 @@
         now = monotonic()
         question = self.question(request, deadline - now)
         self.open[number] = now + self.host.settings.wait_s + LATE, question
-        self.host.dispatch("ask", number, question)
+        self.host.dispatch("request_admission", number, question)
 
     def went(self, number: int, zone: str, cell: int):
-        self.host.dispatch("went", number, zone, cell)
+        self.host.dispatch("on_attempt_sent", number, zone, cell)
 
     def settled(self, number: int, ran: str):
         self.open.pop(number, None)
-        self.host.dispatch("ended", number, ran)
+        self.host.dispatch("on_request_ended", number, ran)
 
     def question(self, request, left: float) -> AdmissionRequest:
         repeat, group, window, request_class = self.kinds[request.request_class]
@@ -164,19 +164,22 @@
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
         host.settings = kept
-        host.dispatch("reread", kept)
+        host.dispatch("apply_settings", kept)
         log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
 
     def leave(self):
-        self.host.dispatch("leaving")
+        self.host.dispatch("begin_shutdown")
 
     def part(self, until: float):
         """Waits until what this agent holds is with others, but not beyond `until`; says its last words."""
-        while not self.host.node.gone and monotonic() < until:
+        while not self.host.node.is_handed_over and monotonic() < until:
             gevent.sleep(LOOK / 5)
-        self.host.dispatch("parting")
+        self.host.dispatch("finish_shutdown")
         self.host.flush(monotonic() + LAST_WORDS)
-        log.info("out of the fleet", extra={"handed_over": self.host.node.gone, "unsent": self.host.waiting})
+        log.info(
+            "out of the fleet",
+            extra={"handed_over": self.host.node.is_handed_over, "unsent": self.host.waiting},
+        )
 
     def stop(self):
         self.host.stop()
--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -1,6 +1,6 @@
 """What agents of a fleet say to each other, as bytes: the envelope, its digest, and the frames of a stream.
 
-Owns the sizes and the order of the checks. It must never let words through whose digest is not right, nor
+Owns the sizes and the order of the checks. It must never let message through whose digest is not right, nor
 keep anything of what it refused; every refusal is an error of errors.py.
 """
 
@@ -21,12 +21,12 @@
     WrongFleetError,
 )
 
-VERSION = 1  # of the envelope; what words are in it, their tags say
+VERSION = 1  # of the envelope; what message are in it, their tags say
 MAC_LENGTH = 16  # bytes of the digest that are sent
 MAX_DATAGRAM = 1400  # fits one packet on common networks
 MAX_DATAGRAM_MESSAGE = 1200  # in a datagram
 MAX_FRAME = 512 * 1024
-ENVELOPE_OVERHEAD = 1024  # the most that version, digest and envelope add to the words
+ENVELOPE_OVERHEAD = 1024  # the most that version, digest and envelope add to the message
 FRAME_HEADER = 4  # bytes of a frame's length
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.swim",
@@ -44,7 +44,7 @@
     incarnation: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
     address: Annotated[str, Meta(max_length=64)]
     wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]  # the sender's time of the fleet
-    words: msgspec.Raw  # not looked into before the digest is known to be right
+    message: msgspec.Raw  # not looked into before the digest is known to be right
 
 
 ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
@@ -53,24 +53,24 @@
 
 @cache
 def message_decoder() -> msgspec.msgpack.Decoder:
-    """Reads the words of all parts; made at the first message, so that a part may import this module."""
+    """Reads the message of all parts; made at the first message, so that a part may import this module."""
     kinds = [kind for module in MESSAGE_MODULES for kind in import_module(module).MESSAGE_TYPES]
     return msgspec.msgpack.Decoder(Union[tuple(kinds)])  # noqa: UP007
 
 
-def encode(settings, sender: str, incarnation: int, address: str, wall_ms: int, words: Struct) -> bytes:
+def encode(settings, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct) -> bytes:
     """One message: version, digest, envelope. Raises MessageTooLargeError."""
-    return seal_message(settings, sender, incarnation, address, wall_ms, encode_message(words))
+    return seal_message(settings, sender, incarnation, address, wall_ms, encode_message(message))
 
 
-def encode_message(words: Struct) -> bytes:
+def encode_message(message: Struct) -> bytes:
     """Words without their envelope. Raises MessageTooLargeError."""
     raw, most = (
-        msgspec.msgpack.encode(words),
-        MAX_DATAGRAM_MESSAGE if words.DATAGRAM else MAX_FRAME - ENVELOPE_OVERHEAD,
+        msgspec.msgpack.encode(message),
+        MAX_DATAGRAM_MESSAGE if message.DATAGRAM else MAX_FRAME - ENVELOPE_OVERHEAD,
     )
     if len(raw) > most:
-        raise MessageTooLargeError(f"words {type(words).__name__}", f"{len(raw)} bytes, {most} at most")
+        raise MessageTooLargeError(f"message {type(message).__name__}", f"{len(raw)} bytes, {most} at most")
     return raw
 
 
@@ -83,7 +83,8 @@
 
 
 def decode(settings, text: bytes, most: int = MAX_FRAME) -> tuple[str, int, str, int, Struct]:
-    """Sender, its incarnation, address and time, and the words. What is said of the fleet's name and version
+    """Sender, its incarnation, address and time, and the message. What is said of the fleet's name and
+    version
     is a
     hint to an operator and no more: it is told before the digest shows that it was not forged."""
     if len(text) > most:
@@ -102,10 +103,10 @@
     if not hmac.compare_digest(sign(settings.key, body), text[1 : 1 + MAC_LENGTH]):
         raise AuthenticationFailedError(f"a message under the name {envelope.sender!r}", "another digest")
     try:
-        words = message_decoder().decode(envelope.words)
+        message = message_decoder().decode(envelope.message)
     except DECODING_ERRORS as error:
-        raise UnknownMessageError(f"words of {envelope.sender!r}", error) from None
-    return envelope.sender, envelope.incarnation, envelope.address, envelope.wall_ms, words
+        raise UnknownMessageError(f"message of {envelope.sender!r}", error) from None
+    return envelope.sender, envelope.incarnation, envelope.address, envelope.wall_ms, message
 
 
 def sign(key: bytes, body: bytes) -> bytes:
--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -223,8 +223,8 @@
         """Whether this process has been there long enough to say what it promised."""
         return self.context.now - self.begun >= 2 * self.settings.lease_s
 
-    def say(self, to, kind, *words):
-        self.context.send(to, kind(self.base.epoch, self.base.digest, *words))
+    def say(self, to, kind, *message):
+        self.context.send(to, kind(self.base.epoch, self.base.digest, *message))
 
     # Time
 
@@ -382,35 +382,35 @@
         self.pause = self.context.now + self.backoff * (0.5 + self.context.random.random())
         self.backoff = min(2 * self.backoff, 4.0)
 
-    def take_answer(self, sender, words):
+    def take_answer(self, sender, message):
         attempt = self.attempt
-        if attempt is None or words.number != attempt.number or sender not in self.place:
+        if attempt is None or message.number != attempt.number or sender not in self.place:
             return self.context.increment(Metric.DROPPED_UNKNOWN_BALLOT)
         if self.context.now >= attempt.until:  # stopped meanwhile, or slow: nobody counts on this ballot now
             return self.give_up()
-        if isinstance(words, Nack):
-            self.refused(attempt, sender, words)
-        elif isinstance(words, Promise):
-            self.promise_came(attempt, sender, words)
+        if isinstance(message, Nack):
+            self.refused(attempt, sender, message)
+        elif isinstance(message, Promise):
+            self.promise_came(attempt, sender, message)
         elif attempt.accepting and sender in attempt.promises:
             attempt.accepted[sender] = True
             if len(attempt.accepted) >= self.base.majority:
                 self.decided(attempt.step)
 
-    def refused(self, attempt, sender, words):
-        if 0 <= words.above < MAX_BALLOT:
-            self.top = max(self.top, words.above)
-        attempt.refused[sender] = words.why
+    def refused(self, attempt, sender, message):
+        if 0 <= message.above < MAX_BALLOT:
+            self.top = max(self.top, message.above)
+        attempt.refused[sender] = message.why
         if len(self.place) - len(attempt.refused) < self.base.majority:
             self.context.increment(Metric.BALLOTS_REJECTED)
             self.give_up()
 
-    def promise_came(self, attempt, sender, words):
+    def promise_came(self, attempt, sender, message):
         had = None
-        if words.ballot is not None:
-            if words.step is None or self.led_to(words.step) is None:
+        if message.ballot is not None:
+            if message.step is None or self.led_to(message.step) is None:
                 return self.context.increment(Metric.DROPPED_MALFORMED_RING)
-            had = (tuple(words.ballot), words.step)
+            had = (tuple(message.ballot), message.step)
         attempt.promises.setdefault(sender, had)
         if attempt.accepting:
             if sender != self.context.name:
@@ -502,14 +502,14 @@
         self.since, self.version = self.context.now, self.version + 1
         self.short, self.told_stuck = 0.0, False
         self.renew()
-        for sender, words in owed.items():
-            if (words.has, words.mark) == (ring.epoch, ring.digest):
-                self.vouch(sender, words)
+        for sender, message in owed.items():
+            if (message.has, message.mark) == (ring.epoch, ring.digest):
+                self.vouch(sender, message)
         self.ask_vouches()
 
-    def tell(self, to, words):
+    def tell(self, to, message):
         """The decided ring for one that asked: the step alone if that's all it lacks."""
-        if (words.has, words.mark) == (self.last_former.epoch, self.last_former.digest):
+        if (message.has, message.mark) == (self.last_former.epoch, self.last_former.digest):
             self.context.send(to, RingUpdate(self.last_step))
         else:
             self.context.send(to, RingSnapshot(self.last_former, self.last_step))
@@ -558,11 +558,11 @@
                 more = self.context.random.sample(left, min(len(left), many - len(self.targets)))
                 self.targets |= dict.fromkeys(more, 0)
 
-    def vouch(self, sender, words: LeaseRenewal):
+    def vouch(self, sender, message: LeaseRenewal):
         ages, own = bytearray(self.ages()), self.place.get(self.context.name)
         if own is not None:
             ages[own] = 0 if self.remembers and not self.accepted_higher else NOT_HEARD
-        self.say(sender, LeaseRenewalAck, words.round, self.unit, bytes(ages))
+        self.say(sender, LeaseRenewalAck, message.round, self.unit, bytes(ages))
 
     def ages(self) -> bytes:
         """As they will be when REUSED seconds are over; until then they are said again."""
@@ -575,14 +575,14 @@
             )
         return self.last_ages
 
-    def vouched(self, sender, words: LeaseRenewalAck):
-        asked = self.rounds.get(words.round)
-        if asked is None or len(words.ages) != len(self.heard_at) or not 0 < words.unit_ms <= 10_000:
+    def vouched(self, sender, message: LeaseRenewalAck):
+        asked = self.rounds.get(message.round)
+        if asked is None or len(message.ages) != len(self.heard_at) or not 0 < message.unit_ms <= 10_000:
             return self.context.increment(Metric.DROPPED_LEASE_RENEWAL)
         if sender in self.targets:
             self.targets[sender] = 0
-        unit, when = words.unit_ms / 1000, self.heard_at
-        for place, age in enumerate(words.ages):
+        unit, when = message.unit_ms / 1000, self.heard_at
+        for place, age in enumerate(message.ages):
             if age != NOT_HEARD and (at := asked - age * unit) > when[place]:
                 when[place] = at
         self.kth_old = True
@@ -611,55 +611,55 @@
 
     # What comes in
 
-    def heard(self, sender: str, words: Struct) -> None:
-        if isinstance(words, RingUpdate):
-            self.next_came(sender, words)
-        elif isinstance(words, RingSnapshot):
-            self.whole_came(words)
-        elif self.like_me(sender, words):
-            kind = type(words)
+    def on_message(self, sender: str, message: Struct) -> None:
+        if isinstance(message, RingUpdate):
+            self.next_came(sender, message)
+        elif isinstance(message, RingSnapshot):
+            self.whole_came(message)
+        elif self.like_me(sender, message):
+            kind = type(message)
             if kind is LeaseRenewal:
-                self.vouch(sender, words)
+                self.vouch(sender, message)
             elif kind is LeaseRenewalAck:
-                self.vouched(sender, words)
+                self.vouched(sender, message)
             elif kind is RingQuery:
                 self.say(sender, EpochAnnouncement)
             elif kind is EpochAnnouncement:
-                if words.has == 0:
+                if message.has == 0:
                     self.blank[sender] = self.context.now
             elif kind in (Prepare, Accept):
-                self.vote(sender, words)
+                self.vote(sender, message)
             else:
-                self.take_answer(sender, words)
+                self.take_answer(sender, message)
 
-    def like_me(self, sender, words) -> bool:
+    def like_me(self, sender, message) -> bool:
         """Whether the sender's ring is the own one; if not, whoever is behind gets to know."""
         base = self.base
-        if not 0 <= words.has <= (base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
+        if not 0 <= message.has <= (base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
             self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
             return False
-        if words.has == base.epoch and words.mark == base.digest:
+        if message.has == base.epoch and message.mark == base.digest:
             return True
-        if words.has < base.epoch:
-            if isinstance(words, RingQuery):
-                self.tell(sender, words)
+        if message.has < base.epoch:
+            if isinstance(message, RingQuery):
+                self.tell(sender, message)
             else:
                 self.context.increment(Metric.DROPPED_OLDER_EPOCH)
                 self.say(sender, EpochAnnouncement)
-        elif words.has > base.epoch:
-            if isinstance(words, LeaseRenewal) and len(self.owed) < MAX_PENDING_RENEWALS:
-                self.owed[sender] = words
+        elif message.has > base.epoch:
+            if isinstance(message, LeaseRenewal) and len(self.owed) < MAX_PENDING_RENEWALS:
+                self.owed[sender] = message
             self.ask(sender)
         elif base.epoch:  # twins: each asks, each tells
-            if isinstance(words, RingQuery):
-                self.tell(sender, words)
+            if isinstance(message, RingQuery):
+                self.tell(sender, message)
             self.ask(sender)
         else:
             self.context.increment(Metric.DIFFERENT_SEEDS)
         return False
 
-    def next_came(self, sender, words):
-        taken = words.step
+    def next_came(self, sender, message):
+        taken = message.step
         if taken.base == self.base.digest:
             ring = self.led_to(taken)
             if ring is None:
@@ -672,21 +672,21 @@
             is_older = taken.epoch < self.base.epoch
             self.context.increment(Metric.DROPPED_OLDER_EPOCH if is_older else Metric.DROPPED_DISTANT_EPOCH)
 
-    def whole_came(self, words):
-        former, base, most = words.former, self.base, self.settings.most_agents
+    def whole_came(self, message):
+        former, base, most = message.former, self.base, self.settings.most_agents
         if not 0 <= former.epoch < (base.epoch + MAX_EPOCH_LEAD if self.ring else MAX_EPOCH):
             return self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
-        ring = self.sound_step(former, words.step)
+        ring = self.sound_step(former, message.step)
         if ring is None or former.epoch and not is_valid_ring(former, most):
             return self.context.increment(Metric.DROPPED_MALFORMED_RING)
-        self.learn(former, words.step, ring)
+        self.learn(former, message.step, ring)
 
-    def vote(self, sender, words):
-        if sender not in self.place or not 0 < words.number < MAX_BALLOT:
+    def vote(self, sender, message):
+        if sender not in self.place or not 0 < message.number < MAX_BALLOT:
             return self.context.increment(Metric.DROPPED_BALLOT)
-        if isinstance(words, Prepare):
-            answer = self.prepare(sender, words.number, words.gone)
+        if isinstance(message, Prepare):
+            answer = self.prepare(sender, message.number, message.gone)
         else:
-            answer = self.accept(sender, words.number, words.step)
+            answer = self.accept(sender, message.number, message.step)
         if answer is not None:
             self.context.send(sender, answer)
--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -64,7 +64,7 @@
 
 
 class WrongFleetError(FleetError):
-    """A message of another fleet: its words are not read."""
+    """A message of another fleet: its message are not read."""
 
     remedy = "look which agent's seeds or address name this one, or give both the same `fleet`"
 
@@ -88,7 +88,7 @@
 
 
 class MalformedMessageError(FleetError):
-    """Bytes that are no message, or no words that this program knows."""
+    """Bytes that are no message, or no message that this program knows."""
 
     remedy = "look which program sends them to this address"
 
--- a/cartdeal/fleet/membership/swim.py
+++ b/cartdeal/fleet/membership/swim.py
@@ -481,11 +481,11 @@
 
     # Messages
 
-    def heard(self, sender: str, words):
-        now, me = self.context.now, words.me
+    def on_message(self, sender: str, message):
+        now, me = self.context.now, message.me
         self._woke(now - max(self.ticked, self.seen))
         self.seen = now
-        if not is_valid_peer(me) or not are_valid_items(words.told):
+        if not is_valid_peer(me) or not are_valid_items(message.told):
             return self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
         if me.name != sender or me.state not in (PeerState.ALIVE, PeerState.LEFT):
             return self.context.increment(Metric.DROPPED_WRONG_SENDER)
@@ -499,27 +499,27 @@
             return self.context.send(sender, StatePush(self.me, (self._piece(sender),)))
         self.last_heard, self.answered = now, True
         turn = self.me.turn
-        if (known is None or known.state >= PeerState.GONE) and not self._greet(me, words):
-            for each in words.told:
+        if (known is None or known.state >= PeerState.GONE) and not self._greet(me, message):
+            for each in message.told:
                 if each.peer.name == self.name:
                     self._own(each.peer)
-            if type(words) is Ping and (known or sender in self.strangers):
-                self._say(sender, Ack, words.number)
+            if type(message) is Ping and (known or sender in self.strangers):
+                self._say(sender, Ack, message.number)
             return
         self._fold(GossipItem(me))
-        for each in words.told:
+        for each in message.told:
             self._fold(each)
-        self.reply[type(words)](sender, words)
-        if self.me.turn != turn and type(words) is StatePush:
+        self.reply[type(message)](sender, message)
+        if self.me.turn != turn and type(message) is StatePush:
             self._say(sender, StatePush)
 
-    def _greet(self, peer: Peer, words) -> bool:
+    def _greet(self, peer: Peer, message) -> bool:
         """Whether an unidentified client, or one that was gone, has shown that it hears; if not, it is sent
         a ping."""
         stranger, known = self.strangers.get(peer.name), peer.name in self.table
         if peer.state == PeerState.LEFT or self.me.state == PeerState.LEFT:
             return known
-        if stranger and type(words) is Ack and words.number == stranger.number:
+        if stranger and type(message) is Ack and message.number == stranger.number:
             del self.strangers[peer.name]
             if known or self._room():
                 self._fold(GossipItem(peer))
@@ -537,58 +537,58 @@
             self._say(peer.name, Ping, self.number)
         return False
 
-    def _ping(self, sender: str, words: Ping):
-        self._say(sender, Ack, words.number)
+    def _ping(self, sender: str, message: Ping):
+        self._say(sender, Ack, message.number)
 
-    def _ack(self, sender: str, words: Ack):
+    def _ack(self, sender: str, message: Ack):
         probe = self.probe
         if (
             probe
-            and probe.number == words.number
+            and probe.number == message.number
             and not probe.done
             and (sender == probe.peer.name or sender in probe.helpers)
         ):
             probe.done = True
             self.misses = 0
             self._worse(-1)
-        elif words.number in self.relays and self.relays[words.number].target == sender:
-            relay = self.relays.pop(words.number)
+        elif message.number in self.relays and self.relays[message.number].target == sender:
+            relay = self.relays.pop(message.number)
             if relay.asker in self.table:
                 self._say(relay.asker, Ack, relay.number, about=sender)
         else:
             self.context.increment(Metric.LATE_ACKS)
 
-    def _nack(self, sender: str, words: Nack):
-        if self.probe and self.probe.number == words.number and sender in self.probe.helpers:
+    def _nack(self, sender: str, message: Nack):
+        if self.probe and self.probe.number == message.number and sender in self.probe.helpers:
             self.probe.nacks += 1
 
-    def _ask(self, sender: str, words: PingRequest):
-        if words.target not in self.table or words.target == self.name or len(self.relays) >= RELAYS:
-            return self._say(sender, Nack, words.number)
+    def _ask(self, sender: str, message: PingRequest):
+        if message.target not in self.table or message.target == self.name or len(self.relays) >= RELAYS:
+            return self._say(sender, Nack, message.number)
         self.number += 1
         until = self.context.now + DIRECT * self.settings.probe_s
-        self.relays[self.number] = Relay(sender, words.number, words.target, until)
-        self._say(words.target, Ping, self.number)
+        self.relays[self.number] = Relay(sender, message.number, message.target, until)
+        self._say(message.target, Ping, self.number)
 
-    def _compare(self, sender: str, words: DigestExchange):
-        if len(words.digests) != BUCKETS * BYTES:
+    def _compare(self, sender: str, message: DigestExchange):
+        if len(message.digests) != BUCKETS * BYTES:
             return self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
         mine = self._digests()
         differ = [
             place
             for place in range(BUCKETS)
-            if mine[place * BYTES :][:BYTES] != words.digests[place * BYTES :][:BYTES]
+            if mine[place * BYTES :][:BYTES] != message.digests[place * BYTES :][:BYTES]
         ]
         if not differ:
             return
-        if not words.answer:
+        if not message.answer:
             self._say(sender, DigestExchange, mine, True)
         if sender not in self.owed and len(self.owed) >= OWED:
             return self.context.increment(Metric.DROPPED_DIGEST_EXCHANGES)  # it compares again
         self.owed[sender] = PendingPush(differ, [])
         self._ship_to(sender)
 
-    def _pieces(self, sender: str, words: StatePush):
+    def _pieces(self, sender: str, message: StatePush):
         """All that is in them is folded already."""
 
     # What is told
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -1,7 +1,7 @@
 """One agent's share of the fleet: membership, ring, copies and lending, tied into one reducer.
 
 One event comes in by one method; what it leads to stands in `asked` afterwards, for a host to carry out:
-    ("send", name, address, words)              to a peer
+    ("send", name, address, message)              to a peer
     ("decided", ticket, verdict, wait, heed)    what is done with a request; `heed`: see verdict.Elsewhere
     ("note", kind, about)                       for an operator to read
 It must never do I/O, read a clock or sleep: the host sets `now` (monotonic seconds) and `wall` (the wall
@@ -77,17 +77,17 @@
         self.clocks: dict[str, tuple[bool, float]] = {}
         self.look_at, self.ticked = now, now
         self.clock = HybridClock(settings.name, settings.clock_ahead_s)
-        self.members = Membership(self, settings)
-        self.epochs = RingConsensus(self, settings)
+        self.membership = Membership(self, settings)
+        self.consensus = RingConsensus(self, settings)
         self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
-        self.lending = QuotaLeases(self, settings, self.spent, self.sure)
+        self.quota = QuotaLeases(self, settings, self.spent, self.sure)
         self.parts = {
             kind: part
             for module, part in (
-                (swim, self.members),
-                (ring_consensus, self.epochs),
+                (swim, self.membership),
+                (ring_consensus, self.consensus),
                 (replica, self.replica),
-                (quota_leases, self.lending),
+                (quota_leases, self.quota),
             )
             for kind in module.MESSAGE_TYPES
         }
@@ -95,7 +95,7 @@
         self.fenced = self.held_late = self.caught_up = False
         self.is_leaving = False
         self.served = Counter()  # by tenant, already told to the owners
-        self.members.join()
+        self.membership.join()
 
     # What the host sets
 
@@ -110,11 +110,11 @@
 
     # What the parts use
 
-    def send(self, to: str, words: Struct):
-        peer = self.members.table.get(to)
+    def send(self, to: str, message: Struct):
+        peer = self.membership.table.get(to)
         address = peer.address if peer else self.settings.seeds.get(to) or self.addresses.get(to)
         if address and to != self.name:
-            self.effects.append(SendMessage(to, address, words))
+            self.effects.append(SendMessage(to, address, message))
         else:
             self.increment(Metric.NO_ADDRESS)
 
@@ -126,21 +126,21 @@
 
     # Events
 
-    def heard(self, sender: str, incarnation: int, address: str, wall_ms: int, words: Struct):
+    def on_message(self, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct):
         """A message whose digest was right: that its sender knows the key is all that it proves."""
-        part = self.parts.get(type(words))
+        part = self.parts.get(type(message))
         if part is None or sender == self.name:
             return self.increment(Metric.DROPPED_OWN_NAME)
-        peer = self.members.table.get(sender)
-        if peer and incarnation < peer.incarnation and part is not self.members:
+        peer = self.membership.table.get(sender)
+        if peer and incarnation < peer.incarnation and part is not self.membership:
             # members answer with the incarnation that is known
             return self.increment(Metric.DROPPED_OLD_INCARNATION)
-        in_ring = part is self.epochs and getattr(words, "has", 1) > 0
+        in_ring = part is self.consensus and getattr(message, "has", 1) > 0
         if not self.timely(sender, wall_ms, in_ring) and part is self.replica:
             return  # what it stamps can't be believed; that it is there, and what ring it has, can
         if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.settings.most_agents:
             self.addresses[sender] = address
-        part.heard(sender, words)
+        part.on_message(sender, message)
         self.follow()
 
     def timely(self, sender: str, wall_ms: int, in_ring: bool) -> bool:
@@ -198,8 +198,8 @@
         self.ticked = self.now
         if self.ring is not None and self.now >= self.look_at:
             self.look_at_clock()
-        self.members.tick()
-        known = self.members.known_incarnation()
+        self.membership.tick()
+        known = self.membership.known_incarnation()
         if known >= self.incarnation and known >> 16 < int(self.wall * 1e3) + 86_400_000:
             # Its own name is remembered from a later start, by a clock that was ahead then.
             # The next number would be that of any start that learnt of the same incarnation and died unheard
@@ -208,20 +208,22 @@
                 16
             )
             self.log_event(events.IncarnationRaised(self.incarnation))
-        self.epochs.tick(self.members.live(), lambda ring, live: schema.agree(ring, live, self.settings))
+        self.consensus.tick(
+            self.membership.live(), lambda ring, live: schema.agree(ring, live, self.settings)
+        )
         self.follow()
         self.replica.tick()
-        self.lending.tick()
+        self.quota.tick()
         self.tell_uses()
         if self.replica.all_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
             # Where agents are restarted one after the other, the next one has to wait for this.
             event = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event(self.ring and self.ring.epoch))
-        me = self.members.table.get(self.name)
+        me = self.membership.table.get(self.name)
         caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
         if me and (self.replica.moved, caught) != (me.moved, me.caught):
-            self.members.about_me(moved=self.replica.moved, caught=caught)
+            self.membership.about_me(moved=self.replica.moved, caught=caught)
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
             if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
@@ -230,15 +232,15 @@
 
     def follow(self):
         """Tells the parts of a new ring."""
-        ring = self.epochs.ring
+        ring = self.consensus.ring
         if ring is not None and ring != self.ring:
             if self.ring is None:
                 self.set_clock()
             self.ring = ring
             self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
-            self.replica.rings(ring, self.epochs.former, self.epochs.since)
-            self.lending.rings(ring, self.epochs.former, self.epochs.since)
-            self.lending.written(schema.governs(ring.written, ring.phase))
+            self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
+            self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
+            self.quota.written(schema.governs(ring.written, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
@@ -261,9 +263,9 @@
 
     def sure(self) -> bool:
         """Whether this agent may answer as an owner."""
-        return not self.fenced and self.epochs.sure()
+        return not self.fenced and self.consensus.sure()
 
-    def ask(self, ticket: int, question: AdmissionRequest):
+    def request_admission(self, ticket: int, question: AdmissionRequest):
         """May this request go on to the balancer? The word comes by a `decided`, `wait_s` from now at
         most."""
         if self.open >= self.settings.most_waiting:
@@ -274,18 +276,18 @@
         self.open += 1
         self.increment(Metric.ADMISSION_REQUESTS)
         if question.tenant in self.settings.limits:
-            self.lending.spend(ticket, question.tenant, until)
+            self.quota.spend(ticket, question.tenant, until)
         else:
             self.spent(ticket, True, 0.0, True)
 
-    def went(self, ticket: int, zone: str, cell: int):
+    def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
         each = self.waiting.get(ticket)
         if each and each.mark and (zone, cell) not in each.mark.places:
             places = tuple(sorted({*each.mark.places, (zone, cell)}))
             self.refine(each, places=places, certainty=int(Certainty.SENT))
 
-    def ended(self, ticket: int, ran: str):
+    def on_request_ended(self, ticket: int, ran: str):
         """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
         each = self.waiting.pop(ticket, None)
         if each is None:
@@ -294,29 +296,29 @@
         if each.mark:
             self.refine(each, certainty=int(RAN[ran]))
 
-    def leaving(self):
+    def begin_shutdown(self):
         """The agent is about to end: it hands over what it holds, and goes on answering meanwhile."""
         if not self.is_leaving:
             self.is_leaving = True
             self.replica.leaving()
 
-    def parting(self):
-        """The last words: what it has on loan is given back, and its peers are told that it leaves."""
-        self.lending.leaving()
+    def finish_shutdown(self):
+        """The last message: what it has on loan is given back, and its peers are told that it leaves."""
+        self.quota.leaving()
         self.tell_uses()
-        self.members.leave()
+        self.membership.leave()
 
     @property
-    def gone(self) -> bool:
+    def is_handed_over(self) -> bool:
         """Whether all that it holds is with others, too."""
         return self.replica.settled
 
-    def reread(self, settings: FleetSettings):
+    def apply_settings(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.settings = self.members.settings = self.epochs.settings = self.replica.settings = settings
-        self.epochs.damper.share, self.epochs.damper.wait = settings.damp_share, settings.damp_s
-        self.lending.reread(settings)
-        self.members.about_me(capacity=settings.capacity)
+        self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
+        self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
+        self.quota.reread(settings)
+        self.membership.about_me(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
@@ -437,7 +439,7 @@
 
     def tell_uses(self):
         """By tenant and period, for operators: nothing is decided by it."""
-        for tenant, served in self.lending.served.items():
+        for tenant, served in self.quota.served.items():
             if served > self.served[tenant]:
                 period = int(self.wall // self.settings.period_s)
                 self.replica.count_use(tenant, period, served - self.served[tenant])
@@ -451,10 +453,10 @@
             "written": ring.written if ring else 0,
             "phase": ring.phase if ring else "",
             "fenced": self.fenced,
-            "live": len(self.members.live()),
+            "live": len(self.membership.live()),
             "sure": self.sure(),
             "waiting": self.open,
             **self.replica.figures(),
-            **self.lending.figures(),
+            **self.quota.figures(),
             **self.counters,
         }
--- a/cartdeal/fleet/quota/ledger.py
+++ b/cartdeal/fleet/quota/ledger.py
@@ -115,7 +115,7 @@
     """An owner's book on one incarnation of one agent. `sequence`: its last word heard."""
 
     def __init__(self):
-        self.sequence, self.demand, self.heard, self.loans = 0, 0.0, -inf, []
+        self.sequence, self.demand, self.on_message, self.loans = 0, 0.0, -inf, []
         self.rate = self.burst = 0.0  # the most of any of its loans: it may use one of them, at most
 
 
@@ -254,7 +254,8 @@
         for key in [
             key
             for key, holder in self.holders.items()
-            if not any(loan.until > self.at for loan in holder.loans) and holder.heard < now - 2 * self.lease
+            if not any(loan.until > self.at for loan in holder.loans)
+            and holder.on_message < now - 2 * self.lease
         ]:
             self.keep(self.holders.pop(key), [])
         # Sums that are kept up by differences drift off, if by little.
@@ -277,7 +278,7 @@
 
     def lend(self, who: str, incarnation: int, holder: Holder, ask, now: float, number: int) -> LeaseGrant:
         """`ask`: see lending.Ask; the bucket is at `now`, and its ring is proven."""
-        holder.sequence, holder.demand, holder.heard = ask.sequence, ask.demand, now
+        holder.sequence, holder.demand, holder.on_message = ask.sequence, ask.demand, now
         kept = [loan for loan in holder.loans if loan.number == ask.holds and loan.until > now]
         if kept and self.version != 1:
             kept[0].burst = min(kept[0].burst, ask.most)
@@ -315,7 +316,7 @@
 
     def census(self, now, rate):
         """Who uses it, and up to which rate each may have what it wants."""
-        active = [each for each in self.holders.values() if each.heard > now - self.lease]
+        active = [each for each in self.holders.values() if each.on_message > now - self.lease]
         self.crowd, self.counted_at = len(active), now
         parts = waterfill((1 - RESERVE) * rate, [self.want(each, rate) for each in active])
         self.water, self.wanted = max(parts), sum(parts)
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -233,7 +233,7 @@
 
     # What the node tells
 
-    def rings(self, ring, former, since: float):
+    def on_ring_changed(self, ring, former, since: float):
         """Called in the event in which the ring was learnt, before anything else is. `former`: of the epoch
         before."""
         self.ring = ring
@@ -379,7 +379,7 @@
                 if self.settings.reads[1] >= 2
                 else REQUEST_WHOLE_TOKENS
             )
-            words = {
+            message = {
                 "waits": float(len(ward.waiting)),
                 "want": keep,
                 "demand": demand,
@@ -395,7 +395,7 @@
                 # The answer's tokens must find room under the cap that the owner counts, whenever they come.
                 room = max(held.most - held.level, 0.0)
                 held.top = held.level + min(held.rate * self.settings.tick_s, room / 2)
-                words |= {
+                message |= {
                     "holds": held.number,
                     "most": held.most,
                     "top": held.top,
@@ -404,7 +404,7 @@
                 }
             elif held is not None:
                 del ward.loans[name]  # from an earlier incarnation of its owner
-            self.box(name)[0].append(LeaseRequest(ward.tenant, line.sequence, **words))
+            self.box(name)[0].append(LeaseRequest(ward.tenant, line.sequence, **message))
 
     def answered(self, sender, incarnation, answer: LeaseResponse, now) -> TenantQuota | None:
         ward = self.wards.get(answer.tenant)
@@ -467,17 +467,17 @@
             asks, backs = self.outbox.pop(name)
             incarnation = self.incarnation if name == self.context.name else self.incarnations.get(name, 0)
             while asks or backs:
-                words = LeaseRequestBatch(
+                message = LeaseRequestBatch(
                     self.incarnation, incarnation, tuple(asks[:MOST_A_MESSAGE]), tuple(backs[:MOST_A_MESSAGE])
                 )
                 asks, backs = asks[MOST_A_MESSAGE:], backs[MOST_A_MESSAGE:]
-                self.say(name, words)
+                self.say(name, message)
 
-    def say(self, name, words):
+    def say(self, name, message):
         if name == self.context.name:
-            self.take_in(name, words)
+            self.take_in(name, message)
         else:
-            self.context.send(name, words)
+            self.context.send(name, message)
 
     # Time
 
@@ -613,35 +613,35 @@
 
     # What comes in
 
-    def heard(self, sender: str, words: Struct):
-        self.take_in(sender, words)
+    def on_message(self, sender: str, message: Struct):
+        self.take_in(sender, message)
         self.flush()
 
-    def take_in(self, sender, words):
+    def take_in(self, sender, message):
         now = self.context.now
-        if isinstance(words, LeaseRequestBatch):
+        if isinstance(message, LeaseRequestBatch):
             lends = self.ring is not None and self.sure()
             if lends:
                 self.tenure.prove(now)
-            same = words.owner_incarnation == self.incarnation
-            for back in words.backs[:MOST_A_MESSAGE]:
+            same = message.owner_incarnation == self.incarnation
+            for back in message.backs[:MOST_A_MESSAGE]:
                 if same:
-                    self.returned(sender, words.incarnation, back, now)
+                    self.returned(sender, message.incarnation, back, now)
             answers = []
-            for ask in words.asks[:MOST_A_MESSAGE]:
-                answer = self.asked(sender, words.incarnation, same, ask, lends, now)
+            for ask in message.asks[:MOST_A_MESSAGE]:
+                answer = self.asked(sender, message.incarnation, same, ask, lends, now)
                 if answer is not None:
                     answers.append(answer)
             if answers:
-                self.say(sender, LeaseResponseBatch(self.incarnation, words.incarnation, tuple(answers)))
-        elif words.holder_incarnation != self.incarnation:
+                self.say(sender, LeaseResponseBatch(self.incarnation, message.incarnation, tuple(answers)))
+        elif message.holder_incarnation != self.incarnation:
             self.context.increment(Metric.DROPPED_OLD_INCARNATIONS_LEASE)
         else:
-            self.incarnations[sender] = max(words.incarnation, self.incarnations.get(sender, 0))
+            self.incarnations[sender] = max(message.incarnation, self.incarnations.get(sender, 0))
             wards = {}
-            for answer in words.answers[:MOST_A_MESSAGE]:
+            for answer in message.answers[:MOST_A_MESSAGE]:
                 if are_valid_amounts(answer.rate, answer.burst, answer.tokens, answer.left, answer.wait):
-                    ward = self.answered(sender, words.incarnation, answer, now)
+                    ward = self.answered(sender, message.incarnation, answer, now)
                     if ward is not None:
                         wards[ward.tenant] = ward
             for ward in wards.values():
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -252,7 +252,7 @@
 
     __slots__ = (
         "number",
-        "words",
+        "message",
         "sent_at",
         "tries",
         "counts",
@@ -267,7 +267,7 @@
     )
 
     def __init__(self):
-        self.number, self.words, self.sent_at, self.tries, self.counts = 0, None, 0.0, 0, False
+        self.number, self.message, self.sent_at, self.tries, self.counts = 0, None, 0.0, 0, False
         self.was = self.now = 0
         self.todo, self.place, self.after, self.end, self.want, self.theirs = [], 0, "", False, [], {}
 
@@ -332,7 +332,7 @@
 
     # Rings
 
-    def rings(self, ring: Ring, former: Ring | None, since: float | None = None):
+    def on_ring_changed(self, ring: Ring, former: Ring | None, since: float | None = None):
         """A new epoch; `former`: the ring before it, if known; `since`: context.now when it was learnt."""
         old, era, now = self.ring, self.era, self.context.now
         if ring == old:
@@ -605,41 +605,41 @@
             if own:  # earlier marks that not all have yet go along
                 raw, each.turn = self.sendable(each.key, own.record) or b"", own.turn
             raw = raw or self.sendable(each.key, Session({each.by: each.mark})) or b""
-        words = WriteRequest(number, self.incarnation, each.epoch, each.key, each.by, raw)
+        message = WriteRequest(number, self.incarnation, each.epoch, each.key, each.by, raw)
         for name in whom:
             if name != self.name:
-                self.context.send(name, words)
+                self.context.send(name, message)
         if self.name in whom:
-            told = self.serve(self.name, words)
+            told = self.serve(self.name, message)
             if told:
                 self.heard_told(self.name, told)
 
-    def heard_told(self, sender: str, words: WriteResponse):
-        each = self.open.get(words.number)
-        if each is None or words.incarnation != self.incarnation or sender not in each.owners:
+    def heard_told(self, sender: str, message: WriteResponse):
+        each = self.open.get(message.number)
+        if each is None or message.incarnation != self.incarnation or sender not in each.owners:
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
-        if words.epoch != each.epoch:
+        if message.epoch != each.epoch:
             return self.context.increment(Metric.DROPPED_OLD_EPOCH)
-        if words.record:
-            record = self.read_in(each.key, words.record)
+        if message.record:
+            record = self.read_in(each.key, message.record)
             if record is None:
                 return
             each.known = records.merge(each.known, record)
-        if words.full:
+        if message.full:
             self.context.increment(Metric.OWNED_LIMITS_FULL)
-        if words.wrote and each.by:
+        if message.wrote and each.by:
             each.wrote[sender] = None
             self.has(each.key, sender, each.turn)
             if sender == self.name and each.key in self.mine:
                 self.settle(each.key, self.mine[each.key])
-        if words.caught_up:
+        if message.caught_up:
             each.read[sender] = None
         if self.context.now > each.until:
-            return self.close(words.number)  # we were stopped: what came in meanwhile may be of any age
+            return self.close(message.number)  # we were stopped: what came in meanwhile may be of any age
         if not each.ended and len(each.wrote) >= each.need[0] and len(each.read) >= each.need[1]:
             self.end(each, True)
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
-            self.open.pop(words.number, None)
+            self.open.pop(message.number, None)
 
     def end(self, each: PendingOperation, sure: bool):
         each.ended = True
@@ -812,18 +812,18 @@
         self.context.increment(Metric.RECORDS_TOO_LARGE)
         return None
 
-    def heard_took(self, sender: str, words: HintAck):
+    def heard_took(self, sender: str, message: HintAck):
         line = self.lines.get(sender)
         if (
             line is None
-            or words.number != line.number
-            or words.incarnation != self.incarnation
+            or message.number != line.number
+            or message.incarnation != self.incarnation
             or not line.out
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
-        if self.ring is None or words.epoch != self.ring.epoch:
+        if self.ring is None or message.epoch != self.ring.epoch:
             return self.context.increment(Metric.DROPPED_OLD_EPOCH)
-        out, line.out, refused = line.out, {}, set(words.refused)
+        out, line.out, refused = line.out, {}, set(message.refused)
         for key, turn in out.items():
             if key in refused:
                 line.keys.pop(key, None)
@@ -859,54 +859,54 @@
 
     # Serving
 
-    def timely(self, sender: str, words) -> bool:
+    def timely(self, sender: str, message) -> bool:
         """Whether it asks by our epoch; one with an older ring learns that there is a newer."""
-        other, known = self.incarnations.get(sender, (words.incarnation, False))
+        other, known = self.incarnations.get(sender, (message.incarnation, False))
         if sender in self.incarnations or len(self.incarnations) < 2 * self.settings.most_agents:
-            self.incarnations[sender] = (other, known or words.incarnation != other)
-        if self.ring is not None and words.epoch == self.ring.epoch:
+            self.incarnations[sender] = (other, known or message.incarnation != other)
+        if self.ring is not None and message.epoch == self.ring.epoch:
             return True
-        self.newest = max(self.newest, words.epoch)
-        if self.ring is not None and words.epoch < self.ring.epoch:
+        self.newest = max(self.newest, message.epoch)
+        if self.ring is not None and message.epoch < self.ring.epoch:
             self.context.increment(Metric.DROPPED_OLD_EPOCH)
             self.context.send(sender, StaleEpoch(self.ring.epoch))
         else:
             self.context.increment(Metric.DROPPED_NEWER_EPOCH)
         return False
 
-    def heard_claim(self, sender: str, words: WriteRequest):
-        if self.timely(sender, words):
-            told = self.serve(sender, words)
+    def heard_claim(self, sender: str, message: WriteRequest):
+        if self.timely(sender, message):
+            told = self.serve(sender, message)
             if told:
                 self.context.send(sender, told)
 
-    def serve(self, asker: str, words: WriteRequest) -> WriteResponse | None:
+    def serve(self, asker: str, message: WriteRequest) -> WriteResponse | None:
         """The owner's part of a claim, our own included."""
         if not self.sure():
             return self.context.increment(Metric.NO_VALID_LEASE)
         self.vouched = True
-        key = words.key
+        key = message.key
         if self.name not in self.owners(key) or not key.startswith("s/"):
             return self.context.increment(Metric.DROPPED_NOT_OWNER)
         new = None
-        if words.by and words.record:
-            new = self.read_in(key, words.record)
+        if message.by and message.record:
+            new = self.read_in(key, message.record)
             if new is None:
                 return None
         had = self.record(key) or Session()
         had = records.expired(had, self.wall_ms, self.slack_ms)
         wrote = full = False
         if new is not None:
-            full = words.by not in had.marks and had.full(self.settings.most_marks_a_session)
+            full = message.by not in had.marks and had.full(self.settings.most_marks_a_session)
             full = full or not self.merge(key, new)
-            wrote = not full and words.by in new.marks
+            wrote = not full and message.by in new.marks
             if full:
                 self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
             self.put(key, had)  # moved when read
         if not self.caught_up(key):
-            self.learn(key, (asker, words.number, words.incarnation, words.by))
-        return self.answer(words.number, words.incarnation, key, words.by, had, wrote, full)
+            self.learn(key, (asker, message.number, message.incarnation, message.by))
+        return self.answer(message.number, message.incarnation, key, message.by, had, wrote, full)
 
     def answer(
         self, number, incarnation, key: str, by: str, had: Session, wrote: bool, full: bool
@@ -921,16 +921,18 @@
     def caught_up(self, key: str) -> bool:
         return self.era is not None and self.era.caught_up(key, self.context.now)
 
-    def heard_give(self, sender: str, words: HintDelivery):
-        if not self.timely(sender, words):
+    def heard_give(self, sender: str, message: HintDelivery):
+        if not self.timely(sender, message):
             return
         refused = []
-        for key, raw in words.records[:MOST_ITEMS]:
+        for key, raw in message.records[:MOST_ITEMS]:
             record = self.read_in(key, raw)
             if record is None or self.name in self.owners(key) and not self.take(key, record):
                 refused.append(key)
-        if words.number:
-            self.context.send(sender, HintAck(words.number, words.incarnation, words.epoch, tuple(refused)))
+        if message.number:
+            self.context.send(
+                sender, HintAck(message.number, message.incarnation, message.epoch, tuple(refused))
+            )
 
     # One key that has not been caught up with
 
@@ -955,15 +957,15 @@
         whom = dict.fromkeys(self.owners(key))
         if self.era.way == GAINING:
             whom |= dict.fromkeys(owners(self.era.former, key_bytes(key), self.settings.copies))
-        words = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
+        message = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
         for name in whom:
             if name != self.name and name not in each.was and name not in each.now:
-                self.context.send(name, words)
+                self.context.send(name, message)
 
-    def heard_know(self, sender: str, words: ReadRepairRequest):
-        if not self.timely(sender, words) or not self.sure():
+    def heard_know(self, sender: str, message: ReadRepairRequest):
+        if not self.timely(sender, message) or not self.sure():
             return
-        era, now, key = self.era, self.context.now, words.key
+        era, now, key = self.era, self.context.now, message.key
         was = era.was_caught_up(key, now)
         here = self.name in self.owners(key) and era.caught_up(key, now)
         record, raw = self.record(key), b""
@@ -973,26 +975,28 @@
             former = era.former.epoch if era.former else 0
             self.context.send(
                 sender,
-                ReadRepairResponse(words.number, words.incarnation, words.epoch, former, was, here, raw),
+                ReadRepairResponse(
+                    message.number, message.incarnation, message.epoch, former, was, here, raw
+                ),
             )
 
-    def heard_known(self, sender: str, words: ReadRepairResponse):
-        found = [(key, each) for key, each in self.learning.items() if each.number == words.number]
+    def heard_known(self, sender: str, message: ReadRepairResponse):
+        found = [(key, each) for key, each in self.learning.items() if each.number == message.number]
         if (
             not found
-            or words.incarnation != self.incarnation
+            or message.incarnation != self.incarnation
             or self.ring is None
-            or words.epoch != self.ring.epoch
+            or message.epoch != self.ring.epoch
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         (key, each), era = found[0], self.era
-        if words.record:
-            record = self.read_in(key, words.record)
+        if message.record:
+            record = self.read_in(key, message.record)
             if record is None or not self.merge(key, record):
                 return
-        if words.was and era.former and words.former == era.former.epoch:
+        if message.was and era.former and message.former == era.former.epoch:
             each.was[sender] = None
-        if words.now:
+        if message.now:
             each.now[sender] = None
         if era.enough(key, each.was, each.now, self.context.now):
             del self.learning[key]
@@ -1022,40 +1026,42 @@
         talk.counts = era.way != RESTARTED or self.context.now >= era.ready_at
         self.say(peer, talk, DigestRequest(0, self.incarnation, self.ring.epoch, self.whole(peer)))
 
-    def say(self, peer: str, talk: AntiEntropySession, words):
+    def say(self, peer: str, talk: AntiEntropySession, message):
         talk.number = self.next()
-        talk.words = type(words)(talk.number, *(getattr(words, name) for name in words.__struct_fields__[1:]))
+        talk.message = type(message)(
+            talk.number, *(getattr(message, name) for name in message.__struct_fields__[1:])
+        )
         talk.sent_at, talk.tries = self.context.now, 1
-        self.context.send(peer, talk.words)
+        self.context.send(peer, talk.message)
 
-    def answered(self, sender: str, words, to) -> AntiEntropySession | None:
+    def answered(self, sender: str, message, to) -> AntiEntropySession | None:
         talk = self.talks.get(sender)
         if (
             talk is None
-            or words.number != talk.number
-            or words.incarnation != self.incarnation
-            or type(talk.words) is not to
-            or words.epoch != self.ring.epoch
+            or message.number != talk.number
+            or message.incarnation != self.incarnation
+            or type(talk.message) is not to
+            or message.epoch != self.ring.epoch
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         return talk
 
-    def heard_look(self, sender: str, words: DigestRequest):
-        if not self.timely(sender, words):
+    def heard_look(self, sender: str, message: DigestRequest):
+        if not self.timely(sender, message):
             return
         if self.unplaced:
             return self.context.increment(Metric.NOT_PLACED_YET)
         era, now = self.era, self.context.now
-        sums = b"" if self.whole(sender) == words.whole else self.packed(sender)
+        sums = b"" if self.whole(sender) == message.whole else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
         here = era.ranges(now) if self.name in self.ring.by_name else 0
         former, knew = era.former.epoch if era.former else 0, self.incarnations.get(sender, (0, True))[1]
         self.context.send(
             sender,
             DigestResponse(
-                words.number,
-                words.incarnation,
-                words.epoch,
+                message.number,
+                message.incarnation,
+                message.epoch,
                 former,
                 era.was_whole(now),
                 here,
@@ -1065,24 +1071,24 @@
             ),
         )
 
-    def heard_seen(self, sender: str, words: DigestResponse):
-        talk = self.answered(sender, words, DigestRequest)
-        if talk is None or len(words.sums) not in (0, 8 * RANGES):
+    def heard_seen(self, sender: str, message: DigestResponse):
+        talk = self.answered(sender, message, DigestRequest)
+        if talk is None or len(message.sums) not in (0, 8 * RANGES):
             return
         era = self.era
-        if words.knew and era.way == FIRST:
+        if message.knew and era.way == FIRST:
             era.restarted()
             for each in self.talks.values():
                 each.counts = False  # asked before a lease was over
         elif era.way == FIRST and sender in era.others:
             era.clean[sender] = None
-        talk.was = words.was if era.former and words.former == era.former.epoch else 0
-        talk.now = words.now
+        talk.was = message.was if era.former and message.former == era.former.epoch else 0
+        talk.now = message.now
         ours, differ = self.packed(sender), []
         for place in range(RANGES):
             here = slice(8 * place, 8 * place + 8)
             had = era.was.get(sender, 0) | era.now.get(sender, 0)
-            if words.left & ~had & 1 << place or words.sums and words.sums[here] != ours[here]:
+            if message.left & ~had & 1 << place or message.sums and message.sums[here] != ours[here]:
                 differ.append(place)
             else:
                 self.told(sender, talk, 1 << place)
@@ -1120,26 +1126,27 @@
             if key > after and peer in kept.owners and (not ours or self.name in kept.owners)
         )
 
-    def heard_list(self, sender: str, words: KeyListRequest):
-        if not self.timely(sender, words) or self.unplaced or not 0 <= words.place < RANGES:
+    def heard_list(self, sender: str, message: KeyListRequest):
+        if not self.timely(sender, message) or self.unplaced or not 0 <= message.place < RANGES:
             return
-        keys = self.shared(sender, words.place, words.after)
+        keys = self.shared(sender, message.place, message.after)
         entries = tuple((key, self.store[key].digest[:8]) for key in keys[:PAGE])
         self.context.send(
-            sender, KeyListResponse(words.number, words.incarnation, words.epoch, entries, len(keys) <= PAGE)
+            sender,
+            KeyListResponse(message.number, message.incarnation, message.epoch, entries, len(keys) <= PAGE),
         )
 
-    def heard_listed(self, sender: str, words: KeyListResponse):
-        talk = self.answered(sender, words, KeyListRequest)
-        if talk is None or len(words.entries) > PAGE or not words.end and not words.entries:
+    def heard_listed(self, sender: str, message: KeyListResponse):
+        talk = self.answered(sender, message, KeyListRequest)
+        if talk is None or len(message.entries) > PAGE or not message.end and not message.entries:
             return
         theirs = {
             key: digest
-            for key, digest in words.entries
+            for key, digest in message.entries
             if key > talk.after and range_of(key) == talk.place and self.name in self.owners(key)
         }
-        last = words.entries[-1][0] if words.entries else ""
-        if not words.end and last <= talk.after:
+        last = message.entries[-1][0] if message.entries else ""
+        if not message.end and last <= talk.after:
             return self.talks.pop(sender, None) and None
         talk.want = [
             key
@@ -1150,10 +1157,10 @@
         lacks = [
             key
             for key in self.shared(sender, talk.place, talk.after, ours=True)
-            if key not in theirs and (words.end or key <= last)
+            if key not in theirs and (message.end or key <= last)
         ]
         self.give(sender, lacks)
-        talk.after, talk.end = last, words.end
+        talk.after, talk.end = last, message.end
         self.go_on(sender, talk)
 
     def give(self, peer: str, keys):
@@ -1171,11 +1178,11 @@
         if piece:
             self.context.send(peer, HintDelivery(0, self.incarnation, self.ring.epoch, tuple(piece)))
 
-    def heard_fetch(self, sender: str, words: FetchRequest):
-        if not self.timely(sender, words):
+    def heard_fetch(self, sender: str, message: FetchRequest):
+        if not self.timely(sender, message):
             return
         piece, size, count = [], 0, 0
-        for key in words.keys[:PAGE]:
+        for key in message.keys[:PAGE]:
             raw = b""
             if key in self.store and sender in self.owners(key):
                 raw = self.sendable(key, self.record(key))
@@ -1187,15 +1194,15 @@
                 size += len(raw) + len(key)
         if count:  # else it can't have that record: it must not take it for one that is over
             self.context.send(
-                sender, FetchResponse(words.number, words.incarnation, words.epoch, count, tuple(piece))
+                sender, FetchResponse(message.number, message.incarnation, message.epoch, count, tuple(piece))
             )
 
-    def heard_brought(self, sender: str, words: FetchResponse):
-        talk = self.answered(sender, words, FetchRequest)
-        if talk is None or not 0 < words.count <= len(talk.want):
+    def heard_brought(self, sender: str, message: FetchResponse):
+        talk = self.answered(sender, message, FetchRequest)
+        if talk is None or not 0 < message.count <= len(talk.want):
             return
-        asked, talk.want = talk.want[: words.count], talk.want[words.count :]
-        brought, back = dict(words.records[:PAGE]), []
+        asked, talk.want = talk.want[: message.count], talk.want[message.count :]
+        brought, back = dict(message.records[:PAGE]), []
         for key in asked:
             if key not in brought:
                 continue
@@ -1259,7 +1266,7 @@
                         self.parting.pop(peer, None)
                 else:
                     talk.tries, talk.sent_at = talk.tries + 1, now
-                    self.context.send(peer, talk.words)
+                    self.context.send(peer, talk.message)
         era = self.era
         if not self.unplaced and not era.done(now) and self.name in self.ring.by_name:
             if era.way != GAINING or len(era.sources) <= MOST_ASKED:
@@ -1365,17 +1372,17 @@
             "moved": self.moved,
         }
 
-    def heard(self, sender: str, words):
+    def on_message(self, sender: str, message):
         while self.open:
             number = next(iter(self.open))
             if self.open[number].until > self.context.now:
                 break
             self.close(number)
         self.came_back(sender)
-        if isinstance(words, StaleEpoch):
-            self.newest = max(self.newest, words.epoch)
+        if isinstance(message, StaleEpoch):
+            self.newest = max(self.newest, message.epoch)
             return self.context.increment(Metric.NEWER_RING_ANNOUNCED)
-        HANDLERS[type(words)](self, sender, words)
+        HANDLERS[type(message)](self, sender, message)
 
 
 HANDLERS = {
--- a/cartdeal/fleet/ring/hash_ring.py
+++ b/cartdeal/fleet/ring/hash_ring.py
@@ -93,8 +93,8 @@
 # Owners
 
 
-def hash_number(words: bytes) -> int:
-    return int.from_bytes(blake2b(words, digest_size=8).digest(), "little")
+def hash_number(message: bytes) -> int:
+    return int.from_bytes(blake2b(message, digest_size=8).digest(), "little")
 
 
 class RendezvousHash:
--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -90,8 +90,8 @@
     def some(self):
         return self.fates.choice(list(self.fleet.places))
 
-    def wrote(self, *words):
-        self.log.append((round(self.fleet.clock.now, 3), *words))
+    def wrote(self, *message):
+        self.log.append((round(self.fleet.clock.now, 3), *message))
 
     def start(self, name):
         if self.fleet.places[name].node is None:
@@ -146,9 +146,9 @@
         else:
             self.part({(each, name) for each in others}, "deaf", [name, *others])
 
-    def part(self, cut, *words):
+    def part(self, cut, *message):
         seconds = self.fates.choice([1.0, 4.0, 10.0, 20.0]) * (0.5 + self.fates.random())
-        self.wrote(*words, round(seconds, 3))
+        self.wrote(*message, round(seconds, 3))
         self.cuts.append(cut)
         self.joint()
         self.after(seconds, self.mend, cut)
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -171,12 +171,12 @@
     def leave(self, name):
         """SIGTERM: it hands over, says goodbye, and ends."""
         place = self.places[name]
-        place.play(place.node.leaving)
+        place.play(place.node.begin_shutdown)
         self.clock.after(1.0, self.part, place, place.node)
 
     def part(self, place, node):
         if place.node is node:
-            place.play(node.parting)
+            place.play(node.finish_shutdown)
             self.clock.after(0.1, lambda: place.node is node and place.kill())
 
     def stop(self, name, seconds: float):
@@ -189,7 +189,7 @@
         place = self.places[name]
         place.settings = msgspec.structs.replace(place.settings, capacity=capacity)
         if place.node:
-            place.play(lambda: place.node.members.about_me(capacity=capacity))
+            place.play(lambda: place.node.membership.about_me(capacity=capacity))
 
     def cut(self, *sides):
         """Nothing passes between the sides, either way."""
@@ -211,16 +211,16 @@
 
     # The network
 
-    def carry(self, place, node, to, address, words):
+    def carry(self, place, node, to, address, message):
         weather, fates = self.weather, self.fates
         raw = codec.encode(
-            place.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), words
+            place.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), message
         )
-        datagram = type(words).DATAGRAM
+        datagram = type(message).DATAGRAM
         self.count["messages"] += 1
-        self.count[type(words).__struct_config__.tag] += 1
+        self.count[type(message).__struct_config__.tag] += 1
         self.bytes[node.name] += len(raw)
-        self.judge.said(self.clock.now, node.name, node.incarnation, to, words)
+        self.judge.said(self.clock.now, node.name, node.incarnation, to, message)
         target = self.places.get(to)
         if (node.name, to) in self.cuts or target and target.stopped:
             self.judge.out_of_reach(self.clock.now)
@@ -240,7 +240,7 @@
         if place.node is None or (sender, to) in self.cuts:
             return
         heard = codec.decode(place.settings, raw)
-        place.play(place.node.heard, *heard)
+        place.play(place.node.on_message, *heard)
 
     # Clients
 
@@ -271,7 +271,7 @@
         self.clock.after(client.patience_s, self.run_out, place, node, ticket)
         if not place.stopped:
             place.asked[ticket] = self.clock.now
-        place.play(node.ask, ticket, question)
+        place.play(node.request_admission, ticket, question)
 
     def run_out(self, place, node, ticket):
         """The client waits no longer; it comes again elsewhere."""
@@ -296,7 +296,7 @@
         if found is None:
             # Its client went away; what the fleet's word is meets nobody.
             if verdict is AdmissionDecision.ADMIT:
-                place.node.ended(ticket, "never")
+                place.node.on_request_ended(ticket, "never")
                 self.clock.after(0.0, self.flush, place, place.node)
             return
         client, turn = found
@@ -341,10 +341,10 @@
         good = good and node.wall * 1e3 <= min((each[3] for each in earlier_attempts), default=float("inf"))
         if not good or place.stopped:
             place.tickets.pop(ticket)
-            place.play(node.ended, ticket, "never")
+            place.play(node.on_request_ended, ticket, "never")
             self.outcomes[client.intent].append(AdmissionDecision.FAIL.value)
             return
-        place.play(node.went, ticket, zone, cell)
+        place.play(node.on_attempt_sent, ticket, zone, cell)
         self.judge.attempt(client.intent, self.clock.now, zone, cell, place.settings.name)
         self.clock.after(client.work_s, self.answer, place, node, ticket)
 
@@ -352,10 +352,10 @@
         found = place.tickets.pop(ticket, None) if place.node is node else None
         if found is None:
             if place.node is node:
-                place.play(node.ended, ticket, "maybe")
+                place.play(node.on_request_ended, ticket, "maybe")
             return
         client, _ = found
-        place.play(node.ended, ticket, "answered")
+        place.play(node.on_request_ended, ticket, "answered")
         self.judge.answered(client.intent, self.clock.now, place.settings.name, "completed")
         self.outcomes[client.intent].append("completed")
 
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -80,8 +80,8 @@
         self.until: dict[str, int] = {}
         self.unreached = -1.0  # when a message last met a cut, or an agent that was stopped
 
-    def violated(self, words: str):
-        self.violations.append(words)
+    def violated(self, message: str):
+        self.violations.append(message)
 
     # What the network sees
 
@@ -137,40 +137,40 @@
     def out_of_reach(self, at: float):
         self.unreached = at
 
-    def said(self, at: float, sender: str, incarnation: int, to: str, words):
+    def said(self, at: float, sender: str, incarnation: int, to: str, message):
         start = len(self.starts[sender])
         if self.incarnations.setdefault((sender, incarnation), start) != start:
             self.violated(f"{sender}: incarnation {incarnation} given out twice")
             self.incarnations[sender, incarnation] = start
-        kind = type(words)
+        kind = type(message)
         if kind is replica.WriteRequest:
-            self.claimed(sender, words)
+            self.claimed(sender, message)
         elif kind is replica.WriteResponse:
-            if words.wrote and (to, words.incarnation, words.number) in self.claims:
-                self.writers[self.claims[to, words.incarnation, words.number][2]][sender] = None
+            if message.wrote and (to, message.incarnation, message.number) in self.claims:
+                self.writers[self.claims[to, message.incarnation, message.number][2]][sender] = None
         elif kind.__module__ == ring_consensus.__name__:
-            self.of_rings(at, sender, to, words)
+            self.of_rings(at, sender, to, message)
 
-    def of_rings(self, at, sender, to, words):
-        kind = type(words)
+    def of_rings(self, at, sender, to, message):
+        kind = type(message)
         if kind is ring_consensus.RingSnapshot:
-            self.rings.setdefault(words.former.digest, words.former)
-            self.learn(words.former.digest, words.step)
+            self.rings.setdefault(message.former.digest, message.former)
+            self.learn(message.former.digest, message.step)
         elif kind is ring_consensus.RingUpdate:
-            self.learn(words.step.base, words.step)
+            self.learn(message.step.base, message.step)
         else:
             if kind is ring_consensus.Accept:
-                ring = self.learn(words.mark, words.step)
+                ring = self.learn(message.mark, message.step)
                 if ring:
-                    self.ballots[words.mark, words.number, sender] = ring.digest
+                    self.ballots[message.mark, message.number, sender] = ring.digest
                     self.votes[ring.digest][sender] = None
             elif kind is ring_consensus.Accepted:
-                self.votes[self.ballots.get((words.mark, words.number, to), b"")][sender] = None
-            if words.has:
-                self.ring_of[sender] = words.mark
-                self.last_shown[words.mark][sender] = at
-                if words.mark not in self.shown:
-                    self.drawn(at, sender, words.has, words.mark)
+                self.votes[self.ballots.get((message.mark, message.number, to), b"")][sender] = None
+            if message.has:
+                self.ring_of[sender] = message.mark
+                self.last_shown[message.mark][sender] = at
+                if message.mark not in self.shown:
+                    self.drawn(at, sender, message.has, message.mark)
 
     def learn(self, base: bytes, step) -> Ring | None:
         if base not in self.rings:
@@ -246,21 +246,26 @@
 
     # Marks
 
-    def claimed(self, agent, words):
-        if not words.by:
+    def claimed(self, agent, message):
+        if not message.by:
             return
         try:
-            mark = schema.decode("s", words.record).marks.get(words.by)
+            mark = schema.decode("s", message.record).marks.get(message.by)
         except InvalidRecordError:
             mark = None
         if mark is None:
-            return self.violated(f"{agent}: claims {words.by} without it")
-        fixed = (words.key, mark.key, mark.repeat, mark.group, mark.window_ms, mark.workload, mark.sent_ms)
-        if self.fixed.setdefault(words.by, fixed) != fixed:
-            self.violated(f"{agent}: gave out {words.by} twice")
-        self.until[words.by] = mark.until_ms
-        self.claims[agent, words.incarnation, words.number] = words.key, mark.key, words.by, mark.until_ms
-        self.latest[agent, words.key, mark.key] = words.by
+            return self.violated(f"{agent}: claims {message.by} without it")
+        fixed = (message.key, mark.key, mark.repeat, mark.group, mark.window_ms, mark.workload, mark.sent_ms)
+        if self.fixed.setdefault(message.by, fixed) != fixed:
+            self.violated(f"{agent}: gave out {message.by} twice")
+        self.until[message.by] = mark.until_ms
+        self.claims[agent, message.incarnation, message.number] = (
+            message.key,
+            mark.key,
+            message.by,
+            mark.until_ms,
+        )
+        self.latest[agent, message.key, mark.key] = message.by
 
     def marked(self, agent: str, at: float, record: str, key: str, own_copy):
         """A request that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
--- a/cartdeal/fleet/transport.py
+++ b/cartdeal/fleet/transport.py
@@ -71,7 +71,7 @@
     a request. Raises BindError."""
 
     def __init__(self, settings, listen, make, decided, bounds: TransportLimits | None = None):
-        self.words, self.listener = listeners(listen)
+        self.datagrams, self.listener = listeners(listen)
         self.port = self.listener.getsockname()[1]
         if not place(settings.address):
             settings = replace(settings, address=f"{listen[0]}:{self.port}")
@@ -99,7 +99,7 @@
         for sock, _, _ in self.readers.values():
             sock.close()
         gevent.killall(self.works + list(self.readers) + [road.greenlet for road in self.roads.values()])
-        self.words.close()
+        self.datagrams.close()
         self.listener.close()
 
     # Events
@@ -178,19 +178,19 @@
 
     def send(self, effect: SendMessage):
         """Sends a message by datagram or stream, as its type says."""
-        to, address, words = effect.recipient, effect.address, effect.message
+        to, address, message = effect.recipient, effect.address, effect.message
         at = place(address)
         if at is None:
             self.increment(Metric.DROPPED_NO_ADDRESS)
             return self.tell_once("bad address", to, f"{to} at {str(address)[:64]!r}")
         try:
-            raw = codec.encode_message(words)
+            raw = codec.encode_message(message)
         except MessageTooLargeError as error:
             self.increment(Metric.DROPPED_TOO_LARGE)
-            return self.tell_once("not sent", type(words).__name__, str(error))
-        if words.DATAGRAM:
+            return self.tell_once("not sent", type(message).__name__, str(error))
+        if message.DATAGRAM:
             try:
-                self.words.sendto(self.stamped(raw), at)
+                self.datagrams.sendto(self.stamped(raw), at)
             except OSError:  # a full buffer is one, too: a datagram may be lost
                 self.increment(Metric.DROPPED_DATAGRAMS)
         else:
@@ -306,9 +306,9 @@
             if not turn % DATAGRAMS_PER_TURN:
                 gevent.sleep(0)  # one that sends without pause must not have the agent for itself
             try:
-                text, peer = self.words.recvfrom(codec.MAX_DATAGRAM + 1)
+                text, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM + 1)
             except BlockingIOError:
-                socket.wait_read(self.words.fileno())
+                socket.wait_read(self.datagrams.fileno())
                 continue
             self.take_in(text, peer, codec.MAX_DATAGRAM)
 
@@ -375,7 +375,7 @@
             return False
         self.increment(Metric.RECEIVED_MESSAGES)
         self.increment(Metric.RECEIVED_BYTES, len(text))
-        self.dispatch("heard", *said)
+        self.dispatch("on_message", *said)
         return True
 
     def refuse(self, error: FleetError, peer):
@@ -383,7 +383,7 @@
         self.increment(f"refused {kind}")
         self.tell_once("refused", (kind, peer[0]), f"{kind} from {peer[0]}:{peer[1]}: {error}")
 
-    def tell_once(self, what: str, about, words: str):
+    def tell_once(self, what: str, about, text: str):
         """Of one fault of one peer the log has one line in a while; the figures have them all."""
         now = monotonic()
         if now < self.told.get((what, about), 0.0):
@@ -392,7 +392,7 @@
         self.told.move_to_end((what, about))
         if len(self.told) > MAX_REPORTED_FAULTS:
             self.told.popitem(last=False)
-        log.warning(what, extra={"text": words})
+        log.warning(what, extra={"text": text})
 
 
 def listeners(listen):
@@ -400,15 +400,15 @@
     for left in reversed(range(BIND_ATTEMPTS if listen[1] == 0 else 1)):
         listener = bind_socket(socket.SOCK_STREAM, listen)
         try:
-            words = bind_socket(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
+            datagrams = bind_socket(socket.SOCK_DGRAM, (listen[0], listener.getsockname()[1]))
         except BindError:
             listener.close()
             if not left:
                 raise
             continue
         listener.listen(BACKLOG)
-        words.settimeout(0.0)  # what is sent in the middle of an event must never wait
-        return words, listener
+        datagrams.settimeout(0.0)  # what is sent in the middle of an event must never wait
+        return datagrams, listener
 
 
 def connected(at):
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -113,10 +113,10 @@
 
         bytes_by_tag = Counter()
 
-        def carry(self, place, node, to, address, words):
+        def carry(self, place, node, to, address, message):
             before = self.bytes[node.name]
-            super().carry(place, node, to, address, words)
-            self.bytes_by_tag[type(words).__struct_config__.tag] += self.bytes[node.name] - before
+            super().carry(place, node, to, address, message)
+            self.bytes_by_tag[type(message).__struct_config__.tag] += self.bytes[node.name] - before
 
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
     fleet, fates = (
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -254,7 +254,7 @@
     """Gives the words that a test lays down, by request class; with none, it is silent."""
 
     def __init__(self, fleet_settings, seed, now, wall):
-        self.name, self.address, self.incarnation, self.gone = (
+        self.name, self.address, self.incarnation, self.is_handed_over = (
             fleet_settings.name,
             fleet_settings.address,
             1,
@@ -262,8 +262,8 @@
         )
         self.effects, self.now, self.wall, self.words, self.got = [], now, wall, {}, []
 
-    def ask(self, ticket, question):
-        self.got.append(("ask", ticket, question))
+    def request_admission(self, ticket, question):
+        self.got.append(("request_admission", ticket, question))
         if word := self.words.get(question.workload):
             self.word(ticket, *word)
 
@@ -271,7 +271,14 @@
         self.effects.append(DeliverDecision(ticket, AdmissionDecision(verdict), wait, earlier_attempts))
 
     def __getattr__(self, event):
-        if event.startswith("_") or event not in ("went", "ended", "leaving", "parting", "reread", "heard"):
+        if event not in (
+            "on_attempt_sent",
+            "on_request_ended",
+            "begin_shutdown",
+            "finish_shutdown",
+            "apply_settings",
+            "on_message",
+        ):
             raise AttributeError(event)
         return lambda *args: self.got.append((event, *args))
 
@@ -330,7 +337,7 @@
         deployment.ask("/once/1", "POST", body, Cookie="sid=7f")
     deployment.ask("/mark/1", "POST", body)  # without its key it promises nothing
     deployment.ask("/read/1")
-    mark, once, again, bare, read = [each[2] for each in node.got if each[0] == "ask"]
+    mark, once, again, bare, read = [each[2] for each in node.got if each[0] == "request_admission"]
     assert mark == AdmissionRequest(
         tenant="y",
         session=f"{hashed(b'7f'):016x}",
@@ -346,9 +353,9 @@
     assert (once.repeat, once.tenant, once.key, once.session) == ("u", "", again.key, mark.session)
     assert (bare.repeat, bare.window_s, len(bare.key)) == ("u", 0.0, 32) and bare.key != once.key
     assert (read.repeat, read.key, read.session) == ("i", "", "")
-    ended = [each[1:] for each in node.got if each[0] == "ended"]
+    ended = [each[1:] for each in node.got if each[0] == "on_request_ended"]
     assert ended == [(number, "answered") for number in range(1, 6)]
-    assert [each[1:] for each in node.got if each[0] == "went"][0] == (1, "a", 0)
+    assert [each[1:] for each in node.got if each[0] == "on_attempt_sent"][0] == (1, "a", 0)
 
 
 @pytest.mark.parametrize(
@@ -384,7 +391,7 @@
     deployment, node = deploy(fleet_settings)
     node.words.clear()
     if broken:
-        node.ask = None  # an error in the middle of the event
+        node.request_admission = None  # an error in the middle of the event
     assert asked(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
     assert not deployment.seen() and not deployment.agent.admission.open and deployment.agent.reducer.now
     deployment.agent.admission.host.dispatch("word", 1, "admit")
@@ -404,7 +411,7 @@
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
     assert answered(waiting) == (200, b"s0 ")
-    until(lambda: node.got[-1] == ("ended", 1, "answered"))
+    until(lambda: node.got[-1] == ("on_request_ended", 1, "answered"))
 
 
 def test_client_that_leaves_while_the_fleet_thinks(deploy):
@@ -414,7 +421,7 @@
     waiting.sock.sendall(worded("/once/1", "POST"))
     until(lambda: node.got)
     waiting.close()
-    until(lambda: node.got[-1] == ("ended", 1, "never"))
+    until(lambda: node.got[-1] == ("on_request_ended", 1, "never"))
     assert not deployment.agent.admission.open
     deployment.agent.admission.host.dispatch("word", 1, "admit")
     assert not deployment.agent.reducer.requests and not deployment.seen()
@@ -432,7 +439,7 @@
     deployment, node = deploy(servers=2)
     node.words["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
     assert asked(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
-    assert not deployment.seen() and ("ended", 1, "never") in node.got
+    assert not deployment.seen() and ("on_request_ended", 1, "never") in node.got
 
 
 def test_file_that_is_read_again(deploy, tmp_path, monkeypatch, caplog):
@@ -445,10 +452,10 @@
     for text, said in (("[", "fleet file refused"), (good % "wait_s = 9.0\n", "fleet file refused")):
         file.write_text(text)
         deployment.agent.reread()
-        assert caplog.messages[-2] == said and not [each for each in node.got if each[0] == "reread"]
+        assert caplog.messages[-2] == said and not [each for each in node.got if each[0] == "apply_settings"]
     file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
     deployment.agent.reread()
-    ((_, fleet_settings),) = [each for each in node.got if each[0] == "reread"]
+    ((_, fleet_settings),) = [each for each in node.got if each[0] == "apply_settings"]
     assert (fleet_settings.wait_s, fleet_settings.copies, fleet_settings.seeds) == (
         0.2,
         3,
@@ -462,14 +469,14 @@
 
 def test_an_agent_that_ends_hands_over_and_says_its_last_words(deploy):
     deployment, node = deploy()
-    node.gone = False
+    node.is_handed_over = False
     deployment.agent.drain()
     gone = gevent.spawn_later(0.05, setattr, node, "gone", True)
     deployment.agent.leave_fleet(time.monotonic() + 10)
-    assert gone.ready() and [each[0] for each in node.got] == ["leaving", "parting"]
-    node.gone = False
+    assert gone.ready() and [each[0] for each in node.got] == ["begin_shutdown", "finish_shutdown"]
+    node.is_handed_over = False
     deployment.agent.leave_fleet(time.monotonic() + 0.05)  # others do not take it over: it ends
-    assert node.got[-1] == ("parting",)
+    assert node.got[-1] == ("finish_shutdown",)
 
 
 def test_digest_tells_apart_where_one_part_ends_and_the_next_begins():
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -27,8 +27,8 @@
         self.called = dict(net.seeds)  # by where it called from last
         self.random, self.events, self.counts = Random(f"{net.seed} {name} {incarnation}"), [], Counter()
 
-    def send(self, to, words):
-        self.net.send(self.name, to, words)
+    def send(self, to, message):
+        self.net.send(self.name, to, message)
 
     def log_event(self, event):
         self.events.append(event.MESSAGE)
@@ -80,9 +80,9 @@
             if agent.name not in self.stopped:
                 agent.tick()
 
-    def send(self, sender, to, words):
-        data = msgpack.encode(words)
-        assert len(data) <= 1_200 and words.DATAGRAM
+    def send(self, sender, to, message):
+        data = msgpack.encode(message)
+        assert len(data) <= 1_200 and message.DATAGRAM
         self.sent[sender] += 1
         self.size[sender] += len(data)
         here, known = self.agents[sender].context, self.agents[sender].table.get(to)
@@ -97,14 +97,14 @@
             self.stopped[to[0]].append((sender, to, data))
         elif to[0] in self.agents and self.agents[to[0]].context.address == to[1]:
             self.agents[to[0]].context.called[sender[0]] = sender[1]
-            self.agents[to[0]].heard(sender[0], decode(data))
+            self.agents[to[0]].on_message(sender[0], decode(data))
 
     def states(self, of):
         return {agent.table[of].state for agent in self.agents.values()}
 
 
 def told(agent, sender, *pieces, **me):
-    agent.heard(sender, StatePush(peer(sender, **me), pieces))
+    agent.on_message(sender, StatePush(peer(sender, **me), pieces))
 
 
 def peer(name, **more):
@@ -339,7 +339,7 @@
         told(agent, "n007", **wrong)
     told(agent, "n001", *[GossipItem(peer("n002"))] * 65)
     told(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
-    agent.heard("n001", StatePush(peer("n002"), ()))
+    agent.on_message("n001", StatePush(peer("n002"), ()))
     assert agent.size() == 3 and agent.context.counts["dropped out of range"] == 18
     assert agent.context.counts["dropped wrong sender"] == 1
     for i in range(2000):
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -35,8 +35,8 @@
     def wall(self):
         return self.net.random.uniform(0, 1e9)  # may be anything, for all that is decided
 
-    def send(self, to, words):
-        self.net.carry(self.name, to, words)
+    def send(self, to, message):
+        self.net.carry(self.name, to, message)
 
     def log_event(self, event):
         pass
@@ -61,7 +61,7 @@
         new = rings[-1]
         if self.ring is None or self.ring.epoch < new.epoch:
             self.ring = new
-            self.part.rings(new, rings[-2] if len(rings) > 1 else None, self.context.now)
+            self.part.on_ring_changed(new, rings[-2] if len(rings) > 1 else None, self.context.now)
             self.part.written(new.written)
 
 
@@ -123,9 +123,9 @@
                 hears()  # the answer counts from here on: it may be decided otherwise a moment later
         self.at(self.now + self.random.uniform(0.1, 0.6), partial(self.vouch, agent))
 
-    def carry(self, sender, to, words):
+    def carry(self, sender, to, message):
         self.sent[sender] += 1
-        text = msgspec.msgpack.encode(words)
+        text = msgspec.msgpack.encode(message)
         copies = 1 + (self.random.random() < self.doubled) - (self.random.random() < self.lost)
         for _ in range(copies if (sender, to) not in self.cut else 0):
             delay = self.random.uniform(0.0002, 0.002)
@@ -138,7 +138,7 @@
         if agent is not None and agent.stopped:
             agent.queue.append((sender, text))
         elif agent is not None:
-            agent.part.heard(sender, WIRE.decode(text))
+            agent.part.on_message(sender, WIRE.decode(text))
 
     def stop(self, name, seconds):
         agent = self.agents[name]
@@ -147,7 +147,7 @@
         def goes_on():
             agent.stopped = False
             for sender, text in agent.queue if self.agents[name] is agent else ():
-                agent.part.heard(sender, WIRE.decode(text))
+                agent.part.on_message(sender, WIRE.decode(text))
             agent.queue = []
 
         self.at(self.now + seconds, goes_on)
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -50,8 +50,8 @@
     def increment(self, counter, by=1):
         self.counts[counter] += by
 
-    def send(self, to, words):
-        self.net.carry(self.name, to, words)
+    def send(self, to, message):
+        self.net.carry(self.name, to, message)
 
     def done(self, ticket, marks, sure):
         assert ticket not in self.answers, "answered twice"
@@ -63,11 +63,11 @@
                 self.replica.tick()
             self.net.clock.after(0.09 + 0.02 * self.random.random(), self.tick, which)
 
-    def hear(self, sender, words):
+    def hear(self, sender, message):
         if self.stopped:
-            self.held.append((sender, words))
+            self.held.append((sender, message))
         elif not self.dead:
-            self.replica.heard(sender, words)
+            self.replica.on_message(sender, message)
 
     def kill(self):
         self.dead = True
@@ -130,7 +130,7 @@
     def tell(self, *names):
         for name in names or self.agents:
             if not self[name].dead:
-                self[name].replica.rings(self.ring, self.former, self[name].now)
+                self[name].replica.on_ring_changed(self.ring, self.former, self[name].now)
 
     def change(self, new, *names):
         """The next ring, told to these agents, or all."""
@@ -146,10 +146,10 @@
             self[name].start()
         self.tell(name)
 
-    def carry(self, sender, to, words):
-        raw = msgspec.msgpack.encode(words)
+    def carry(self, sender, to, message):
+        raw = msgspec.msgpack.encode(message)
         assert len(raw) < 256 * 1024 and sender != to
-        self.sent[type(words).__name__] += 1
+        self.sent[type(message).__name__] += 1
         self.bytes += len(raw)
         for _ in range(1 + (self.random.random() < self.double)):
             if to in self.agents and self.random.random() >= self.lose:
@@ -158,9 +158,9 @@
                     delay += 5 * self.random.random()
                 self.clock.after(delay, self.arrive, sender, to, WORDS.decode(raw))
 
-    def arrive(self, sender, to, words):
+    def arrive(self, sender, to, message):
         if (sender, to) not in self.cuts:
-            self[to].hear(sender, words)
+            self[to].hear(sender, message)
 
     def cut(self, here, there, both=True):
         self.cuts |= {(a, b) for a in here for b in there}
@@ -532,7 +532,7 @@
 
     def learn(self, name, epoch):
         self.knows[name] = epoch
-        self[name].replica.rings(self.rings[epoch], self.rings.get(epoch - 1), self[name].now)
+        self[name].replica.on_ring_changed(self.rings[epoch], self.rings.get(epoch - 1), self[name].now)
 
     def step(self):
         dice, names, epoch = self.chaos, "abcdef", self.ring.epoch
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -44,7 +44,7 @@
             random=Random(f"{name} {self.turn}"),
         )
         self.counts[name] = Counter()
-        context.send = lambda to, words: self.send(name, to, words)
+        context.send = lambda to, message: self.send(name, to, message)
         context.log_event = lambda event: self.events.append((name, event.MESSAGE))
         context.increment = lambda counter, by=1: self.counts[name].update({counter: by})
         self.peers[name] = SimpleNamespace(
@@ -66,8 +66,8 @@
         self.turn += 1
         heappush(self.heap, (self.now + after, self.turn, event))
 
-    def send(self, sender, to, words):
-        raw = msgspec.msgpack.encode(words)
+    def send(self, sender, to, message):
+        raw = msgspec.msgpack.encode(message)
         self.sent[sender] += 1
         self.bytes[sender] += len(raw)
         for _ in range(2 if self.random.random() < self.loss else 1):
@@ -80,7 +80,7 @@
                 return self.stopped[to].append((sender, to, raw))
             agent = self.agents[to]
             agent.context.now = self.now
-            agent.heard(sender, CODEC.decode(raw))
+            agent.on_message(sender, CODEC.decode(raw))
             self.judge(to, agent)
 
     def tick(self, name, agent):
@@ -275,21 +275,23 @@
     agent, kept = net.agents[name], net.stopped[name]
     agent.context.now = net.now
     for sender, _, raw in kept:
-        if isinstance(words := CODEC.decode(raw), ring_consensus.Promise | ring_consensus.Accepted):
-            agent.heard(sender, words)
+        if isinstance(message := CODEC.decode(raw), ring_consensus.Promise | ring_consensus.Accepted):
+            agent.on_message(sender, message)
     assert agent.attempt is None and agent.accepted is None
 
 
 def test_accepted_the_next_epoch_it_vouches_no_more():
     net = settled()
     agent, said = net.agents["b"], []
-    agent.context.send = lambda to, words: said.append(words)
+    agent.context.send = lambda to, message: said.append(message)
     head = agent.ring.epoch, agent.ring.digest
-    agent.heard("c", ring_consensus.LeaseRenewal(*head, 9))
+    agent.on_message("c", ring_consensus.LeaseRenewal(*head, 9))
     assert said.pop().ages[1] == 0
-    agent.heard("a", ring_consensus.Accept(*head, 7, step_between(agent.ring, Ring(2, agent.ring.seats, 2))))
+    agent.on_message(
+        "a", ring_consensus.Accept(*head, 7, step_between(agent.ring, Ring(2, agent.ring.seats, 2)))
+    )
     assert isinstance(said.pop(), ring_consensus.Accepted) and agent.accepted_higher and not agent.sure()
-    agent.heard("c", ring_consensus.LeaseRenewal(*head, 10))
+    agent.on_message("c", ring_consensus.LeaseRenewal(*head, 10))
     assert said.pop().ages[1] == ring_consensus.NOT_HEARD
 
 
@@ -297,7 +299,7 @@
     net = settled()
     agent = net.agents["b"]
     wanted = step_between(agent.ring, Ring(2, agent.ring.seats[1:]))
-    agent.heard("a", ring_consensus.Accept(1, agent.ring.digest, 7, wanted))
+    agent.on_message("a", ring_consensus.Accept(1, agent.ring.digest, 7, wanted))
     assert net.run(3, lambda: net.agents["c"].ring.epoch == 2)
     assert net.agents["c"].ring.names == ("b", "c") and not net.split()
 
@@ -307,7 +309,7 @@
     old, other = net.agents["a"].ring, net.agents["e"]
     first = step_between(old, Ring(2, old.seats[1:]))
     for name in "bcd":
-        net.agents[name].heard("a", ring_consensus.Accept(1, old.digest, 7, first))
+        net.agents[name].on_message("a", ring_consensus.Accept(1, old.digest, 7, first))
     other.top = 7
     other.begin(step_between(old, Ring(2, old.seats[:-1])), ())
     net.run(1)
@@ -320,9 +322,9 @@
     net.start("c")
     agent, said = net.agents["c"], []
     assert net.run(2, lambda: agent.ring is not None) and not agent.remembers
-    agent.context.send = lambda to, words: said.append(words)
-    agent.heard("a", ring_consensus.Prepare(1, agent.ring.digest, 7, ()))
-    agent.heard("a", ring_consensus.LeaseRenewal(1, agent.ring.digest, 7))
+    agent.context.send = lambda to, message: said.append(message)
+    agent.on_message("a", ring_consensus.Prepare(1, agent.ring.digest, 7, ()))
+    agent.on_message("a", ring_consensus.LeaseRenewal(1, agent.ring.digest, 7))
     assert said[0].why == "forgot" and said[1].ages[2] == ring_consensus.NOT_HEARD
 
 
@@ -332,12 +334,12 @@
     twins = [Ring(2, old.seats, written, founded_ms=old.founded_ms) for written in (1, 2)]
     twins.sort(key=lambda ring: ring.digest)
     for name, ring in (("a", twins[1]), ("b", twins[0])):
-        net.agents[name].heard("c", ring_consensus.RingUpdate(step_between(old, ring)))
+        net.agents[name].on_message("c", ring_consensus.RingUpdate(step_between(old, ring)))
         net.judge(name, net.agents[name])
     net.run(2)
     assert net.split() == [2] and net.rings() == {twins[0].digest}
     assert {name for name, kind in net.events if kind == "conflicting rings"} >= {"a"}
-    net.agents["b"].heard("c", ring_consensus.RingSnapshot(old, step_between(old, twins[1])))
+    net.agents["b"].on_message("c", ring_consensus.RingSnapshot(old, step_between(old, twins[1])))
     assert net.agents["b"].ring.digest == twins[0].digest and ("b", "conflicting rings") in net.events
 
 
@@ -346,8 +348,8 @@
     agent, counts = net.agents["a"], net.counts["a"]
     ring = agent.ring
     one, two = ring.seats[:2]
-    agent.heard("b", ring_consensus.LeaseRenewal(1 << 30, b"", 1))
-    agent.heard("b", ring_consensus.RingSnapshot(Ring(1 << 30, ring.seats), step_between(ring, ring)))
+    agent.on_message("b", ring_consensus.LeaseRenewal(1 << 30, b"", 1))
+    agent.on_message("b", ring_consensus.RingSnapshot(Ring(1 << 30, ring.seats), step_between(ring, ring)))
     assert counts["dropped distant epoch"] == 2
     for seats in [
         (two, one),
@@ -359,13 +361,13 @@
         (RingMember("", "", 1.0),),
     ]:
         former = Ring(7, seats)
-        agent.heard("b", ring_consensus.RingSnapshot(former, step_between(former, Ring(8, ring.seats))))
+        agent.on_message("b", ring_consensus.RingSnapshot(former, step_between(former, Ring(8, ring.seats))))
         bad = msgspec.structs.replace(
             step_between(ring, ring), epoch=2, seats=seats, gone=() if seats else ABC
         )
         if seats not in [(two, one), (one, one)]:  # these are put in order, which makes them sound
-            agent.heard("b", ring_consensus.RingUpdate(bad))
-            agent.heard("b", ring_consensus.Accept(1, ring.digest, 5, bad))
+            agent.on_message("b", ring_consensus.RingUpdate(bad))
+            agent.on_message("b", ring_consensus.Accept(1, ring.digest, 5, bad))
     assert counts["dropped malformed ring"] == 17 and agent.ring is ring and not agent.accepted_higher
 
 
@@ -408,8 +410,8 @@
 class Rash(RingConsensus):
     """Takes half of the voters for a majority."""
 
-    def promise_came(self, attempt, sender, words):
-        super().promise_came(attempt, sender, words)
+    def promise_came(self, attempt, sender, message):
+        super().promise_came(attempt, sender, message)
         if not attempt.accepting and 2 * len(attempt.promises) >= len(self.place) - 1:
             self.decided(attempt.step)
 
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -351,8 +351,8 @@
 
 
 @steps(then, r"the client was told: (?P<words>.*)")
-def _(story, words):
-    assert story.told() == words.split(", ")
+def _(story, message):
+    assert story.told() == message.split(", ")
 
 
 @steps(then, r"its sheet ran (?P<times>once|never)")
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -40,8 +40,8 @@
 
 @pytest.fixture(autouse=True)
 def message_decoder(monkeypatch):
-    words = msgspec.msgpack.Decoder(Hail | Load)
-    monkeypatch.setattr(codec, "message_decoder", lambda: words)
+    message = msgspec.msgpack.Decoder(Hail | Load)
+    monkeypatch.setattr(codec, "message_decoder", lambda: message)
 
 
 def sealed(body, settings=SETTINGS, version=codec.VERSION):
@@ -165,10 +165,10 @@
         )
         self.effects, self.now, self.wall, self.got, self.ticks, self.depth = [], now, wall, [], 0, 0
 
-    def heard(self, sender, incarnation, address, wall_ms, words):
+    def on_message(self, sender, incarnation, address, wall_ms, message):
         assert not self.depth
-        self.depth, self.got = 1, self.got + [(sender, incarnation, address, words)]
-        if words == Hail("die"):
+        self.depth, self.got = 1, self.got + [(sender, incarnation, address, message)]
+        if message == Hail("die"):
             self.depth = 0
             raise ValueError("broken part")
         self.depth = 0
@@ -176,8 +176,8 @@
     def tick(self):
         self.ticks += 1
 
-    def say(self, to, address, *words):
-        self.effects += [SendMessage(to, address, each) for each in words]
+    def say(self, to, address, *messages):
+        self.effects += [SendMessage(to, address, each) for each in messages]
 
     def decide(self, *about):
         self.effects.append(DeliverDecision(*about, AdmissionDecision.ADMIT))
@@ -339,7 +339,7 @@
 
 def test_what_waited_is_stamped_when_it_goes_out(hosts):
     a, b, times = hosts("a"), hosts("b"), []
-    b.node.heard = lambda sender, incarnation, address, wall_ms, words: times.append(wall_ms)
+    b.node.on_message = lambda sender, incarnation, address, wall_ms, message: times.append(wall_ms)
     a.roads[("127.0.0.1", b.port)] = road = PeerConnection(("127.0.0.1", b.port))  # nobody writes it yet
     say(a, b, Load(b"x"))
     gevent.sleep(0.3)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -158,9 +158,9 @@
         fleet.write_text(world.operator_file(self, ports, **changes))
         self.relay.to = ("127.0.0.1", ports)
         self.lines, self.port = [], 0
-        words = [sys.executable, "-B", "-m", "cartdeal", "serve"]
+        message = [sys.executable, "-B", "-m", "cartdeal", "serve"]
         self.process = subprocess.Popen(
-            words,
+            message,
             cwd=Path(__file__).parents[1],
             stderr=subprocess.PIPE,
             start_new_session=True,
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -189,12 +189,12 @@
     """A real agent that all the others, here by their messages alone, have called and answered at once."""
     net, sent, peers = test_membership.Net(), [], [peer(f"n{n}") for n in range(1, many)]
     hub = net.start("n000")
-    hub.context.send = lambda to, words: sent.append((to, words))
+    hub.context.send = lambda to, message: sent.append((to, message))
     for each in peers:
-        hub.heard(each.name, Ping(1, each, ()))
+        hub.on_message(each.name, Ping(1, each, ()))
     assert len(hub.strangers) == many - 1 and not hub.context.counts["dropped unverified peers"]
     for each in peers:
-        hub.heard(each.name, Ack(hub.strangers[each.name].number, each, ()))
+        hub.on_message(each.name, Ack(hub.strangers[each.name].number, each, ()))
     assert hub.size() == many and not hub.strangers
     sent.clear()
     return net, hub, peers, sent
@@ -211,19 +211,19 @@
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
     net, hub, peers, sent = full_hub()
     for each in peers:
-        hub.heard(each.name, DigestExchange(bytes(64), True, each, ()))
+        hub.on_message(each.name, DigestExchange(bytes(64), True, each, ()))
     names = {each.name for each in peers}
-    assert set(hub.owed) == names and {to for to, words in sent if isinstance(words, StatePush)} == names
+    assert set(hub.owed) == names and {to for to, message in sent if isinstance(message, StatePush)} == names
     # By need: each holds a part of the table.
     assert sum(len(each.names) for each in hub.owed.values()) < MANY * MANY / 8
     sent.clear()
     for each, target in zip(peers, peers[1:] + peers[:1], strict=True):
-        hub.heard(each.name, PingRequest(1, target.name, each, ()))
-    assert len(hub.relays) == MANY - 1 and not any(isinstance(words, Nack) for _, words in sent)
+        hub.on_message(each.name, PingRequest(1, target.name, each, ()))
+    assert len(hub.relays) == MANY - 1 and not any(isinstance(message, Nack) for _, message in sent)
     witness, *accused = peers
     for each in accused:
         told = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
-        hub.heard(witness.name, StatePush(witness, told))
+        hub.on_message(witness.name, StatePush(witness, told))
     assert len(hub.warnings) == MANY - 2
 
 
@@ -243,10 +243,12 @@
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
     net = test_ring_consensus.Net([f"a{n}" for n in range(3)])
     agent, answered = net.agents["a0"], []
-    agent.context.send = lambda to, words: answered.append(to) if isinstance(words, LeaseRenewalAck) else None
+    agent.context.send = (
+        lambda to, message: answered.append(to) if isinstance(message, LeaseRenewalAck) else None
+    )
     empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
     for seat in ring.seats:
-        agent.heard(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
+        agent.on_message(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
     agent.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
 
