--- a/cartdeal/fleet/metrics.py
+++ b/cartdeal/fleet/metrics.py
@@ -1,5 +1,5 @@
 """The names under which the fleet's parts count what happens; they are the fields of the line
-`msg=figures`."""
+`msg=metrics`."""
 
 from enum import StrEnum
 
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -445,7 +445,7 @@
                 self.replica.count_use(tenant, period, served - self.served[tenant])
                 self.served[tenant] = served
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         ring = self.ring
         return {
             "epoch": ring.epoch if ring else 0,
@@ -456,7 +456,7 @@
             "live": len(self.membership.live()),
             "sure": self.sure(),
             "waiting": self.open,
-            **self.replica.figures(),
-            **self.quota.figures(),
+            **self.replica.metrics(),
+            **self.quota.metrics(),
             **self.counters,
         }
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -533,7 +533,7 @@
             self.spare(ward, now)
         self.plan(ward, now)
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         """For operators: by tenant, what is on loan from here, what is left, and requests that were turned
         away."""
         now, lent, unlent = self.context.now, {}, {}
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -1358,7 +1358,7 @@
     def all_caught_up(self) -> bool:
         return self.era is not None and self.era.ranges(self.context.now) == ALL
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         era = self.era
         return {
             "records": len(self.store),
--- a/cartdeal/fleet/transport.py
+++ b/cartdeal/fleet/transport.py
@@ -43,7 +43,7 @@
 READ_BYTES = 65536  # bytes read at once
 DATAGRAMS_PER_TURN = 16  # datagrams read before the others have a turn
 MAX_REPORTED_FAULTS = 1024  # faults of peers that are remembered as told
-REPORT_INTERVAL_S = 60.0  # seconds between lines of figures
+REPORT_INTERVAL_S = 60.0  # seconds between lines of metrics
 BIND_ATTEMPTS = 20  # tries to find one port for both kinds of socket
 
 log = logging.getLogger("cartdeal.fleet")
@@ -146,17 +146,17 @@
         while True:
             gevent.sleep(REPORT_INTERVAL_S * (0.9 + 0.2 * self.random.random()))
             log.info(
-                "figures",
+                "metrics",
                 extra={
                     "text": " ".join(
-                        f"{key.replace(' ', '_')}={value}" for key, value in sorted(self.figures().items())
+                        f"{key.replace(' ', '_')}={value}" for key, value in sorted(self.metrics().items())
                     )
                 },
             )
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         return {
-            **self.node.figures(),
+            **self.node.metrics(),
             **self.counters,
             "streams out": len(self.roads),
             "streams in": len(self.readers),
@@ -384,7 +384,7 @@
         self.tell_once("refused", (kind, peer[0]), f"{kind} from {peer[0]}:{peer[1]}: {error}")
 
     def tell_once(self, what: str, about, text: str):
-        """Of one fault of one peer the log has one line in a while; the figures have them all."""
+        """Of one fault of one peer the log has one line in a while; the metrics have them all."""
         now = monotonic()
         if now < self.told.get((what, about), 0.0):
             return
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -285,7 +285,7 @@
     def tick(self):
         pass
 
-    def figures(self):
+    def metrics(self):
         return {}
 
 
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -89,7 +89,7 @@
     for _ in range(100):
         memory.intend(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
     memory.run(1.0)
-    assert memory.nodes()["a0"].figures()["own requests deferred"]
+    assert memory.nodes()["a0"].metrics()["own requests deferred"]
     assert memory.judge.close() == []
 
 
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -266,10 +266,10 @@
     net.run(0.1)
     net["a"].replica.refine("s/x", advanced(mark, certainty=Certainty.ANSWERED))
     net.run(3)
-    assert net["a"].replica.figures()["hints"] == 1
+    assert net["a"].replica.metrics()["hints"] == 1
     net.cuts.clear()
     net.run(5.5)
-    assert net["a"].replica.figures()["hints"] == 0
+    assert net["a"].replica.metrics()["hints"] == 0
     assert net["c"].replica.held()["s/x"].marks[mark.by].certainty == Certainty.ANSWERED
 
 
@@ -280,7 +280,7 @@
         net["a"].claim(sid, lasts=9.0)
         net.run(0.02)
     net.run(1)
-    assert net["a"].replica.figures()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
+    assert net["a"].replica.metrics()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
     assert net["a"].events.count("hints full") == 1
     net.cuts.clear()
     net.run(4)  # what was dropped is made good by comparing
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -182,7 +182,7 @@
     def decide(self, *about):
         self.effects.append(DeliverDecision(*about, AdmissionDecision.ADMIT))
 
-    def figures(self):
+    def metrics(self):
         return {"ticks": self.ticks}
 
 
