--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -150,7 +150,8 @@
         world.agents[2].start(hold_version=0)
         eventually(lambda: world.agents[2].port, "it serves")
         # The one that was started last may serve before it says its first ring.
-        last_rings = [lambda each=each: "".join(each.said('msg="ring adopted"')[-1:]) for each in world.agents]
+        adopted = 'msg="ring adopted"'
+        last_rings = [lambda each=each: "".join(each.said(adopted)[-1:]) for each in world.agents]
         eventually(lambda: all("written=2" in last_ring() for last_ring in last_rings), "version 2")
         settled(world)
         # In version 1 the limit is counted by each owner's own second: two more of these at the most.
