--- a/tests/processes.py
+++ b/tests/processes.py
@@ -127,6 +127,7 @@
     def __init__(self, world, name, zone):
         self.world, self.name, self.zone = world, name, zone
         self.relay, self.process, self.lines, self.port = Relay(world, name), None, [], 0
+        self.tree = Path(__file__).parents[1]  # of the sources that it is started from
 
     def start(self, **changes):
         world = self.world
@@ -161,7 +162,7 @@
         message = [sys.executable, "-B", "-m", "cartdeal", "serve"]
         self.process = subprocess.Popen(
             message,
-            cwd=Path(__file__).parents[1],
+            cwd=self.tree,
             stderr=subprocess.PIPE,
             start_new_session=True,
             env={"PROXY_CONFIG": str(file), "PROXY_FLEET": str(fleet), "PATH": os.environ["PATH"]},
--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,93 @@
+"""Which package may import which: the rules of docs/ARCHITECTURE.md, checked on the sources themselves."""
+
+import ast
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+
+# Package -> the packages of cartdeal that it may import. Modules directly in cartdeal: LIBRARY below.
+ALLOWED = {
+    "fleet": {"fleet"},
+    "fleet.membership": {"fleet", "fleet.membership"},
+    "fleet.ring": {"fleet", "fleet.ring"},
+    "fleet.consensus": {"fleet", "fleet.ring", "fleet.consensus"},
+    "fleet.replication": {"fleet", "fleet.ring", "fleet.replication"},
+    "fleet.quota": {"fleet", "fleet.ring", "fleet.quota"},
+    "fleet.simulation": {
+        "fleet",
+        "fleet.consensus",
+        "fleet.membership",
+        "fleet.quota",
+        "fleet.replication",
+        "fleet.ring",
+        "fleet.simulation",
+    },
+    "agent": {"agent", "fleet"},
+    "benchlink": {"benchlink"},
+    "emulator": {"agent", "emulator"},
+    "rig": {"agent", "emulator", "rig", "rig.soak"},
+    "rig.soak": {"agent", "emulator", "rig", "rig.soak"},
+    "lab": None,  # experiments may use everything
+}
+# Directly in fleet/, these stand above the protocols' packages: the node ties them together, and what is decided of
+# a request goes by replicated records. The protocols import none of them.
+ABOVE_PROTOCOLS = {"node", "idempotency", "effects", "transport"}
+# Modules directly in cartdeal that everything may import; they import nothing of the packages.
+LIBRARY = {"atomic_write", "settings", "simulated_time", "sockets", "supervision", "terms"}
+
+
+def package_of(path: Path) -> str:
+    """ "fleet.ring" for cartdeal/fleet/ring/damping.py, "" for a module directly in cartdeal."""
+    return ".".join(path.relative_to(ROOT / "cartdeal").parent.parts)
+
+
+def imported_modules(path: Path) -> set[str]:
+    """The modules of cartdeal that a file imports, anywhere in it, without the leading "cartdeal."."""
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names}
+        elif isinstance(node, ast.ImportFrom) and node.module:
+            found |= {node.module} | {f"{node.module}.{alias.name}" for alias in node.names}
+    modules = {each.removeprefix("cartdeal.") for each in found if each.startswith("cartdeal.")}
+    return {each for each in modules if is_module(each)}
+
+
+def is_module(name: str) -> bool:
+    path = ROOT / "cartdeal" / Path(*name.split("."))
+    return path.is_dir() or path.with_suffix(".py").exists()
+
+
+def package_of_module(name: str) -> str:
+    path = ROOT / "cartdeal" / Path(*name.split("."))
+    return name if path.is_dir() else name.rpartition(".")[0]
+
+
+SOURCES = sorted((ROOT / "cartdeal").rglob("*.py"))
+
+
+@pytest.mark.parametrize("path", SOURCES, ids=[str(path.relative_to(ROOT)) for path in SOURCES])
+def test_a_module_imports_only_what_lies_below_it(path):
+    package = package_of(path)
+    name = str(path.relative_to(ROOT))
+    if not package or ALLOWED[package] is None or package == "fleet" and path.stem in ABOVE_PROTOCOLS:
+        return
+    modules = imported_modules(path)
+    used = {package_of_module(each) for each in modules} - {""}
+    assert used <= ALLOWED[package], f"{name} imports {sorted(used - ALLOWED[package])}"
+    if package.startswith("fleet") and package != "fleet.simulation":
+        above = {f"fleet.{each}" for each in ABOVE_PROTOCOLS}
+        assert not modules & above, f"{name} imports {sorted(modules & above)}"
+
+
+@pytest.mark.parametrize("module", sorted(LIBRARY))
+def test_the_library_modules_import_no_package(module):
+    used = {package_of_module(each) for each in imported_modules(ROOT / "cartdeal" / f"{module}.py")}
+    assert used <= {""}
+
+
+def test_every_package_has_a_rule():
+    packages = {package_of(path) for path in SOURCES} - {""}
+    assert packages == set(ALLOWED)
