--- a/cartdeal/fleet/idempotency.py
+++ b/cartdeal/fleet/idempotency.py
@@ -85,13 +85,15 @@
             return AdmissionDecision.FAIL, ()
         if mark.group == "all":
             earlier_attempts.append(EarlierAttempt("", -1, "all", until))
-        elif not mark.places:
+        elif not mark.locations:
             return (
                 AdmissionDecision.FAIL,
                 (),
             )  # it may have gone anywhere, and where is not known any more
         else:
-            earlier_attempts += [EarlierAttempt(zone, cell, mark.group, until) for zone, cell in mark.places]
+            earlier_attempts += [
+                EarlierAttempt(zone, cell, mark.group, until) for zone, cell in mark.locations
+            ]
     return AdmissionDecision.ADMIT, tuple(dict.fromkeys(earlier_attempts))
 
 
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -283,9 +283,9 @@
     def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
         each = self.waiting.get(ticket)
-        if each and each.mark and (zone, cell) not in each.mark.places:
-            places = tuple(sorted({*each.mark.places, (zone, cell)}))
-            self.refine(each, places=places, certainty=int(Certainty.SENT))
+        if each and each.mark and (zone, cell) not in each.mark.locations:
+            places = tuple(sorted({*each.mark.locations, (zone, cell)}))
+            self.refine(each, locations=places, certainty=int(Certainty.SENT))
 
     def on_request_ended(self, ticket: int, ran: str):
         """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
@@ -417,17 +417,17 @@
             question.window_s + question.limit_s if question.repeat == "d" else self.settings.longest_mark_s
         )
         return AttemptRecord(
-            by=f"{self.name}/{self.incarnation}/{self.count_}",
+            attempt_id=f"{self.name}/{self.incarnation}/{self.count_}",
             key=question.key,
             repeat=question.repeat,
             group=question.group,
             window_ms=int(question.window_s * 1e3),
-            places=(),
+            locations=(),
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
-            extra={},
+            expires_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
+            unknown_fields={},
         )
 
     def refine(self, each: PendingAdmission, **changes):
--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -22,14 +22,14 @@
 MAX_LOCATIONS = 32  # of one mark; with more, UNKNOWN_LOCATION says that the rest is forgotten
 UNKNOWN_LOCATION = ("*", -1)  # it may have been at any place
 RETAINED_PERIODS = 16  # of a tenant's use; older are dropped: at 250 agents a record is full
-MAX_COUNTS = 4096  # of a tenant's use; the newest are kept
-MAX_SHARES = 1024  # of a tenant's limit; those that last longest are kept
+MAX_USAGE_COUNTS = 4096  # of a tenant's use; the newest are kept
+MAX_LEASES = 1024  # of a tenant's limit; those that last longest are kept
 MAX_UNKNOWN_BYTES = 32 * 1024  # bytes of unknown fields in a record; more makes it full
-GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
+DEDUPLICATION_GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
 
 # Fields of a session that say again, in another form, what its marks say. Version 1 has reserved these names:
 # old agents, which can't read them, leave them out of digests, and keep one copy, so that it can't grow.
-AGAIN = ("by",)
+REDUNDANT_FIELDS = ("by",)
 
 encoder = msgspec.msgpack.Encoder(order="deterministic")
 
@@ -44,75 +44,85 @@
 
 
 class AttemptRecord(Struct, frozen=True):
-    """One request of a session. One agent writes it (`by`: "name/incarnation/number"); copies may be of any
-    age."""
+    """One request of a session. One agent writes it (`attempt_id`: "name/incarnation/number"); copies may be
+    of any age."""
 
-    by: str
+    attempt_id: str
     key: str
     repeat: str  # "d": deduplicated, "u": non-idempotent
-    group: str  # where servers deduplicate together: one of GROUPS
+    group: str  # where servers deduplicate together: one of DEDUPLICATION_GROUPS
     window_ms: int  # how long they do
-    places: tuple[tuple[str, int], ...] = ()  # (zone, cell) of each attempt, sorted
+    locations: tuple[tuple[str, int], ...] = ()  # (zone, cell) of each attempt, sorted
     certainty: int = Certainty.CLAIMED
     sent_ms: int = 0  # wall clock
-    until_ms: int = 0  # wall clock; the mark goes then
+    expires_ms: int = 0  # wall clock; the mark goes then
     workload: str = ""
-    extra: dict = {}  # unknown fields
+    unknown_fields: dict = {}  # unknown fields
 
     def __post_init__(self):
-        places = _places(self.places)
-        if places != self.places:
-            force_setattr(self, "places", places)
+        places = _places(self.locations)
+        if places != self.locations:
+            force_setattr(self, "locations", places)
 
     def fields(self) -> dict:
         """The form that versions write and digests are made of."""
-        own = {name: getattr(self, name) for name in self.__struct_fields__ if name != "extra"}
-        return {**self.extra, **own, "certainty": int(self.certainty)}
+        own = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
+        return {**self.unknown_fields, **own, "certainty": int(self.certainty)}
+
+
+# Python's name of each field -> its name in stored bytes and in digests
+STORED_NAMES = {
+    name: {"attempt_id": "by", "locations": "places", "expires_ms": "until_ms"}.get(name, name)
+    for name in AttemptRecord.__struct_fields__
+    if name != "unknown_fields"
+}
 
 
 class Session(Struct):
-    """Where a session's requests went. `beyond`: the version it takes to read it whole, if this isn't it."""
+    """Where a session's requests went. `required_version`: what it takes to read it all, if not this one."""
 
-    marks: dict[str, AttemptRecord] = {}  # by -> mark
-    extra: dict = {}  # unknown fields
-    beyond: int = 0
+    attempts: dict[str, AttemptRecord] = {}  # by attempt_id
+    unknown_fields: dict = {}  # unknown fields
+    required_version: int = 0
 
-    def open_marks(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[AttemptRecord, ...]:
+    def open_attempts(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[AttemptRecord, ...]:
         """The marks of a request that still bind a repeat: not over by the slowest clock, and may have
         run."""
         return tuple(
             mark
-            for _, mark in sorted(self.marks.items())
+            for _, mark in sorted(self.attempts.items())
             if mark.key == key
             and mark.certainty != Certainty.NEVER_RAN
-            and mark.until_ms + slack_ms > wall_ms
+            and mark.expires_ms + slack_ms > wall_ms
         )
 
-    def full(self, most_marks: int) -> bool:
+    def is_full(self, most_marks: int) -> bool:
         """Whether it can take no further mark; merging takes all the same, so that no copy loses one."""
-        return len(self.marks) >= most_marks or _heavy(self.extra)
+        return len(self.attempts) >= most_marks or _heavy(self.unknown_fields)
 
 
 class UsageCounter(Struct):
     """What a tenant was served, by whom and when, and the parts of its limit that are lent."""
 
-    counts: dict[tuple[str, int, int], int] = {}  # (agent, incarnation, period) -> served; single writers
-    parts: dict[str, tuple[int, float, float]] = {}  # holder -> (until period, rate, burst)
-    extra: dict = {}
-    beyond: int = 0
+    served_counts: dict[
+        tuple[str, int, int], int
+    ] = {}  # (agent, incarnation, period) -> served; single writers
+    leases: dict[str, tuple[int, float, float]] = {}  # holder -> (until period, rate, burst)
+    unknown_fields: dict = {}
+    required_version: int = 0
 
-    def full(self, most_marks: int = 0) -> bool:
-        return _heavy(self.extra)
+    def is_full(self, most_marks: int = 0) -> bool:
+        return _heavy(self.unknown_fields)
 
-    def served(self, period: int) -> int:
-        return sum(each for (_, _, when), each in self.counts.items() if when == period)
+    def total_served(self, period: int) -> int:
+        return sum(each for (_, _, when), each in self.served_counts.items() if when == period)
 
 
-KINDS = {"s": Session, "u": UsageCounter}
+RECORD_TYPES = {"s": Session, "u": UsageCounter}
 Record = Session | UsageCounter
 
 
-def kind_of(record: Record) -> str:
+def record_kind(record: Record) -> str:
     return "s" if isinstance(record, Session) else "u"
 
 
@@ -120,7 +130,7 @@
     return "s/" + blake2b(sid.encode("utf-8", "surrogateescape"), digest_size=16).hexdigest()
 
 
-def use_key(tenant: str) -> str:
+def usage_key(tenant: str) -> str:
     return "u/" + tenant
 
 
@@ -128,87 +138,87 @@
     """All that either knows. Raises InvalidRecordError when they're of two kinds. Neither is changed."""
     if type(a) is not type(b):
         raise InvalidRecordError("two copies of one record", f"{type(a).__name__} and {type(b).__name__}")
-    beyond = max(a.beyond, b.beyond)
+    beyond = max(a.required_version, b.required_version)
     if isinstance(a, Session):
-        marks = dict(a.marks)
-        for by, mark in b.marks.items():
+        marks = dict(a.attempts)
+        for by, mark in b.attempts.items():
             marks[by] = merge_attempts(marks[by], mark) if by in marks else mark
-        return Session(marks, _merge_extra(a.extra, b.extra, AGAIN), beyond)
-    counts = dict(a.counts)
-    for which, served in b.counts.items():
+        return Session(marks, _merge_extra(a.unknown_fields, b.unknown_fields, REDUNDANT_FIELDS), beyond)
+    counts = dict(a.served_counts)
+    for which, served in b.served_counts.items():
         counts[which] = max(served, counts.get(which, 0))
-    parts = dict(a.parts)
-    for holder, part in b.parts.items():
+    parts = dict(a.leases)
+    for holder, part in b.leases.items():
         parts[holder] = max(part, parts.get(holder, part), key=rank)
-    return trimmed(UsageCounter(counts, parts, _merge_extra(a.extra, b.extra), beyond))
+    return bounded(UsageCounter(counts, parts, _merge_extra(a.unknown_fields, b.unknown_fields), beyond))
 
 
 def merge_attempts(a: AttemptRecord, b: AttemptRecord) -> AttemptRecord:
     """One mark from two copies. Where fixed fields differ, a writer broke the rules: the careful wins."""
-    if a is b or a == b and not (a.extra or b.extra):
+    if a is b or a == b and not (a.unknown_fields or b.unknown_fields):
         return a
     return AttemptRecord(
-        max(a.by, b.by),
+        max(a.attempt_id, b.attempt_id),
         max(a.key, b.key),
         max(a.repeat, b.repeat),
-        max(a.group, b.group, key=GROUPS.index),
+        max(a.group, b.group, key=DEDUPLICATION_GROUPS.index),
         min(a.window_ms, b.window_ms),
-        a.places + b.places,
+        a.locations + b.locations,
         max(a.certainty, b.certainty),
         min(a.sent_ms, b.sent_ms),
-        max(a.until_ms, b.until_ms),
+        max(a.expires_ms, b.expires_ms),
         max(a.workload, b.workload),
-        _merge_extra(a.extra, b.extra),
+        _merge_extra(a.unknown_fields, b.unknown_fields),
     )
 
 
-def trimmed(use: UsageCounter) -> UsageCounter:
+def bounded(use: UsageCounter) -> UsageCounter:
     """Without what is over a bound. It's the same whatever came first: the newest of all are among the newest
     of each copy that had them, so no copy has dropped them before."""
-    counts, parts = use.counts, use.parts
+    counts, parts = use.served_counts, use.leases
     if counts:
         oldest = max(period for _, _, period in counts) - RETAINED_PERIODS
         counts = {which: served for which, served in counts.items() if which[2] > oldest}
-    if len(counts) > MAX_COUNTS:
-        newest = sorted(counts, key=lambda which: (which[2], which), reverse=True)[:MAX_COUNTS]
+    if len(counts) > MAX_USAGE_COUNTS:
+        newest = sorted(counts, key=lambda which: (which[2], which), reverse=True)[:MAX_USAGE_COUNTS]
         counts = {which: counts[which] for which in newest}
-    if len(parts) > MAX_SHARES:
-        longest = sorted(parts, key=lambda holder: (rank(parts[holder]), holder), reverse=True)[:MAX_SHARES]
+    if len(parts) > MAX_LEASES:
+        longest = sorted(parts, key=lambda holder: (rank(parts[holder]), holder), reverse=True)[:MAX_LEASES]
         parts = {holder: parts[holder] for holder in longest}
-    return UsageCounter(counts, parts, use.extra, use.beyond)
+    return UsageCounter(counts, parts, use.unknown_fields, use.required_version)
 
 
-def expired(record: Record, wall_ms: int, slack_ms: int) -> Record:
+def without_expired(record: Record, wall_ms: int, slack_ms: int) -> Record:
     """The record without marks that are over by every clock allowed. Call it on what arrives, too: an old
     agent may pass on marks that are over, in a form that it can't read."""
     if isinstance(record, UsageCounter) or all(
-        mark.until_ms + slack_ms > wall_ms for mark in record.marks.values()
+        mark.expires_ms + slack_ms > wall_ms for mark in record.attempts.values()
     ):
         return record
-    marks = {by: mark for by, mark in record.marks.items() if mark.until_ms + slack_ms > wall_ms}
-    return Session(marks, record.extra, record.beyond)
+    marks = {by: mark for by, mark in record.attempts.items() if mark.expires_ms + slack_ms > wall_ms}
+    return Session(marks, record.unknown_fields, record.required_version)
 
 
-def empty(record: Record) -> bool:
+def is_empty(record: Record) -> bool:
     """Whether it may be forgotten. What is unknown of a session goes with its last mark, if all were read."""
     if isinstance(record, Session):
-        return not record.marks and not record.beyond
-    return not (record.counts or record.parts or record.extra)
+        return not record.attempts and not record.required_version
+    return not (record.served_counts or record.leases or record.unknown_fields)
 
 
-def check_clock(
+def clock_error(
     record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s=1.0
 ) -> ClockAheadError | None:
     """Says whose mark lasts longer than any may, or whose use is of a time to come: its clock is ahead, and
     the record isn't to be taken in. One far period would push out all that was counted by then."""
     if isinstance(record, Session):
-        for by, mark in sorted(record.marks.items()):
-            if mark.until_ms > wall_ms + longest_ms + slack_ms:
-                lasts = (mark.until_ms - wall_ms) / 1000
+        for by, mark in sorted(record.attempts.items()):
+            if mark.expires_ms > wall_ms + longest_ms + slack_ms:
+                lasts = (mark.expires_ms - wall_ms) / 1000
                 return ClockAheadError(f"a mark of {by}", f"lasts {lasts:.3f} s from now")
     else:
         newest = int((wall_ms + slack_ms) / 1e3 // period_s) + 1
-        for agent, incarnation, period in sorted(record.counts):
+        for agent, incarnation, period in sorted(record.served_counts):
             if period > newest:
                 return ClockAheadError(
                     f"a use of {agent}/{incarnation}", f"period {period}, {newest} at most"
@@ -219,16 +229,20 @@
 def digest(record: Record) -> bytes:
     """16 bytes, the same for equal records whatever order, version or program they came by."""
     if isinstance(record, Session):
-        extra = {name: value for name, value in record.extra.items() if name not in AGAIN}
-        said = ["s", [record.marks[by].fields() for by in sorted(record.marks)], extra]
+        extra = {name: value for name, value in record.unknown_fields.items() if name not in REDUNDANT_FIELDS}
+        said = ["s", [record.attempts[by].fields() for by in sorted(record.attempts)], extra]
     else:
-        extra = {"parts": part_fields(record), **record.extra} if record.parts else record.extra
-        said = ["u", [[*which, record.counts[which]] for which in sorted(record.counts)], extra]
+        extra = (
+            {"parts": lease_fields(record), **record.unknown_fields}
+            if record.leases
+            else record.unknown_fields
+        )
+        said = ["u", [[*which, record.served_counts[which]] for which in sorted(record.served_counts)], extra]
     return blake2b(encoder.encode(said), digest_size=16).digest()
 
 
-def part_fields(use: UsageCounter) -> dict:
-    return {holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in use.parts.items()}
+def lease_fields(use: UsageCounter) -> dict:
+    return {holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in use.leases.items()}
 
 
 def delta(record: Record, theirs: Record) -> Record:
@@ -237,16 +251,21 @@
     if isinstance(both, Session):
         marks = {
             by: mark
-            for by, mark in record.marks.items()
-            if by not in theirs.marks or differ(both.marks[by].fields(), theirs.marks[by].fields())
+            for by, mark in record.attempts.items()
+            if by not in theirs.attempts
+            or encodes_differently(both.attempts[by].fields(), theirs.attempts[by].fields())
         }
-        return Session(marks, record.extra, record.beyond)
-    counts = {which: served for which, served in both.counts.items() if theirs.counts.get(which) != served}
-    parts = {holder: part for holder, part in both.parts.items() if theirs.parts.get(holder) != part}
-    return UsageCounter(counts, parts, record.extra, record.beyond)
+        return Session(marks, record.unknown_fields, record.required_version)
+    counts = {
+        which: served
+        for which, served in both.served_counts.items()
+        if theirs.served_counts.get(which) != served
+    }
+    parts = {holder: part for holder, part in both.leases.items() if theirs.leases.get(holder) != part}
+    return UsageCounter(counts, parts, record.unknown_fields, record.required_version)
 
 
-def advanced(mark: AttemptRecord, **more) -> AttemptRecord:
+def advance(mark: AttemptRecord, **more) -> AttemptRecord:
     """The writer's own next copy of a mark: like `replace`, but it can only gain."""
     return merge_attempts(mark, replace(mark, **more))
 
@@ -298,5 +317,5 @@
     return bool(extra) and len(encoder.encode(extra)) > MAX_UNKNOWN_BYTES
 
 
-def differ(a, b) -> bool:
+def encodes_differently(a, b) -> bool:
     return encoder.encode(a) != encoder.encode(b)
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -446,7 +446,7 @@
             record = schema.decode(key[0], raw, self.settings.reads[1])
         except InvalidRecordError:
             return self.context.increment(Metric.DROPPED_BAD_RECORD)
-        error = records.check_clock(
+        error = records.clock_error(
             record,
             self.wall_ms,
             int(self.settings.longest_mark_s * 1e3),
@@ -456,15 +456,15 @@
         if error:
             self.context.log_event(events.RecordClockAhead(str(error)))
             return self.context.increment(Metric.DROPPED_CLOCK_AHEAD)
-        return records.expired(record, self.wall_ms, self.slack_ms)
+        return records.without_expired(record, self.wall_ms, self.slack_ms)
 
     def merge(self, key: str, record: Record) -> bool:
         """Takes a record in; False where there is no room."""
         kept = self.store.get(key)
         if kept:
             record = records.merge(self.record(key), record)
-        record = records.expired(record, self.wall_ms, self.slack_ms)
-        if records.empty(record):
+        record = records.without_expired(record, self.wall_ms, self.slack_ms)
+        if records.is_empty(record):
             if kept:
                 self.drop(key)
             return True
@@ -502,7 +502,7 @@
             self.seat(key, kept)
         if isinstance(record, Session):
             longest = self.wall_ms + int(1e3 * self.settings.longest_mark_s) + self.slack_ms
-            due = self.slack_ms + min((mark.until_ms for mark in record.marks.values()), default=longest)
+            due = self.slack_ms + min((mark.expires_ms for mark in record.attempts.values()), default=longest)
             if due != kept.due:
                 kept.due = due
                 heappush(self.due, (due, key))
@@ -526,9 +526,9 @@
             if kept is None or kept.due != due:
                 continue
             most -= 1
-            record = records.expired(self.record(key), wall_ms, self.slack_ms)
+            record = records.without_expired(self.record(key), wall_ms, self.slack_ms)
             kept.due = 0
-            if isinstance(record, Session) and not record.marks:
+            if isinstance(record, Session) and not record.attempts:
                 self.drop(key)  # what a newer program wrote and this one can't read is over by now, too
             else:
                 self.put(key, record)
@@ -556,11 +556,11 @@
     def claim(self, ticket: int, key: str, mark: AttemptRecord, until: float):
         """Writes a mark at all owners and asks what they had before."""
         own = self.mine.get(key)
-        if own and own.record.full(self.settings.most_marks_a_session):
+        if own and own.record.is_full(self.settings.most_marks_a_session):
             self.context.increment(Metric.ATTEMPTS_FULL)
-            return self.done(ticket, self.marks(key, mark.by), False)
+            return self.done(ticket, self.marks(key, mark.attempt_id), False)
         if self.has_room(ticket):
-            self.own(key, Session({mark.by: mark}))
+            self.own(key, Session({mark.attempt_id: mark}))
             self.begin(ticket, key, mark, until)
 
     def read(self, ticket: int, key: str, until: float):
@@ -582,7 +582,7 @@
         each.ticket, each.key, each.mark, each.ended = ticket, key, mark, False
         # One that restarted counts on it that no claim is open for longer than a lease.
         each.until = min(until, self.context.now + self.settings.lease_s)
-        each.by = mark.by if mark else ""
+        each.by = mark.attempt_id if mark else ""
         each.known = Session()
         number = self.next()
         self.open[number] = each
@@ -651,8 +651,8 @@
         known, own = known or Session(), self.mine.get(key)
         if own:
             known = records.merge(known, own.record)
-        known = records.expired(known, self.wall_ms, self.slack_ms)
-        return tuple(mark for name, mark in sorted(known.marks.items()) if name != by)
+        known = records.without_expired(known, self.wall_ms, self.slack_ms)
+        return tuple(mark for name, mark in sorted(known.attempts.items()) if name != by)
 
     def close(self, number: int):
         """Its time is over: what not all owners have goes on without it."""
@@ -667,7 +667,7 @@
 
     def refine(self, key: str, mark: AttemptRecord):
         """More is known of an own mark; told to all owners, whenever they can be reached."""
-        self.own(key, Session({mark.by: mark}))
+        self.own(key, Session({mark.attempt_id: mark}))
         self.enqueue(key)
         self.take_own(key)
 
@@ -676,7 +676,7 @@
         which = (self.name, self.context.incarnation, period)
         counts = {
             each: n
-            for each, n in self.uses.get(tenant, UsageCounter()).counts.items()
+            for each, n in self.uses.get(tenant, UsageCounter()).served_counts.items()
             if each[2] > period - 3
         }
         counts[which] = counts.get(which, 0) + served
@@ -894,12 +894,12 @@
             if new is None:
                 return None
         had = self.record(key) or Session()
-        had = records.expired(had, self.wall_ms, self.slack_ms)
+        had = records.without_expired(had, self.wall_ms, self.slack_ms)
         wrote = full = False
         if new is not None:
-            full = message.by not in had.marks and had.full(self.settings.most_marks_a_session)
+            full = message.by not in had.attempts and had.is_full(self.settings.most_marks_a_session)
             full = full or not self.merge(key, new)
-            wrote = not full and message.by in new.marks
+            wrote = not full and message.by in new.attempts
             if full:
                 self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
@@ -911,10 +911,10 @@
     def answer(
         self, number, incarnation, key: str, by: str, had: Session, wrote: bool, full: bool
     ) -> WriteResponse:
-        marks = {name: mark for name, mark in had.marks.items() if name != by}
+        marks = {name: mark for name, mark in had.attempts.items() if name != by}
         raw = b""
-        if marks or had.beyond:
-            raw = self.sendable(key, Session(marks, had.extra, had.beyond))
+        if marks or had.required_version:
+            raw = self.sendable(key, Session(marks, had.unknown_fields, had.required_version))
         caught_up = raw is not None and self.caught_up(key)
         return WriteResponse(number, incarnation, self.ring.epoch, wrote, caught_up, full, raw or b"")
 
@@ -970,7 +970,7 @@
         here = self.name in self.owners(key) and era.caught_up(key, now)
         record, raw = self.record(key), b""
         if record is not None:
-            raw = self.sendable(key, records.expired(record, self.wall_ms, self.slack_ms))
+            raw = self.sendable(key, records.without_expired(record, self.wall_ms, self.slack_ms))
         if raw is not None:
             former = era.former.epoch if era.former else 0
             self.context.send(
@@ -1001,9 +1001,9 @@
         if era.enough(key, each.was, each.now, self.context.now):
             del self.learning[key]
             era.keep(key)
-            had = records.expired(self.record(key) or Session(), self.wall_ms, self.slack_ms)
+            had = records.without_expired(self.record(key) or Session(), self.wall_ms, self.slack_ms)
             for asker, number, incarnation, by in each.waiters:
-                told = self.answer(number, incarnation, key, by, had, by in had.marks, False)
+                told = self.answer(number, incarnation, key, by, had, by in had.attempts, False)
                 if asker == self.name:
                     self.heard_told(asker, told)
                 else:
@@ -1304,8 +1304,8 @@
         """What need not be told any more, as it is over, and what was kept for others."""
         wall_ms, era = self.wall_ms, self.era
         for key, own in list(self.mine.items()):
-            own.record = records.expired(own.record, wall_ms, self.slack_ms)
-            if records.empty(own.record):
+            own.record = records.without_expired(own.record, wall_ms, self.slack_ms)
+            if records.is_empty(own.record):
                 del self.mine[key]
         for owner, line in list(self.lines.items()):
             line.keys = {key: None for key in line.keys if key in self.mine or key in self.handing}
@@ -1349,8 +1349,8 @@
         for key in sorted(self.store):
             names = self.owners(key)
             if self.name in names and (not peer or peer in names):
-                record = records.expired(self.record(key), self.wall_ms, self.slack_ms)
-                if not records.empty(record):
+                record = records.without_expired(self.record(key), self.wall_ms, self.slack_ms)
+                if not records.is_empty(record):
                     total.update(key_bytes(key) + records.digest(record))
         return total.digest()
 
--- a/cartdeal/fleet/replication/schema.py
+++ b/cartdeal/fleet/replication/schema.py
@@ -40,7 +40,7 @@
 SIMPLE = frozenset((type(None), bool, int, float, str, bytes))
 
 decoder = msgspec.msgpack.Decoder()
-OWN = tuple(name for name in AttemptRecord.__struct_fields__ if name != "extra")
+OWN = tuple(records.STORED_NAMES.values())
 
 
 # Bytes
@@ -52,20 +52,20 @@
     Raises RecordTooLargeError for what no agent would read.
     """
     own = [version for version in forms(written, phase) if version <= knows] or [knows]
-    needs = max(min(own), record.beyond)
-    text = {**record.extra, "kind": kind, "v": max(own[-1], needs), "needs": needs}
+    needs = max(min(own), record.required_version)
+    text = {**record.unknown_fields, "kind": kind, "v": max(own[-1], needs), "needs": needs}
     if kind == "s":
-        if len(record.marks) > MOST_MARKS:
-            raise RecordTooLargeError("a session", f"{len(record.marks)} marks")
-        marks = [record.marks[by].fields() for by in sorted(record.marks)]
+        if len(record.attempts) > MOST_MARKS:
+            raise RecordTooLargeError("a session", f"{len(record.attempts)} marks")
+        marks = [record.attempts[by].fields() for by in sorted(record.attempts)]
         if own[0] == 1:
             text["marks"] = marks
         if own[-1] >= 2:
             text["by"] = _grouped(marks)
     else:
-        text["counts"] = [[*which, record.counts[which]] for which in sorted(record.counts)]
-        if record.parts:  # whatever is written now: a step back must not lose what is on loan
-            text["parts"] = records.part_fields(record)
+        text["counts"] = [[*which, record.served_counts[which]] for which in sorted(record.served_counts)]
+        if record.leases:  # whatever is written now: a step back must not lose what is on loan
+            text["parts"] = records.lease_fields(record)
     raw = records.encoder.encode(text)
     if len(raw) > MOST_BYTES:
         raise RecordTooLargeError("a record", f"{len(raw)} bytes")
@@ -73,7 +73,7 @@
 
 
 def decode(kind: str, raw: bytes, knows: int = VERSIONS[-1]) -> Record:
-    """The record, from bytes of any version; `beyond` is set where it takes a newer program to read it whole.
+    """The record, from bytes of any version; `required_version` is set where this program can't read it all.
 
     Where a session has both forms and they differ, both count: an old agent adds to its own form only.
     Raises InvalidRecordError, whatever the bytes.
@@ -90,13 +90,15 @@
         for each in marks:
             _add(record, _mark(each))
         by = _mapped(text.pop("by", {}), "by", MOST_MARKS) if knows >= 2 else {}
-        if by and records.differ(by, _grouped(marks)):  # else they say the same: reading one will do
+        if by and records.encodes_differently(
+            by, _grouped(marks)
+        ):  # else they say the same: reading one will do
             for name, each in _ungrouped(by):
                 _add(record, _mark(each, name))
-        record.extra = text
+        record.unknown_fields = text
         return record
     counts = {}
-    for each in _listed(text.pop("counts", []), "counts", records.MAX_COUNTS):
+    for each in _listed(text.pop("counts", []), "counts", records.MAX_USAGE_COUNTS):
         if len(_listed(each, "a count", 4)) != 4:
             raise InvalidRecordError("a count", f"{len(each)} numbers")
         which = (
@@ -106,7 +108,7 @@
         )
         counts[which] = max(_whole(each[3], "served"), counts.get(which, 0))
     parts = _parts(text.pop("parts", {})) if knows >= 2 else {}
-    return records.trimmed(UsageCounter(counts, parts, text, beyond))
+    return records.bounded(UsageCounter(counts, parts, text, beyond))
 
 
 def needs_move(raw: bytes, written: int, phase: str, knows: int = VERSIONS[-1]) -> bool:
@@ -195,7 +197,7 @@
     if not isinstance(text, dict):
         raise InvalidRecordError("a record", type(text).__name__)
     _plain(text)
-    _among(text.get("kind"), "a record's kind", tuple(records.KINDS))
+    _among(text.get("kind"), "a record's kind", tuple(records.RECORD_TYPES))
     needs = _whole(text.get("needs"), "needs", 1000)
     if not 1 <= needs <= _whole(text.get("v"), "v", 1000):
         raise InvalidRecordError("a record's version", f"needs {needs}, is of {text['v']}")
@@ -305,7 +307,7 @@
         _text(own["by"], "by", 1),
         _text(own["key"], "key"),
         _among(own["repeat"], "repeat", ("d", "u")),
-        _among(own["group"], "group", records.GROUPS),
+        _among(own["group"], "group", records.DEDUPLICATION_GROUPS),
         _whole(own["window_ms"], "window_ms"),
         tuple(places),
         Certainty(_whole(own["certainty"], "certainty", max(Certainty))),
@@ -317,13 +319,13 @@
 
 
 def _add(record: Session, mark: AttemptRecord):
-    known = record.marks.get(mark.by)
-    record.marks[mark.by] = records.merge_attempts(known, mark) if known else mark
+    known = record.attempts.get(mark.attempt_id)
+    record.attempts[mark.attempt_id] = records.merge_attempts(known, mark) if known else mark
 
 
 def _parts(value) -> dict:
     parts = {}
-    for holder, each in _mapped(value, "parts", records.MAX_SHARES).items():
+    for holder, each in _mapped(value, "parts", records.MAX_LEASES).items():
         if len(_listed(each, "a part", 3)) != 3:
             raise InvalidRecordError("a part", f"{len(each)} numbers")
         until, *shares = each
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -382,7 +382,7 @@
 
     def marks_at(self, node: Node, key: str) -> tuple[str, ...]:
         record = node.replica.record(key) if key in node.replica.store else None
-        return tuple(record.marks) if record else ()
+        return tuple(record.attempts) if record else ()
 
     def copies(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the marks in each session that it keeps."""
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -250,7 +250,7 @@
         if not message.by:
             return
         try:
-            mark = schema.decode("s", message.record).marks.get(message.by)
+            mark = schema.decode("s", message.record).attempts.get(message.by)
         except InvalidRecordError:
             mark = None
         if mark is None:
@@ -258,12 +258,12 @@
         fixed = (message.key, mark.key, mark.repeat, mark.group, mark.window_ms, mark.workload, mark.sent_ms)
         if self.fixed.setdefault(message.by, fixed) != fixed:
             self.violated(f"{agent}: gave out {message.by} twice")
-        self.until[message.by] = mark.until_ms
+        self.until[message.by] = mark.expires_ms
         self.claims[agent, message.incarnation, message.number] = (
             message.key,
             mark.key,
             message.by,
-            mark.until_ms,
+            mark.expires_ms,
         )
         self.latest[agent, message.key, mark.key] = message.by
 
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -165,8 +165,8 @@
         replica = node.replica
         for key in replica.store:
             owners = replica.owners(key)
-            record = records.expired(replica.record(key), replica.wall_ms, replica.slack_ms)
-            if name in owners and not records.empty(record):
+            record = records.without_expired(replica.record(key), replica.wall_ms, replica.slack_ms)
+            if name in owners and not records.is_empty(record):
                 copies.setdefault(key, []).append(records.digest(record))
                 wanted[key] = len(owners)
     wrong = sum(len(each) != wanted[key] or len(set(each)) > 1 for key, each in copies.items())
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -23,7 +23,7 @@
 from cartdeal.fleet.errors import FleetError as Refusal
 from cartdeal.fleet.replication.catch_up import key_bytes, range_of
 from cartdeal.fleet.replication.records import digest as record_digest
-from cartdeal.fleet.replication.records import session_key, use_key
+from cartdeal.fleet.replication.records import session_key, usage_key
 from cartdeal.fleet.replication.schema import decode as decode_record
 from cartdeal.fleet.replication.schema import encode as encode_record
 from cartdeal.fleet.ring.hash_ring import Ring, RingStep, apply_step, owners
@@ -39,7 +39,7 @@
 
 
 def binds_a_repeat(record, key: str, wall_ms: int) -> bool:
-    return bool(record.open_marks(key, wall_ms))
+    return bool(record.open_attempts(key, wall_ms))
 
 
 # Nothing below names a type, field or module of the fleet.
@@ -197,7 +197,7 @@
     for name, key in PLACEMENT["session_keys"]:
         assert session_key(name) == key
     for name, key in PLACEMENT["use_keys"]:
-        assert use_key(name) == key
+        assert usage_key(name) == key
     for key, place in PLACEMENT["ranges"]:
         assert range_of(key) == place
 
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -148,7 +148,7 @@
     memory.intend(sheet(0), ["a0"])
     memory.run(1.0)
     store = memory.nodes()["a0"].replica
-    store.merge("s/s0", Session(store.record("s/s0").marks, {"new": [7]}))
+    store.merge("s/s0", Session(store.record("s/s0").attempts, {"new": [7]}))
     before = store.store["s/s0"].digest
     memory.run(5.0)
     memory.kill("a0")
@@ -232,7 +232,7 @@
 def field_dropped(plant):
     def decode(*args):
         record = before(*args)
-        record.extra = {}
+        record.unknown_fields = {}
         return record
 
     before = schema.decode
@@ -245,8 +245,8 @@
 
 
 def forgets_early(plant):
-    before = records.expired
-    plant(records, "expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
+    before = records.without_expired
+    plant(records, "without_expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
 
 
 def taken_twice(plant):
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -35,7 +35,7 @@
     some.sampled_from(["a/1/1", "a/1/2", "b/7/1"]),
     some.sampled_from("kl"),
     some.sampled_from("du"),
-    some.sampled_from(records.GROUPS),
+    some.sampled_from(records.DEDUPLICATION_GROUPS),
     few,
     places,
     some.sampled_from(Certainty),
@@ -46,7 +46,7 @@
 )
 sessions = some.builds(
     Session,
-    some.lists(marks, max_size=4).map(lambda each: {mark.by: mark for mark in each}),
+    some.lists(marks, max_size=4).map(lambda each: {mark.attempt_id: mark for mark in each}),
     extras,
     some.sampled_from([0, 3]),
 )
@@ -63,7 +63,7 @@
 
 
 def raw_of(record, step=(1, "move"), knows=2):
-    return schema.encode(records.kind_of(record), record, *step, knows)
+    return schema.encode(records.record_kind(record), record, *step, knows)
 
 
 @checked
@@ -82,21 +82,21 @@
 @checked
 @given(alike, some.sampled_from(STEPS), some.sampled_from(STEPS))
 def test_every_version_reads_and_writes_back_every_other(three, written, rewritten):
-    record = records.trimmed(three[0]) if isinstance(three[0], UsageCounter) else three[0]
-    kind = records.kind_of(record)
+    record = records.bounded(three[0]) if isinstance(three[0], UsageCounter) else three[0]
+    kind = records.record_kind(record)
     by_old = schema.decode(kind, raw_of(record, written), knows=1)
     passed = raw_of(merge(by_old, type(record)()), rewritten, knows=1)
     again = schema.decode(kind, passed)
     assert raw_of(again, written) == raw_of(record, written)
-    assert digest(again) == digest(record) and again.beyond == record.beyond
-    if written[1] == "move" and not record.beyond:  # the old agent knows all that the new one does
-        assert digest(by_old) == digest(record) and by_old.beyond == 0
+    assert digest(again) == digest(record) and again.required_version == record.required_version
+    if written[1] == "move" and not record.required_version:  # the old agent knows all that the new one does
+        assert digest(by_old) == digest(record) and by_old.required_version == 0
 
 
 @checked
 @given(alike)
 def test_copies_of_old_and_new_agents_come_to_the_same_digest(three):
-    kind = records.kind_of(three[0])
+    kind = records.record_kind(three[0])
     read = [[schema.decode(kind, raw_of(each), knows) for each in three] for knows in (1, 2)]
     assert digest(reduce(merge, read[0])) == digest(reduce(merge, read[1]))
 
@@ -108,18 +108,26 @@
         back = msgspec.msgpack.decode(raw_of(record, (1, "steady"), knows))
         assert back["newest"] == later["newest"]
     only = schema.decode("s", msgspec.msgpack.encode({**later, "needs": 3}))
-    assert only.beyond == 3 and not records.empty(only)  # it says that it can't answer from this
+    assert only.required_version == 3 and not records.is_empty(only)  # it says that it can't answer from this
 
 
 def test_what_only_an_old_agent_added_counts_beside_the_new_form():
-    first, added = (AttemptRecord(f"a/1/{n}", "k", "u", "zone", 5, until_ms=9) for n in (1, 2))
-    by_old = schema.decode("s", raw_of(Session({first.by: first}), (1, "narrow")), knows=1)
-    by_old = merge(by_old, Session({added.by: added}))  # it can't see the first any more, and keeps it
-    assert schema.decode("s", raw_of(by_old, knows=1)).marks == {first.by: first, added.by: added}
-    by_old = schema.decode("s", raw_of(Session({first.by: first})), knows=1)
-    more = records.advanced(by_old.marks[first.by], certainty=Certainty.ANSWERED)
-    by_old = merge(by_old, Session({added.by: added, more.by: more}))
-    assert schema.decode("s", raw_of(by_old, knows=1)).marks == {more.by: more, added.by: added}
+    first, added = (AttemptRecord(f"a/1/{n}", "k", "u", "zone", 5, expires_ms=9) for n in (1, 2))
+    by_old = schema.decode("s", raw_of(Session({first.attempt_id: first}), (1, "narrow")), knows=1)
+    by_old = merge(
+        by_old, Session({added.attempt_id: added})
+    )  # it can't see the first any more, and keeps it
+    assert schema.decode("s", raw_of(by_old, knows=1)).attempts == {
+        first.attempt_id: first,
+        added.attempt_id: added,
+    }
+    by_old = schema.decode("s", raw_of(Session({first.attempt_id: first})), knows=1)
+    more = records.advance(by_old.attempts[first.attempt_id], certainty=Certainty.ANSWERED)
+    by_old = merge(by_old, Session({added.attempt_id: added, more.attempt_id: more}))
+    assert schema.decode("s", raw_of(by_old, knows=1)).attempts == {
+        more.attempt_id: more,
+        added.attempt_id: added,
+    }
 
 
 @checked
@@ -147,7 +155,7 @@
     at %= len(raw)
     for bad in (raw[:at], raw[:at] + noise + raw[at + len(noise) :], raw + noise):
         try:
-            raw_of(schema.decode(records.kind_of(three[0]), bad))
+            raw_of(schema.decode(records.record_kind(three[0]), bad))
         except errors.FleetError:
             pass
 
@@ -181,7 +189,11 @@
 
 def test_too_much_is_refused_not_cut():
     many = {f"a/1/{n}": AttemptRecord(f"a/1/{n}", "k", "u", "all", 5) for n in range(1025)}
-    assert Session(many).full(64) and Session({}, {"x": b"." * 40_000}).full(64) and not Session().full(64)
+    assert (
+        Session(many).is_full(64)
+        and Session({}, {"x": b"." * 40_000}).is_full(64)
+        and not Session().is_full(64)
+    )
     for record in (Session(many), Session({}, {"x": b"." * (1 << 18)})):
         with pytest.raises(errors.RecordTooLargeError):
             raw_of(record)
@@ -194,10 +206,10 @@
         AttemptRecord("a/1/1", "k", "d", "cell", 5, tuple(("z", n) for n in cells))
         for cells in (range(20), range(15, 40))
     )
-    both = records.merge_attempts(one, two).places
+    both = records.merge_attempts(one, two).locations
     assert both[0] == records.UNKNOWN_LOCATION and len(both) == 1 + records.MAX_LOCATIONS
     for more in (one, two):  # the first has no place that isn't kept
-        assert records.merge_attempts(records.merge_attempts(two, one), more).places == both
+        assert records.merge_attempts(records.merge_attempts(two, one), more).locations == both
 
 
 def test_old_periods_and_the_least_parts_go_whatever_came_first():
@@ -215,12 +227,14 @@
     ]
     whole = [reduce(merge, order) for order in permutations(copies)]
     assert len({digest(each) for each in whole}) == 1
-    assert len(whole[0].counts) == records.MAX_COUNTS and len(whole[0].parts) == records.MAX_SHARES
-    assert min(period for _, _, period in whole[0].counts) > 149 - records.RETAINED_PERIODS
+    assert (
+        len(whole[0].served_counts) == records.MAX_USAGE_COUNTS and len(whole[0].leases) == records.MAX_LEASES
+    )
+    assert min(period for _, _, period in whole[0].served_counts) > 149 - records.RETAINED_PERIODS
     late = merge(
         UsageCounter({("a", 1, 125): 2, ("b", 1, 125): 3, ("a", 1, 110): 1}), UsageCounter({("a", 1, 109): 1})
     )
-    assert [late.served(period) for period in (109, 110, 125)] == [0, 1, 5]
+    assert [late.total_served(period) for period in (109, 110, 125)] == [0, 1, 5]
 
 
 def test_marks_over_go_by_the_slowest_clock_allowed_and_bind_until_then():
@@ -231,20 +245,20 @@
     )
     held = Session(
         {
-            by: AttemptRecord(by, "k", "u", "all", 5, certainty=sure, until_ms=until)
+            by: AttemptRecord(by, "k", "u", "all", 5, certainty=sure, expires_ms=until)
             for by, sure, until in three
         }
     )
-    assert [mark.by for mark in held.open_marks("k", 2999, slack_ms=500)] == ["a/1/2"]
-    assert [mark.by for mark in held.open_marks("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
-    assert held.open_marks("l", 0) == () and records.expired(held, 1400, 500) is held
-    assert sorted(records.expired(held, 1500, 500).marks) == ["a/1/2", "b/1/1"]
-    assert records.empty(records.expired(held, 3500, 500))
-    assert records.check_clock(held, 0, 2500, 500) is None
-    assert "a/1/2" in records.check_clock(held, 0, 2000, 500).subject
+    assert [mark.attempt_id for mark in held.open_attempts("k", 2999, slack_ms=500)] == ["a/1/2"]
+    assert [mark.attempt_id for mark in held.open_attempts("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
+    assert held.open_attempts("l", 0) == () and records.without_expired(held, 1400, 500) is held
+    assert sorted(records.without_expired(held, 1500, 500).attempts) == ["a/1/2", "b/1/1"]
+    assert records.is_empty(records.without_expired(held, 3500, 500))
+    assert records.clock_error(held, 0, 2500, 500) is None
+    assert "a/1/2" in records.clock_error(held, 0, 2000, 500).subject
     use = records.UsageCounter({("a", 1, 12): 3})
-    assert records.check_clock(use, 11_000, 2000, 500) is None
-    assert "a/1" in records.check_clock(use, 9_000, 2000, 500).subject
+    assert records.clock_error(use, 11_000, 2000, 500) is None
+    assert "a/1" in records.clock_error(use, 9_000, 2000, 500).subject
 
 
 def test_a_clock_far_ahead_is_refused_and_one_that_jumps_back_counts_on():
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -8,7 +8,7 @@
 from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.replication import replica
-from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
+from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advance, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
 from cartdeal.simulated_time import SimulatedClock, seeded_random
@@ -55,7 +55,7 @@
 
     def done(self, ticket, marks, sure):
         assert ticket not in self.answers, "answered twice"
-        self.answers[ticket] = (tuple(mark.by for mark in marks), sure, self.net.clock.now)
+        self.answers[ticket] = (tuple(mark.attempt_id for mark in marks), sure, self.net.clock.now)
 
     def tick(self, which):
         if which is self.replica and not self.dead:
@@ -87,7 +87,7 @@
             "all",
             0,
             sent_ms=now,
-            until_ms=now + int(lasts * 1e3),
+            expires_ms=now + int(lasts * 1e3),
             **more,
         )
 
@@ -192,7 +192,7 @@
     ticket, first = net["a"].claim("x")
     net.run(0.01)
     assert net["a"].answers[ticket][:2] == ((), True)
-    assert net["b"].asked("x") == ((first.by,), True)
+    assert net["b"].asked("x") == ((first.attempt_id,), True)
     assert net["c"].read("x")[1]
     assert net["c"].read("other") == ((), True)
 
@@ -203,7 +203,7 @@
         (one, mark), (two, other) = net["a"].claim("x"), net["b"].claim("x")
         net.run(0.6)
         (seen, sure), (found, certain) = net["a"].answers[one][:2], net["b"].answers[two][:2]
-        assert not (sure and certain) or other.by in seen or mark.by in found
+        assert not (sure and certain) or other.attempt_id in seen or mark.attempt_id in found
 
 
 def test_all_owners_down_is_doubt_at_the_deadline_and_never_a_guess():
@@ -246,14 +246,14 @@
             agent = net["abcde"[turn % 5]]
             _, mark = agent.claim(turn % 11, lasts=9.0)
             net.run(0.03)
-            agent.replica.refine(f"s/{turn % 11}", advanced(mark, certainty=Certainty.ANSWERED))
+            agent.replica.refine(f"s/{turn % 11}", advance(mark, certainty=Certainty.ANSWERED))
             agent.replica.count_use("t", 1, 1)
         net.run(4)
         net.lose = 0
         net.run(3)
         assert net.equal("abcde")
         use = net[owners(net.ring, b"u/t", 3)[0]].replica.held()["u/t"]
-        assert use.served(1) == 60
+        assert use.total_served(1) == 60
 
 
 # Refinements, hints
@@ -264,13 +264,13 @@
     ticket, mark = net["a"].claim("x", lasts=10.0)
     net.cut("c", "ab")
     net.run(0.1)
-    net["a"].replica.refine("s/x", advanced(mark, certainty=Certainty.ANSWERED))
+    net["a"].replica.refine("s/x", advance(mark, certainty=Certainty.ANSWERED))
     net.run(3)
     assert net["a"].replica.figures()["hints"] == 1
     net.cuts.clear()
     net.run(5.5)
     assert net["a"].replica.figures()["hints"] == 0
-    assert net["c"].replica.held()["s/x"].marks[mark.by].certainty == Certainty.ANSWERED
+    assert net["c"].replica.held()["s/x"].attempts[mark.attempt_id].certainty == Certainty.ANSWERED
 
 
 def test_a_full_hint_store_drops_the_oldest_and_says_so_once():
@@ -341,7 +341,7 @@
     net.agents["e"] = Agent(net, "e", net.settings)
     net.tell("e")
     net.run(1)
-    marks = {sid: net["a"].claim(sid, lasts=9.0)[1].by for sid in range(80)}
+    marks = {sid: net["a"].claim(sid, lasts=9.0)[1].attempt_id for sid in range(80)}
     net.run(0.5)
     net.cut("e", "abcd")
     net.change(ring(2, *"abcde"))
@@ -354,7 +354,7 @@
     assert net["e"].replica.era.done(net["e"].now)
     for sid in range(80):
         if "e" in owners(net.ring, f"s/{sid}".encode(), 3):
-            assert marks[sid] in net["e"].replica.held()[f"s/{sid}"].marks
+            assert marks[sid] in net["e"].replica.held()[f"s/{sid}"].attempts
     assert net["e"].asked(sid, wait=0.05) == ((marks[sid],), True)
     net.change(ring(3, *"cde"))  # two leave at once: of each key one or two owners are new
     tickets = {sid: net["cde"[sid % 3]].claim(sid, wait=0.2)[0] for sid in range(1, 80, 9)}
@@ -387,7 +387,7 @@
     net.change(ring(2, *"bcd"))
     net.run(0.005)
     net["c"].kill()
-    assert net["d"].asked(sid, wait=0.1) == ((mark.by,), True)  # by d, which asked a and b, and by b
+    assert net["d"].asked(sid, wait=0.1) == ((mark.attempt_id,), True)  # by d, which asked a and b, and by b
     assert not net["d"].replica.era.done(net["d"].now)
 
 
@@ -438,7 +438,9 @@
     net.run(5)
     assert net.equal("abcdef")
     held = [net[name].replica.held() for name in owners(net.ring, b"s/3", 3)]
-    assert held[0]["s/3"].marks and digest(held[0]["s/3"]) == digest(held[1]["s/3"]) == digest(held[2]["s/3"])
+    assert held[0]["s/3"].attempts and digest(held[0]["s/3"]) == digest(held[1]["s/3"]) == digest(
+        held[2]["s/3"]
+    )
 
 
 def test_traffic_grows_with_what_differs_not_with_what_is_kept():
@@ -447,10 +449,10 @@
         for sid in range(kept):
             mark = net["a"].mark(lasts=55.0)
             for name in "abc":
-                net[name].replica.merge(f"s/{sid}", Session({mark.by: mark}))
+                net[name].replica.merge(f"s/{sid}", Session({mark.attempt_id: mark}))
         for sid in range(differ):
             mark = net["a"].mark(lasts=55.0)
-            net["a"].replica.merge(f"s/{sid}x", Session({mark.by: mark}))
+            net["a"].replica.merge(f"s/{sid}x", Session({mark.attempt_id: mark}))
         net.run(1)
         net.bytes = 0
         net.run(10)
@@ -480,7 +482,7 @@
     net.change(ring(3, *"abc", written=1, phase="narrow"))
     net.run(1)
     assert net["b"].replica.moved == 2 and net["c"].asked("7", wait=0.1)[1]
-    assert before != b"" and merge(net["b"].replica.record("s/3"), net["c"].replica.record("s/3")).marks
+    assert before != b"" and merge(net["b"].replica.record("s/3"), net["c"].replica.record("s/3")).attempts
 
 
 def test_a_mark_goes_when_it_is_over_by_the_slowest_clock():
@@ -499,7 +501,7 @@
 def test_one_that_leaves_hands_over_what_others_lack():
     net = Net()
     mark = net["a"].mark(lasts=9.0)
-    net["a"].replica.merge("s/x", Session({mark.by: mark}))
+    net["a"].replica.merge("s/x", Session({mark.attempt_id: mark}))
     net["a"].replica.leaving()
     assert not net["a"].replica.settled
     net.run(0.3)
@@ -581,7 +583,9 @@
         total += len(sure)
         for sid, mark, begun, seen, _, ended in sure:
             for other, older, was_begun, found, _, was_ended in sure:
-                binds = sid == other and mark is not older and 1e9 + ended * 1e3 < older.until_ms
-                if binds and was_begun <= begun and older.by not in seen:
-                    assert begun < was_ended and (mark.by in found or 1e9 + was_ended * 1e3 > mark.until_ms)
+                binds = sid == other and mark is not older and 1e9 + ended * 1e3 < older.expires_ms
+                if binds and was_begun <= begun and older.attempt_id not in seen:
+                    assert begun < was_ended and (
+                        mark.attempt_id in found or 1e9 + was_ended * 1e3 > mark.expires_ms
+                    )
     assert total > 500
--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_schema.py
@@ -12,7 +12,7 @@
     Certainty,
     Session,
     UsageCounter,
-    advanced,
+    advance,
     merge,
 )
 from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
@@ -120,20 +120,26 @@
         trouble = schema.refused(OLD, here)
         assert isinstance(trouble, errors.UnsupportedSchemaError) and "program" in trouble.remedy
         assert schema.refused(NEW, here) is None
-    later = AttemptRecord("b/1/1", "k", "u", "cell", 7, until_ms=9)
-    fleets = decode("s", encode("s", Session({MARK.by: MARK}), 2, "steady"))
-    kept = encode("s", Session({later.by: later, MARK.by: advanced(MARK, certainty=3)}), 1, "move", knows=1)
+    later = AttemptRecord("b/1/1", "k", "u", "cell", 7, expires_ms=9)
+    fleets = decode("s", encode("s", Session({MARK.attempt_id: MARK}), 2, "steady"))
+    kept = encode(
+        "s",
+        Session({later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}),
+        1,
+        "move",
+        knows=1,
+    )
     both = merge(fleets, decode("s", kept))
-    assert both.marks == {later.by: later, MARK.by: advanced(MARK, certainty=3)}
+    assert both.attempts == {later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}
     # Read by the old agent, it says that there is more than that program can see.
-    assert decode("s", encode("s", both, 2, "steady"), knows=1).beyond == 2
+    assert decode("s", encode("s", both, 2, "steady"), knows=1).required_version == 2
 
 
 def test_old_agents_read_all_until_narrowed_and_both_forms_say_the_same():
-    record = Session({MARK.by: MARK})
+    record = Session({MARK.attempt_id: MARK})
     for phase in ("steady", "widen", "move"):
         by_old = decode("s", encode("s", record, 1, phase), knows=1)
-        assert by_old.marks == record.marks and not by_old.beyond
+        assert by_old.attempts == record.attempts and not by_old.required_version
     raw = encode("s", record, 1, "move")
     assert {"marks", "by"} < schema.decoder.decode(raw).keys()
     assert "marks" not in schema.decoder.decode(encode("s", record, 1, "narrow"))
@@ -145,13 +151,13 @@
 
 
 def test_what_there_is_to_move_by_phase():
-    record = Session({MARK.by: MARK})
+    record = Session({MARK.attempt_id: MARK})
     raw = {step: encode("s", record, *step) for step in ((1, "steady"), (1, "move"), (2, "steady"))}
     for step, each in raw.items():
         assert [needs_move(each, *other) for other in raw] == [other != step for other in raw]
     # An old agent has added a mark to its own form of a record that had both.
     by_old = decode("s", raw[1, "move"], knows=1)
-    by_old.marks["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
+    by_old.attempts["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
     assert needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move")
     assert not needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move", knows=1)
     with pytest.raises(errors.InvalidRecordError):
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -100,7 +100,7 @@
             if name in nodes
         }
         return {
-            name: [mark for mark in record.marks.values() if mark.key == self.clients[client][1].key]
+            name: [mark for mark in record.attempts.values() if mark.key == self.clients[client][1].key]
             if record
             else []
             for name, record in records.items()
@@ -276,7 +276,7 @@
 @when("a newer program adds a field to the session at a0")
 def _(story):
     key, node = story.key(), story.memory.nodes()["a0"]
-    node.replica.merge(key, Session(node.replica.record(key).marks, {"new": {"by": "a0", "n": [7]}}))
+    node.replica.merge(key, Session(node.replica.record(key).attempts, {"new": {"by": "a0", "n": [7]}}))
 
 
 # Clients
@@ -462,4 +462,7 @@
 
 @steps(then, r"a0 has the newer field back")
 def _(story):
-    assert story.memory.nodes()["a0"].replica.record(story.key()).extra["new"] == {"by": "a0", "n": [7]}
+    assert story.memory.nodes()["a0"].replica.record(story.key()).unknown_fields["new"] == {
+        "by": "a0",
+        "n": [7],
+    }
