--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -80,7 +80,7 @@
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
         self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
-        self.quota = QuotaLeases(self, settings, self.spent, self.sure)
+        self.quota = QuotaLeases(self, settings, self.on_token_decision, self.sure)
         self.parts = {
             kind: part
             for module, part in (
@@ -240,7 +240,7 @@
             self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
             self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
             self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.written(schema.governs(ring.written, ring.phase))
+            self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
@@ -276,9 +276,9 @@
         self.open += 1
         self.increment(Metric.ADMISSION_REQUESTS)
         if question.tenant in self.settings.limits:
-            self.quota.spend(ticket, question.tenant, until)
+            self.quota.request_token(ticket, question.tenant, until)
         else:
-            self.spent(ticket, True, 0.0, True)
+            self.on_token_decision(ticket, True, 0.0, True)
 
     def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
@@ -304,7 +304,7 @@
 
     def finish_shutdown(self):
         """The last message: what it has on loan is given back, and its peers are told that it leaves."""
-        self.quota.leaving()
+        self.quota.return_all_leases()
         self.tell_uses()
         self.membership.leave()
 
@@ -317,19 +317,19 @@
         """Takes over what a running agent can; configuration.py says which keys these are."""
         self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
         self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
-        self.quota.reread(settings)
+        self.quota.update_limits(settings)
         self.membership.about_me(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
     # What the parts answer
 
-    def spent(self, ticket: int, ok: bool, wait_s: float, sure: bool):
+    def on_token_decision(self, ticket: int, ok: bool, wait_s: float, certain: bool):
         each = self.waiting.get(ticket)
         if each is None or each.step != "spend":
             return
         question = each.question
-        if not sure and self.settings.limit_doubt == "serve":
+        if not certain and self.settings.limit_doubt == "serve":
             ok = True
         if ok and not question.marked:
             return self.settle(ticket, each, AdmissionDecision.ADMIT)
@@ -348,7 +348,7 @@
             self.settle(
                 ticket,
                 each,
-                AdmissionDecision.RATE_LIMITED if sure else AdmissionDecision.REJECT,
+                AdmissionDecision.RATE_LIMITED if certain else AdmissionDecision.REJECT,
                 wait_s or self.come_again(),
             )
 
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -18,7 +18,7 @@
 
 A fresh fleet, an agent that restarted as an owner and an owner that is new in a ring lend nothing for a fence
 of a little over two leases (4.3 s at a lease of 2 s), and begin with an empty bucket. Meanwhile requests are
-answered with sure=False, where no other owner has tokens: what on_doubt says holds.
+answered with certain=False, where no other owner has tokens: what on_doubt says holds.
 """
 
 from collections import Counter, deque
@@ -207,12 +207,13 @@
 
 
 class QuotaLeases:
-    """`spent(ticket, ok, wait_s, sure)` answers each spend() once: ok: served; else wait_s: when to come
-    back; not sure: no owner could be asked. `sure()`: whether the ring last told by rings() is still vouched
-    for."""
+    """`on_token_decision(ticket, ok, wait_s, certain)` answers each request_token() once: ok: served; else
+    wait_s: when to come back; not certain: no owner could be asked. `has_valid_lease()`: whether the ring
+    last given to on_ring_changed() is still proven."""
 
-    def __init__(self, context, settings, spent, sure):
-        self.context, self.settings, self.spent, self.sure = context, settings, spent, sure
+    def __init__(self, context, settings, on_token_decision, has_valid_lease):
+        self.context, self.settings = context, settings
+        self.on_token_decision, self.has_valid_lease = on_token_decision, has_valid_lease
         self.incarnation, self.start = context.incarnation, context.now
         drift = settings.clock_drift
         # The slowest former owner may be sure for one lease and lend then for another; a tenth to be on the
@@ -245,11 +246,11 @@
             name: incarnation for name, incarnation in self.incarnations.items() if name in ring.by_name
         }
 
-    def written(self, version: int):
+    def set_schema_version(self, version: int):
         """The schema version that the fleet writes now; each owner follows at the end of its period."""
         self.version = 1 if version < 2 else 2
 
-    def reread(self, settings):
+    def update_limits(self, settings):
         """New limits. A lower one holds at once for all that is lent from now on, what is on loan ends with
         its lease. While owners differ, the tenant has some of each limit, and never more than the greater of
         the two."""
@@ -260,7 +261,7 @@
             if tenant in settings.limits:
                 self.bucket(tenant, now).limited(settings.limits[tenant])
 
-    def leaving(self):
+    def return_all_leases(self):
         """Gives back all that is on loan here. Requests after that are served by single tokens."""
         self.parting = True
         for ward in list(self.wards.values()):
@@ -269,12 +270,12 @@
 
     # Requests
 
-    def spend(self, ticket: int, tenant: str, until: float):
+    def request_token(self, ticket: int, tenant: str, until: float):
         """May one request of this tenant be served? `until`: the local time at which it waits no longer."""
         now = self.context.now
         if tenant not in self.settings.limits:
             self.served[tenant] += 1
-            return self.spent(ticket, True, 0.0, True)
+            return self.on_token_decision(ticket, True, 0.0, True)
         ward = self.wards.get(tenant)
         if ward is None:
             ward = self.wards[tenant] = TenantQuota(tenant, self.settings.lease_s)
@@ -304,7 +305,7 @@
     def serve(self, ward, ticket, now):
         self.served[ward.tenant] += 1
         ward.had.mark(now)
-        self.spent(ticket, True, 0.0, True)
+        self.on_token_decision(ticket, True, 0.0, True)
 
     def deny(self, ward, ticket, now, may_be_sure=True):
         self.denied[ward.tenant] += 1
@@ -312,7 +313,7 @@
         wait = (1 - ward.level(now)) / rate if rate else max(ward.hint, ward.dry_until - now)
         # All that are told the same would come back at once.
         wait = max(wait, LEAST_WAIT) * (1 + 0.5 * self.context.random.random())
-        self.spent(ticket, False, wait, may_be_sure and now - ward.told < self.settings.lease_s)
+        self.on_token_decision(ticket, False, wait, may_be_sure and now - ward.told < self.settings.lease_s)
 
     def settle(self, ward, now):
         """Serves those that wait from what there is; once every owner has answered, turns the rest away."""
@@ -487,7 +488,7 @@
 
     def tick(self):
         now = self.context.now
-        if self.ring is not None and self.sure():
+        if self.ring is not None and self.has_valid_lease():
             self.tenure.prove(now)
         for tenant in list(self.queue):
             self.expire(self.wards[tenant], now)
@@ -620,7 +621,7 @@
     def take_in(self, sender, message):
         now = self.context.now
         if isinstance(message, LeaseRequestBatch):
-            lends = self.ring is not None and self.sure()
+            lends = self.ring is not None and self.has_valid_lease()
             if lends:
                 self.tenure.prove(now)
             same = message.owner_incarnation == self.incarnation
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -52,9 +52,9 @@
         self.net, self.ring, self.sure_until = net, None, -1e9
         self.context = Desk(net, name, next(net.incarnations))
         self.part = net.kind(
-            self.context, net.settings, net.spent, lambda: self.context.now < self.sure_until
+            self.context, net.settings, net.on_token_decision, lambda: self.context.now < self.sure_until
         )
-        self.part.written(net.version)
+        self.part.set_schema_version(net.version)
         self.queue, self.stopped = [], False
 
     def learn(self, rings):
@@ -62,7 +62,7 @@
         if self.ring is None or self.ring.epoch < new.epoch:
             self.ring = new
             self.part.on_ring_changed(new, rings[-2] if len(rings) > 1 else None, self.context.now)
-            self.part.written(new.written)
+            self.part.set_schema_version(new.written)
 
 
 class Net:
@@ -157,12 +157,12 @@
         if not agent.stopped:
             ticket = next(self.tickets)
             self.waiting[ticket] = (self.now, name)
-            agent.part.spend(ticket, tenant, agent.context.now + self.settings.wait_s)
+            agent.part.request_token(ticket, tenant, agent.context.now + self.settings.wait_s)
 
-    def spent(self, ticket, ok, wait_s, sure):
+    def on_token_decision(self, ticket, ok, wait_s, certain):
         asked, name = self.waiting.pop(ticket)  # a second answer is a KeyError
         assert ok or wait_s > 0
-        self.answers.append((self.now, name, ok, wait_s, sure, self.now - asked))
+        self.answers.append((self.now, name, ok, wait_s, certain, self.now - asked))
 
     def load(self, name, rate, start, end):
         """Requests by chance, `rate` a second on average."""
@@ -267,7 +267,7 @@
 
 
 def never_unsure(part):
-    part.sure = lambda: True
+    part.has_valid_lease = lambda: True
 
 
 def gap_overlooked(part):
@@ -376,7 +376,7 @@
     for _ in range(30):
         net.request("d")
     net.run(60.3)
-    net.agents["d"].part.leaving()
+    net.agents["d"].part.return_all_leases()
     net.run(60.4)
     for _ in range(60):
         net.request("b")
@@ -410,7 +410,7 @@
         net.load(name, 60, 0, 30)
     for when, name, limit in ((12, "a", 20.0), (14, "b", 20.0), (15, "c", 20.0), (22, "a", 60.0)):
         new = replace(net.settings, limits={"t": RateLimit(limit, limit)})
-        net.at(when, partial(net.agents[name].part.reread, new))
+        net.at(when, partial(net.agents[name].part.update_limits, new))
     net.run(30)
     assert net.over() <= 0 and net.over(20.0, 20.0) > 0
     low = [each for each in net.answers if 18 <= each[0] < 22 and each[2]]
