--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -13,8 +13,8 @@
 from msgspec import Struct
 from msgspec.structs import fields, replace
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.errors import InvalidConfigurationError
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.settings import REPEATS, seconds
 from cartdeal.terms import Repeat
 
--- a/cartdeal/fleet/membership/swim.py
+++ b/cartdeal/fleet/membership/swim.py
@@ -32,9 +32,10 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet import events
-from cartdeal.fleet.context import FleetSettings, NodeContext
+from cartdeal.fleet.context import NodeContext
 from cartdeal.fleet.errors import DuplicateNameError
 from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.settings import FleetSettings
 
 ROOM = 1_100  # bytes of a message: the wire puts its own around it
 NAME, ADDRESS = 64, 128  # bytes at most; a zone is bounded as a name is
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -18,7 +18,6 @@
 from cartdeal.fleet import errors, events
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
 from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
@@ -39,6 +38,7 @@
 from cartdeal.fleet.replication import replica, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
+from cartdeal.fleet.settings import FleetSettings
 
 COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -4,8 +4,8 @@
 thinks: what goes wrong is drawn from the seed alone.
 """
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.idempotency import AdmissionRequest
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 from cartdeal.simulated_time import seeded_random
 
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from cartdeal.fleet import codec
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, SendMessage
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.errors import InvalidRecordError
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import replica, schema
 from cartdeal.fleet.replication.catch_up import quorum
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
+from cartdeal.fleet.settings import FleetSettings
 
 HAIR = 1e-6
 SAMPLE = 300  # keys that are looked at when a ring changes
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -105,7 +105,7 @@
 
 def memory(seed, agents: int, limits: dict, **terms):
     """A fleet whose first agents found it; all start within a second."""
-    from cartdeal.fleet.context import FleetSettings
+    from cartdeal.fleet.settings import FleetSettings
     from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
     class Counted(InMemoryFleet):
@@ -194,8 +194,8 @@
 
 def copies(terms: Copies, seed: int) -> dict:
     """Messages and bytes are an agent's in a second; times are from the start, and from when the cut ends."""
-    from cartdeal.fleet.context import RateLimit
     from cartdeal.fleet.idempotency import AdmissionRequest
+    from cartdeal.fleet.settings import RateLimit
 
     agents, coming = terms.agents, terms.rate * terms.agents
     fleet = memory(seed, agents, {"shop": RateLimit(2 * coming, coming)})
@@ -277,8 +277,8 @@
     """Agents are told to end and come back with a program that reads (1, 2) in place of (1, 1), one after the
     other. Served: of requests without a limit, two thirds of them with a mark; clients try three agents.
     Budget: what the limited tenant got of its rate. Times are from the first restart."""
-    from cartdeal.fleet.context import RateLimit
     from cartdeal.fleet.idempotency import AdmissionRequest
+    from cartdeal.fleet.settings import RateLimit
 
     fleet = memory(seed, terms.agents, {"shop": RateLimit(terms.limit, terms.limit)}, reads=(1, 1))
     people, names, judge = seeded_random(seed, "people"), list(fleet.places), fleet.judge
--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -11,7 +11,6 @@
 
 import numpy as np
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.ring.hash_ring import (
     Damper,
     Ring,
@@ -22,6 +21,7 @@
     owners,
     plan,
 )
+from cartdeal.fleet.settings import FleetSettings
 
 KEYS = 50_000  # for loads
 COPIED = 1_500  # keys, for copies
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -9,9 +9,9 @@
 from cartdeal.agent.front import hashed
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.fleet import configuration
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
+from cartdeal.fleet.settings import FleetSettings
 from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
 from tests.test_reducer import Desk
 
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -19,7 +19,6 @@
 from cartdeal.fleet.codec import FrameReader, encode_message, frame_message, message_decoder
 from cartdeal.fleet.codec import decode as decode_envelope
 from cartdeal.fleet.codec import encode as encode_envelope
-from cartdeal.fleet.context import FleetSettings as Settings
 from cartdeal.fleet.errors import FleetError as Refusal
 from cartdeal.fleet.replication.catch_up import key_bytes, range_of
 from cartdeal.fleet.replication.records import digest as record_digest
@@ -28,6 +27,7 @@
 from cartdeal.fleet.replication.schema import encode as encode_record
 from cartdeal.fleet.ring.hash_ring import Ring, RingStep, apply_step, owners
 from cartdeal.fleet.ring.hash_ring import digest as ring_digest
+from cartdeal.fleet.settings import FleetSettings as Settings
 
 
 def settings(fleet: str, name: str, key: bytes):
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -5,8 +5,8 @@
 from msgspec.structs import fields
 
 from cartdeal.fleet import configuration
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.errors import InvalidConfigurationError
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from tests.scene import SETTINGS, agent_config
 
 KEY, SEEDS = "k" * 16, '[seeds]\na1 = "127.0.0.1:7001"\na2 = "127.0.0.1:7002"\n'
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -5,7 +5,6 @@
 
 from cartdeal.fleet import node
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
@@ -16,6 +15,7 @@
 from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -11,9 +11,9 @@
 from msgspec import msgpack
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.events import AgentDead
 from cartdeal.fleet.membership.swim import MESSAGE_TYPES, GossipItem, Membership, Peer, PeerState, StatePush
+from cartdeal.fleet.settings import FleetSettings
 
 decode = msgpack.Decoder(reduce(or_, MESSAGE_TYPES)).decode
 
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -2,10 +2,10 @@
 
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
 SEEDS = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(3)}
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.quota import ledger, quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 
 WIRE = msgspec.msgpack.Decoder(quota_leases.LeaseRequestBatch | quota_leases.LeaseResponseBatch)
 
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.replication import replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 WORDS = msgspec.msgpack.Decoder(Union[replica.MESSAGE_TYPES])  # noqa: UP007
--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.ring.hash_ring import (
     Damper,
     Ring,
@@ -18,6 +17,7 @@
     plan,
     step_between,
 )
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.lab import rings
 
 KEYS = [b"s/%d" % n for n in range(4000)]
--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_schema.py
@@ -5,7 +5,6 @@
 from hypothesis import strategies as some
 
 from cartdeal.fleet import errors
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.replication import schema
 from cartdeal.fleet.replication.records import (
     AttemptRecord,
@@ -16,6 +15,7 @@
     merge,
 )
 from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
+from cartdeal.fleet.settings import FleetSettings
 
 NEW, OLD = (1, 2), (1, 1)
 MARK = AttemptRecord("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -6,10 +6,10 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.replication.records import Certainty, Session
 from cartdeal.fleet.ring.hash_ring import Ring, minimal_movement, owners
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
 scenarios("stories")
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 
 from cartdeal.fleet import codec, errors
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, SendMessage
 from cartdeal.fleet.idempotency import AdmissionDecision
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import PeerConnection, PeerTransport, TransportLimits
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,7 +24,6 @@
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.membership.swim import (
     Ack,
     DigestExchange,
@@ -37,6 +36,7 @@
 )
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
 from cartdeal.rig import play
