--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -67,7 +67,7 @@
     assert {node.ring.written for node in nodes.values()} == {1}
     for name, node in nodes.items():
         changes = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
-        memory.places[name].play(node.reread, replace(node.settings, **changes))
+        memory.places[name].play(node.apply_settings, replace(node.settings, **changes))
     memory.run(20.0)
     assert memory.one_ring()
     ring = nodes["a1"].ring
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -350,7 +350,7 @@
 # What is seen
 
 
-@steps(then, r"the client was told: (?P<words>.*)")
+@steps(then, r"the client was told: (?P<message>.*)")
 def _(story, message):
     assert story.told() == message.split(", ")
 
