--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -31,7 +31,7 @@
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.swim",
     "cartdeal.fleet.consensus.ring_consensus",
-    "cartdeal.fleet.replication.replica",
+    "cartdeal.fleet.replication.messages",
     "cartdeal.fleet.quota.quota_leases",
 )
 
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -36,7 +36,7 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
 
@@ -86,7 +86,7 @@
             for module, part in (
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
-                (replica, self.replica),
+                (messages, self.replica),
                 (quota_leases, self.quota),
             )
             for kind in module.MESSAGE_TYPES
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -12,9 +12,6 @@
 from hashlib import blake2b
 from heapq import heappop, heappush
 from itertools import islice
-from typing import ClassVar
-
-from msgspec import Struct
 
 from cartdeal.fleet import events
 from cartdeal.fleet.errors import InvalidRecordError, RecordTooLargeError
@@ -30,6 +27,21 @@
     key_bytes,
     range_of,
 )
+from cartdeal.fleet.replication.messages import (
+    DigestRequest,
+    DigestResponse,
+    FetchRequest,
+    FetchResponse,
+    HintAck,
+    HintDelivery,
+    KeyListRequest,
+    KeyListResponse,
+    ReadRepairRequest,
+    ReadRepairResponse,
+    StaleEpoch,
+    WriteRequest,
+    WriteResponse,
+)
 from cartdeal.fleet.replication.records import AttemptRecord, Record, Session, UsageCounter
 from cartdeal.fleet.ring.hash_ring import Ring, owners
 
@@ -50,158 +62,6 @@
 LEARN = 1.0  # seconds for which an owner goes on asking for one key
 
 
-class WriteRequest(Struct, frozen=True, array_like=True, tag="r.claim"):
-    """`by`: the claim's own mark, "" for a read; `record`: what to merge, bytes as schema.py writes them."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    key: str
-    by: str
-    record: bytes
-
-
-class WriteResponse(Struct, frozen=True, array_like=True, tag="r.told"):
-    """`record`: what the owner had; it counts as known whatever the flags say."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    wrote: bool
-    caught_up: bool
-    full: bool
-    record: bytes
-
-
-class HintDelivery(Struct, frozen=True, array_like=True, tag="r.give"):
-    """Records to merge, (key, bytes) each; number 0 wants no answer."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    records: tuple[tuple[str, bytes], ...]
-
-
-class HintAck(Struct, frozen=True, array_like=True, tag="r.took"):
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    refused: tuple[str, ...]
-
-
-class DigestRequest(Struct, frozen=True, array_like=True, tag="r.look"):
-    """The start of a comparison. `whole`: the asker's digests, by range, of what both own, in one."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    whole: bytes
-
-
-class DigestResponse(Struct, frozen=True, array_like=True, tag="r.seen"):
-    """`was`, `now`: for which ranges the answerer counts as a source, by the ring of epoch `former` and by
-    this one; `left`: ranges in which it has records that it no longer owns and the asker does; `knew`:
-    another incarnation of the asker; `sums`: digests by range, 8 bytes each, b"" where all are equal."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    former: int
-    was: int
-    now: int
-    left: int
-    knew: bool
-    sums: bytes
-
-
-class KeyListRequest(Struct, frozen=True, array_like=True, tag="r.list"):
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    place: int
-    after: str
-
-
-class KeyListResponse(Struct, frozen=True, array_like=True, tag="r.listed"):
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    entries: tuple[tuple[str, bytes], ...]
-    end: bool
-
-
-class FetchRequest(Struct, frozen=True, array_like=True, tag="r.fetch"):
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    keys: tuple[str, ...]
-
-
-class FetchResponse(Struct, frozen=True, array_like=True, tag="r.brought"):
-    """`count`: how many of the keys asked for, from the first, this answers; those not there are over."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    count: int
-    records: tuple[tuple[str, bytes], ...]
-
-
-class ReadRepairRequest(Struct, frozen=True, array_like=True, tag="r.know"):
-    """An owner that has not caught up with a key asks its former owners, and the others."""
-
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    key: str
-
-
-class ReadRepairResponse(Struct, frozen=True, array_like=True, tag="r.known"):
-    DATAGRAM: ClassVar[bool] = False
-    number: int
-    incarnation: int
-    epoch: int
-    former: int
-    was: bool
-    now: bool
-    record: bytes
-
-
-class StaleEpoch(Struct, frozen=True, array_like=True, tag="r.past"):
-    """Said to one that asks by an older epoch."""
-
-    DATAGRAM: ClassVar[bool] = False
-    epoch: int
-
-
-MESSAGE_TYPES = (
-    WriteRequest,
-    WriteResponse,
-    HintDelivery,
-    HintAck,
-    DigestRequest,
-    DigestResponse,
-    KeyListRequest,
-    KeyListResponse,
-    FetchRequest,
-    FetchResponse,
-    ReadRepairRequest,
-    ReadRepairResponse,
-    StaleEpoch,
-)
-
-
 class StoredRecord:
     """A copy, as bytes."""
 
@@ -615,7 +475,7 @@
                 self.heard_told(self.name, told)
 
     def heard_told(self, sender: str, message: WriteResponse):
-        each = self.open.get(message.number)
+        each = self.open.get(message.request_id)
         if each is None or message.incarnation != self.incarnation or sender not in each.owners:
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         if message.epoch != each.epoch:
@@ -627,7 +487,7 @@
             each.known = records.merge(each.known, record)
         if message.full:
             self.context.increment(Metric.OWNED_LIMITS_FULL)
-        if message.wrote and each.by:
+        if message.written and each.by:
             each.wrote[sender] = None
             self.has(each.key, sender, each.turn)
             if sender == self.name and each.key in self.mine:
@@ -635,11 +495,11 @@
         if message.caught_up:
             each.read[sender] = None
         if self.context.now > each.until:
-            return self.close(message.number)  # we were stopped: what came in meanwhile may be of any age
+            return self.close(message.request_id)  # we were stopped: what came in meanwhile may be of any age
         if not each.ended and len(each.wrote) >= each.need[0] and len(each.read) >= each.need[1]:
             self.end(each, True)
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
-            self.open.pop(message.number, None)
+            self.open.pop(message.request_id, None)
 
     def end(self, each: PendingOperation, sure: bool):
         each.ended = True
@@ -816,14 +676,14 @@
         line = self.lines.get(sender)
         if (
             line is None
-            or message.number != line.number
+            or message.request_id != line.number
             or message.incarnation != self.incarnation
             or not line.out
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
         if self.ring is None or message.epoch != self.ring.epoch:
             return self.context.increment(Metric.DROPPED_OLD_EPOCH)
-        out, line.out, refused = line.out, {}, set(message.refused)
+        out, line.out, refused = line.out, {}, set(message.rejected)
         for key, turn in out.items():
             if key in refused:
                 line.keys.pop(key, None)
@@ -889,7 +749,7 @@
         if self.name not in self.owners(key) or not key.startswith("s/"):
             return self.context.increment(Metric.DROPPED_NOT_OWNER)
         new = None
-        if message.by and message.record:
+        if message.attempt_id and message.record:
             new = self.read_in(key, message.record)
             if new is None:
                 return None
@@ -897,16 +757,16 @@
         had = records.expired(had, self.wall_ms, self.slack_ms)
         wrote = full = False
         if new is not None:
-            full = message.by not in had.marks and had.full(self.settings.most_marks_a_session)
+            full = message.attempt_id not in had.marks and had.full(self.settings.most_marks_a_session)
             full = full or not self.merge(key, new)
-            wrote = not full and message.by in new.marks
+            wrote = not full and message.attempt_id in new.marks
             if full:
                 self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
             self.put(key, had)  # moved when read
         if not self.caught_up(key):
-            self.learn(key, (asker, message.number, message.incarnation, message.by))
-        return self.answer(message.number, message.incarnation, key, message.by, had, wrote, full)
+            self.learn(key, (asker, message.request_id, message.incarnation, message.attempt_id))
+        return self.answer(message.request_id, message.incarnation, key, message.attempt_id, had, wrote, full)
 
     def answer(
         self, number, incarnation, key: str, by: str, had: Session, wrote: bool, full: bool
@@ -929,9 +789,9 @@
             record = self.read_in(key, raw)
             if record is None or self.name in self.owners(key) and not self.take(key, record):
                 refused.append(key)
-        if message.number:
+        if message.request_id:
             self.context.send(
-                sender, HintAck(message.number, message.incarnation, message.epoch, tuple(refused))
+                sender, HintAck(message.request_id, message.incarnation, message.epoch, tuple(refused))
             )
 
     # One key that has not been caught up with
@@ -976,12 +836,12 @@
             self.context.send(
                 sender,
                 ReadRepairResponse(
-                    message.number, message.incarnation, message.epoch, former, was, here, raw
+                    message.request_id, message.incarnation, message.epoch, former, was, here, raw
                 ),
             )
 
     def heard_known(self, sender: str, message: ReadRepairResponse):
-        found = [(key, each) for key, each in self.learning.items() if each.number == message.number]
+        found = [(key, each) for key, each in self.learning.items() if each.number == message.request_id]
         if (
             not found
             or message.incarnation != self.incarnation
@@ -994,9 +854,9 @@
             record = self.read_in(key, message.record)
             if record is None or not self.merge(key, record):
                 return
-        if message.was and era.former and message.former == era.former.epoch:
+        if message.caught_up_by_former and era.former and message.former_epoch == era.former.epoch:
             each.was[sender] = None
-        if message.now:
+        if message.caught_up_by_current:
             each.now[sender] = None
         if era.enough(key, each.was, each.now, self.context.now):
             del self.learning[key]
@@ -1038,7 +898,7 @@
         talk = self.talks.get(sender)
         if (
             talk is None
-            or message.number != talk.number
+            or message.request_id != talk.number
             or message.incarnation != self.incarnation
             or type(talk.message) is not to
             or message.epoch != self.ring.epoch
@@ -1052,14 +912,14 @@
         if self.unplaced:
             return self.context.increment(Metric.NOT_PLACED_YET)
         era, now = self.era, self.context.now
-        sums = b"" if self.whole(sender) == message.whole else self.packed(sender)
+        sums = b"" if self.whole(sender) == message.combined_digest else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
         here = era.ranges(now) if self.name in self.ring.by_name else 0
         former, knew = era.former.epoch if era.former else 0, self.incarnations.get(sender, (0, True))[1]
         self.context.send(
             sender,
             DigestResponse(
-                message.number,
+                message.request_id,
                 message.incarnation,
                 message.epoch,
                 former,
@@ -1073,22 +933,26 @@
 
     def heard_seen(self, sender: str, message: DigestResponse):
         talk = self.answered(sender, message, DigestRequest)
-        if talk is None or len(message.sums) not in (0, 8 * RANGES):
+        if talk is None or len(message.range_digests) not in (0, 8 * RANGES):
             return
         era = self.era
-        if message.knew and era.way == FIRST:
+        if message.knows_other_incarnation and era.way == FIRST:
             era.restarted()
             for each in self.talks.values():
                 each.counts = False  # asked before a lease was over
         elif era.way == FIRST and sender in era.others:
             era.clean[sender] = None
-        talk.was = message.was if era.former and message.former == era.former.epoch else 0
-        talk.now = message.now
+        talk.was = message.former_ranges if era.former and message.former_epoch == era.former.epoch else 0
+        talk.now = message.current_ranges
         ours, differ = self.packed(sender), []
         for place in range(RANGES):
             here = slice(8 * place, 8 * place + 8)
             had = era.was.get(sender, 0) | era.now.get(sender, 0)
-            if message.left & ~had & 1 << place or message.sums and message.sums[here] != ours[here]:
+            if (
+                message.unowned_ranges & ~had & 1 << place
+                or message.range_digests
+                and message.range_digests[here] != ours[here]
+            ):
                 differ.append(place)
             else:
                 self.told(sender, talk, 1 << place)
@@ -1127,18 +991,20 @@
         )
 
     def heard_list(self, sender: str, message: KeyListRequest):
-        if not self.timely(sender, message) or self.unplaced or not 0 <= message.place < RANGES:
+        if not self.timely(sender, message) or self.unplaced or not 0 <= message.range_index < RANGES:
             return
-        keys = self.shared(sender, message.place, message.after)
+        keys = self.shared(sender, message.range_index, message.after)
         entries = tuple((key, self.store[key].digest[:8]) for key in keys[:PAGE])
         self.context.send(
             sender,
-            KeyListResponse(message.number, message.incarnation, message.epoch, entries, len(keys) <= PAGE),
+            KeyListResponse(
+                message.request_id, message.incarnation, message.epoch, entries, len(keys) <= PAGE
+            ),
         )
 
     def heard_listed(self, sender: str, message: KeyListResponse):
         talk = self.answered(sender, message, KeyListRequest)
-        if talk is None or len(message.entries) > PAGE or not message.end and not message.entries:
+        if talk is None or len(message.entries) > PAGE or not message.is_last_page and not message.entries:
             return
         theirs = {
             key: digest
@@ -1146,7 +1012,7 @@
             if key > talk.after and range_of(key) == talk.place and self.name in self.owners(key)
         }
         last = message.entries[-1][0] if message.entries else ""
-        if not message.end and last <= talk.after:
+        if not message.is_last_page and last <= talk.after:
             return self.talks.pop(sender, None) and None
         talk.want = [
             key
@@ -1157,10 +1023,10 @@
         lacks = [
             key
             for key in self.shared(sender, talk.place, talk.after, ours=True)
-            if key not in theirs and (message.end or key <= last)
+            if key not in theirs and (message.is_last_page or key <= last)
         ]
         self.give(sender, lacks)
-        talk.after, talk.end = last, message.end
+        talk.after, talk.end = last, message.is_last_page
         self.go_on(sender, talk)
 
     def give(self, peer: str, keys):
@@ -1194,7 +1060,8 @@
                 size += len(raw) + len(key)
         if count:  # else it can't have that record: it must not take it for one that is over
             self.context.send(
-                sender, FetchResponse(message.number, message.incarnation, message.epoch, count, tuple(piece))
+                sender,
+                FetchResponse(message.request_id, message.incarnation, message.epoch, count, tuple(piece)),
             )
 
     def heard_brought(self, sender: str, message: FetchResponse):
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -12,7 +12,7 @@
 from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.errors import InvalidRecordError
 from cartdeal.fleet.idempotency import AdmissionDecision
-from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.catch_up import quorum
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
 
@@ -143,11 +143,11 @@
             self.violated(f"{sender}: incarnation {incarnation} given out twice")
             self.incarnations[sender, incarnation] = start
         kind = type(message)
-        if kind is replica.WriteRequest:
+        if kind is messages.WriteRequest:
             self.claimed(sender, message)
-        elif kind is replica.WriteResponse:
-            if message.wrote and (to, message.incarnation, message.number) in self.claims:
-                self.writers[self.claims[to, message.incarnation, message.number][2]][sender] = None
+        elif kind is messages.WriteResponse:
+            if message.written and (to, message.incarnation, message.request_id) in self.claims:
+                self.writers[self.claims[to, message.incarnation, message.request_id][2]][sender] = None
         elif kind.__module__ == ring_consensus.__name__:
             self.of_rings(at, sender, to, message)
 
@@ -247,25 +247,25 @@
     # Marks
 
     def claimed(self, agent, message):
-        if not message.by:
+        if not message.attempt_id:
             return
         try:
-            mark = schema.decode("s", message.record).marks.get(message.by)
+            mark = schema.decode("s", message.record).marks.get(message.attempt_id)
         except InvalidRecordError:
             mark = None
         if mark is None:
-            return self.violated(f"{agent}: claims {message.by} without it")
+            return self.violated(f"{agent}: claims {message.attempt_id} without it")
         fixed = (message.key, mark.key, mark.repeat, mark.group, mark.window_ms, mark.workload, mark.sent_ms)
-        if self.fixed.setdefault(message.by, fixed) != fixed:
-            self.violated(f"{agent}: gave out {message.by} twice")
-        self.until[message.by] = mark.until_ms
-        self.claims[agent, message.incarnation, message.number] = (
+        if self.fixed.setdefault(message.attempt_id, fixed) != fixed:
+            self.violated(f"{agent}: gave out {message.attempt_id} twice")
+        self.until[message.attempt_id] = mark.until_ms
+        self.claims[agent, message.incarnation, message.request_id] = (
             message.key,
             mark.key,
-            message.by,
+            message.attempt_id,
             mark.until_ms,
         )
-        self.latest[agent, message.key, mark.key] = message.by
+        self.latest[agent, message.key, mark.key] = message.attempt_id
 
     def marked(self, agent: str, at: float, record: str, key: str, own_copy):
         """A request that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -289,7 +289,7 @@
     class Eager(replica.PendingOperation):
         need = property(lambda self: (1, 1), lambda self, need: None)
 
-    plant(replica, "Open", Eager)
+    plant(replica, "PendingOperation", Eager)
 
 
 def come_again(plant):
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -7,13 +7,13 @@
 
 from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.hybrid_clock import HybridClock
-from cartdeal.fleet.replication import replica
+from cartdeal.fleet.replication import messages, replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-WORDS = msgspec.msgpack.Decoder(Union[replica.MESSAGE_TYPES])  # noqa: UP007
+WORDS = msgspec.msgpack.Decoder(Union[messages.MESSAGE_TYPES])  # noqa: UP007
 SETTINGS = FleetSettings(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
 
 
