--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -35,7 +35,7 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.settings import FleetSettings
@@ -86,7 +86,7 @@
             for module, part in (
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
-                (replica, self.replica),
+                (messages, self.replica),
                 (quota_leases, self.quota),
             )
             for kind in module.MESSAGE_TYPES
@@ -445,7 +445,7 @@
                 self.replica.count_use(tenant, period, served - self.served[tenant])
                 self.served[tenant] = served
 
-    def figures(self) -> dict:
+    def metrics(self) -> dict:
         ring = self.ring
         return {
             "epoch": ring.epoch if ring else 0,
@@ -456,7 +456,7 @@
             "live": len(self.membership.live()),
             "sure": self.sure(),
             "waiting": self.open,
-            **self.replica.figures(),
-            **self.quota.figures(),
+            **self.replica.metrics(),
+            **self.quota.metrics(),
             **self.counters,
         }
