--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -349,7 +349,7 @@
         if self.ring is None or self.context.now >= self.since + PATIENCE * self.settings.lease_s:
             return False
         here = [self.live[name] for name in self.ring.names if name in self.live]
-        return any(peer.state == 0 and peer.caught < self.ring.epoch for peer in here)
+        return any(peer.state == 0 and peer.caught_up_epoch < self.ring.epoch for peer in here)
 
     def begin(self, wanted: RingStep, gone: tuple[str, ...]):
         self.top = max(self.top, self.promised[0]) + 1
--- a/cartdeal/fleet/membership/swim.py
+++ b/cartdeal/fleet/membership/swim.py
@@ -17,8 +17,8 @@
 no news of any comes in any more. Neither takes the other in again by its calls alone: an unidentified
 client, or one that
 is gone, has to answer a ping before anything it says is read but what concerns the reader; and an agent that
-hears nobody changes nothing that it says of itself, since its next turn would pass for a refutation. Of two
-agents alone, each calls the other gone until both ways are open.
+hears nobody changes nothing that it says of itself, since a next version would pass for a refutation. Of
+two agents alone, each calls the other gone until both ways are open.
 """
 
 from enum import IntEnum
@@ -63,24 +63,24 @@
 class PeerState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
     LEFT = 3
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """What an agent says of itself; `turn` goes up at each change and refutation, `incarnation` at each
+    """What an agent says of itself; `version` goes up at each change and refutation, `incarnation` at each
     start."""
 
     name: str
     address: str
     incarnation: int
-    turn: int
+    version: int
     state: int
     zone: str
     capacity: float
     reads: tuple[int, int]
-    moved: int
-    caught: int = 0  # the epoch of which it has caught up with all that it keeps
+    migrated_version: int
+    caught_up_epoch: int = 0  # the epoch of which it has caught up with all that it keeps
 
 
 class GossipItem(Struct, frozen=True, array_like=True):
@@ -200,12 +200,12 @@
         and len(peer.address.encode()) <= ADDRESS
         and len(peer.zone.encode()) <= NAME
         and 0 <= peer.incarnation < 1 << 62
-        and 0 <= peer.turn < 1 << 40
+        and 0 <= peer.version < 1 << 40
         and 0 <= peer.state <= PeerState.LEFT
         and 0 < peer.capacity <= 1e6
         and 0 < low <= high <= 1_000
-        and 0 <= peer.moved <= 1_000
-        and 0 <= peer.caught < 1 << 53
+        and 0 <= peer.migrated_version <= 1_000
+        and 0 <= peer.caught_up_epoch < 1 << 53
     )
 
 
@@ -223,10 +223,10 @@
 
 
 def public_state(peer: Peer | None) -> tuple | None:
-    """What live() says of it, as far as `version` counts it."""
+    """What live_peers() says of it, as far as `view_version` counts it."""
     if peer is None or peer.state > PeerState.SUSPECT:
         return None
-    return peer.incarnation, peer.capacity, peer.reads, peer.zone, peer.moved, peer.state
+    return peer.incarnation, peer.capacity, peer.reads, peer.zone, peer.migrated_version, peer.state
 
 
 class Membership:
@@ -235,7 +235,7 @@
 
     def __init__(self, context: NodeContext, settings: FleetSettings):
         self.context, self.settings, self.name = context, settings, context.name
-        self.version, self.health, self.error = 1, 0, None  # error: the last DuplicateNameError
+        self.view_version, self.health, self.error = 1, 0, None  # error: the last DuplicateNameError
         mine = Peer(
             self.name,
             context.address,
@@ -247,9 +247,9 @@
             settings.reads,
             settings.reads[0],
         )
-        self.table: dict[str, Peer] = {self.name: mine}
-        self.cases: dict[str, Suspicion] = {}  # of SUSPECT and GONE ones, by name
-        self.kept: dict[str, float] = {}  # GONE and LEFT ones: when they are forgotten
+        self.peers: dict[str, Peer] = {self.name: mine}
+        self.cases: dict[str, Suspicion] = {}  # of SUSPECT and DEAD ones, by name
+        self.kept: dict[str, float] = {}  # DEAD and LEFT ones: when they are forgotten
         self.back: dict[str, float] = {}  # when one came back from the gone
         self.warned: dict[str, float] = {}  # when an accused was last told of it
         self.news: dict[str, tuple[int, int]] = {}  # name: (times sent, minus its place in time)
@@ -279,7 +279,7 @@
 
     @property
     def me(self) -> Peer:
-        return self.table[self.name]
+        return self.peers[self.name]
 
     def join(self):
         """PingRequest the seeds, again and again until anyone has answered. Before this, nothing is sent
@@ -290,43 +290,53 @@
     def leave(self):
         """Tell a few peers, who tell the others; this agent still answers, and accuses nobody any more."""
         if self.me.state != PeerState.LEFT:
-            self._put(replace(self.me, turn=self.me.turn + 1, state=PeerState.LEFT))
+            self._put(replace(self.me, version=self.me.version + 1, state=PeerState.LEFT))
             self._spread(self.name)
             self.asking, self.probe = False, None
             for name in self._some(self._others(PeerState.SUSPECT), 2 * INDIRECT_PROBES):
                 self._say(name, StatePush)
 
-    def live(self) -> dict[str, Peer]:
+    def live_peers(self) -> dict[str, Peer]:
         """ALIVE and SUSPECT, self included, sorted by name. Not to be written: the same until a change."""
         if self.sorted is None:
             self.sorted = {
-                name: self.table[name]
-                for name in sorted(self.table)
-                if self.table[name].state <= PeerState.SUSPECT
+                name: self.peers[name]
+                for name in sorted(self.peers)
+                if self.peers[name].state <= PeerState.SUSPECT
             }
         return self.sorted
 
     def size(self) -> int:
-        return len(self.live())
+        return len(self.live_peers())
 
     def addresses(self) -> dict[str, str]:
         """Where each known agent is to be reached, the gone and unidentified clients included: they are
         called, too."""
         called = {name: each.peer.address for name, each in self.strangers.items()}
-        return {name: peer.address for name, peer in self.table.items()} | called
-
-    def about_me(self, *, capacity: float | None = None, moved: int | None = None, caught: int | None = None):
+        return {name: peer.address for name, peer in self.peers.items()} | called
+
+    def update_self(
+        self,
+        *,
+        capacity: float | None = None,
+        migrated_version: int | None = None,
+        caught_up_epoch: int | None = None,
+    ):
         """Change what is told of oneself, at once or when anyone is heard again."""
-        wish = {"capacity": capacity, "moved": moved, "caught": caught}
+        wish = {
+            "capacity": capacity,
+            "migrated_version": migrated_version,
+            "caught_up_epoch": caught_up_epoch,
+        }
         self.wish |= {field: value for field, value in wish.items() if value is not None}
         silence = self.context.now - self.last_heard
         if self.wish and not (self.answered and silence > QUIET * self.settings.probe_s):
             mine, self.wish = replace(self.me, **self.wish), {}
             if mine != self.me:
-                self._put(replace(mine, turn=mine.turn + 1))
+                self._put(replace(mine, version=mine.version + 1))
                 self._spread(self.name)
 
-    def known_incarnation(self) -> int:
+    def newer_incarnation(self) -> int:
         """The highest incarnation of this agent's name that a peer told of, where it is above its own; else
         0."""
         return self.higher if self.higher > self.me.incarnation else 0
@@ -340,9 +350,9 @@
         if (
             self.context.incarnation > self.me.incarnation
         ):  # the node took a higher one: what was said of the former is over
-            self._put(replace(self.me, incarnation=self.context.incarnation, turn=0))
+            self._put(replace(self.me, incarnation=self.context.incarnation, version=0))
             self._spread(self.name)
-        self.about_me()
+        self.update_self()
         self._expire(now)
         self._ship()
         if self.asking:
@@ -368,7 +378,7 @@
                 self.kept[name] += gap
             self._worse(1)
             if self.me.state == PeerState.ALIVE:
-                self._refute(self.me.turn)
+                self._refute(self.me.version)
 
     def _expire(self, now: float):
         for name in [name for name, until in self.kept.items() if until <= now]:
@@ -377,14 +387,14 @@
             del self.strangers[name]
         for number in [number for number, relay in self.relays.items() if relay.until <= now]:
             relay = self.relays.pop(number)
-            if relay.asker in self.table:
+            if relay.asker in self.peers:
                 self._say(relay.asker, Nack, relay.number)
 
     def _suspicions(self, now: float):
         over = [
             name
             for name, case in self.cases.items()
-            if self.table[name].state == PeerState.SUSPECT
+            if self.peers[name].state == PeerState.SUSPECT
             and now - case.since >= self._patience(len(case.by))
         ]
         for name in over:
@@ -394,7 +404,7 @@
                 continue
             if self.name not in case.by:  # it has waited out its own time, which is a witness to the others
                 case.by = [self.name, *case.by][:MAX_ACCUSERS]
-            self._put(replace(self.table[name], state=PeerState.GONE))
+            self._put(replace(self.peers[name], state=PeerState.DEAD))
             self.kept[name] = now + KEPT
             self._spread(name)
             self.context.log_event(events.AgentDead(name, tuple(case.by)))
@@ -423,9 +433,9 @@
                 self.misses += 1
                 if probe.nacks < len(probe.helpers) or not probe.helpers:
                     self._worse(1)  # helpers are silent as well: it may be this agent that is deaf
-                known = self.table.get(peer.name)
-                # A turn that went up meanwhile is a sign of incarnation that came some other way.
-                same = known and (known.incarnation, known.turn) == (peer.incarnation, peer.turn)
+                known = self.peers.get(peer.name)
+                # A version that went up meanwhile is a sign of incarnation that came some other way.
+                same = known and (known.incarnation, known.version) == (peer.incarnation, peer.version)
                 if same and known.state <= PeerState.SUSPECT:
                     self._accuse(peer.name, (), mine=True)
                 self._alone(now)
@@ -453,7 +463,7 @@
         """SWIM's round: each once, in an order shuffled anew each time: none waits longer than two rounds."""
         for again in (False, True):
             while self.round:
-                peer = self.table.get(self.round.pop())
+                peer = self.peers.get(self.round.pop())
                 if peer and peer.state <= PeerState.SUSPECT:
                     return peer
             if not again:
@@ -463,13 +473,15 @@
 
     def _reaching(self, now: float):
         if now >= self.reach_at:
-            seeds = [name for name in self.settings.seeds if name != self.name and name not in self.live()]
+            seeds = [
+                name for name in self.settings.seeds if name != self.name and name not in self.live_peers()
+            ]
             if not self.answered:
                 names = self._some(seeds, INDIRECT_PROBES)
                 self.reach_at = now + self.pause * self._jitter()
                 self.pause = min(2 * self.pause, LAST_ASK)
             else:
-                gone = [name for name in self.kept if self.table[name].state == PeerState.GONE]
+                gone = [name for name in self.kept if self.peers[name].state == PeerState.DEAD]
                 names = self._some(list(dict.fromkeys(gone + seeds)), 1)
                 self.reach_at = now + REACH * self._jitter()
             for name in names:
@@ -491,15 +503,15 @@
             return self.context.increment(Metric.DROPPED_WRONG_SENDER)
         if sender == self.name:
             return self._own(me)
-        known = self.table.get(sender)
+        known = self.peers.get(sender)
         if known and me.incarnation < known.incarnation:
             # Late, or from one started anew by a clock set back, which has to learn of its higher
             # incarnation.
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
             return self.context.send(sender, StatePush(self.me, (self._piece(sender),)))
         self.last_heard, self.answered = now, True
-        turn = self.me.turn
-        if (known is None or known.state >= PeerState.GONE) and not self._greet(me, message):
+        version = self.me.version
+        if (known is None or known.state >= PeerState.DEAD) and not self._greet(me, message):
             for each in message.told:
                 if each.peer.name == self.name:
                     self._own(each.peer)
@@ -510,13 +522,13 @@
         for each in message.told:
             self._fold(each)
         self.reply[type(message)](sender, message)
-        if self.me.turn != turn and type(message) is StatePush:
+        if self.me.version != version and type(message) is StatePush:
             self._say(sender, StatePush)
 
     def _greet(self, peer: Peer, message) -> bool:
         """Whether an unidentified client, or one that was gone, has shown that it hears; if not, it is sent
         a ping."""
-        stranger, known = self.strangers.get(peer.name), peer.name in self.table
+        stranger, known = self.strangers.get(peer.name), peer.name in self.peers
         if peer.state == PeerState.LEFT or self.me.state == PeerState.LEFT:
             return known
         if stranger and type(message) is Ack and message.number == stranger.number:
@@ -529,9 +541,9 @@
             self.context.increment(Metric.DROPPED_UNVERIFIED_PEERS)
         elif not stranger:
             if (
-                known and peer.incarnation > self.table[peer.name].incarnation
+                known and peer.incarnation > self.peers[peer.name].incarnation
             ):  # started anew, maybe at another address
-                self._put(replace(self.table[peer.name], address=peer.address))
+                self._put(replace(self.peers[peer.name], address=peer.address))
             self.number += 1
             self.strangers[peer.name] = UnverifiedPeer(peer, self.number, self.context.now + GREETED)
             self._say(peer.name, Ping, self.number)
@@ -553,7 +565,7 @@
             self._worse(-1)
         elif message.number in self.relays and self.relays[message.number].target == sender:
             relay = self.relays.pop(message.number)
-            if relay.asker in self.table:
+            if relay.asker in self.peers:
                 self._say(relay.asker, Ack, relay.number, about=sender)
         else:
             self.context.increment(Metric.LATE_ACKS)
@@ -563,7 +575,7 @@
             self.probe.nacks += 1
 
     def _ask(self, sender: str, message: PingRequest):
-        if message.target not in self.table or message.target == self.name or len(self.relays) >= RELAYS:
+        if message.target not in self.peers or message.target == self.name or len(self.relays) >= RELAYS:
             return self._say(sender, Nack, message.number)
         self.number += 1
         until = self.context.now + DIRECT * self.settings.probe_s
@@ -594,31 +606,31 @@
     # What is told
 
     def _fold(self, told: GossipItem):
-        """Take in one piece. A higher incarnation beats all of a lower one, then a higher turn, then the
+        """Take in one piece. A higher incarnation beats all of a lower one, then a higher version, then the
         worse
-        state; but GONE is only what its witnesses accuse."""
+        state; but DEAD is only what its witnesses accuse."""
         peer = told.peer
         if peer.name == self.name:
             return self._own(peer)
-        known = self.table.get(peer.name)
+        known = self.peers.get(peer.name)
         if known is None:
-            if peer.state >= PeerState.GONE:
+            if peer.state >= PeerState.DEAD:
                 return  # it would be passed round for ever by those that forget it at different times
             if not self._room():
                 return
             self._enter(peer)
         elif peer.incarnation < known.incarnation:
             return self.context.increment(Metric.DROPPED_OLD_INCARNATION)
-        elif (peer.incarnation, peer.turn) > (known.incarnation, known.turn):
-            if peer.state == PeerState.GONE and known.state >= PeerState.GONE:
+        elif (peer.incarnation, peer.version) > (known.incarnation, known.version):
+            if peer.state == PeerState.DEAD and known.state >= PeerState.DEAD:
                 self._put(replace(peer, state=known.state))
             else:
                 self._enter(peer)
-        elif peer.turn < known.turn:
+        elif peer.version < known.version:
             return
         elif peer.state == PeerState.LEFT and known.state != PeerState.LEFT:
             self._enter(peer)
-        if peer.state in (PeerState.SUSPECT, PeerState.GONE) and self.table[peer.name].state < PeerState.GONE:
+        if peer.state in (PeerState.SUSPECT, PeerState.DEAD) and self.peers[peer.name].state < PeerState.DEAD:
             self._accuse(peer.name, told.by)
 
     def _own(self, said: Peer):
@@ -634,21 +646,23 @@
         elif (
             (said.address, said.zone) == (mine.address, mine.zone)
             and mine.state == PeerState.ALIVE
-            and (said.turn > mine.turn or said.turn == mine.turn and said.state != PeerState.ALIVE)
+            and (
+                said.version > mine.version or said.version == mine.version and said.state != PeerState.ALIVE
+            )
         ):
             if said.state != PeerState.ALIVE:
                 self._worse(1)
                 self.context.increment(Metric.REFUTATIONS)
-            self._refute(said.turn)
+            self._refute(said.version)
 
-    def _refute(self, turn: int):
-        self._put(replace(self.me, turn=turn + 1))
+    def _refute(self, version: int):
+        self._put(replace(self.me, version=version + 1))
         self._spread(self.name)
 
     def _enter(self, peer: Peer):
         """Take what a peer says of itself in place of what was known; a suspicion begins with _accuse."""
-        name, known = peer.name, self.table.get(peer.name)
-        if known and known.state == PeerState.GONE and known.incarnation == peer.incarnation:
+        name, known = peer.name, self.peers.get(peer.name)
+        if known and known.state == PeerState.DEAD and known.incarnation == peer.incarnation:
             self.back[name] = self.context.now
         for each in (self.cases, self.warnings, self.warned, self.kept, self.strangers):
             each.pop(name, None)
@@ -660,7 +674,7 @@
         self._spread(name)
 
     def _accuse(self, name: str, by: tuple[str, ...], mine: bool = False, quiet: bool = False):
-        case, known = self.cases.get(name), self.table[name]
+        case, known = self.cases.get(name), self.peers[name]
         new = [each for each in by if self._counts(each, name)] + [self.name] * mine
         new = [each for each in dict.fromkeys(new) if not case or each not in case.by]
         if known.state == PeerState.ALIVE and not quiet and (new or by):
@@ -677,7 +691,7 @@
         self._spread(name)
 
     def _counts(self, witness: str, accused: str) -> bool:
-        peer = self.table.get(witness)
+        peer = self.peers.get(witness)
         return (
             peer is not None
             and peer.state <= PeerState.SUSPECT
@@ -694,14 +708,14 @@
     # The table
 
     def _put(self, peer: Peer):
-        old = self.table.get(peer.name)
-        self.table[peer.name] = peer
+        old = self.peers.get(peer.name)
+        self.peers[peer.name] = peer
         self.sorted = None
-        self.version += public_state(old) != public_state(peer)
+        self.view_version += public_state(old) != public_state(peer)
 
     def _forget(self, name: str):
         for each in (
-            self.table,
+            self.peers,
             self.cases,
             self.kept,
             self.back,
@@ -713,7 +727,7 @@
             each.pop(name, None)
 
     def _room(self) -> bool:
-        if len(self.table) < self.settings.most_agents:
+        if len(self.peers) < self.settings.most_agents:
             return True
         if self.kept:
             self._forget(min(self.kept, key=lambda name: (self.kept[name], name)))
@@ -726,12 +740,12 @@
 
     def _digests(self) -> bytes:
         parts = [[] for _ in range(BUCKETS)]
-        for name, peer in self.live().items():
-            parts[bucket(name)].append(f"{name}\0{peer.incarnation}\0{peer.turn}\n")
+        for name, peer in self.live_peers().items():
+            parts[bucket(name)].append(f"{name}\0{peer.incarnation}\0{peer.version}\n")
         return b"".join(blake2b("".join(part).encode(), digest_size=BYTES).digest() for part in parts)
 
     def _others(self, worst: PeerState) -> list[str]:
-        return [name for name, peer in self.live().items() if peer.state <= worst and name != self.name]
+        return [name for name, peer in self.live_peers().items() if peer.state <= worst and name != self.name]
 
     def _some(self, names: list[str], most: int) -> list[str]:
         return self.context.random.sample(names, min(most, len(names)))
@@ -745,7 +759,7 @@
     # Sending
 
     def _piece(self, name: str) -> GossipItem:
-        return GossipItem(self.table[name], tuple(self.cases[name].by) if name in self.cases else ())
+        return GossipItem(self.peers[name], tuple(self.cases[name].by) if name in self.cases else ())
 
     def _spread(self, name: str):
         self.place += 1
@@ -755,8 +769,8 @@
         """Send with as much gossip as fits: first what `to` is accused of, and what is known of `about`."""
         room = ROOM - len(msgpack.encode(kind(*fields, self.me, ()))) - 2
         told, taken = [], {self.name: True}
-        first = [to] if to in self.table and self.table[to].state != PeerState.ALIVE else []
-        first += [about] if about in self.table else []
+        first = [to] if to in self.peers and self.peers[to].state != PeerState.ALIVE else []
+        first += [about] if about in self.peers else []
         for name in first:
             taken[name] = True
             told.append(self._piece(name))
@@ -790,9 +804,9 @@
         while (owed.names or owed.parts) and len(told) < MAX_GOSSIP_ITEMS:
             if not owed.names:
                 part = owed.parts.pop()
-                owed.names = [name for name in self.table if bucket(name) == part]
+                owed.names = [name for name in self.peers if bucket(name) == part]
                 continue
-            if owed.names[-1] in self.table:
+            if owed.names[-1] in self.peers:
                 piece = self._piece(owed.names[-1])
                 room -= len(msgpack.encode(piece))
                 if room < 0:
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -111,7 +111,7 @@
     # What the parts use
 
     def send(self, to: str, message: Struct):
-        peer = self.membership.table.get(to)
+        peer = self.membership.peers.get(to)
         address = peer.address if peer else self.settings.seeds.get(to) or self.addresses.get(to)
         if address and to != self.name:
             self.effects.append(SendMessage(to, address, message))
@@ -131,7 +131,7 @@
         part = self.parts.get(type(message))
         if part is None or sender == self.name:
             return self.increment(Metric.DROPPED_OWN_NAME)
-        peer = self.membership.table.get(sender)
+        peer = self.membership.peers.get(sender)
         if peer and incarnation < peer.incarnation and part is not self.membership:
             # members answer with the incarnation that is known
             return self.increment(Metric.DROPPED_OLD_INCARNATION)
@@ -199,7 +199,7 @@
         if self.ring is not None and self.now >= self.look_at:
             self.look_at_clock()
         self.membership.tick()
-        known = self.membership.known_incarnation()
+        known = self.membership.newer_incarnation()
         if known >= self.incarnation and known >> 16 < int(self.wall * 1e3) + 86_400_000:
             # Its own name is remembered from a later start, by a clock that was ahead then.
             # The next number would be that of any start that learnt of the same incarnation and died unheard
@@ -209,7 +209,7 @@
             )
             self.log_event(events.IncarnationRaised(self.incarnation))
         self.consensus.tick(
-            self.membership.live(), lambda ring, live: schema.agree(ring, live, self.settings)
+            self.membership.live_peers(), lambda ring, live: schema.agree(ring, live, self.settings)
         )
         self.follow()
         self.replica.tick()
@@ -220,10 +220,10 @@
             # Where agents are restarted one after the other, the next one has to wait for this.
             event = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event(self.ring and self.ring.epoch))
-        me = self.membership.table.get(self.name)
-        caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
-        if me and (self.replica.moved, caught) != (me.moved, me.caught):
-            self.membership.about_me(moved=self.replica.moved, caught=caught)
+        me = self.membership.peers.get(self.name)
+        caught = self.ring.epoch if self.ring and self.caught_up else me.caught_up_epoch if me else 0
+        if me and (self.replica.moved, caught) != (me.migrated_version, me.caught_up_epoch):
+            self.membership.update_self(migrated_version=self.replica.moved, caught_up_epoch=caught)
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
             if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
@@ -318,7 +318,7 @@
         self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
         self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
         self.quota.reread(settings)
-        self.membership.about_me(capacity=settings.capacity)
+        self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
@@ -453,7 +453,7 @@
             "written": ring.written if ring else 0,
             "phase": ring.phase if ring else "",
             "fenced": self.fenced,
-            "live": len(self.membership.live()),
+            "live": len(self.membership.live_peers()),
             "sure": self.sure(),
             "waiting": self.open,
             **self.replica.figures(),
--- a/cartdeal/fleet/replication/schema.py
+++ b/cartdeal/fleet/replication/schema.py
@@ -130,7 +130,7 @@
 
 
 def moved(ring, left: int) -> int:
-    """What an agent says of itself (Peer.moved): the version that all it keeps is in; `left`: yet to move."""
+    """The version that all it keeps is in, told to peers (Peer.migrated_version); `left`: yet to move."""
     return governs(ring.written, ring.phase) if left else forms(ring.written, ring.phase)[-1]
 
 
@@ -157,7 +157,7 @@
     if not able or 0 < settings.hold_version < target:
         return (ring.written, {"move": "widen"}.get(ring.phase, "steady"))
     if ring.phase == "move":
-        done = all(each is not None and each.moved >= target for each in seats)
+        done = all(each is not None and each.migrated_version >= target for each in seats)
         return (ring.written, "narrow") if done else same
     return (ring.written, "widen" if ring.phase == "steady" else "move")
 
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -189,7 +189,7 @@
         place = self.places[name]
         place.settings = msgspec.structs.replace(place.settings, capacity=capacity)
         if place.node:
-            place.play(lambda: place.node.membership.about_me(capacity=capacity))
+            place.play(lambda: place.node.membership.update_self(capacity=capacity))
 
     def cut(self, *sides):
         """Nothing passes between the sides, either way."""
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -273,7 +273,7 @@
             peer.name,
             peer.address,
             peer.incarnation,
-            peer.turn,
+            peer.version,
             peer.state,
             peer.zone,
             peer.capacity,
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -85,7 +85,7 @@
         assert len(data) <= 1_200 and message.DATAGRAM
         self.sent[sender] += 1
         self.size[sender] += len(data)
-        here, known = self.agents[sender].context, self.agents[sender].table.get(to)
+        here, known = self.agents[sender].context, self.agents[sender].peers.get(to)
         address = known.address if known else here.called.get(to)
         for _ in range(1 + (self.random.random() < self.double)):
             if self.random.random() >= self.loss and not self.cut(sender, to):
@@ -100,7 +100,7 @@
             self.agents[to[0]].on_message(sender[0], decode(data))
 
     def states(self, of):
-        return {agent.table[of].state for agent in self.agents.values()}
+        return {agent.peers[of].state for agent in self.agents.values()}
 
 
 def told(agent, sender, *pieces, **me):
@@ -192,14 +192,14 @@
     net.cut = cut
     one = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
     for i in range(112):
-        one.about_me(capacity=1.0 + i % 2)
+        one.update_self(capacity=1.0 + i % 2)
         net.run(0.25)
     sizes = [1] + [count - 1] * (count - 1) if apart else [count] * count
     assert sorted(agent.size() for agent in agents) == sizes
     assert max(agent.health for agent in agents) == (4 if apart else 0)
     net.gone = {}
     for i in range(150):
-        one.about_me(capacity=1.0 + i % 2)
+        one.update_self(capacity=1.0 + i % 2)
         net.run(2)
         assert sorted(agent.size() for agent in agents) == sizes and not net.gone
     net.cut = deaf()
@@ -223,16 +223,16 @@
         replace(agents[2].me, state=PeerState.SUSPECT), ("n004",)
     )  # of one that came back just now
     told(agents[0], "n004", word)
-    assert agents[0].table["n002"].state == (PeerState.ALIVE if seconds == 30 else PeerState.SUSPECT)
+    assert agents[0].peers["n002"].state == (PeerState.ALIVE if seconds == 30 else PeerState.SUSPECT)
     net.run(2)
     while agents[4].probe.done:
         net.run(0.01)
     told(agents[4], "n001", GossipItem(replace(agents[2].me, state=PeerState.SUSPECT), ("n001", "n003")))
-    turn, missed = agents[4].me.turn, agents[4].probe.peer.name
+    version, missed = agents[4].me.version, agents[4].probe.peer.name
     net.now += seconds  # and what came meanwhile is lost
     agents[4].tick()
-    assert agents[4].table["n002"].state == PeerState.SUSPECT and agents[4].me.turn > turn
-    assert missed == "n002" or agents[4].table[missed].state == PeerState.ALIVE
+    assert agents[4].peers["n002"].state == PeerState.SUSPECT and agents[4].me.version > version
+    assert missed == "n002" or agents[4].peers[missed].state == PeerState.ALIVE
 
 
 def test_higher_life_replaces_a_lower_one_learns_of_it_and_the_same_twice_is_named():
@@ -243,25 +243,25 @@
     told(
         first, "n004", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
     )  # the former
-    assert first.table["n003"].state == PeerState.ALIVE
-    assert first.table["n004"].incarnation == 7 and net.states("n004") == {PeerState.ALIVE}
+    assert first.peers["n003"].state == PeerState.ALIVE
+    assert first.peers["n004"].incarnation == 7 and net.states("n004") == {PeerState.ALIVE}
     agent = net.start("n004", incarnation=5)  # its clock was set back
     net.run(3)
     assert (
-        agent.known_incarnation() == 7
-        and first.table["n004"].incarnation == 7
-        and not first.known_incarnation()
+        agent.newer_incarnation() == 7
+        and first.peers["n004"].incarnation == 7
+        and not first.newer_incarnation()
     )
     agent.context.incarnation = 8
     net.run(3)
-    assert first.table["n004"].incarnation == 8 and not agent.known_incarnation()
+    assert first.peers["n004"].incarnation == 8 and not agent.newer_incarnation()
     net.agents.pop("n004")
     net.run(10)
     agent = net.start("n004", incarnation=9, port=77)
     net.run(3)
     assert net.states("n004") == {PeerState.ALIVE} and agent.size() == 5
     mine = agent.me  # and another of the same incarnation at another place
-    told(agent, "n000", GossipItem(replace(mine, address="10.0.0.9:9", turn=9)))
+    told(agent, "n000", GossipItem(replace(mine, address="10.0.0.9:9", version=9)))
     assert agent.me == mine and agent.error.subject == "n004" and "10.0.0.9:9" in agent.error.observed
     assert agent.context.events[-1] == "duplicate name"
 
@@ -269,19 +269,19 @@
 def test_one_witness_or_hearsay_is_not_enough_and_the_accused_refutes():
     net = Net()
     agents = net.fleet(6)
-    first, accused = agents[0], replace(agents[5].me, state=PeerState.GONE)
+    first, accused = agents[0], replace(agents[5].me, state=PeerState.DEAD)
     told(first, "n001", GossipItem(accused, ("n001",)))
     first._suspicions(net.now + 60)
-    assert first.table["n005"].state == PeerState.SUSPECT and first.size() == 6
+    assert first.peers["n005"].state == PeerState.SUSPECT and first.size() == 6
     told(first, "n001", GossipItem(accused, ("n001", "n002")))
-    assert first.table["n005"].state == PeerState.SUSPECT
+    assert first.peers["n005"].state == PeerState.SUSPECT
     first._suspicions(net.now + 60)
-    assert first.table["n005"].state == PeerState.GONE
+    assert first.peers["n005"].state == PeerState.DEAD
     told(first, "n001", GossipItem(replace(agents[4].me, state=PeerState.SUSPECT), ("n001",)))
     net.run(0.2)
-    assert agents[4].me.turn == 1  # told at once
+    assert agents[4].me.version == 1  # told at once
     net.run(5)
-    assert agents[5].me.turn > accused.turn and net.states("n005") == {PeerState.ALIVE}
+    assert agents[5].me.version > accused.version and net.states("n005") == {PeerState.ALIVE}
 
 
 def test_old_gossip_raises_none_that_is_gone_until_it_is_forgotten():
@@ -293,34 +293,36 @@
     told(
         first, "n001", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
     )  # no witness
-    assert net.states("n004") == {PeerState.GONE} and first.table["n003"].state == PeerState.ALIVE
+    assert net.states("n004") == {PeerState.DEAD} and first.peers["n003"].state == PeerState.ALIVE
     net.run(75)
-    told(first, "n001", GossipItem(replace(late, state=PeerState.GONE), ("n001", "n002")))
-    assert not any("n004" in agent.table for agent in net.agents.values())
+    told(first, "n001", GossipItem(replace(late, state=PeerState.DEAD), ("n001", "n002")))
+    assert not any("n004" in agent.peers for agent in net.agents.values())
 
 
 def test_leaving_is_told_and_changes_reach_all_and_lost_gossip_heals():
     net = Net(7, loss=0.05, double=0.3, delay=(0.0, 0.3))
     agents = net.fleet(20, 30)
-    seen = [agent.version for agent in agents]
-    agents[3].about_me(capacity=8.0, moved=2)
+    seen = [agent.view_version for agent in agents]
+    agents[3].update_self(capacity=8.0, migrated_version=2)
     net.run(6)
-    assert {(agent.table["n003"].capacity, agent.table["n003"].moved) for agent in agents} == {(8.0, 2)}
-    assert all(agent.version > before for agent, before in zip(agents, seen, strict=True))
+    assert {(agent.peers["n003"].capacity, agent.peers["n003"].migrated_version) for agent in agents} == {
+        (8.0, 2)
+    }
+    assert all(agent.view_version > before for agent, before in zip(agents, seen, strict=True))
     net.agents.pop("n003")
-    told(agents[0], "n003", turn=9, capacity=4.0)
+    told(agents[0], "n003", version=9, capacity=4.0)
     for agent in agents:
         agent.news.clear()
         agent.compare_at = net.now
     net.run(1)
-    assert Counter(agent.table["n003"].capacity for agent in agents)[4.0] > 2
+    assert Counter(agent.peers["n003"].capacity for agent in agents)[4.0] > 2
     net.run(9)
     net.gone = {}
     agents[4].leave()
     net.run(1)
     net.agents.pop("n004")
     net.run(4)
-    assert net.states("n004") == {PeerState.LEFT} and "n004" not in agents[0].live() and not net.gone
+    assert net.states("n004") == {PeerState.LEFT} and "n004" not in agents[0].live_peers() and not net.gone
 
 
 def test_out_of_range_is_dropped_and_the_table_is_bounded():
@@ -328,14 +330,14 @@
     for wrong in (
         {"capacity": nan},
         {"zone": "z" * 65},
-        {"turn": -1},
+        {"version": -1},
         {"state": 9},
         {"reads": (2, 1)},
         {"address": "a" * 200},
         {"incarnation": 1 << 62},
-        {"moved": -1},
+        {"migrated_version": -1},
     ):
-        told(agent, "n001", GossipItem(peer("n002", **{"turn": 5, **wrong})))
+        told(agent, "n001", GossipItem(peer("n002", **{"version": 5, **wrong})))
         told(agent, "n007", **wrong)
     told(agent, "n001", *[GossipItem(peer("n002"))] * 65)
     told(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
@@ -344,7 +346,7 @@
     assert agent.context.counts["dropped wrong sender"] == 1
     for i in range(2000):
         told(agent, "n001", GossipItem(peer(f"n{i + 10}")))
-    assert len(agent.table) == 1024 and agent.context.events == ["membership full"]
+    assert len(agent.peers) == 1024 and agent.context.events == ["membership full"]
 
 
 def test_late_doubled_and_reordered_messages_change_nothing_and_the_same_seed_gives_the_same_trace():
@@ -354,6 +356,6 @@
         net.fleet(8, 30)
         net.late = 0.1
         net.run(60)
-        traces.append((net.sent, net.size, [agent.table for agent in net.agents.values()]))
+        traces.append((net.sent, net.size, [agent.peers for agent in net.agents.values()]))
         assert not net.gone and {agent.size() for agent in net.agents.values()} == {8}
     assert traces[0] == traces[1]
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -97,7 +97,7 @@
     incarnations = set()
     for seed in range(20):
         node = Node(FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
-        node.membership.known_incarnation = lambda: 5_000_000 << 16
+        node.membership.newer_incarnation = lambda: 5_000_000 << 16
         node.tick()
         assert node.incarnation > 5_000_000 << 16
         incarnations.add(node.incarnation)
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -54,7 +54,7 @@
             state=0,
             incarnation=self.turn,
             reads=(1, 2),
-            caught=1 << 40,
+            caught_up_epoch=1 << 40,
         )
         self.agents[name] = agent = self.make(context, fleet_settings)
         self.at(0.1 * self.random.random(), self.tick, name, agent)
--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_schema.py
@@ -29,12 +29,14 @@
     return SimpleNamespace(written=written, phase=phase, seats=[SimpleNamespace(name=name) for name in names])
 
 
-def peers(reads=NEW, moved=1, names="abcde", state=0, **others):
-    return {name: SimpleNamespace(reads=reads, moved=moved, state=state) for name in names} | others
+def peers(reads=NEW, migrated_version=1, names="abcde", state=0, **others):
+    return {
+        name: SimpleNamespace(reads=reads, migrated_version=migrated_version, state=state) for name in names
+    } | others
 
 
-def peer(reads=NEW, moved=1, state=0):
-    return SimpleNamespace(reads=reads, moved=moved, state=state)
+def peer(reads=NEW, migrated_version=1, state=0):
+    return SimpleNamespace(reads=reads, migrated_version=migrated_version, state=state)
 
 
 def test_a_rolling_upgrade_goes_on_whoever_proposes():
@@ -45,10 +47,10 @@
         peers(),
         peers(),
         peers(),
-        peers(moved=2, c=peer()),
-        peers(moved=2),
-        peers(OLD, moved=2),
-        peers(moved=2),
+        peers(migrated_version=2, c=peer()),
+        peers(migrated_version=2),
+        peers(OLD, migrated_version=2),
+        peers(migrated_version=2),
     ):
         here = ring(*agree(here, live, fleet_settings()))  # a new ring each time: nothing else is remembered
         seen.append((here.written, here.phase))
@@ -67,25 +69,25 @@
 
 @pytest.mark.parametrize("phase", ["steady", "widen", "move", "narrow"])
 def test_a_minority_takes_no_step(phase):
-    assert agree(ring(1, phase), peers(moved=2, names="ab"), fleet_settings()) == (1, phase)
-    cut_off = peers(moved=2, names="ab") | peers(OLD, names="cde", state=2)
+    assert agree(ring(1, phase), peers(migrated_version=2, names="ab"), fleet_settings()) == (1, phase)
+    cut_off = peers(migrated_version=2, names="ab") | peers(OLD, names="cde", state=2)
     assert agree(ring(1, phase), cut_off, fleet_settings()) == (1, phase)
 
 
 def test_absent_seats_are_owed_a_look_until_they_lose_their_seat():
-    moving, away = ring(1, "move"), peers(moved=2, names="abcd")
+    moving, away = ring(1, "move"), peers(migrated_version=2, names="abcd")
     assert agree(moving, away, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=1, state=2)}, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=2, state=2)}, fleet_settings()) == (1, "narrow")
+    assert agree(moving, away | {"e": peer(migrated_version=1, state=2)}, fleet_settings()) == (1, "move")
+    assert agree(moving, away | {"e": peer(migrated_version=2, state=2)}, fleet_settings()) == (1, "narrow")
     assert agree(ring(1, "move", "abcd"), away, fleet_settings()) == (1, "narrow")
 
 
 @pytest.mark.parametrize(
     "live, hold",
     [
-        (peers(moved=2), 1),
-        (peers(moved=2, d=peer(OLD), e=peer(OLD)), 0),
-        (peers(moved=2, joins=peer(OLD)), 0),
+        (peers(migrated_version=2), 1),
+        (peers(migrated_version=2, d=peer(OLD), e=peer(OLD)), 0),
+        (peers(migrated_version=2, joins=peer(OLD)), 0),
     ],
     ids=["held", "half rolled back", "old one joins"],
 )
@@ -187,5 +189,5 @@
             alive = [live[name] for name in "abcde" if name in live and live[name].state <= 1]
             assert len(alive) > 2 and (step < 0 or all(each.reads[1] >= 2 for each in alive))
         if after == (1, "narrow") != here:
-            assert all(live[name].moved == 2 for name in "abcde")
+            assert all(live[name].migrated_version == 2 for name in "abcde")
         here = after
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -205,7 +205,7 @@
     del hub.context.send
     joiner = net.start(f"n{MANY}")
     net.run(15.0)
-    assert set(joiner.table) == set(hub.table) and len(joiner.table) == MANY
+    assert set(joiner.peers) == set(hub.peers) and len(joiner.peers) == MANY
 
 
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
