--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -18,7 +18,6 @@
 from cartdeal.fleet import errors, events
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
 from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
@@ -36,9 +35,10 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.replication import replica, schema
+from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
+from cartdeal.fleet.settings import FleetSettings
 
 COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
@@ -80,13 +80,13 @@
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
         self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
-        self.quota = QuotaLeases(self, settings, self.spent, self.sure)
+        self.quota = QuotaLeases(self, settings, self.on_token_decision, self.sure)
         self.parts = {
             kind: part
             for module, part in (
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
-                (replica, self.replica),
+                (messages, self.replica),
                 (quota_leases, self.quota),
             )
             for kind in module.MESSAGE_TYPES
@@ -111,7 +111,7 @@
     # What the parts use
 
     def send(self, to: str, message: Struct):
-        peer = self.membership.table.get(to)
+        peer = self.membership.peers.get(to)
         address = peer.address if peer else self.settings.seeds.get(to) or self.addresses.get(to)
         if address and to != self.name:
             self.effects.append(SendMessage(to, address, message))
@@ -131,7 +131,7 @@
         part = self.parts.get(type(message))
         if part is None or sender == self.name:
             return self.increment(Metric.DROPPED_OWN_NAME)
-        peer = self.membership.table.get(sender)
+        peer = self.membership.peers.get(sender)
         if peer and incarnation < peer.incarnation and part is not self.membership:
             # members answer with the incarnation that is known
             return self.increment(Metric.DROPPED_OLD_INCARNATION)
@@ -199,7 +199,7 @@
         if self.ring is not None and self.now >= self.look_at:
             self.look_at_clock()
         self.membership.tick()
-        known = self.membership.known_incarnation()
+        known = self.membership.newer_incarnation()
         if known >= self.incarnation and known >> 16 < int(self.wall * 1e3) + 86_400_000:
             # Its own name is remembered from a later start, by a clock that was ahead then.
             # The next number would be that of any start that learnt of the same incarnation and died unheard
@@ -209,7 +209,7 @@
             )
             self.log_event(events.IncarnationRaised(self.incarnation))
         self.consensus.tick(
-            self.membership.live(), lambda ring, live: schema.agree(ring, live, self.settings)
+            self.membership.live_peers(), lambda ring, live: schema.agree(ring, live, self.settings)
         )
         self.follow()
         self.replica.tick()
@@ -220,10 +220,10 @@
             # Where agents are restarted one after the other, the next one has to wait for this.
             event = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event(self.ring and self.ring.epoch))
-        me = self.membership.table.get(self.name)
-        caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
-        if me and (self.replica.moved, caught) != (me.moved, me.caught):
-            self.membership.about_me(moved=self.replica.moved, caught=caught)
+        me = self.membership.peers.get(self.name)
+        caught = self.ring.epoch if self.ring and self.caught_up else me.caught_up_epoch if me else 0
+        if me and (self.replica.moved, caught) != (me.migrated_version, me.caught_up_epoch):
+            self.membership.update_self(migrated_version=self.replica.moved, caught_up_epoch=caught)
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
             if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
@@ -240,7 +240,7 @@
             self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
             self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
             self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.written(schema.governs(ring.written, ring.phase))
+            self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
@@ -276,16 +276,16 @@
         self.open += 1
         self.increment(Metric.ADMISSION_REQUESTS)
         if question.tenant in self.settings.limits:
-            self.quota.spend(ticket, question.tenant, until)
+            self.quota.request_token(ticket, question.tenant, until)
         else:
-            self.spent(ticket, True, 0.0, True)
+            self.on_token_decision(ticket, True, 0.0, True)
 
     def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
         each = self.waiting.get(ticket)
-        if each and each.mark and (zone, cell) not in each.mark.places:
-            places = tuple(sorted({*each.mark.places, (zone, cell)}))
-            self.refine(each, places=places, certainty=int(Certainty.SENT))
+        if each and each.mark and (zone, cell) not in each.mark.locations:
+            places = tuple(sorted({*each.mark.locations, (zone, cell)}))
+            self.refine(each, locations=places, certainty=int(Certainty.SENT))
 
     def on_request_ended(self, ticket: int, ran: str):
         """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
@@ -304,7 +304,7 @@
 
     def finish_shutdown(self):
         """The last message: what it has on loan is given back, and its peers are told that it leaves."""
-        self.quota.leaving()
+        self.quota.return_all_leases()
         self.tell_uses()
         self.membership.leave()
 
@@ -317,19 +317,19 @@
         """Takes over what a running agent can; configuration.py says which keys these are."""
         self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
         self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
-        self.quota.reread(settings)
-        self.membership.about_me(capacity=settings.capacity)
+        self.quota.update_limits(settings)
+        self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
     # What the parts answer
 
-    def spent(self, ticket: int, ok: bool, wait_s: float, sure: bool):
+    def on_token_decision(self, ticket: int, ok: bool, wait_s: float, certain: bool):
         each = self.waiting.get(ticket)
         if each is None or each.step != "spend":
             return
         question = each.question
-        if not sure and self.settings.limit_doubt == "serve":
+        if not certain and self.settings.limit_doubt == "serve":
             ok = True
         if ok and not question.marked:
             return self.settle(ticket, each, AdmissionDecision.ADMIT)
@@ -348,7 +348,7 @@
             self.settle(
                 ticket,
                 each,
-                AdmissionDecision.RATE_LIMITED if sure else AdmissionDecision.REJECT,
+                AdmissionDecision.RATE_LIMITED if certain else AdmissionDecision.REJECT,
                 wait_s or self.come_again(),
             )
 
@@ -417,17 +417,17 @@
             question.window_s + question.limit_s if question.repeat == "d" else self.settings.longest_mark_s
         )
         return AttemptRecord(
-            by=f"{self.name}/{self.incarnation}/{self.count_}",
+            attempt_id=f"{self.name}/{self.incarnation}/{self.count_}",
             key=question.key,
             repeat=question.repeat,
             group=question.group,
             window_ms=int(question.window_s * 1e3),
-            places=(),
+            locations=(),
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
-            extra={},
+            expires_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
+            unknown_fields={},
         )
 
     def refine(self, each: PendingAdmission, **changes):
@@ -453,7 +453,7 @@
             "written": ring.written if ring else 0,
             "phase": ring.phase if ring else "",
             "fenced": self.fenced,
-            "live": len(self.membership.live()),
+            "live": len(self.membership.live_peers()),
             "sure": self.sure(),
             "waiting": self.open,
             **self.replica.metrics(),
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from cartdeal.fleet import codec
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, SendMessage
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
@@ -189,7 +189,7 @@
         place = self.places[name]
         place.settings = msgspec.structs.replace(place.settings, capacity=capacity)
         if place.node:
-            place.play(lambda: place.node.membership.about_me(capacity=capacity))
+            place.play(lambda: place.node.membership.update_self(capacity=capacity))
 
     def cut(self, *sides):
         """Nothing passes between the sides, either way."""
@@ -382,7 +382,7 @@
 
     def marks_at(self, node: Node, key: str) -> tuple[str, ...]:
         record = node.replica.record(key) if key in node.replica.store else None
-        return tuple(record.marks) if record else ()
+        return tuple(record.attempts) if record else ()
 
     def copies(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the marks in each session that it keeps."""
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -5,7 +5,6 @@
 
 from cartdeal.fleet import node
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
@@ -16,6 +15,7 @@
 from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
@@ -148,7 +148,7 @@
     memory.intend(sheet(0), ["a0"])
     memory.run(1.0)
     store = memory.nodes()["a0"].replica
-    store.merge("s/s0", Session(store.record("s/s0").marks, {"new": [7]}))
+    store.merge("s/s0", Session(store.record("s/s0").attempts, {"new": [7]}))
     before = store.store["s/s0"].digest
     memory.run(5.0)
     memory.kill("a0")
@@ -232,7 +232,7 @@
 def field_dropped(plant):
     def decode(*args):
         record = before(*args)
-        record.extra = {}
+        record.unknown_fields = {}
         return record
 
     before = schema.decode
@@ -245,8 +245,8 @@
 
 
 def forgets_early(plant):
-    before = records.expired
-    plant(records, "expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
+    before = records.without_expired
+    plant(records, "without_expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
 
 
 def taken_twice(plant):
@@ -273,7 +273,7 @@
             peer.name,
             peer.address,
             peer.incarnation,
-            peer.turn,
+            peer.version,
             peer.state,
             peer.zone,
             peer.capacity,
@@ -289,7 +289,7 @@
     class Eager(replica.PendingOperation):
         need = property(lambda self: (1, 1), lambda self, need: None)
 
-    plant(replica, "Open", Eager)
+    plant(replica, "PendingOperation", Eager)
 
 
 def come_again(plant):
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -2,10 +2,10 @@
 
 from msgspec.structs import replace
 
-from cartdeal.fleet.context import FleetSettings, RateLimit
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
 SEEDS = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(3)}
@@ -97,7 +97,7 @@
     incarnations = set()
     for seed in range(20):
         node = Node(FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
-        node.membership.known_incarnation = lambda: 5_000_000 << 16
+        node.membership.newer_incarnation = lambda: 5_000_000 << 16
         node.tick()
         assert node.incarnation > 5_000_000 << 16
         incarnations.add(node.incarnation)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,7 +24,6 @@
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.membership.swim import (
     Ack,
     DigestExchange,
@@ -37,6 +36,7 @@
 )
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
 from cartdeal.rig import play
@@ -205,7 +205,7 @@
     del hub.context.send
     joiner = net.start(f"n{MANY}")
     net.run(15.0)
-    assert set(joiner.table) == set(hub.table) and len(joiner.table) == MANY
+    assert set(joiner.peers) == set(hub.peers) and len(joiner.peers) == MANY
 
 
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
