--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -31,7 +31,8 @@
     "rig.soak": {"agent", "emulator", "rig", "rig.soak"},
     "lab": None,  # experiments may use everything
 }
-# Directly in fleet/, these stand above the protocols' packages: the node ties them together, and what is decided of
+# Directly in fleet/, these stand above the protocols' packages: the node ties them together, and what is
+# decided of
 # a request goes by replicated records. The protocols import none of them.
 ABOVE_PROTOCOLS = {"node", "idempotency", "effects", "transport"}
 # Modules directly in cartdeal that everything may import; they import nothing of the packages.
