--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -63,16 +63,16 @@
         self.patient: list[str] = []
         self.joined, self.at, self.log = 0, 0.0, []
         for number in range(agents):
-            place = fleet.add(
+            host = fleet.add(
                 f"a{number}",
                 zone=f"z{number % 3}",
                 start=False,
                 capacity=self.fates.choice([1.0, 1.0, 2.0, 4.0]),
                 **({"reads": (1, 1)} if upgrade else {}),
             )
-            place.rate = 1.0 + apart * self.fates.random()
-            place.skew = self.fates.choice([0.0, 0.0, 0.0, 0.2, -0.2, 10.0, -10.0])
-            fleet.clock.at(self.fates.random(), place.start)
+            host.rate = 1.0 + apart * self.fates.random()
+            host.wall_offset_s = self.fates.choice([0.0, 0.0, 0.0, 0.2, -0.2, 10.0, -10.0])
+            fleet.clock.at(self.fates.random(), host.start)
 
     def after(self, seconds, do, *args):
         """Not after the day's end: then all is healed."""
@@ -88,13 +88,13 @@
         self.after(self.fates.expovariate(1 / self.pause_s), self.fault)
 
     def some(self):
-        return self.fates.choice(list(self.fleet.places))
+        return self.fates.choice(list(self.fleet.hosts))
 
     def wrote(self, *message):
         self.log.append((round(self.fleet.clock.now, 3), *message))
 
     def start(self, name):
-        if self.fleet.places[name].node is None:
+        if self.fleet.hosts[name].node is None:
             self.wrote("start", name)
             self.fleet.start(name)
 
@@ -110,7 +110,7 @@
         self.wrote("flap", name)
 
     def mass(self, name):
-        names = self.fates.sample(list(self.fleet.places), len(self.fleet.places) // 2)
+        names = self.fates.sample(list(self.fleet.hosts), len(self.fleet.hosts) // 2)
         for each in names:
             self.kill(each)
 
@@ -120,7 +120,7 @@
         self.fleet.stop(name, seconds)
 
     def leave(self, name):
-        if self.fleet.places[name].runs:
+        if self.fleet.hosts[name].runs:
             self.wrote("leave", name)
             self.fleet.leave(name)
             self.after(self.fates.uniform(2.0, 15.0), self.start, name)
@@ -133,13 +133,13 @@
             self.fleet.add(new, zone=f"z{self.joined % 3}", capacity=self.fates.choice([1.0, 2.0, 8.0]))
 
     def cut(self, name):
-        names = list(self.fleet.places)
+        names = list(self.fleet.hosts)
         here = self.fates.sample(names, self.fates.randrange(1, len(names)))
         there = [each for each in names if each not in here]
         self.part({(a, b) for a in here for b in there} | {(b, a) for a in here for b in there}, "cut", here)
 
     def deafen(self, name):
-        others = [each for each in self.fleet.places if each != name]
+        others = [each for each in self.fleet.hosts if each != name]
         others = self.fates.sample(others, self.fates.randrange(1, len(others) + 1))
         if self.fates.random() < 0.5:
             self.part({(name, each) for each in others}, "unheard", [name, *others])
@@ -162,25 +162,25 @@
 
     def weather(self, name):
         fates = self.fates
-        self.fleet.weather = NetworkConditions(
-            lose=0.3 * fates.random(),
-            double=0.2 * fates.random(),
+        self.fleet.conditions = NetworkConditions(
+            loss_rate=0.3 * fates.random(),
+            duplication_rate=0.2 * fates.random(),
             jitter_s=fates.choice([0.002, 0.02, 0.1]),
-            late=0.1 * fates.random(),
-            late_s=5.0,
+            late_rate=0.1 * fates.random(),
+            max_late_s=5.0,
         )
-        self.wrote("weather", self.fleet.weather)
-        self.after(fates.uniform(2.0, 12.0), setattr, self.fleet, "weather", NetworkConditions())
+        self.wrote("weather", self.fleet.conditions)
+        self.after(fates.uniform(2.0, 12.0), setattr, self.fleet, "conditions", NetworkConditions())
 
     def capacity(self, name):
         capacity = self.fates.choice([0.5, 1.0, 1.1, 2.0, 4.0])
         self.wrote("capacity", name, capacity)
-        self.fleet.capacity(name, capacity)
+        self.fleet.set_capacity(name, capacity)
 
     def skew(self, name):
         """A wall clock is set while its agent runs; should it start anew, it begins with it."""
-        self.fleet.places[name].skew = self.fates.choice([0.0, 0.3, -0.3, 10.0, -10.0])
-        self.wrote("skew", name, self.fleet.places[name].skew)
+        self.fleet.hosts[name].wall_offset_s = self.fates.choice([0.0, 0.3, -0.3, 10.0, -10.0])
+        self.wrote("skew", name, self.fleet.hosts[name].wall_offset_s)
 
     def upgraded(self, name, reads):
         self.wrote("program", name, reads)
@@ -216,39 +216,39 @@
             limit_s=limit,
             workload="w",
         )
-        agents = list(fleet.places)
-        fleet.intend(question, people.sample(agents, len(agents)), tries, takes, patience)
+        agents = list(fleet.hosts)
+        fleet.submit(question, people.sample(agents, len(agents)), tries, takes, patience)
         fleet.clock.after(people.expovariate(self.requests), self.client)
 
     def shopper(self):
-        self.fleet.intend(SHOP, [self.people.choice(list(self.fleet.places))])
+        self.fleet.submit(SHOP, [self.people.choice(list(self.fleet.hosts))])
         self.fleet.clock.after(self.people.expovariate(self.pressed), self.shopper)
 
     # The day
 
     def play(self, quiet: float) -> dict:
         fleet, clock = self.fleet, self.fleet.clock
-        founded = fleet.until(fleet.one_ring, 30.0)
+        founded = fleet.run_until(fleet.has_one_ring, 30.0)
         fleet.run(fleet.settings.longest_mark_s + 3.0)  # until nothing of before its founding may be due
         self.at = clock.now
         clock.after(0.0, self.client)
         clock.after(0.0, self.shopper)
         if self.upgrade:
-            for name in list(fleet.places):
+            for name in list(fleet.hosts):
                 self.after(self.fates.uniform(0.1, 0.7) * self.seconds, self.upgraded, name, (1, 2))
             self.after(0.8 * self.seconds, self.upgraded, self.some(), (1, 1))
         self.fault()
         fleet.run(self.seconds)
         clients, self.requests, self.pressed = self.requests, 1e-9, 1e-9
-        for name, place in fleet.places.items():
-            if place.stopped:
-                place.go_on()
-            reads = {"reads": (1, 2)} if self.upgrade and place.settings.reads != (1, 2) else {}
+        for name, host in fleet.hosts.items():
+            if host.stopped:
+                host.go_on()
+            reads = {"reads": (1, 2)} if self.upgrade and host.settings.reads != (1, 2) else {}
             if reads:
                 fleet.kill(name)
-            if place.node is None:
+            if host.node is None:
                 fleet.start(name, **reads)
-        fleet.weather, self.cuts = NetworkConditions(), []
+        fleet.conditions, self.cuts = NetworkConditions(), []
         self.joint()
         self.wrote("healed")
         return self.judged(founded, clients, quiet)
@@ -257,18 +257,18 @@
         """One ring, of all that run, in the newest version that all read and the operator allows."""
         ring, version = next(iter(self.fleet.nodes().values())).ring, self.fleet.settings.hold_version or 2
         return (
-            self.fleet.one_ring()
+            self.fleet.has_one_ring()
             and set(ring.names) == set(self.fleet.nodes())
             and (ring.written, ring.phase) == (version, "steady")
         )
 
     def judged(self, founded, clients, quiet) -> dict:
-        fleet, judge = self.fleet, self.fleet.judge
+        fleet, checker = self.fleet, self.fleet.checker
         healed, asked = fleet.clock.now, len(self.patient)
         fleet.run(4.0)
-        lost = fleet.lost()
-        one_ring = fleet.until(self.settled, quiet) + 4.0
-        equal = fleet.until(fleet.equal_copies, quiet, 0.5) + fleet.clock.now - healed
+        lost = fleet.count_lost_records()
+        one_ring = fleet.run_until(self.settled, quiet) + 4.0
+        equal = fleet.run_until(fleet.replicas_agree, quiet, 0.5) + fleet.clock.now - healed
         # The fleet is as before: all that come are served.
         self.requests, self.pressed = clients, OVERLOAD_FACTOR * LIMITS["shop"].rate
         self.client()
@@ -277,16 +277,16 @@
         fleet.run(20.0)
         self.requests = self.pressed = 1e-9
         fleet.run(5.0)
-        shop = sum(since <= at < since + 20.0 for at in judge.served["shop"])
+        shop = sum(since <= at < since + 20.0 for at in checker.admission_times["shop"])
         if one_ring == float("inf"):
-            judge.violated(f"no one ring {quiet} s after all was healed")
+            checker.violated(f"no one ring {quiet} s after all was healed")
         if equal == float("inf"):
-            judge.violated(f"no equal copies {quiet} s after the ring was one")
-        found, waits = list(judge.close()), sorted(fleet.waits)
-        alive, messages = len(fleet.places) * fleet.clock.now, fleet.count["messages"]
+            checker.violated(f"no equal copies {quiet} s after the ring was one")
+        found, waits = list(checker.close()), sorted(fleet.waits)
+        alive, messages = len(fleet.hosts) * fleet.clock.now, fleet.count["messages"]
         return {
             "seed": fleet.seed,
-            "agents": len(fleet.places),
+            "agents": len(fleet.hosts),
             "violations": len(found),
             "found": found,
             "lookups": fleet.intents,
@@ -300,10 +300,10 @@
             "equal_s": round(equal, 2),
             "messages": round(messages / alive, 2),
             "bytes": round(sum(fleet.bytes.values()) / alive, 1),
-            "marks": len(judge.marks),
+            "marks": len(checker.attempt_records),
             "marks_lost": lost,
-            "over_limit": round(max(map(judge.over, judge.limits)), 3),
-            "rings": len(judge.shown),
+            "over_limit": round(max(map(checker.over, checker.limits)), 3),
+            "rings": len(checker.shown),
             "events": dict(sorted(fleet.event_counts.items())),
         }
 
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -25,12 +25,12 @@
 class NetworkConditions(msgspec.Struct):
     """What the network does to messages; shares 0 to 1, times in seconds."""
 
-    lose: float = 0.0
-    double: float = 0.0
+    loss_rate: float = 0.0
+    duplication_rate: float = 0.0
     least_s: float = 0.001
     jitter_s: float = 0.002
-    late: float = 0.0  # so many messages ...
-    late_s: float = 5.0  # ... come up to so late
+    late_rate: float = 0.0  # so many messages ...
+    max_late_s: float = 5.0  # ... come up to so late
 
 
 class Client(NamedTuple):
@@ -51,7 +51,7 @@
         self.fleet, self.settings = fleet, settings
         self.node: Node | None = None
         self.starts, self.stopped, self.held = 0, False, []
-        self.rate, self.skew = 1.0, 0.0  # of its monotonic clock; of its wall clock
+        self.rate, self.wall_offset_s = 1.0, 0.0  # of its monotonic clock; of its wall clock
         self.born = 0.0
         self.tickets: dict[int, tuple] = {}
         self.asked: dict[int, float] = {}  # tickets that wait for the fleet's word, since when
@@ -63,15 +63,15 @@
 
     def clocks(self, node: Node):
         node.now = max(node.now, 1000.0 + (self.fleet.clock.now - self.born) * self.rate)
-        node.wall = 1_700_000_000.0 + self.fleet.clock.now + self.skew
+        node.wall = 1_700_000_000.0 + self.fleet.clock.now + self.wall_offset_s
 
     def start(self):
         fleet = self.fleet
         self.starts, self.stopped, self.born, self.held = self.starts + 1, False, fleet.clock.now, []
         self.tickets = {}
-        wall = 1_700_000_000.0 + fleet.clock.now + self.skew
-        fleet.judge.started(self.settings.name, fleet.clock.now, self.settings.reads)
-        make = fleet.makers.get(self.settings.name, Node)
+        wall = 1_700_000_000.0 + fleet.clock.now + self.wall_offset_s
+        fleet.checker.started(self.settings.name, fleet.clock.now, self.settings.reads)
+        make = fleet.node_factories.get(self.settings.name, Node)
         self.node = make(self.settings, f"{fleet.seed}/{self.starts}", 1000.0, wall)
         self.carry_out(self.node)
         self.tick(self.node)
@@ -79,7 +79,7 @@
     def kill(self):
         if self.node is None:
             return
-        self.fleet.judge.died(self.settings.name, self.fleet.clock.now)
+        self.fleet.checker.died(self.settings.name, self.fleet.clock.now)
         self.node, self.stopped, self.held, self.asked = None, False, [], {}
         for client, tries in list(self.tickets.values()):
             self.fleet.broke_off(client, tries, self.settings.name)
@@ -138,10 +138,10 @@
     def __init__(self, settings: FleetSettings, seed: int, weather: NetworkConditions | None = None):
         self.settings, self.seed, self.clock = settings, seed, SimulatedClock()
         self.random, self.fates = seeded_random(seed, "fleet"), seeded_random(seed, "weather")
-        self.weather = weather or NetworkConditions()
-        self.judge = InvariantChecker(settings)
-        self.makers = {}  # name -> what makes its node, in place of Node
-        self.places: dict[str, SimulatedHost] = {}
+        self.conditions = weather or NetworkConditions()
+        self.checker = InvariantChecker(settings)
+        self.node_factories = {}  # name -> what makes its node, in place of Node
+        self.hosts: dict[str, SimulatedHost] = {}
         self.cuts: set[tuple[str, str]] = set()  # (from, to) that nothing passes
         self.count, self.event_counts, self.events = Counter(), Counter(), []
         self.bytes = Counter()
@@ -153,43 +153,43 @@
 
     def add(self, name: str, zone: str = "", start: bool = True, **changes) -> SimulatedHost:
         settings = msgspec.structs.replace(
-            self.settings, name=name, address=f"10.0.0.1:{len(self.places) + 1}", zone=zone, **changes
+            self.settings, name=name, address=f"10.0.0.1:{len(self.hosts) + 1}", zone=zone, **changes
         )
-        self.places[name] = place = SimulatedHost(self, settings)
+        self.hosts[name] = host = SimulatedHost(self, settings)
         if start:
-            place.start()
-        return place
+            host.start()
+        return host
 
     def kill(self, name):
-        self.places[name].kill()
+        self.hosts[name].kill()
 
     def start(self, name, **changes):
-        place = self.places[name]
-        place.settings = msgspec.structs.replace(place.settings, **changes)
-        place.start()
+        host = self.hosts[name]
+        host.settings = msgspec.structs.replace(host.settings, **changes)
+        host.start()
 
     def leave(self, name):
         """SIGTERM: it hands over, says goodbye, and ends."""
-        place = self.places[name]
-        place.play(place.node.begin_shutdown)
-        self.clock.after(1.0, self.part, place, place.node)
+        host = self.hosts[name]
+        host.play(host.node.begin_shutdown)
+        self.clock.after(1.0, self.part, host, host.node)
 
-    def part(self, place, node):
-        if place.node is node:
-            place.play(node.finish_shutdown)
-            self.clock.after(0.1, lambda: place.node is node and place.kill())
+    def part(self, host, node):
+        if host.node is node:
+            host.play(node.finish_shutdown)
+            self.clock.after(0.1, lambda: host.node is node and host.kill())
 
     def stop(self, name, seconds: float):
         """SIGSTOP, and later SIGCONT: it goes on as if nothing had been."""
-        place = self.places[name]
-        place.stop()
-        self.clock.after(seconds, lambda node: place.node is node and place.go_on(), place.node)
+        host = self.hosts[name]
+        host.stop()
+        self.clock.after(seconds, lambda node: host.node is node and host.go_on(), host.node)
 
-    def capacity(self, name, capacity: float):
-        place = self.places[name]
-        place.settings = msgspec.structs.replace(place.settings, capacity=capacity)
-        if place.node:
-            place.play(lambda: place.node.membership.about_me(capacity=capacity))
+    def set_capacity(self, name, capacity: float):
+        host = self.hosts[name]
+        host.settings = msgspec.structs.replace(host.settings, capacity=capacity)
+        if host.node:
+            host.play(lambda: host.node.membership.about_me(capacity=capacity))
 
     def cut(self, *sides):
         """Nothing passes between the sides, either way."""
@@ -198,7 +198,7 @@
                 if here is not there:
                     self.cuts |= {(a, b) for a in here for b in there}
 
-    def deafen(self, speakers, listeners):
+    def cut_inbound(self, speakers, listeners):
         """One way: listeners don't hear speakers."""
         self.cuts |= {(a, b) for a in speakers for b in listeners}
 
@@ -211,74 +211,74 @@
 
     # The network
 
-    def carry(self, place, node, to, address, message):
-        weather, fates = self.weather, self.fates
+    def carry(self, host, node, to, address, message):
+        weather, fates = self.conditions, self.fates
         raw = codec.encode(
-            place.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), message
+            host.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), message
         )
         datagram = type(message).DATAGRAM
         self.count["messages"] += 1
         self.count[type(message).__struct_config__.tag] += 1
         self.bytes[node.name] += len(raw)
-        self.judge.said(self.clock.now, node.name, node.incarnation, to, message)
-        target = self.places.get(to)
+        self.checker.said(self.clock.now, node.name, node.incarnation, to, message)
+        target = self.hosts.get(to)
         if (node.name, to) in self.cuts or target and target.stopped:
-            self.judge.out_of_reach(self.clock.now)
+            self.checker.out_of_reach(self.clock.now)
         if target is None or target.settings.address != address or (node.name, to) in self.cuts:
             return
-        for _ in range(1 + (fates.random() < weather.double)):
+        for _ in range(1 + (fates.random() < weather.duplication_rate)):
             # A stream that breaks loses what is on its way, a datagram is just lost.
-            if fates.random() < weather.lose * (1.0 if datagram else 0.3):
+            if fates.random() < weather.loss_rate * (1.0 if datagram else 0.3):
                 continue
             delay = weather.least_s + weather.jitter_s * fates.random()
-            if weather.late and fates.random() < weather.late:
-                delay += weather.late_s * fates.random()
+            if weather.late_rate and fates.random() < weather.late_rate:
+                delay += weather.max_late_s * fates.random()
             self.clock.after(delay, self.arrive, to, raw, target.starts, node.name)
 
     def arrive(self, to, raw, starts, sender):
-        place = self.places[to]
-        if place.node is None or (sender, to) in self.cuts:
+        host = self.hosts[to]
+        if host.node is None or (sender, to) in self.cuts:
             return
-        heard = codec.decode(place.settings, raw)
-        place.play(place.node.on_message, *heard)
+        heard = codec.decode(host.settings, raw)
+        host.play(host.node.on_message, *heard)
 
     # Clients
 
-    def intend(self, question: AdmissionRequest, agents, tries=1, work_s=0.05, patience_s=1.0) -> str:
+    def submit(self, question: AdmissionRequest, agents, tries=1, work_s=0.05, patience_s=1.0) -> str:
         """A client wants one effect; it comes to the first of the agents, then to the next."""
         self.intents += 1
         intent = f"i{self.intents}"
         self.outcomes[intent] = []
-        self.judge.intended(intent, question.repeat, question.group, question.window_s)
+        self.checker.intended(intent, question.repeat, question.group, question.window_s)
         self.come(Client(intent, question, tries, tuple(agents), work_s, patience_s), 0)
         return intent
 
-    def come_again(self, intent: str, question: AdmissionRequest, agent: str, work_s=0.05, patience_s=1.0):
+    def submit_retry(self, intent: str, question: AdmissionRequest, agent: str, work_s=0.05, patience_s=1.0):
         """The client of an earlier request comes once more, at another agent."""
         self.come(Client(intent, question, 2, (agent, agent), work_s, patience_s), 1)
 
     def come(self, client: Client, turn: int):
-        place = self.places[client.agents[turn % len(client.agents)]]
-        if place.node is None:
-            return self.broke_off(client, turn, place.settings.name)
-        place.issued += 1
-        ticket = place.issued
-        place.tickets[ticket] = client, turn
+        host = self.hosts[client.agents[turn % len(client.agents)]]
+        if host.node is None:
+            return self.broke_off(client, turn, host.settings.name)
+        host.issued += 1
+        ticket = host.issued
+        host.tickets[ticket] = client, turn
         question = client.question
         if turn:
             question = msgspec.structs.replace(question, retried=True)
-        node = place.node
-        self.clock.after(client.patience_s, self.run_out, place, node, ticket)
-        if not place.stopped:
-            place.asked[ticket] = self.clock.now
-        place.play(node.request_admission, ticket, question)
+        node = host.node
+        self.clock.after(client.patience_s, self.run_out, host, node, ticket)
+        if not host.stopped:
+            host.asked[ticket] = self.clock.now
+        host.play(node.request_admission, ticket, question)
 
-    def run_out(self, place, node, ticket):
+    def run_out(self, host, node, ticket):
         """The client waits no longer; it comes again elsewhere."""
-        found = place.tickets.get(ticket) if place.node is node else None
+        found = host.tickets.get(ticket) if host.node is node else None
         if found:
-            del place.tickets[ticket]
-            self.broke_off(*found, place.settings.name)
+            del host.tickets[ticket]
+            self.broke_off(*found, host.settings.name)
 
     def broke_off(self, client, turn, name):
         self.outcomes[client.intent].append("broke off")
@@ -288,47 +288,47 @@
         if turn + 1 < client.tries:
             self.clock.after(pause, self.come, client, turn + 1)
 
-    def decided(self, place, ticket, verdict, wait, earlier_attempts):
-        if ticket in place.asked:
-            self.waits.append(self.clock.now - place.asked.pop(ticket))
-            self.judge.waited(place.settings.name, self.waits[-1])
-        found = place.tickets.get(ticket)
+    def decided(self, host, ticket, verdict, wait, earlier_attempts):
+        if ticket in host.asked:
+            self.waits.append(self.clock.now - host.asked.pop(ticket))
+            self.checker.waited(host.settings.name, self.waits[-1])
+        found = host.tickets.get(ticket)
         if found is None:
             # Its client went away; what the fleet's word is meets nobody.
             if verdict is AdmissionDecision.ADMIT:
-                place.node.on_request_ended(ticket, "never")
-                self.clock.after(0.0, self.flush, place, place.node)
+                host.node.on_request_ended(ticket, "never")
+                self.clock.after(0.0, self.flush, host, host.node)
             return
         client, turn = found
         if verdict is AdmissionDecision.ADMIT:
-            self.judge.went_on(client.question.tenant, self.clock.now)
+            self.checker.went_on(client.question.tenant, self.clock.now)
             if client.question.marked:
                 key = f"s/{client.question.session}"
-                self.judge.marked(
-                    place.settings.name,
+                self.checker.marked(
+                    host.settings.name,
                     self.clock.now,
                     key,
                     client.question.key,
-                    self.marks_at(place.node, key),
+                    self.marks_at(host.node, key),
                 )
-            return self.clock.after(0.0, self.send_attempt, place, place.node, ticket, earlier_attempts)
-        del place.tickets[ticket]
-        self.judge.answered(client.intent, self.clock.now, place.settings.name, verdict.value)
+            return self.clock.after(0.0, self.send_attempt, host, host.node, ticket, earlier_attempts)
+        del host.tickets[ticket]
+        self.checker.answered(client.intent, self.clock.now, host.settings.name, verdict.value)
         self.outcomes[client.intent].append(verdict.value)
         if verdict is not AdmissionDecision.FAIL:
             self.again(client, turn, max(0.01, wait))
 
-    def flush(self, place, node):
-        if place.node is node:
-            place.carry_out(node)
+    def flush(self, host, node):
+        if host.node is node:
+            host.carry_out(node)
 
-    def send_attempt(self, place, node, ticket, earlier_attempts):
+    def send_attempt(self, host, node, ticket, earlier_attempts):
         """What the balancer would do, and the gate behind it: one attempt, within what it has to heed."""
-        found = place.tickets.get(ticket) if place.node is node else None
+        found = host.tickets.get(ticket) if host.node is node else None
         if found is None:
             return
         client, turn = found
-        zone, cell = place.settings.zone, self.random.randrange(CELLS)
+        zone, cell = host.settings.zone, self.random.randrange(CELLS)
         for bound_zone, bound_cell, group, _ in earlier_attempts:
             if group == "zone":
                 zone = bound_zone
@@ -339,39 +339,39 @@
             for z, c, group, _ in earlier_attempts
         )
         good = good and node.wall * 1e3 <= min((each[3] for each in earlier_attempts), default=float("inf"))
-        if not good or place.stopped:
-            place.tickets.pop(ticket)
-            place.play(node.on_request_ended, ticket, "never")
+        if not good or host.stopped:
+            host.tickets.pop(ticket)
+            host.play(node.on_request_ended, ticket, "never")
             self.outcomes[client.intent].append(AdmissionDecision.FAIL.value)
             return
-        place.play(node.on_attempt_sent, ticket, zone, cell)
-        self.judge.attempt(client.intent, self.clock.now, zone, cell, place.settings.name)
-        self.clock.after(client.work_s, self.answer, place, node, ticket)
+        host.play(node.on_attempt_sent, ticket, zone, cell)
+        self.checker.attempt(client.intent, self.clock.now, zone, cell, host.settings.name)
+        self.clock.after(client.work_s, self.answer, host, node, ticket)
 
-    def answer(self, place, node, ticket):
-        found = place.tickets.pop(ticket, None) if place.node is node else None
+    def answer(self, host, node, ticket):
+        found = host.tickets.pop(ticket, None) if host.node is node else None
         if found is None:
-            if place.node is node:
-                place.play(node.on_request_ended, ticket, "maybe")
+            if host.node is node:
+                host.play(node.on_request_ended, ticket, "maybe")
             return
         client, _ = found
-        place.play(node.on_request_ended, ticket, "answered")
-        self.judge.answered(client.intent, self.clock.now, place.settings.name, "completed")
+        host.play(node.on_request_ended, ticket, "answered")
+        self.checker.answered(client.intent, self.clock.now, host.settings.name, "completed")
         self.outcomes[client.intent].append("completed")
 
     # What is looked at
 
     def nodes(self) -> dict[str, Node]:
-        return {name: place.node for name, place in self.places.items() if place.runs}
+        return {name: host.node for name, host in self.hosts.items() if host.runs}
 
-    def one_ring(self) -> bool:
+    def has_one_ring(self) -> bool:
         rings = {
             node.ring and (node.ring.epoch, node.ring.seats, node.ring.written, node.ring.phase)
             for node in self.nodes().values()
         }
         return len(rings) == 1 and None not in rings
 
-    def until(self, found, most_s: float, step_s: float = 0.1) -> float:
+    def run_until(self, found, most_s: float, step_s: float = 0.1) -> float:
         """Runs until `found()` and says how long that took; inf if it didn't come within `most_s`."""
         begun = self.clock.now
         while self.clock.now < begun + most_s:
@@ -391,12 +391,12 @@
             for name, node in self.nodes().items()
         }
 
-    def lost(self) -> int:
+    def count_lost_records(self) -> int:
         """Marks that no agent has any more, and that are not over by any clock; the judge looks why."""
         wall = max((node.wall for node in self.nodes().values()), default=0.0)
-        return self.judge.lost(self.copies(), self.clock.now, wall * 1e3)
+        return self.checker.count_lost_records(self.copies(), self.clock.now, wall * 1e3)
 
-    def equal_copies(self) -> bool:
+    def replicas_agree(self) -> bool:
         """Whether each two agents have the same bytes of what both own."""
         nodes = self.nodes()
         return all(
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -50,9 +50,11 @@
         self.settings, self.limits = settings, settings.limits
         self.violations: list[str] = []
         self.intents: dict[str, tuple] = {}  # intent -> (repeat, group, window)
-        self.ran: dict[str, list[Execution]] = defaultdict(list)
+        self.executions: dict[str, list[Execution]] = defaultdict(list)
         self.told: dict[str, list] = defaultdict(list)  # intent -> (at, agent, verdict)
-        self.served: dict[str, list[float]] = defaultdict(list)  # tenant -> when a request of it went on
+        self.admission_times: dict[str, list[float]] = defaultdict(
+            list
+        )  # tenant -> when a request of it went on
         # Processes
         self.starts: dict[str, list[float]] = defaultdict(list)
         self.deaths: list[tuple[float, str]] = []
@@ -76,7 +78,7 @@
         self.claims: dict[tuple[str, int, int], tuple[str, str, str, int]] = {}
         self.latest: dict[tuple[str, str, str], str] = {}  # (agent, record, key of the request) -> mark
         self.writers: dict[str, dict[str, None]] = defaultdict(dict)
-        self.marks: dict[tuple[str, str], WrittenRecord] = {}
+        self.attempt_records: dict[tuple[str, str], WrittenRecord] = {}
         self.until: dict[str, int] = {}
         self.unreached = -1.0  # when a message last met a cut, or an agent that was stopped
 
@@ -91,7 +93,7 @@
 
     def attempt(self, intent: str, at: float, zone: str, cell: int, agent: str):
         repeat, group, window = self.intents[intent]
-        before = self.ran[intent]
+        before = self.executions[intent]
         for past in before:
             if repeat == "i":
                 break
@@ -111,7 +113,7 @@
     def answered(self, intent: str, at: float, agent: str, verdict: str):
         repeat, group, window = self.intents[intent]
         if verdict in (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value):
-            for past in self.ran[intent]:
+            for past in self.executions[intent]:
                 if repeat == "u" or repeat == "d" and (group != "all" or at - past.at > window + HAIR):
                     self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
         self.told[intent].append((at, agent, verdict))
@@ -123,7 +125,7 @@
 
     def went_on(self, tenant: str, at: float):
         if tenant in self.limits:
-            self.served[tenant].append(at)
+            self.admission_times[tenant].append(at)
 
     # What is said on the wire
 
@@ -279,14 +281,14 @@
         if len(has) < need:
             self.violated(f"{agent}: went on though {by} was written at {len(has)} of {need}")
         if by:
-            self.marks[record, by] = WrittenRecord(at, agent, self.until[by])
+            self.attempt_records[record, by] = WrittenRecord(at, agent, self.until[by])
 
-    def lost(self, copies: dict[str, dict], now: float, wall_ms: float) -> int:
+    def count_lost_records(self, copies: dict[str, dict], now: float, wall_ms: float) -> int:
         """Marks that are not over and that no copy has. `copies`: agent -> record -> its marks. There is no
         excuse for one unless as many agents as there are copies have been down at once since; as many as it
         was written to, where an owner may have been out of reach."""
         lost = 0
-        for (record, by), each in self.marks.items():
+        for (record, by), each in self.attempt_records.items():
             if each.until_ms <= wall_ms or any(by in have.get(record, ()) for have in copies.values()):
                 continue
             lost += 1
@@ -326,7 +328,7 @@
         Runs a bucket of the limit over what was served, as a server of the whole fleet would have; anew
         where another version came to govern, and once with room for a change over the whole time.
         """
-        limit, settings, times = self.limits[tenant], self.settings, sorted(self.served[tenant])
+        limit, settings, times = self.limits[tenant], self.settings, sorted(self.admission_times[tenant])
         by_period = 2 * limit.rate * settings.period_s + settings.copies
         versions = self.versions()
         rest = settings.lease_s * (1 + settings.clock_drift) + 2 * settings.period_s
@@ -350,7 +352,7 @@
                 self.violated(f"{tenant}: served {over:.2f} over its limit")
         return self.violations
 
-    def equal(self, copies: dict[str, bytes], what: str):
+    def check_equal(self, copies: dict[str, bytes], what: str):
         if len(set(copies.values())) > 1:
             self.violated(
                 f"{what}: copies differ: "
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -113,9 +113,9 @@
 
         bytes_by_tag = Counter()
 
-        def carry(self, place, node, to, address, message):
+        def carry(self, host, node, to, address, message):
             before = self.bytes[node.name]
-            super().carry(place, node, to, address, message)
+            super().carry(host, node, to, address, message)
             self.bytes_by_tag[type(message).__struct_config__.tag] += self.bytes[node.name] - before
 
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
@@ -125,8 +125,8 @@
     )
     fleet.bytes_by_tag = Counter()
     for number in range(agents):
-        place = fleet.add(f"a{number}", zone=f"z{number % ZONES}", start=False, **terms)
-        fleet.clock.at(fates.random(), place.start)
+        host = fleet.add(f"a{number}", zone=f"z{number % ZONES}", start=False, **terms)
+        fleet.clock.at(fates.random(), host.start)
     return fleet
 
 
@@ -143,7 +143,7 @@
     from cartdeal.fleet.idempotency import AdmissionRequest
 
     asked = [
-        fleet.intend(
+        fleet.submit(
             AdmissionRequest(
                 tenant="", session=f"probe {fleet.intents}", key="k", repeat="u", limit_s=2.0, workload="w"
             ),
@@ -177,7 +177,7 @@
     """Messages and bytes an agent and second meanwhile, and both by part."""
     before, size = Counter(fleet.count), Counter(fleet.bytes_by_tag)
     fleet.run(seconds)
-    share = 1 / (seconds * len(fleet.places))
+    share = 1 / (seconds * len(fleet.hosts))
     said, sizes = Counter(fleet.count), Counter(fleet.bytes_by_tag)
     said.subtract(before)
     sizes.subtract(size)
@@ -199,7 +199,7 @@
 
     agents, coming = terms.agents, terms.rate * terms.agents
     fleet = memory(seed, agents, {"shop": RateLimit(2 * coming, coming)})
-    people, names = seeded_random(seed, "people"), list(fleet.places)
+    people, names = seeded_random(seed, "people"), list(fleet.hosts)
     intents, going = [], [True]
 
     def client():
@@ -208,7 +208,7 @@
             question = AdmissionRequest(
                 tenant="shop", session=session, key=f"k{fleet.intents}", repeat="u", limit_s=2.0, workload="w"
             )
-            intents.append(fleet.intend(question, [people.choice(names)]))
+            intents.append(fleet.submit(question, [people.choice(names)]))
             fleet.clock.after(people.expovariate(coming), client)
 
     def share(since) -> float:
@@ -218,8 +218,8 @@
             3,
         )
 
-    started = fleet.until(lambda: whole_ring(fleet), terms.most_s, 0.25)
-    known = started + fleet.until(lambda: answers(fleet, names[:FOUNDERS]), terms.most_s, 0.5)
+    started = fleet.run_until(lambda: whole_ring(fleet), terms.most_s, 0.25)
+    known = started + fleet.run_until(lambda: answers(fleet, names[:FOUNDERS]), terms.most_s, 0.5)
     fleet.run(5.0)
     rest = talk(fleet, terms.rest_s)
     client()
@@ -233,8 +233,8 @@
     fleet.heal()
     wrong, records = unequal(fleet)
     healed = fleet.clock.now
-    equal = fleet.until(lambda: unequal(fleet)[0] == 0 and whole_ring(fleet), terms.most_s, 0.25)
-    found = fleet.judge.close()
+    equal = fleet.run_until(lambda: unequal(fleet)[0] == 0 and whole_ring(fleet), terms.most_s, 0.25)
+    found = fleet.checker.close()
     return {
         "agents": agents,
         "one ring s": round(started, 2),
@@ -281,7 +281,7 @@
     from cartdeal.fleet.idempotency import AdmissionRequest
 
     fleet = memory(seed, terms.agents, {"shop": RateLimit(terms.limit, terms.limit)}, reads=(1, 1))
-    people, names, judge = seeded_random(seed, "people"), list(fleet.places), fleet.judge
+    people, names, checker = seeded_random(seed, "people"), list(fleet.hosts), fleet.checker
     open_, lost = [], {}
 
     def free():
@@ -295,16 +295,16 @@
             limit_s=2.0,
             workload="w",
         )
-        open_.append((fleet.clock.now, fleet.intend(question, people.sample(names, 3), tries=3)))
+        open_.append((fleet.clock.now, fleet.submit(question, people.sample(names, 3), tries=3)))
         fleet.clock.after(people.expovariate(terms.requests), free)
 
     def limited():
-        fleet.intend(AdmissionRequest(tenant="shop", workload="w"), people.sample(names, 2))
+        fleet.submit(AdmissionRequest(tenant="shop", workload="w"), people.sample(names, 2))
         fleet.clock.after(people.expovariate(2 * terms.limit), limited)
 
     def look():
         wall, have = max(node.wall for node in fleet.nodes().values()) * 1e3, fleet.copies()
-        for (record, by), each in judge.marks.items():
+        for (record, by), each in checker.attempt_records.items():
             if each.until_ms > wall and not any(by in copies.get(record, ()) for copies in have.values()):
                 lost[by] = True
         fleet.clock.after(5.0, look)
@@ -314,7 +314,7 @@
         return round(sum("completed" in fleet.outcomes[each] for each in these) / max(1, len(these)), 4)
 
     def budget(since, until) -> float:
-        passed = sum(since <= at < until for at in judge.served["shop"])
+        passed = sum(since <= at < until for at in checker.admission_times["shop"])
         return round(passed / (terms.limit * (until - since)), 3)
 
     def written() -> bool:
@@ -323,7 +323,7 @@
             for node in fleet.nodes().values()
         )
 
-    fleet.until(lambda: whole_ring(fleet) and answers(fleet, names), terms.most_s, 0.5)
+    fleet.run_until(lambda: whole_ring(fleet) and answers(fleet, names), terms.most_s, 0.5)
     fleet.run(5.0)
     free(), limited(), look()
     fleet.run(5.0)
@@ -341,18 +341,18 @@
             )
             fleet.cut(*parts)
             fleet.clock.after(terms.cut_s, fleet.heal)
-        at, place = fleet.clock.now, fleet.places[name]
+        at, host = fleet.clock.now, fleet.hosts[name]
         fleet.leave(name)
         fleet.run(1.6)
         fleet.start(name, reads=(1, 2))
-        fleet.until(lambda place=place: place.node.caught_up, terms.most_s)
+        fleet.run_until(lambda host=host: host.node.caught_up, terms.most_s)
         waited = max(waited, fleet.clock.now - at)
         fleet.run(max(0.0, at + terms.every_s - fleet.clock.now))
     rolled = fleet.clock.now
-    new = fleet.until(written, terms.most_s)
+    new = fleet.run_until(written, terms.most_s)
     end = fleet.clock.now
     fleet.run(20.0)
-    found = judge.close()
+    found = checker.close()
     return {
         "agents": terms.agents,
         "served before": served(calm, begun),
@@ -361,8 +361,8 @@
         "budget before": budget(calm, begun),
         "budget": budget(begun, end),
         "budget after": budget(end, end + 20.0),
-        "over limit": round(max(0.0, judge.over("shop")), 3),
-        "marks": len(judge.marks),
+        "over limit": round(max(0.0, checker.over("shop")), 3),
+        "marks": len(checker.attempt_records),
         "marks lost": len(lost),
         "longest restart s": round(waited, 1),
         "last restarted s": round(rolled - begun, 1),
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -31,7 +31,7 @@
     )
     for each in range(size):
         memory.add(f"a{each}", zone=f"z{each % 3}")
-    memory.until(memory.one_ring, 20.0)
+    memory.run_until(memory.has_one_ring, 20.0)
     return memory.run(46.0)
 
 
@@ -49,9 +49,9 @@
 
 
 def ask_shop(memory, seconds, agents=None, rate=250):
-    names = agents or list(memory.places)
+    names = agents or list(memory.hosts)
     for turn in range(int(rate * seconds)):
-        memory.intend(SHOP, [names[turn % len(names)]])
+        memory.submit(SHOP, [names[turn % len(names)]])
         memory.run(1 / rate)
 
 
@@ -61,7 +61,7 @@
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
-            memory.intend(sheet(f"{memory.places['a0'].starts}/{turn}"), ["a0"])
+            memory.submit(sheet(f"{memory.hosts['a0'].starts}/{turn}"), ["a0"])
             memory.run(0.2)
         memory.kill("a0")
         memory.start("a0")
@@ -70,7 +70,7 @@
 
 def cut_in_two(memory):
     ask_shop(memory, 2.0)
-    names = list(memory.places)
+    names = list(memory.hosts)
     memory.cut(names[:2], names[2:])
     ask_shop(memory, 32.0)
 
@@ -90,7 +90,7 @@
     """All owners of a sheet's session come back from nothing, and its client comes again."""
     ring = memory.nodes()["a0"].ring
     name = next(n for n in range(99) if "a0" not in owners(ring, f"s/s{n}".encode(), 3))
-    memory.intend(sheet(name), ["a0", "a1", "a2"], 3, work_s=9.0, patience_s=20.0)
+    memory.submit(sheet(name), ["a0", "a1", "a2"], 3, work_s=9.0, patience_s=20.0)
     memory.run(0.5)
     for each in owners(ring, f"s/s{name}".encode(), 3):
         memory.kill(each)
@@ -101,26 +101,26 @@
 
 
 def cut_off_sheets(memory):
-    names = list(memory.places)
+    names = list(memory.hosts)
     memory.cut(names[:1], names[1:])
     for turn in range(10):
-        memory.intend(sheet(turn), names[:1])
+        memory.submit(sheet(turn), names[:1])
         memory.run(0.1)
 
 
 def bad_weather(memory):
-    memory.weather = NetworkConditions(double=0.5, jitter_s=0.02, late=0.1, late_s=1.0)
+    memory.conditions = NetworkConditions(duplication_rate=0.5, jitter_s=0.02, late_rate=0.1, max_late_s=1.0)
     ask_shop(memory, 10.0)
 
 
 def comes_late(memory):
-    memory.intend(sheet(0), ["a0", "a1"], 2, work_s=30.0, patience_s=12.0)
+    memory.submit(sheet(0), ["a0", "a1"], 2, work_s=30.0, patience_s=12.0)
     memory.run(14.0)
 
 
 def in_doubt(memory):
     """A client comes again at an agent that can ask nobody."""
-    memory.intend(sheet(0), ["a0", "a1"], 2, work_s=9.0, patience_s=9.0)
+    memory.submit(sheet(0), ["a0", "a1"], 2, work_s=9.0, patience_s=9.0)
     memory.run(0.3)
     memory.cut(["a1"], ["a0", "a2"])
     memory.kill("a0")
@@ -128,24 +128,24 @@
 
 
 def another_zone(memory):
-    memory.intend(sheet(0, "d", group="zone", window_s=9.0), ["a0", "a1"], 2, work_s=9.0, patience_s=1.0)
+    memory.submit(sheet(0, "d", group="zone", window_s=9.0), ["a0", "a1"], 2, work_s=9.0, patience_s=1.0)
     memory.run(2.0)
 
 
 def gossip(memory):
     """Sheets of few sessions are answered while messages come in any order."""
-    memory.weather = NetworkConditions(double=0.3, jitter_s=0.2, late=0.2, late_s=2.0)
+    memory.conditions = NetworkConditions(duplication_rate=0.3, jitter_s=0.2, late_rate=0.2, max_late_s=2.0)
     for turn in range(120):
-        memory.intend(sheet(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
+        memory.submit(sheet(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
         memory.run(0.1)
-    memory.weather = NetworkConditions()
+    memory.conditions = NetworkConditions()
     memory.run(6.0)
-    memory.lost()
+    memory.count_lost_records()
 
 
 def newer_field(memory):
     """A newer program writes a field, dies, and gets its record back from older ones."""
-    memory.intend(sheet(0), ["a0"])
+    memory.submit(sheet(0), ["a0"])
     memory.run(1.0)
     store = memory.nodes()["a0"].replica
     store.merge("s/s0", Session(store.record("s/s0").marks, {"new": [7]}))
@@ -155,7 +155,7 @@
     memory.start("a0")
     memory.run(8.0)
     after = memory.nodes()["a0"].replica.store["s/s0"].digest
-    memory.judge.equal({"before": before, "after": after}, "a session with a newer field")
+    memory.checker.check_equal({"before": before, "after": after}, "a session with a newer field")
 
 
 def comes_and_goes(memory):
@@ -164,7 +164,7 @@
 
 
 def half_new(memory):
-    for name in list(memory.places)[:2]:
+    for name in list(memory.hosts)[:2]:
         memory.kill(name)
         memory.start(name, reads=(1, 2))
     memory.run(20.0)
@@ -178,10 +178,10 @@
         made.timely = lambda *_: True
         return made
 
-    memory.makers["a9"] = stubborn
-    memory.intend(sheet(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
+    memory.node_factories["a9"] = stubborn
+    memory.submit(sheet(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
     memory.run(0.3)
-    memory.add("a9", zone="z1", start=False).skew = 40.0
+    memory.add("a9", zone="z1", start=False).wall_offset_s = 40.0
     memory.start("a9")
     memory.run(6.0)
     memory.kill("a0")
@@ -340,7 +340,7 @@
     breakage(monkeypatch.setattr)
     memory = fleet(size, **terms)
     day(memory)
-    found = memory.judge.close()
+    found = memory.checker.close()
     assert any(words in each for each in found), found
 
 
@@ -352,4 +352,4 @@
     size, terms = DAYS[day]
     memory = fleet(size, **terms)
     day(memory)
-    assert memory.judge.close() == []
+    assert memory.checker.close() == []
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -20,7 +20,7 @@
     )
     for number in range(agents):
         memory.add(f"a{number}", zone=f"z{number % 3}")
-    assert memory.until(memory.one_ring, 20.0) < 20.0
+    assert memory.run_until(memory.has_one_ring, 20.0) < 20.0
     memory.run(46.0)
     return memory
 
@@ -33,32 +33,34 @@
 
 def test_request_that_may_have_run_at_an_agent_that_died_does_not_run_again():
     memory = fleet()
-    intent = memory.intend(unrepeatable(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
+    intent = memory.submit(unrepeatable(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
     memory.run(0.1)
-    assert len(memory.judge.ran[intent]) == 1
+    assert len(memory.checker.executions[intent]) == 1
     memory.kill("a0")
     memory.run(5.0)
     assert memory.outcomes[intent] == ["broke off", "fail"]
-    assert memory.judge.close() == []
+    assert memory.checker.close() == []
 
 
 def test_limit_holds_for_all_agents_together():
     memory = fleet()
     for turn in range(1500):
-        memory.intend(AdmissionRequest(tenant="shop", workload="read"), [f"a{turn % 3}"])
+        memory.submit(AdmissionRequest(tenant="shop", workload="read"), [f"a{turn % 3}"])
         memory.run(0.002)
-    assert memory.judge.close() == []
-    assert len(memory.judge.served["shop"]) >= 0.85 * (20 + 3.0 * 50)
+    assert memory.checker.close() == []
+    assert len(memory.checker.admission_times["shop"]) >= 0.85 * (20 + 3.0 * 50)
 
 
 def test_copies_of_all_owners_are_equal_in_the_end():
     memory = fleet()
     for turn in range(30):
-        memory.intend(unrepeatable(f"s{turn}"), [f"a{turn % 3}"])
+        memory.submit(unrepeatable(f"s{turn}"), [f"a{turn % 3}"])
         memory.run(0.05)
     memory.run(5.0)
-    memory.judge.equal({name: node.replica.digest_all() for name, node in memory.nodes().items()}, "all keys")
-    assert memory.judge.close() == [] and memory.nodes()["a0"].replica.held()
+    memory.checker.check_equal(
+        {name: node.replica.digest_all() for name, node in memory.nodes().items()}, "all keys"
+    )
+    assert memory.checker.close() == [] and memory.nodes()["a0"].replica.held()
 
 
 def test_file_read_again_moves_what_it_changes_in_a_running_fleet():
@@ -67,9 +69,9 @@
     assert {node.ring.written for node in nodes.values()} == {1}
     for name, node in nodes.items():
         changes = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
-        memory.places[name].play(node.reread, replace(node.settings, **changes))
+        memory.hosts[name].play(node.reread, replace(node.settings, **changes))
     memory.run(20.0)
-    assert memory.one_ring()
+    assert memory.has_one_ring()
     ring = nodes["a1"].ring
     assert ring.written == 2 and [seat.capacity for seat in ring.seats] == [4.0, 1.0, 1.0]
 
@@ -87,10 +89,10 @@
     before = QuotaLeases.answered
     monkeypatch.setattr(QuotaLeases, "answered", answered)
     for _ in range(100):
-        memory.intend(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
+        memory.submit(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
     memory.run(1.0)
     assert memory.nodes()["a0"].figures()["own requests deferred"]
-    assert memory.judge.close() == []
+    assert memory.checker.close() == []
 
 
 def test_starts_that_learn_of_the_same_later_life_never_take_the_same_one():
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -38,15 +38,15 @@
         self.memory = memory = InMemoryFleet(fleet_settings, 1)
         for number in range(self.size):
             self.add(f"a{number}")
-        assert memory.until(memory.one_ring, 20.0) < 20.0
+        assert memory.run_until(memory.has_one_ring, 20.0) < 20.0
         memory.run(fleet_settings.longest_mark_s + 16.0)  # until nothing of before its founding may be due
 
     def add(self, name, **changes):
         terms = {**self.each.get(name, {}), **changes}
         skew = terms.pop("skew", 0.0)
-        place = self.memory.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **terms)
-        place.skew = skew
-        place.start()
+        host = self.memory.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **terms)
+        host.wall_offset_s = skew
+        host.start()
 
     def named(self, text):
         """Agents by name, or those that run, or the owners of the last client's session."""
@@ -55,7 +55,7 @@
         return list(self.memory.nodes()) if text == "all agents" else re.findall(r"a\d+", text)
 
     def others(self, names):
-        return [name for name in self.memory.places if name not in names]
+        return [name for name in self.memory.hosts if name not in names]
 
     def come(self, agents, repeat="u", take=0.05, patience=None, **more):
         """A client comes to the first agent, and to the next one when it breaks off or is rejected."""
@@ -70,14 +70,14 @@
                 **more,
             }
         )
-        intent = self.memory.intend(question, agents, len(agents), take, patience or take + 1.0)
+        intent = self.memory.submit(question, agents, len(agents), take, patience or take + 1.0)
         self.clients.append((intent, question))
 
     def told(self, client=-1):
         return self.memory.outcomes[self.clients[client][0]]
 
     def ran(self, client=-1):
-        return len(self.memory.judge.ran[self.clients[client][0]])
+        return len(self.memory.checker.executions[self.clients[client][0]])
 
     def key(self, client=-1):
         return f"s/{self.clients[client][1].session}"
@@ -111,7 +111,7 @@
 def story():
     story = Story()
     yield story
-    assert story.memory.judge.close() == []
+    assert story.memory.checker.close() == []
 
 
 def steps(decorator, *patterns):
@@ -218,12 +218,12 @@
 
 @steps(when, rf"{WHO} hears? nobody any more")
 def _(story, who):
-    story.memory.deafen(story.others(story.named(who)), story.named(who))
+    story.memory.cut_inbound(story.others(story.named(who)), story.named(who))
 
 
 @steps(when, rf"{WHO} no longer hears? (?P<speaker>a\d+)")
 def _(story, who, speaker):
-    story.memory.deafen([speaker], story.named(who))
+    story.memory.cut_inbound([speaker], story.named(who))
 
 
 @when("the cuts heal")
@@ -233,17 +233,19 @@
 
 @when("messages are lost, doubled, up to 5 seconds late and out of order")
 def _(story):
-    story.memory.weather = NetworkConditions(lose=0.05, double=0.3, jitter_s=0.01, late=0.1, late_s=5.0)
+    story.memory.conditions = NetworkConditions(
+        loss_rate=0.05, duplication_rate=0.3, jitter_s=0.01, late_rate=0.1, max_late_s=5.0
+    )
 
 
 @when("the network is well again")
 def _(story):
-    story.memory.weather = NetworkConditions()
+    story.memory.conditions = NetworkConditions()
 
 
 @steps(when, rf"the clock of {WHO} is set (?P<by>\d+) seconds (?P<way>ahead|back)")
 def _(story, who, by, way):
-    story.memory.places[who].skew += float(by) * (1 if way == "ahead" else -1)
+    story.memory.hosts[who].wall_offset_s += float(by) * (1 if way == "ahead" else -1)
 
 
 @steps(when, rf"{WHO} dies and comes back (?P<times>\d+) times in {SECONDS}")
@@ -259,13 +261,13 @@
 def _(story, who, share, seconds):
     for turn in range(int(float(seconds))):
         for name in story.named(who):
-            story.memory.capacity(name, 1.0 + (-1) ** turn * int(share) / 100)
+            story.memory.set_capacity(name, 1.0 + (-1) ** turn * int(share) / 100)
         story.memory.run(1.0)
 
 
 @steps(when, r"the fleet is in phase (?P<phase>\w+)")
 def _(story, phase):
-    assert story.memory.until(lambda: story.ring.phase == phase, 40.0) < 40.0
+    assert story.memory.run_until(lambda: story.ring.phase == phase, 40.0) < 40.0
 
 
 @when("whoever proposes the next ring is killed")
@@ -334,7 +336,7 @@
 @steps(when, r"the client comes again at (?P<who>a\d+)")
 def _(story, who):
     intent, question = story.clients[-1]
-    story.memory.come_again(intent, question, who)
+    story.memory.submit_retry(intent, question, who)
     story.memory.run(0.3)
 
 
@@ -343,7 +345,7 @@
     story.before = story.memory.clock.now
     agents = story.named(who)
     for turn in range(int(int(rate) * float(seconds))):
-        story.memory.intend(SHOP, [agents[turn % len(agents)]])
+        story.memory.submit(SHOP, [agents[turn % len(agents)]])
         story.memory.run(1 / int(rate))
 
 
@@ -369,7 +371,7 @@
 
 @steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS}")
 def _(story, times, seconds):
-    ran = story.memory.judge.ran[story.clients[-1][0]]
+    ran = story.memory.checker.executions[story.clients[-1][0]]
     assert len(ran) == int(times) and len({each.zone for each in ran}) == 1
     assert ran[-1].at - ran[0].at <= float(seconds)
 
@@ -378,14 +380,16 @@
 def _(story, share, last):
     now, limit = story.memory.clock.now, story.terms["limits"]["shop"]
     since = now - float(last) if last else story.before
-    served = sum(since <= at <= now for at in story.memory.judge.served["shop"])
+    served = sum(since <= at <= now for at in story.memory.checker.admission_times["shop"])
     assert served >= int(share) / 100 * limit.rate * (now - since), served / limit.rate / (now - since)
 
 
 @steps(then, rf"all agents have one ring of (?P<seats>\d+) within {SECONDS}")
 def _(story, seats, seconds):
     memory = story.memory
-    took = memory.until(lambda: memory.one_ring() and len(story.ring.seats) == int(seats), float(seconds))
+    took = memory.run_until(
+        lambda: memory.has_one_ring() and len(story.ring.seats) == int(seats), float(seconds)
+    )
     assert took < float(seconds), [(name, node.ring) for name, node in memory.nodes().items()]
 
 
@@ -397,20 +401,20 @@
             nodes[name].ring == ring for name in ring.names if name in nodes
         )
 
-    assert story.memory.until(found, float(seconds)) < float(seconds), story.ring
+    assert story.memory.run_until(found, float(seconds)) < float(seconds), story.ring
 
 
 @steps(then, rf"all copies are equal within {SECONDS}")
 def _(story, seconds):
     memory = story.memory
-    assert memory.until(memory.equal_copies, float(seconds), 0.5) < float(seconds)
+    assert memory.run_until(memory.replicas_agree, float(seconds), 0.5) < float(seconds)
 
 
 @steps(then, r"no mark of the (?P<count>\d+) sheets is lost")
 def _(story, count):
     memory = story.memory
-    assert memory.lost() == 0
-    assert len(memory.judge.marks) >= int(count)
+    assert memory.count_lost_records() == 0
+    assert len(memory.checker.attempt_records) >= int(count)
 
 
 @steps(then, r"all owners know that the sheet (?P<what>was answered|may have run)")
@@ -435,13 +439,13 @@
 
 @when("the ring is looked at")
 def _(story):
-    assert story.memory.one_ring()
+    assert story.memory.has_one_ring()
     story.before = story.ring
 
 
 @then("the ring is the same as before")
 def _(story):
-    assert story.memory.one_ring() and story.ring == story.before
+    assert story.memory.has_one_ring() and story.ring == story.before
 
 
 @steps(then, r"no more keys have moved than had to")
