--- a/tests/fleet/test_fault_schedule.py
+++ b/tests/fleet/test_fault_schedule.py
@@ -9,7 +9,7 @@
 from cartdeal.fleet.simulation.fault_schedule import run_day
 
 DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
-SAY = f"from cartdeal.fleet.simulation.fault_schedule import day; print(day(3, **{DAY}))"
+SAY = f"from cartdeal.fleet.simulation.fault_schedule import run_day; print(run_day(3, **{DAY}))"
 
 
 @pytest.mark.parametrize("seed, upgrade", [(3, False), (7, True)])
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -289,16 +289,16 @@
     class Eager(replica.PendingOperation):
         need = property(lambda self: (1, 1), lambda self, need: None)
 
-    plant(replica, "Open", Eager)
+    plant(replica, "PendingOperation", Eager)
 
 
 def come_again(plant):
-    plant(node, "in_doubt", lambda *_: AdmissionDecision.REJECT)
+    plant(node, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
 
 
 def places_forgotten(plant):
     before = node.decide
-    plant(node, "judge", lambda *args: (before(*args)[0], ()))
+    plant(node, "decide", lambda *args: (before(*args)[0], ()))
 
 
 def by_remainder(plant):
@@ -311,7 +311,7 @@
 
 def believes_clocks(plant):
     plant(HybridClock, "hear", lambda self, stamp, wall: self.after(int(wall * 1e3), max(self.last, stamp)))
-    plant(records, "too_far", lambda *_: None)
+    plant(records, "check_clock", lambda *_: None)
 
 
 BREAKAGES = {
