--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -189,7 +189,7 @@
         host = self.hosts[name]
         host.settings = msgspec.structs.replace(host.settings, capacity=capacity)
         if host.node:
-            host.play(lambda: host.node.membership.about_me(capacity=capacity))
+            host.play(lambda: host.node.membership.update_self(capacity=capacity))
 
     def cut(self, *sides):
         """Nothing passes between the sides, either way."""
@@ -382,7 +382,7 @@
 
     def marks_at(self, node: Node, key: str) -> tuple[str, ...]:
         record = node.replica.record(key) if key in node.replica.store else None
-        return tuple(record.marks) if record else ()
+        return tuple(record.attempts) if record else ()
 
     def copies(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the marks in each session that it keeps."""
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -252,7 +252,7 @@
         if not message.attempt_id:
             return
         try:
-            mark = schema.decode("s", message.record).marks.get(message.attempt_id)
+            mark = schema.decode("s", message.record).attempts.get(message.attempt_id)
         except InvalidRecordError:
             mark = None
         if mark is None:
@@ -260,12 +260,12 @@
         fixed = (message.key, mark.key, mark.repeat, mark.group, mark.window_ms, mark.workload, mark.sent_ms)
         if self.fixed.setdefault(message.attempt_id, fixed) != fixed:
             self.violated(f"{agent}: gave out {message.attempt_id} twice")
-        self.until[message.attempt_id] = mark.until_ms
+        self.until[message.attempt_id] = mark.expires_ms
         self.claims[agent, message.incarnation, message.request_id] = (
             message.key,
             mark.key,
             message.attempt_id,
-            mark.until_ms,
+            mark.expires_ms,
         )
         self.latest[agent, message.key, mark.key] = message.attempt_id
 
