--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -7,13 +7,13 @@
 
 from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.hybrid_clock import HybridClock
-from cartdeal.fleet.replication import replica
+from cartdeal.fleet.replication import messages, replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-WORDS = msgspec.msgpack.Decoder(Union[replica.MESSAGE_TYPES])  # noqa: UP007
+WORDS = msgspec.msgpack.Decoder(Union[messages.MESSAGE_TYPES])  # noqa: UP007
 SETTINGS = FleetSettings(fleet="f", name="", longest_mark_s=10.0, clock_ahead_s=0.5, lease_s=1.0)
 
 
@@ -266,10 +266,10 @@
     net.run(0.1)
     net["a"].replica.refine("s/x", advanced(mark, certainty=Certainty.ANSWERED))
     net.run(3)
-    assert net["a"].replica.figures()["hints"] == 1
+    assert net["a"].replica.metrics()["hints"] == 1
     net.cuts.clear()
     net.run(5.5)
-    assert net["a"].replica.figures()["hints"] == 0
+    assert net["a"].replica.metrics()["hints"] == 0
     assert net["c"].replica.held()["s/x"].marks[mark.by].certainty == Certainty.ANSWERED
 
 
@@ -280,7 +280,7 @@
         net["a"].claim(sid, lasts=9.0)
         net.run(0.02)
     net.run(1)
-    assert net["a"].replica.figures()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
+    assert net["a"].replica.metrics()["hints"] == 20 and net["a"].counts["hints dropped"] == 30
     assert net["a"].events.count("hints full") == 1
     net.cuts.clear()
     net.run(4)  # what was dropped is made good by comparing
