--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -18,7 +18,6 @@
 from cartdeal.fleet import errors, events
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
 from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
@@ -39,6 +38,7 @@
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
+from cartdeal.fleet.settings import FleetSettings
 
 COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
 RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
@@ -80,7 +80,7 @@
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
         self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
-        self.quota = QuotaLeases(self, settings, self.spent, self.sure)
+        self.quota = QuotaLeases(self, settings, self.on_token_decision, self.sure)
         self.parts = {
             kind: part
             for module, part in (
@@ -242,7 +242,7 @@
             )
             self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
             self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
-            self.quota.written(schema.governs(ring.written_version, ring.phase))
+            self.quota.set_schema_version(schema.governs(ring.written_version, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
@@ -278,9 +278,9 @@
         self.open += 1
         self.increment(Metric.ADMISSION_REQUESTS)
         if question.tenant in self.settings.limits:
-            self.quota.spend(ticket, question.tenant, until)
+            self.quota.request_token(ticket, question.tenant, until)
         else:
-            self.spent(ticket, True, 0.0, True)
+            self.on_token_decision(ticket, True, 0.0, True)
 
     def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
@@ -306,7 +306,7 @@
 
     def finish_shutdown(self):
         """The last message: what it has on loan is given back, and its peers are told that it leaves."""
-        self.quota.leaving()
+        self.quota.return_all_leases()
         self.tell_uses()
         self.membership.leave()
 
@@ -319,19 +319,19 @@
         """Takes over what a running agent can; configuration.py says which keys these are."""
         self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
         self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
-        self.quota.reread(settings)
+        self.quota.update_limits(settings)
         self.membership.about_me(capacity=settings.capacity)
         if self.ring is not None:
             self.fence(self.ring)
 
     # What the parts answer
 
-    def spent(self, ticket: int, ok: bool, wait_s: float, sure: bool):
+    def on_token_decision(self, ticket: int, ok: bool, wait_s: float, certain: bool):
         each = self.waiting.get(ticket)
         if each is None or each.step != "spend":
             return
         question = each.question
-        if not sure and self.settings.limit_doubt == "serve":
+        if not certain and self.settings.limit_doubt == "serve":
             ok = True
         if ok and not question.marked:
             return self.settle(ticket, each, AdmissionDecision.ADMIT)
@@ -350,7 +350,7 @@
             self.settle(
                 ticket,
                 each,
-                AdmissionDecision.RATE_LIMITED if sure else AdmissionDecision.REJECT,
+                AdmissionDecision.RATE_LIMITED if certain else AdmissionDecision.REJECT,
                 wait_s or self.come_again(),
             )
 
