--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_schema.py
@@ -11,7 +11,7 @@
     Certainty,
     Session,
     UsageCounter,
-    advanced,
+    advance,
     merge,
 )
 from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
@@ -31,12 +31,14 @@
     )
 
 
-def peers(reads=NEW, moved=1, names="abcde", state=0, **others):
-    return {name: SimpleNamespace(reads=reads, moved=moved, state=state) for name in names} | others
+def peers(reads=NEW, migrated_version=1, names="abcde", state=0, **others):
+    return {
+        name: SimpleNamespace(reads=reads, migrated_version=migrated_version, state=state) for name in names
+    } | others
 
 
-def peer(reads=NEW, moved=1, state=0):
-    return SimpleNamespace(reads=reads, moved=moved, state=state)
+def peer(reads=NEW, migrated_version=1, state=0):
+    return SimpleNamespace(reads=reads, migrated_version=migrated_version, state=state)
 
 
 def test_a_rolling_upgrade_goes_on_whoever_proposes():
@@ -47,10 +49,10 @@
         peers(),
         peers(),
         peers(),
-        peers(moved=2, c=peer()),
-        peers(moved=2),
-        peers(OLD, moved=2),
-        peers(moved=2),
+        peers(migrated_version=2, c=peer()),
+        peers(migrated_version=2),
+        peers(OLD, migrated_version=2),
+        peers(migrated_version=2),
     ):
         here = ring(*agree(here, live, fleet_settings()))  # a new ring each time: nothing else is remembered
         seen.append((here.written_version, here.phase))
@@ -69,25 +71,25 @@
 
 @pytest.mark.parametrize("phase", ["steady", "widen", "move", "narrow"])
 def test_a_minority_takes_no_step(phase):
-    assert agree(ring(1, phase), peers(moved=2, names="ab"), fleet_settings()) == (1, phase)
-    cut_off = peers(moved=2, names="ab") | peers(OLD, names="cde", state=2)
+    assert agree(ring(1, phase), peers(migrated_version=2, names="ab"), fleet_settings()) == (1, phase)
+    cut_off = peers(migrated_version=2, names="ab") | peers(OLD, names="cde", state=2)
     assert agree(ring(1, phase), cut_off, fleet_settings()) == (1, phase)
 
 
 def test_absent_seats_are_owed_a_look_until_they_lose_their_seat():
-    moving, away = ring(1, "move"), peers(moved=2, names="abcd")
+    moving, away = ring(1, "move"), peers(migrated_version=2, names="abcd")
     assert agree(moving, away, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=1, state=2)}, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(moved=2, state=2)}, fleet_settings()) == (1, "narrow")
+    assert agree(moving, away | {"e": peer(migrated_version=1, state=2)}, fleet_settings()) == (1, "move")
+    assert agree(moving, away | {"e": peer(migrated_version=2, state=2)}, fleet_settings()) == (1, "narrow")
     assert agree(ring(1, "move", "abcd"), away, fleet_settings()) == (1, "narrow")
 
 
 @pytest.mark.parametrize(
     "live, hold",
     [
-        (peers(moved=2), 1),
-        (peers(moved=2, d=peer(OLD), e=peer(OLD)), 0),
-        (peers(moved=2, joins=peer(OLD)), 0),
+        (peers(migrated_version=2), 1),
+        (peers(migrated_version=2, d=peer(OLD), e=peer(OLD)), 0),
+        (peers(migrated_version=2, joins=peer(OLD)), 0),
     ],
     ids=["held", "half rolled back", "old one joins"],
 )
@@ -122,20 +124,26 @@
         trouble = schema.refused(OLD, here)
         assert isinstance(trouble, errors.UnsupportedSchemaError) and "program" in trouble.remedy
         assert schema.refused(NEW, here) is None
-    later = AttemptRecord("b/1/1", "k", "u", "cell", 7, until_ms=9)
-    fleets = decode("s", encode("s", Session({MARK.by: MARK}), 2, "steady"))
-    kept = encode("s", Session({later.by: later, MARK.by: advanced(MARK, certainty=3)}), 1, "move", knows=1)
+    later = AttemptRecord("b/1/1", "k", "u", "cell", 7, expires_ms=9)
+    fleets = decode("s", encode("s", Session({MARK.attempt_id: MARK}), 2, "steady"))
+    kept = encode(
+        "s",
+        Session({later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}),
+        1,
+        "move",
+        knows=1,
+    )
     both = merge(fleets, decode("s", kept))
-    assert both.marks == {later.by: later, MARK.by: advanced(MARK, certainty=3)}
+    assert both.attempts == {later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}
     # Read by the old agent, it says that there is more than that program can see.
-    assert decode("s", encode("s", both, 2, "steady"), knows=1).beyond == 2
+    assert decode("s", encode("s", both, 2, "steady"), knows=1).required_version == 2
 
 
 def test_old_agents_read_all_until_narrowed_and_both_forms_say_the_same():
-    record = Session({MARK.by: MARK})
+    record = Session({MARK.attempt_id: MARK})
     for phase in ("steady", "widen", "move"):
         by_old = decode("s", encode("s", record, 1, phase), knows=1)
-        assert by_old.marks == record.marks and not by_old.beyond
+        assert by_old.attempts == record.attempts and not by_old.required_version
     raw = encode("s", record, 1, "move")
     assert {"marks", "by"} < schema.decoder.decode(raw).keys()
     assert "marks" not in schema.decoder.decode(encode("s", record, 1, "narrow"))
@@ -147,13 +155,13 @@
 
 
 def test_what_there_is_to_move_by_phase():
-    record = Session({MARK.by: MARK})
+    record = Session({MARK.attempt_id: MARK})
     raw = {step: encode("s", record, *step) for step in ((1, "steady"), (1, "move"), (2, "steady"))}
     for step, each in raw.items():
         assert [needs_move(each, *other) for other in raw] == [other != step for other in raw]
     # An old agent has added a mark to its own form of a record that had both.
     by_old = decode("s", raw[1, "move"], knows=1)
-    by_old.marks["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
+    by_old.attempts["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
     assert needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move")
     assert not needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move", knows=1)
     with pytest.raises(errors.InvalidRecordError):
@@ -189,5 +197,5 @@
             alive = [live[name] for name in "abcde" if name in live and live[name].state <= 1]
             assert len(alive) > 2 and (step < 0 or all(each.reads[1] >= 2 for each in alive))
         if after == (1, "narrow") != here:
-            assert all(live[name].moved == 2 for name in "abcde")
+            assert all(live[name].migrated_version == 2 for name in "abcde")
         here = after
