--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -1,17 +1,22 @@
-"""What agents of a fleet say to each other, as bytes: the envelope, its digest, and the frames of a stream.
+"""Encodes what agents of a fleet send to each other: the envelope, its MAC, and the frames of a stream.
 
-Owns the sizes and the order of the checks. It must never let message through whose digest is not right, nor
+Owns the sizes and the order of the checks. It must never let a message through whose MAC is not right, nor
 keep anything of what it refused; every refusal is an error of errors.py.
+
+A sealed message is one byte of envelope version, `MAC_BYTES` of HMAC-SHA256 over the version and the body,
+and the body: an `Envelope` in MessagePack. A frame of a stream is its length in `FRAME_HEADER_BYTES`, big
+endian, and a sealed message.
 """
 
 import hmac
 from functools import cache
 from importlib import import_module
-from typing import Annotated, Union
+from typing import Annotated, Any, NamedTuple, Union
 
 import msgspec
 from msgspec import Meta, Struct
 
+from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.errors import (
     AuthenticationFailedError,
     MalformedMessageError,
@@ -21,13 +26,13 @@
     WrongFleetError,
 )
 
-VERSION = 1  # of the envelope; what message are in it, their tags say
-MAC_LENGTH = 16  # bytes of the digest that are sent
-MAX_DATAGRAM = 1400  # fits one packet on common networks
-MAX_DATAGRAM_MESSAGE = 1200  # in a datagram
-MAX_FRAME = 512 * 1024
-ENVELOPE_OVERHEAD = 1024  # the most that version, digest and envelope add to the message
-FRAME_HEADER = 4  # bytes of a frame's length
+ENVELOPE_VERSION = 1  # that of the messages inside is said by their tags
+MAC_BYTES = 16  # what is sent of the 32 bytes of HMAC-SHA256
+MAX_DATAGRAM_BYTES = 1400  # fits one packet on common networks
+MAX_DATAGRAM_MESSAGE_BYTES = 1200  # of the message in a datagram, without its envelope
+MAX_FRAME_BYTES = 512 * 1024
+MAX_ENVELOPE_BYTES = 1024  # the most that version, MAC and envelope add to the message
+FRAME_HEADER_BYTES = 4
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.swim",
     "cartdeal.fleet.consensus.ring_consensus",
@@ -39,12 +44,24 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
+    """Who sends a message, and the encoded message itself. Sent as an array in this order."""
+
     fleet: Name
     sender: Name
     incarnation: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
     address: Annotated[str, Meta(max_length=64)]
     wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]  # the sender's time of the fleet
-    message: msgspec.Raw  # not looked into before the digest is known to be right
+    message: msgspec.Raw  # not decoded before the MAC is known to be right
+
+
+class ReceivedMessage(NamedTuple):
+    """A message that passed all checks, in the order of the arguments of `Node.on_message`."""
+
+    sender: str
+    incarnation: int  # the sender's
+    address: str  # the sender's "host:port", as it says itself
+    wall_ms: int  # the sender's time of the fleet
+    message: Struct
 
 
 ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
@@ -52,94 +69,129 @@
 
 
 @cache
-def message_decoder() -> msgspec.msgpack.Decoder:
-    """Reads the message of all parts; made at the first message, so that a part may import this module."""
-    kinds = [kind for module in MESSAGE_MODULES for kind in import_module(module).MESSAGE_TYPES]
-    return msgspec.msgpack.Decoder(Union[tuple(kinds)])  # noqa: UP007
+def message_decoder() -> msgspec.msgpack.Decoder[Any]:
+    """Decodes the messages of all parts.
 
+    It is made at the first message, so that a module with message types may import this one.
+    """
+    message_types = [kind for module in MESSAGE_MODULES for kind in import_module(module).MESSAGE_TYPES]
+    return msgspec.msgpack.Decoder(Union[tuple(message_types)])
 
-def encode(settings, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct) -> bytes:
-    """One message: version, digest, envelope. Raises MessageTooLargeError."""
+
+def is_datagram(message: Struct) -> bool:
+    """Whether a message is sent by datagram rather than by stream; each message type says so itself."""
+    return bool(message.DATAGRAM)  # type: ignore[attr-defined]
+
+
+def encode(
+    settings: FleetSettings, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct
+) -> bytes:
+    """Encodes and seals one message. Raises MessageTooLargeError."""
     return seal_message(settings, sender, incarnation, address, wall_ms, encode_message(message))
 
 
 def encode_message(message: Struct) -> bytes:
-    """Words without their envelope. Raises MessageTooLargeError."""
-    raw, most = (
-        msgspec.msgpack.encode(message),
-        MAX_DATAGRAM_MESSAGE if message.DATAGRAM else MAX_FRAME - ENVELOPE_OVERHEAD,
-    )
-    if len(raw) > most:
-        raise MessageTooLargeError(f"message {type(message).__name__}", f"{len(raw)} bytes, {most} at most")
-    return raw
-
-
-def seal_message(settings, sender: str, incarnation: int, address: str, wall_ms: int, raw: bytes) -> bytes:
-    """Words that are encoded already: what waits is stamped when it goes out, or its time would be old."""
-    body = msgspec.msgpack.encode(
-        Envelope(settings.fleet, sender, incarnation, address, wall_ms, msgspec.Raw(raw))
-    )
-    return bytes([VERSION]) + sign(settings.key, body) + body
-
-
-def decode(settings, text: bytes, most: int = MAX_FRAME) -> tuple[str, int, str, int, Struct]:
-    """Sender, its incarnation, address and time, and the message. What is said of the fleet's name and
-    version
-    is a
-    hint to an operator and no more: it is told before the digest shows that it was not forged."""
-    if len(text) > most:
-        raise MessageTooLargeError("a message", f"{len(text)} bytes, {most} at most")
-    if len(text) <= 1 + MAC_LENGTH:
-        raise MalformedMessageError("a message", f"{len(text)} bytes")
-    if text[0] != VERSION:
-        raise UnsupportedEnvelopeError("a message's envelope", text[0])
-    body = text[1 + MAC_LENGTH :]
+    """Encodes a message without its envelope. Raises MessageTooLargeError."""
+    encoded = msgspec.msgpack.encode(message)
+    max_bytes = MAX_DATAGRAM_MESSAGE_BYTES if is_datagram(message) else MAX_FRAME_BYTES - MAX_ENVELOPE_BYTES
+    if len(encoded) > max_bytes:
+        raise MessageTooLargeError(
+            f"message {type(message).__name__}", f"{len(encoded)} bytes, {max_bytes} at most"
+        )
+    return encoded
+
+
+def seal_message(
+    settings: FleetSettings, sender: str, incarnation: int, address: str, wall_ms: int, encoded: bytes
+) -> bytes:
+    """Puts an encoded message into its envelope and signs it.
+
+    It is a step of its own so that a queued message gets its time when it is sent: an older one would look
+    like that of a clock behind.
+    """
+    envelope = Envelope(settings.fleet, sender, incarnation, address, wall_ms, msgspec.Raw(encoded))
+    body = msgspec.msgpack.encode(envelope)
+    return bytes([ENVELOPE_VERSION]) + sign(settings.key, body) + body
+
+
+def decode(settings: FleetSettings, sealed: bytes, max_bytes: int = MAX_FRAME_BYTES) -> ReceivedMessage:
+    """Checks and decodes a sealed message of at most `max_bytes`.
+
+    Raises MessageTooLargeError, MalformedMessageError, UnsupportedEnvelopeError, WrongFleetError,
+    AuthenticationFailedError or UnknownMessageError. The errors about the version and the fleet's name are
+    hints to an operator and no more: they are raised before the MAC shows that nothing was forged.
+    """
+    if len(sealed) > max_bytes:
+        raise MessageTooLargeError("a message", f"{len(sealed)} bytes, {max_bytes} at most")
+    if len(sealed) <= 1 + MAC_BYTES:
+        raise MalformedMessageError("a message", f"{len(sealed)} bytes")
+    if sealed[0] != ENVELOPE_VERSION:
+        raise UnsupportedEnvelopeError("a message's envelope", sealed[0])
+    body = sealed[1 + MAC_BYTES :]
     try:
         envelope = ENVELOPE_DECODER.decode(body)
     except DECODING_ERRORS as error:
         raise MalformedMessageError("a message's envelope", error) from None
     if envelope.fleet != settings.fleet:
         raise WrongFleetError("a message's fleet", envelope.fleet)
-    if not hmac.compare_digest(sign(settings.key, body), text[1 : 1 + MAC_LENGTH]):
+    if not hmac.compare_digest(sign(settings.key, body), sealed[1 : 1 + MAC_BYTES]):
         raise AuthenticationFailedError(f"a message under the name {envelope.sender!r}", "another digest")
     try:
         message = message_decoder().decode(envelope.message)
     except DECODING_ERRORS as error:
         raise UnknownMessageError(f"message of {envelope.sender!r}", error) from None
-    return envelope.sender, envelope.incarnation, envelope.address, envelope.wall_ms, message
+    return ReceivedMessage(envelope.sender, envelope.incarnation, envelope.address, envelope.wall_ms, message)
 
 
 def sign(key: bytes, body: bytes) -> bytes:
-    return hmac.digest(key, bytes([VERSION]) + body, "sha256")[:MAC_LENGTH]
+    """The MAC of an encoded envelope under the fleet's key."""
+    return hmac.digest(key, bytes([ENVELOPE_VERSION]) + body, "sha256")[:MAC_BYTES]
 
 
-def frame_message(text: bytes) -> bytes:
-    return len(text).to_bytes(FRAME_HEADER, "big") + text
+def frame_message(sealed: bytes) -> bytes:
+    """A sealed message as a frame of a stream."""
+    return len(sealed).to_bytes(FRAME_HEADER_BYTES, "big") + sealed
 
 
 class FrameReader:
-    """Takes a stream in any split and gives the whole messages in it. After an error it takes no more."""
+    """Splits a stream, which may come in any pieces, into its frames. After an error it takes no more.
+
+    `buffer`: the bytes of the frame that is not complete yet.
+    """
+
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES):
+        self.max_frame_bytes = max_frame_bytes
+        self.buffer = bytearray()
+        self.has_failed = False
 
-    def __init__(self, most: int = MAX_FRAME):
-        self.most, self.rest, self.spoilt = most, bytearray(), False
+    def feed(self, received: bytes) -> list[bytes]:
+        """Takes the next bytes of the stream and returns the sealed messages that they complete.
 
-    def dispatch(self, more: bytes) -> list[bytes]:
-        """Raises MessageTooLargeError or MalformedMessageError; the messages that came whole before the fault
-        go with it."""
-        if self.spoilt:
+        Raises MessageTooLargeError or MalformedMessageError; messages that were complete before the fault
+        are lost with it.
+        """
+        if self.has_failed:
             raise MalformedMessageError("a stream", "more behind a fault")
-        rest, whole, at = self.rest, [], 0
-        rest += more
-        while len(rest) - at >= FRAME_HEADER:
-            size = int.from_bytes(rest[at : at + FRAME_HEADER], "big")
-            if not size or size > self.most:
-                self.spoilt, self.rest = True, bytearray()
-                if not size:
-                    raise MalformedMessageError("a frame", "0 bytes")
-                raise MessageTooLargeError("a frame", f"{size} bytes, {self.most} at most")
-            if len(rest) - at < FRAME_HEADER + size:
+        buffer = self.buffer
+        buffer += received
+        messages = []
+        start = 0
+        while len(buffer) - start >= FRAME_HEADER_BYTES:
+            size = int.from_bytes(buffer[start : start + FRAME_HEADER_BYTES], "big")
+            if not 0 < size <= self.max_frame_bytes:
+                raise self._fail(size)
+            end = start + FRAME_HEADER_BYTES + size
+            if len(buffer) < end:
                 break
-            whole.append(bytes(rest[at + FRAME_HEADER : at + FRAME_HEADER + size]))
-            at += FRAME_HEADER + size
-        del rest[:at]
-        return whole
+            messages.append(bytes(buffer[start + FRAME_HEADER_BYTES : end]))
+            start = end
+        del buffer[:start]
+        return messages
+
+    def _fail(self, size: int) -> MalformedMessageError | MessageTooLargeError:
+        """Gives up the stream; returns the error that says why."""
+        self.has_failed = True
+        self.buffer = bytearray()
+        if size == 0:
+            return MalformedMessageError("a frame", "0 bytes")
+        return MessageTooLargeError("a frame", f"{size} bytes, {self.max_frame_bytes} at most")
--- a/cartdeal/fleet/transport.py
+++ b/cartdeal/fleet/transport.py
@@ -306,11 +306,11 @@
             if not turn % DATAGRAMS_PER_TURN:
                 gevent.sleep(0)  # one that sends without pause must not have the agent for itself
             try:
-                text, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM + 1)
+                text, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 socket.wait_read(self.datagrams.fileno())
                 continue
-            self.take_in(text, peer, codec.MAX_DATAGRAM)
+            self.take_in(text, peer, codec.MAX_DATAGRAM_BYTES)
 
     def accept(self):
         while True:
@@ -341,11 +341,11 @@
                 more = sock.recv(READ_BYTES)
                 if not more:
                     return
-                messages = frames.dispatch(more)
-                self.half += len(frames.rest) - half
-                half = len(frames.rest)
+                messages = frames.feed(more)
+                self.half += len(frames.buffer) - half
+                half = len(frames.buffer)
                 for text in messages:
-                    if not self.take_in(text, peer, codec.MAX_FRAME):
+                    if not self.take_in(text, peer, codec.MAX_FRAME_BYTES):
                         return
                     state[1], state[2] = True, monotonic()
                 if self.half > self.bounds.half:
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -114,7 +114,7 @@
 def test_frame(sample):
     raw, frame = bytes.fromhex(sample["bytes"]), bytes.fromhex(sample["frame"])
     assert frame_message(raw) == frame
-    assert FrameReader().dispatch(frame) == [raw]
+    assert FrameReader().feed(frame) == [raw]
 
 
 @pytest.mark.parametrize("size", [1, 7, 1 << 20])
@@ -122,7 +122,7 @@
     stream = b"".join(bytes.fromhex(sample["frame"]) for sample in ENVELOPES)
     reader, found = FrameReader(), []
     for at in range(0, len(stream), size):
-        found += reader.dispatch(stream[at : at + size])
+        found += reader.feed(stream[at : at + size])
     assert found == [bytes.fromhex(sample["bytes"]) for sample in ENVELOPES]
 
 
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -44,11 +44,11 @@
     monkeypatch.setattr(codec, "message_decoder", lambda: message)
 
 
-def sealed(body, settings=SETTINGS, version=codec.VERSION):
+def sealed(body, settings=SETTINGS, version=codec.ENVELOPE_VERSION):
     return bytes([version]) + codec.sign(settings.key, body) + body
 
 
-def test_words_come_back_with_who_said_them():
+def test_a_message_is_decoded_with_its_senders_envelope():
     text = codec.encode(SETTINGS, "a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
     assert codec.decode(SETTINGS, text) == ("a", 5 << 56, "127.0.0.1:7", 9, Hail("x", 3))
 
@@ -66,7 +66,7 @@
         ),
         (b"\x02" + codec.encode(SETTINGS, "a", 1, "", 9, Hail("x"))[1:], errors.UnsupportedEnvelopeError),
         (codec.encode(SETTINGS, "a", 1, "", 9, Hail("x"))[:-1], errors.MalformedMessageError),
-        (bytes(codec.MAX_FRAME + 1), errors.MessageTooLargeError),
+        (bytes(codec.MAX_FRAME_BYTES + 1), errors.MessageTooLargeError),
         (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.MalformedMessageError),
         (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.MalformedMessageError),
         (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.MalformedMessageError),
@@ -94,9 +94,9 @@
 
 def test_words_too_long_are_not_sent():
     with pytest.raises(errors.MessageTooLargeError):
-        codec.encode(SETTINGS, "a", 1, "", 9, Hail("x" * codec.MAX_DATAGRAM))
+        codec.encode(SETTINGS, "a", 1, "", 9, Hail("x" * codec.MAX_DATAGRAM_BYTES))
     with pytest.raises(errors.MessageTooLargeError):
-        codec.encode(SETTINGS, "a", 1, "", 9, Load(bytes(codec.MAX_FRAME)))
+        codec.encode(SETTINGS, "a", 1, "", 9, Load(bytes(codec.MAX_FRAME_BYTES)))
 
 
 @settings(max_examples=300, deadline=None)
@@ -135,9 +135,9 @@
     stream, frames, got, cut = b"".join(map(codec.frame_message, messages)), codec.FrameReader(40), [], 0
     while stream:
         size = cuts[cut % len(cuts)]
-        got += frames.dispatch(stream[:size])
+        got += frames.feed(stream[:size])
         stream, cut = stream[size:], cut + 1
-    assert got == messages and not frames.rest
+    assert got == messages and not frames.buffer
 
 
 @pytest.mark.parametrize(
@@ -147,10 +147,10 @@
 def test_a_frame_that_can_not_be_is_refused_and_nothing_of_it_kept(head, kind):
     frames = codec.FrameReader()
     with pytest.raises(kind):
-        frames.dispatch(head + bytes(100))
-    assert not frames.rest
+        frames.feed(head + bytes(100))
+    assert not frames.buffer
     with pytest.raises(errors.MalformedMessageError):
-        frames.dispatch(codec.frame_message(b"x"))
+        frames.feed(codec.frame_message(b"x"))
 
 
 class Scripted:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -83,7 +83,7 @@
     def fate(self, text) -> list[float]:
         """After which delays the message goes on, once for each: none where it is lost."""
         world, random = self.world, self.world.random
-        sender = msgspec.msgpack.decode(text[1 + codec.MAC_LENGTH :])[1]
+        sender = msgspec.msgpack.decode(text[1 + codec.MAC_BYTES :])[1]
         if (sender, self.name) in world.cuts or random.random() < world.lose:
             return []
         return [random.random() * world.delay for _ in range(1 + (random.random() < world.double))]
@@ -106,7 +106,7 @@
             there = socket.create_connection(self.to)
             self.open.append(there)
             while more := sock.recv(65536):
-                for text in frames.dispatch(more):
+                for text in frames.feed(more):
                     for delay in self.fate(text):
                         gevent.sleep(delay)
                         there.sendall(codec.frame_message(text))
