--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -36,7 +36,7 @@
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.swim",
     "cartdeal.fleet.consensus.ring_consensus",
-    "cartdeal.fleet.replication.replica",
+    "cartdeal.fleet.replication.messages",
     "cartdeal.fleet.quota.quota_leases",
 )
 
