--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -9,9 +9,10 @@
 """
 
 import hmac
-from functools import cache
+from functools import cache, reduce
 from importlib import import_module
-from typing import Annotated, Any, NamedTuple, Union
+from operator import or_
+from typing import Annotated, Any, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct
@@ -75,7 +76,7 @@
     It is made at the first message, so that a module with message types may import this one.
     """
     message_types = [kind for module in MESSAGE_MODULES for kind in import_module(module).MESSAGE_TYPES]
-    return msgspec.msgpack.Decoder(Union[tuple(message_types)])
+    return msgspec.msgpack.Decoder(reduce(or_, message_types))
 
 
 def is_datagram(message: Struct) -> bool:
