--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -17,7 +17,6 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.errors import (
     AuthenticationFailedError,
     MalformedMessageError,
@@ -26,6 +25,7 @@
     UnsupportedEnvelopeError,
     WrongFleetError,
 )
+from cartdeal.fleet.settings import FleetSettings
 
 ENVELOPE_VERSION = 1  # that of the messages inside is said by their tags
 MAC_BYTES = 16  # what is sent of the 32 bytes of HMAC-SHA256
