--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -160,7 +160,7 @@
         except InvalidConfigurationError as trouble:
             return log.error("fleet file refused", extra={"reason": str(trouble)})
         host, new = self.host, found.settings
-        kept, restart = fleet_configuration.taken_over(host.settings, new)
+        kept, restart = fleet_configuration.merge_reloadable(host.settings, new)
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
         host.settings = kept
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -1,32 +1,39 @@
 """Reads the operator file of a fleet (TOML), at the start and on SIGHUP, checks it and fills in defaults.
 
-The one place that knows the names of its keys and of the environment's. It must never guess around a wrong
-value, nor show the fleet's key: a fault is errors.WrongConfiguration and names file, key, what was found
-and what is wanted.
+The one place that knows the names of its keys and of the environment variables. It must never guess around a
+wrong value, nor show the fleet's key: a fault is an InvalidConfigurationError and names file, key, what was
+found and what is wanted.
 """
 
 import os
 import re
 import tomllib
+from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
+from typing import Any, NamedTuple, Protocol
 
 from msgspec import Struct
 from msgspec.structs import fields, replace
 
 from cartdeal.fleet.errors import InvalidConfigurationError
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.settings import REPEATS, seconds
+from cartdeal.settings import REPEATS, Settings, seconds
 from cartdeal.terms import Repeat
 
-FILE, NAME, LISTEN, ADDRESS = "PROXY_FLEET", "PROXY_FLEET_NAME", "PROXY_FLEET_LISTEN", "PROXY_FLEET_ADDRESS"
-WORD = re.compile(r"[A-Za-z0-9._-]{1,64}")
-PLACE = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
-LEAST_KEY = 16  # bytes
-LONGEST_FILE = 1 << 20
-
-# What a running agent takes over from a file that is read again. With others it would count or vote otherwise
-# than what it told its peers.
-TAKEN_OVER = (
+FILE_VARIABLE = "PROXY_FLEET"
+NAME_VARIABLE = "PROXY_FLEET_NAME"
+LISTEN_VARIABLE = "PROXY_FLEET_LISTEN"
+ADDRESS_VARIABLE = "PROXY_FLEET_ADDRESS"
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
+MIN_KEY_BYTES = 16
+MAX_KEY_FILE_BYTES = 4096  # what follows is not read
+MAX_FILE_BYTES = 1 << 20
+MISSING = "nothing"  # stands for the value of a key that is not there, in checks and in faults
+
+# What a running agent adopts from a file that is read again. With other keys changed it would count or vote
+# otherwise than it announced to its peers.
+RELOADABLE_KEYS = (
     "seeds",
     "limits",
     "on_doubt",
@@ -39,10 +46,19 @@
     "damp_share",
     "step_share",
 )
+# Keys of the file that are no field of FleetSettings, or not as they stand in the file.
+SEPARATELY_READ_KEYS = frozenset(("name", "listen", "address", "key", "key_file", "limits", "zone"))
 
 Address = tuple[str, int]
 
 
+class AgentConfiguration(Protocol):
+    """What the file has to agree with of the agent's own configuration."""
+
+    name: str
+    settings: Settings
+
+
 class FleetConfiguration(Struct, frozen=True):
     """What the file says: `settings` for the node, `listen` for the transport."""
 
@@ -50,279 +66,355 @@
     listen: Address
 
 
-def address(text, least: int = 1) -> Address | None:
-    """An address in numbers; a name would have to be looked up in the middle of an event."""
-    found = PLACE.fullmatch(text) if isinstance(text, str) else None
-    if not found or any(int(part) > 255 for part in found.groups()[:4]) or not least <= int(found[5]) < 65536:
+class KeyRule(NamedTuple):
+    """What a key's value has to be: in words, for the operator, and as a check."""
+
+    expected: str
+    is_valid: Callable[[Any], bool]
+
+
+class Inconsistency(NamedTuple):
+    """A key that is valid by itself, but not beside another one or the agent's own configuration."""
+
+    key: str
+    observed: object
+    expected: str
+
+
+def parse_address(text: object, min_port: int = 1) -> Address | None:
+    """Parses "host:port" with a numeric IPv4 host; None where it is none.
+
+    A host name is refused: it would have to be looked up in the middle of an event.
+    """
+    found = ADDRESS_PATTERN.fullmatch(text) if isinstance(text, str) else None
+    if not found or any(int(part) > 255 for part in found.groups()[:4]):
         return None
-    return text.rpartition(":")[0], int(found[5])
+    host, port = found[0].rpartition(":")[0], int(found[5])
+    return (host, port) if min_port <= port < 65536 else None
 
 
-def word(wanted="a name of 1 to 64 letters, digits, '.', '_' or '-'"):
-    return wanted, lambda found: isinstance(found, str) and bool(WORD.fullmatch(found))
+def name_rule() -> KeyRule:
+    """A name of an agent, a fleet or a zone."""
+    return KeyRule(
+        "a name of 1 to 64 letters, digits, '.', '_' or '-'",
+        lambda value: isinstance(value, str) and bool(NAME_PATTERN.fullmatch(value)),
+    )
 
 
-def number(low, high, kinds=(int, float)):
-    what = "a whole number" if kinds is int else "a number"
-    return (
-        f"{what} from {low:g} to {high:g}",
-        lambda found: isinstance(found, kinds) and not isinstance(found, bool) and low <= found <= high,
+def number_rule(low: float, high: float) -> KeyRule:
+    """A number from `low` to `high`, both included."""
+    return KeyRule(
+        f"a number from {low:g} to {high:g}",
+        lambda value: isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high,
     )
 
 
-def one_of(*words):
-    return f"one of {', '.join(words)}", lambda found: isinstance(found, str) and found in words
+def integer_rule(low: int, high: int) -> KeyRule:
+    """A whole number from `low` to `high`, both included."""
+    return KeyRule(
+        f"a whole number from {low:g} to {high:g}",
+        lambda value: isinstance(value, int) and not isinstance(value, bool) and low <= value <= high,
+    )
 
 
-def place(least=1):
-    return ("an address in numbers such as '10.0.0.5:7946'", lambda found: address(found, least) is not None)
+def choice_rule(*choices: str) -> KeyRule:
+    """One of several words."""
+    return KeyRule(f"one of {', '.join(choices)}", lambda value: isinstance(value, str) and value in choices)
 
 
-def table(wanted):
-    return wanted, lambda found: isinstance(found, dict)
+def address_rule(min_port: int = 1) -> KeyRule:
+    """An address that `parse_address` reads."""
+    return KeyRule(
+        "an address in numbers such as '10.0.0.5:7946'",
+        lambda value: parse_address(value, min_port) is not None,
+    )
+
+
+def table_rule(expected: str) -> KeyRule:
+    """A table of TOML."""
+    return KeyRule(expected, lambda value: isinstance(value, dict))
 
 
 KEYS = {
-    "fleet": word(),
-    "name": word(),
-    "zone": word(),
-    "listen": place(0),
-    "address": place(),
-    "key": (f"text of {LEAST_KEY} characters or more", lambda found: isinstance(found, str)),
-    "key_file": ("the path of a file with the key", lambda found: isinstance(found, str) and bool(found)),
-    "seeds": table("a table of agents' names and addresses"),
-    "limits": table("a table for each tenant, with rate and burst"),
-    "capacity": number(0.01, 1e6),
-    "copies": number(1, 9, int),
-    "write_by": number(1, 9, int),
-    "read_by": number(1, 9, int),
-    "on_doubt": one_of("turn_back", "terminate"),
-    "limit_doubt": one_of("turn_back", "serve"),
-    "clients_mark": ("true or false", lambda found: isinstance(found, bool)),
-    "wait_s": number(0.001, 5),
-    "lease_s": number(0.2, 600),
-    "period_s": number(0.05, 3600),
-    "longest_mark_s": number(0.1, 3600),
-    "clock_ahead_s": number(0.01, 60),
-    "clock_drift": number(0, 0.2),
-    "tick_s": number(0.01, 5),
-    "probe_s": number(0.05, 60),
-    "suspect_s": number(0.1, 600),
-    "damp_s": number(0, 3600),
-    "damp_share": number(0, 1),
-    "step_share": number(0.01, 1),
-    "most_agents": number(1, 10_000, int),
-    "most_records": number(100, 10_000_000, int),
-    "most_marks_a_session": number(1, 1000, int),
-    "most_hints": number(10, 1_000_000, int),
-    "most_waiting": number(1, 100_000, int),
-    "hold_version": number(0, 1000, int),
+    "fleet": name_rule(),
+    "name": name_rule(),
+    "zone": name_rule(),
+    "listen": address_rule(0),
+    "address": address_rule(),
+    "key": KeyRule(f"text of {MIN_KEY_BYTES} characters or more", lambda value: isinstance(value, str)),
+    "key_file": KeyRule(
+        "the path of a file with the key", lambda value: isinstance(value, str) and bool(value)
+    ),
+    "seeds": table_rule("a table of agents' names and addresses"),
+    "limits": table_rule("a table for each tenant, with rate and burst"),
+    "capacity": number_rule(0.01, 1e6),
+    "copies": integer_rule(1, 9),
+    "write_by": integer_rule(1, 9),
+    "read_by": integer_rule(1, 9),
+    "on_doubt": choice_rule("turn_back", "terminate"),
+    "limit_doubt": choice_rule("turn_back", "serve"),
+    "clients_mark": KeyRule("true or false", lambda value: isinstance(value, bool)),
+    "wait_s": number_rule(0.001, 5),
+    "lease_s": number_rule(0.2, 600),
+    "period_s": number_rule(0.05, 3600),
+    "longest_mark_s": number_rule(0.1, 3600),
+    "clock_ahead_s": number_rule(0.01, 60),
+    "clock_drift": number_rule(0, 0.2),
+    "tick_s": number_rule(0.01, 5),
+    "probe_s": number_rule(0.05, 60),
+    "suspect_s": number_rule(0.1, 600),
+    "damp_s": number_rule(0, 3600),
+    "damp_share": number_rule(0, 1),
+    "step_share": number_rule(0.01, 1),
+    "most_agents": integer_rule(1, 10_000),
+    "most_records": integer_rule(100, 10_000_000),
+    "most_marks_a_session": integer_rule(1, 1000),
+    "most_hints": integer_rule(10, 1_000_000),
+    "most_waiting": integer_rule(1, 100_000),
+    "hold_version": integer_rule(0, 1000),
 }
-SHARES = {"rate": number(1e-3, 1e7), "burst": number(1, 1e7)}
+LIMIT_KEYS = {"rate": number_rule(1e-3, 1e7), "burst": number_rule(1, 1e7)}
+LIMIT_RULE = table_rule("a table with rate and burst")
+
 
+def read(config: AgentConfiguration, environment: Mapping[str, str] = os.environ) -> FleetConfiguration:
+    """Reads the file that PROXY_FLEET names. Raises InvalidConfigurationError.
 
-def read(config, environment=os.environ) -> FleetConfiguration:
-    """Raises errors.WrongConfiguration. `config`: the agent's own; the file has to agree with it."""
-    path = environment[FILE]
+    `config`: the agent's own configuration, which the file has to agree with.
+    """
+    path = environment[FILE_VARIABLE]
     try:
-        text = Path(path).read_bytes()
+        content = Path(path).read_bytes()
     except OSError as error:
-        raise fault(FILE, path, f"a readable file ({error.strerror})") from None
+        raise fault(FILE_VARIABLE, path, f"a readable file ({error.strerror})") from None
     try:
-        if len(text) > LONGEST_FILE:
-            raise ValueError(f"{len(text)} bytes")
-        found = tomllib.loads(text.decode())
+        if len(content) > MAX_FILE_BYTES:
+            raise ValueError(f"{len(content)} bytes")
+        values = tomllib.loads(content.decode())
     except (ValueError, RecursionError) as error:
         raise fault(path, error, "TOML in UTF-8") from None
-    return decode(found, path, config, environment)
-
-
-def decode(found: dict, path: str, config, environment) -> FleetConfiguration:
-    for key, value in found.items():
-        if key not in KEYS:
-            raise fault(f"{path}: {key}", shown(value), f"no such key; there are {', '.join(KEYS)}")
-        check(f"{path}: {key}", value, KEYS[key], secret=key == "key")
-    if "fleet" not in found:
-        raise fault(f"{path}: fleet", "nothing", KEYS["fleet"][0])
-    seeds, limits = found.get("seeds", {}), found.get("limits", {})
-    for name, at in seeds.items():
-        check(f"{path}: seeds.{name}", name, KEYS["name"])
-        check(f"{path}: seeds.{name}", at, KEYS["address"])
-    for tenant, parts in limits.items():
-        where = f"{path}: limits.{tenant}"
-        check(where, parts, table("a table with rate and burst"))
-        for key in {**SHARES, **parts}:
-            if key not in SHARES:
-                raise fault(f"{where}.{key}", shown(parts[key]), "no such key; there are rate and burst")
-            check(f"{where}.{key}", parts.get(key, "nothing"), SHARES[key])
-    name = chosen(path, found, environment, "name", NAME, config.name)
-    listen = chosen(path, found, environment, "listen", LISTEN, seeds.get(name, "nothing"))
+    return decode(values, path, config, environment)
+
+
+def decode(
+    values: dict[str, Any], path: str, config: AgentConfiguration, environment: Mapping[str, str]
+) -> FleetConfiguration:
+    """Checks the values of a parsed file and fills in defaults. Raises InvalidConfigurationError."""
+    check_keys(path, values)
+    seeds: dict[str, str] = values.get("seeds", {})
+    limits: dict[str, dict[str, float]] = values.get("limits", {})
+    check_seeds(path, seeds)
+    check_limits(path, limits)
+    name = resolve(path, values, environment, "name", NAME_VARIABLE, config.name)
+    listen = resolve(path, values, environment, "listen", LISTEN_VARIABLE, seeds.get(name, MISSING))
     # A file for many agents can't hold the address of one: where that one listens comes from outside.
-    reached = found | ({} if LISTEN not in environment else {"address": None})
-    reached = chosen(path, reached, environment, "address", ADDRESS, seeds.get(name, listen))
-    fleet_settings = FleetSettings(
-        **{
-            key: value
-            for key, value in found.items()
-            if key not in ("name", "listen", "address", "key", "key_file", "limits", "zone")
-        },
+    own_values = values | {"address": None} if LISTEN_VARIABLE in environment else values
+    address = resolve(path, own_values, environment, "address", ADDRESS_VARIABLE, seeds.get(name, listen))
+    settings = FleetSettings(
+        **{key: value for key, value in values.items() if key not in SEPARATELY_READ_KEYS},
         name=name,
-        address=reached,
-        key=the_key(path, found),
-        zone=found.get("zone", zone_of(config)),
+        address=address,
+        key=read_key(path, values),
+        zone=values.get("zone", own_zone(config)),
         limits={
-            tenant: RateLimit(float(each["rate"]), float(each["burst"])) for tenant, each in limits.items()
+            tenant: RateLimit(float(limit["rate"]), float(limit["burst"])) for tenant, limit in limits.items()
         },
     )
-    agree(path, fleet_settings, listen, config)
-    return FleetConfiguration(fleet_settings, address(listen, 0))
+    check_consistency(path, settings, config)
+    listen_address = parse_address(listen, 0)
+    assert listen_address is not None  # checked by the rule of `listen`
+    return FleetConfiguration(settings, listen_address)
+
+
+def check_keys(path: str, values: dict[str, Any]) -> None:
+    """Checks that each key is known and its value valid, and that no required key is missing."""
+    for key, value in values.items():
+        if key not in KEYS:
+            raise fault(f"{path}: {key}", display(value), f"no such key; there are {', '.join(KEYS)}")
+        check(f"{path}: {key}", value, KEYS[key], is_secret=key == "key")
+    if "fleet" not in values:
+        raise fault(f"{path}: fleet", MISSING, KEYS["fleet"].expected)
+
+
+def check_seeds(path: str, seeds: dict[str, Any]) -> None:
+    """Checks names and addresses of the seeds."""
+    for name, address in seeds.items():
+        check(f"{path}: seeds.{name}", name, KEYS["name"])
+        check(f"{path}: seeds.{name}", address, KEYS["address"])
+
 
+def check_limits(path: str, limits: dict[str, Any]) -> None:
+    """Checks rate and burst of each tenant."""
+    for tenant, limit in limits.items():
+        subject = f"{path}: limits.{tenant}"
+        check(subject, limit, LIMIT_RULE)
+        for key in {**LIMIT_KEYS, **limit}:
+            if key not in LIMIT_KEYS:
+                raise fault(f"{subject}.{key}", display(limit[key]), "no such key; there are rate and burst")
+            check(f"{subject}.{key}", limit.get(key, MISSING), LIMIT_KEYS[key])
 
-def chosen(path, found, environment, key, variable, default) -> str:
+
+def resolve(
+    path: str, values: dict[str, Any], environment: Mapping[str, str], key: str, variable: str, default: str
+) -> str:
+    """The value of a key: from the environment variable, else from the file, else the default."""
     if variable in environment:
         check(variable, environment[variable], KEYS[key])
         return environment[variable]
-    value = found.get(key) or default
+    value: str = values.get(key) or default
+    # An agent may listen on a port that the system chooses; its address is known once it listens.
     check(f"{path}: {key}", value, KEYS["listen" if key == "address" else key])
     return value
 
 
-def the_key(path: str, found: dict) -> bytes:
-    if ("key" in found) == ("key_file" in found):
-        raise fault(f"{path}: key", "key_file, too" if "key" in found else "nothing", "one of key, key_file")
-    if "key" in found:
-        key, where = found["key"].encode(), f"{path}: key"
+def read_key(path: str, values: dict[str, Any]) -> bytes:
+    """The fleet's key, from `key` or from the file that `key_file` names."""
+    if ("key" in values) == ("key_file" in values):
+        observed = "key_file, too" if "key" in values else MISSING
+        raise fault(f"{path}: key", observed, "one of key, key_file")
+    if "key" in values:
+        subject = f"{path}: key"
+        key: bytes = values["key"].encode()
     else:
-        where = f"{path}: key_file"
+        subject = f"{path}: key_file"
         try:
-            key = Path(path).parent.joinpath(found["key_file"]).read_bytes()[:4096].strip()
+            key = Path(path).parent.joinpath(values["key_file"]).read_bytes()[:MAX_KEY_FILE_BYTES].strip()
         except OSError as error:
-            raise fault(where, found["key_file"], f"a readable file ({error.strerror})") from None
-    if len(key) < LEAST_KEY:
-        raise fault(where, f"{len(key)} bytes", f"{LEAST_KEY} bytes or more, by chance")
+            raise fault(subject, values["key_file"], f"a readable file ({error.strerror})") from None
+    if len(key) < MIN_KEY_BYTES:
+        raise fault(subject, f"{len(key)} bytes", f"{MIN_KEY_BYTES} bytes or more, by chance")
     return key
 
 
-def agree(path: str, fleet_settings: FleetSettings, listen: str, config):
-    """What each key allows by itself, but not beside another one, or beside the agent's own configuration."""
-    seeds, by_address = fleet_settings.seeds, {}
-    wrong = [
-        ("seeds", len(seeds), "at least one agent that founds the fleet", not seeds),
-        (
-            "seeds",
-            len(seeds),
-            f"most_agents at most, {fleet_settings.most_agents}",
-            len(seeds) > fleet_settings.most_agents,
-        ),
-        (
-            "address",
-            fleet_settings.address,
-            "an address that peers can reach, where listen has none",
-            fleet_settings.address.startswith("0."),
-        ),
-        (
-            f"seeds.{fleet_settings.name}",
-            seeds.get(fleet_settings.name),
-            f"the address of this agent, {fleet_settings.address}",
-            seeds.get(fleet_settings.name, fleet_settings.address) != fleet_settings.address,
-        ),
-        (
-            "write_by",
-            fleet_settings.write_by,
-            f"copies at most, {fleet_settings.copies}",
-            fleet_settings.write_by > fleet_settings.copies,
-        ),
-        (
-            "read_by",
-            fleet_settings.read_by,
-            f"copies at most, {fleet_settings.copies}",
-            fleet_settings.read_by > fleet_settings.copies,
-        ),
-        (
+def check_consistency(path: str, settings: FleetSettings, config: AgentConfiguration) -> None:
+    """Checks keys against each other and against the agent's own configuration.
+
+    Raises InvalidConfigurationError for the first that doesn't fit.
+    """
+    for find in CONSISTENCY_CHECKS:
+        for found in find(settings, config):
+            raise fault(f"{path}: {found.key}", found.observed, found.expected)
+
+
+def find_membership_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Seeds and addresses: who founds the fleet and how this agent is reached."""
+    seeds, name, address = settings.seeds, settings.name, settings.address
+    if not seeds:
+        yield Inconsistency("seeds", len(seeds), "at least one agent that founds the fleet")
+    if len(seeds) > settings.most_agents:
+        yield Inconsistency("seeds", len(seeds), f"most_agents at most, {settings.most_agents}")
+    if address.startswith("0."):
+        yield Inconsistency("address", address, "an address that peers can reach, where listen has none")
+    if seeds.get(name, address) != address:
+        yield Inconsistency(f"seeds.{name}", seeds[name], f"the address of this agent, {address}")
+
+
+def find_quorum_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Quorums: no larger than the copies, and a read quorum overlaps each write quorum."""
+    copies, write_by, read_by = settings.copies, settings.write_by, settings.read_by
+    if write_by > copies:
+        yield Inconsistency("write_by", write_by, f"copies at most, {copies}")
+    if read_by > copies:
+        yield Inconsistency("read_by", read_by, f"copies at most, {copies}")
+    if write_by + read_by <= copies:
+        yield Inconsistency(
             "write_by",
-            f"{fleet_settings.write_by} and read_by {fleet_settings.read_by}",
-            f"over copies ({fleet_settings.copies}) together: else who reads may miss what was written",
-            fleet_settings.write_by + fleet_settings.read_by <= fleet_settings.copies,
-        ),
-        (
-            "wait_s",
-            fleet_settings.wait_s,
-            f"lease_s at most, {fleet_settings.lease_s:g}",
-            fleet_settings.wait_s > fleet_settings.lease_s,
-        ),
-        (
-            "tick_s",
-            fleet_settings.tick_s,
-            f"a quarter of lease_s at most, {fleet_settings.lease_s / 4:g}",
-            fleet_settings.tick_s > fleet_settings.lease_s / 4,
-        ),
-        (
-            "tick_s",
-            fleet_settings.tick_s,
-            f"probe_s at most, {fleet_settings.probe_s:g}",
-            fleet_settings.tick_s > fleet_settings.probe_s,
-        ),
-        (
-            "suspect_s",
-            fleet_settings.suspect_s,
-            f"probe_s or more, {fleet_settings.probe_s:g}",
-            fleet_settings.suspect_s < fleet_settings.probe_s,
-        ),
-        (
-            "hold_version",
-            fleet_settings.hold_version,
-            f"0 or a version from {fleet_settings.reads[0]} to {fleet_settings.reads[1]}",
-            fleet_settings.hold_version
-            and not fleet_settings.reads[0] <= fleet_settings.hold_version <= fleet_settings.reads[1],
-        ),
-    ]
-    for name, at in seeds.items():
-        other = by_address.setdefault(at, name)
-        wrong.append((f"seeds.{name}", at, f"an address of its own, {other} has this", other != name))
-    tenants = [each.name for each in config.settings.tenants]
-    for tenant in fleet_settings.limits:
-        known = ", ".join(tenants) or "none"
-        wrong.append(
-            (f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}", tenant not in tenants)
+            f"{write_by} and read_by {read_by}",
+            f"over copies ({copies}) together: else who reads may miss what was written",
         )
-    for kind in config.settings.request_classes:
-        keyed = REPEATS.get(kind.repeat) is Repeat.DEDUPLICATED
-        needs = seconds(kind.window) * keyed + kind.timeout
-        wrong.append(
-            (
+
+
+def find_timing_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Times that have to be in proportion to each other."""
+    lease_s, tick_s, probe_s = settings.lease_s, settings.tick_s, settings.probe_s
+    if settings.wait_s > lease_s:
+        yield Inconsistency("wait_s", settings.wait_s, f"lease_s at most, {lease_s:g}")
+    if tick_s > lease_s / 4:
+        yield Inconsistency("tick_s", tick_s, f"a quarter of lease_s at most, {lease_s / 4:g}")
+    if tick_s > probe_s:
+        yield Inconsistency("tick_s", tick_s, f"probe_s at most, {probe_s:g}")
+    if settings.suspect_s < probe_s:
+        yield Inconsistency("suspect_s", settings.suspect_s, f"probe_s or more, {probe_s:g}")
+
+
+def find_version_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
+    """The schema version that is held must be one that this program reads."""
+    low, high = settings.reads
+    if settings.hold_version and not low <= settings.hold_version <= high:
+        yield Inconsistency("hold_version", settings.hold_version, f"0 or a version from {low} to {high}")
+
+
+def find_shared_addresses(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Two seeds must not have one address."""
+    names: dict[str, str] = {}
+    for name, address in settings.seeds.items():
+        first = names.setdefault(address, name)
+        if first != name:
+            yield Inconsistency(f"seeds.{name}", address, f"an address of its own, {first} has this")
+
+
+def find_unknown_tenants(settings: FleetSettings, config: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Each limit must be of a tenant of the agent's own settings."""
+    tenants = [tenant.name for tenant in config.settings.tenants]
+    for tenant in settings.limits:
+        if tenant not in tenants:
+            known = ", ".join(tenants) or "none"
+            yield Inconsistency(f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}")
+
+
+def find_short_retention(settings: FleetSettings, config: AgentConfiguration) -> Iterator[Inconsistency]:
+    """Attempt records must outlive the idempotency window and the deadline of each request class."""
+    for request_class in config.settings.request_classes:
+        is_deduplicated = REPEATS.get(request_class.repeat or "") is Repeat.DEDUPLICATED
+        needed_s = seconds(request_class.window) * is_deduplicated + request_class.timeout
+        if settings.longest_mark_s < needed_s:
+            yield Inconsistency(
                 "longest_mark_s",
-                fleet_settings.longest_mark_s,
-                f"{needs:g} or more for workload {kind.name}: else what it did is forgotten too soon",
-                fleet_settings.longest_mark_s < needs,
+                settings.longest_mark_s,
+                f"{needed_s:g} or more for workload {request_class.name}: "
+                "else what it did is forgotten too soon",
             )
-        )
-    for key, found, wanted, is_wrong in wrong:
-        if is_wrong:
-            raise fault(f"{path}: {key}", found, wanted)
 
 
-def taken_over(old: FleetSettings, new: FleetSettings) -> tuple[FleetSettings, list[str]]:
+CONSISTENCY_CHECKS: tuple[Callable[[FleetSettings, AgentConfiguration], Iterator[Inconsistency]], ...] = (
+    find_membership_faults,
+    find_quorum_faults,
+    find_timing_faults,
+    find_version_faults,
+    find_shared_addresses,
+    find_unknown_tenants,
+    find_short_retention,
+)
+
+
+def merge_reloadable(old: FleetSettings, new: FleetSettings) -> tuple[FleetSettings, list[str]]:
     """What a running agent goes by after its file was read again, and the keys that need a restart."""
-    kept = replace(old, **{key: getattr(new, key) for key in TAKEN_OVER})
-    return kept, [
-        each.name for each in fields(FleetSettings) if getattr(kept, each.name) != getattr(new, each.name)
+    merged = replace(old, **{key: getattr(new, key) for key in RELOADABLE_KEYS})
+    needs_restart = [
+        field.name
+        for field in fields(FleetSettings)
+        if getattr(merged, field.name) != getattr(new, field.name)
     ]
+    return merged, needs_restart
 
 
-def zone_of(config) -> str:
+def own_zone(config: AgentConfiguration) -> str:
+    """The zone of this agent in its own settings; "" where they name none."""
     settings = config.settings
     return settings.zones[settings.own_zone] if settings.zones else ""
 
 
-def check(where: str, found, rule, secret: bool = False):
-    wanted, good = rule
-    if not good(found):
-        raise fault(where, type(found).__name__ if secret else shown(found), wanted)
+def check(subject: str, value: object, rule: KeyRule, is_secret: bool = False) -> None:
+    """Raises InvalidConfigurationError where a value breaks its rule; a secret one is not shown."""
+    if not rule.is_valid(value):
+        raise fault(subject, type(value).__name__ if is_secret else display(value), rule.expected)
 
 
-def shown(found) -> str:
-    return type(found).__name__ if isinstance(found, dict | list) else str(found)
+def display(value: object) -> str:
+    """A value as a fault shows it: of a table or a list its type alone."""
+    return type(value).__name__ if isinstance(value, dict | list) else str(value)
 
 
-def fault(where: str, found, wanted: str) -> InvalidConfigurationError:
-    return InvalidConfigurationError(where, found, f"wanted {wanted}")
+def fault(subject: str, observed: object, expected: str) -> InvalidConfigurationError:
+    """The error about a key, a variable or a file."""
+    return InvalidConfigurationError(subject, observed, f"wanted {expected}")
--- a/cartdeal/fleet/transport.py
+++ b/cartdeal/fleet/transport.py
@@ -19,7 +19,7 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet import codec
-from cartdeal.fleet.configuration import address as place
+from cartdeal.fleet.configuration import parse_address as place
 from cartdeal.fleet.effects import DeliverDecision, SendMessage, WriteLog
 from cartdeal.fleet.errors import FleetError, MessageTooLargeError, UnknownMessageError
 from cartdeal.fleet.metrics import Metric
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -113,7 +113,7 @@
 def test_what_a_running_agent_takes_over(tmp_path):
     old = read(tmp_path, GOOD + SEEDS + LIMITS).settings
     new = read(tmp_path, GOOD + "copies = 5\nwrite_by = 3\nread_by = 3\nwait_s = 0.2\n" + SEEDS).settings
-    kept, restart = configuration.taken_over(old, new)
+    kept, restart = configuration.merge_reloadable(old, new)
     assert (kept.wait_s, kept.limits, kept.copies) == (0.2, {}, 3)
     assert restart == ["copies", "write_by", "read_by"]
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -156,7 +156,7 @@
         + "".join(f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY))
     )
     config = replace(config, name=f"{1:064}")
-    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).settings
+    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE_VARIABLE: str(file)}).settings
     assert len(fleet_settings.seeds) == fleet_settings.most_agents == MANY
 
 
