--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 	.venv/bin/pip -q install -r requirements-dev.txt
 	.venv/bin/ruff check
 	.venv/bin/ruff format --check
+	.venv/bin/mypy
 
 run: build
 	PROXY_CONFIG=$${PROXY_CONFIG:-examples/config.json} .venv/bin/python -m cartdeal
--- a/cartdeal/__init__.py
+++ b/cartdeal/__init__.py
@@ -0,0 +1,1 @@
+"""A sidecar balancer for service-to-service calls."""
--- a/cartdeal/agent/__init__.py
+++ b/cartdeal/agent/__init__.py
@@ -0,0 +1,1 @@
+"""An agent on sockets."""
--- a/cartdeal/benchlink/__init__.py
+++ b/cartdeal/benchlink/__init__.py
@@ -0,0 +1,1 @@
+"""The decisions behind a simulator's wire."""
--- a/cartdeal/emulator/__init__.py
+++ b/cartdeal/emulator/__init__.py
@@ -0,0 +1,1 @@
+"""Fleets of real reducers in simulated time."""
--- a/cartdeal/lab/__init__.py
+++ b/cartdeal/lab/__init__.py
@@ -0,0 +1,1 @@
+"""Experiments: variants of a world on the same seeds."""
--- a/cartdeal/rig/__init__.py
+++ b/cartdeal/rig/__init__.py
@@ -0,0 +1,1 @@
+"""Worlds played on loopback sockets with real agents."""
--- a/cartdeal/rig/soak/__init__.py
+++ b/cartdeal/rig/soak/__init__.py
@@ -0,0 +1,1 @@
+"""Overlapping faults played on real agents."""
