--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -1,176 +1,242 @@
-"""Which keys an agent has caught up with, and by whose word.
-
-It owns the argument why a copy may be read after a change of ring or a restart. It must never count a
-source that may itself lack what is asked for: then doubt goes on, until all marks that could be lacking are
-over.
-
-The rule. A mark counts as written when W of the N owners of its key have it, all by one epoch; so at most N
-- W owners that count as caught up lack it, and any R > N - W that answer show it. To keep that true:
-- One that goes on owning a key through neighbouring epochs stays caught up with it: what it lacks, the W
-  had. Not where the ring gets so small that there are fewer owners: then all ask again.
-- One that gains a key has caught up with it after N - W + 1 of its owners by the former ring, each caught
-  up by that ring, told what they had. A source tells only by the asker's epoch, so it takes in nothing by
-  the former one afterwards. An owner by the present ring that has caught up lacks no more than these, and
-  counts as one.
-- One that restarted from nothing may have been among the W itself: for it only owners by the present ring
-  count, asked after a lease since its start, when no claim is open that its former incarnation answered. It
-  counts
-  as restarted until its ring was vouched for once: no former incarnation can have been in a later ring
-  before.
-- In the first ring of all, one of whom no co-owner knows another incarnation has nothing to catch up with; as
-many
-  have to say so as would have to tell one that restarted.
-- After the longest mark, twice the slack between clocks and a lease, all that could be lacking is over.
-Owners are by key, ranges by hash. A whole range counts as caught up when so few seats have not told of it
-that they can't be too many of any key's owners.
+"""Catch-up: which keys an agent may answer reads for, after a change of ring or a restart.
+
+This module owns the argument why a copy may be read. It must never count a source that may itself lack what
+is asked for: reads then stay uncertain until every attempt record that could be missing has expired.
+
+The argument. An attempt record counts as written when W of the N owners of its key hold it, all in
+one epoch. So at most N - W owners that have caught up lack it, and any R > N - W of them that answer show it.
+Each change has to keep that true:
+
+- An agent that owns a key in two successive epochs stays caught up with it: the W owners held what it lacks.
+  This fails where the ring shrinks until a key has fewer owners; then all owners fetch again.
+- An agent that gains a key has caught up with it once N - W + 1 of its owners in the former ring, each caught
+  up in that ring, have reported all that they held. A source reports only in the asker's epoch, so it accepts
+  no write of the former epoch afterwards. An owner in the current ring that has caught up lacks no more than
+  these do, and counts as one of them.
+- An agent that restarted with an empty store may itself have been one of the W. For it, only owners in the
+  current ring count, asked once a lease has passed since its start, when no write is pending that its former
+  incarnation acknowledged. It counts as restarted until its lease on a ring was renewed once: no former
+  incarnation can have been a member of a later ring before that.
+- In the first ring of all, an agent of which no other owner knows an earlier incarnation has nothing to catch
+  up with. As many owners have to confirm this as would have to report to a restarted agent.
+- After the longest lifetime of an attempt record, twice the tolerated clock skew and one lease, all that
+  could be missing has expired.
+
+Owners are found by key, ranges by the key's hash. A whole range counts as caught up when so few members have
+yet to report on it that they can't be too many of the owners of any key.
 """
 
+from collections.abc import Container, Iterable
+from enum import StrEnum
 from hashlib import blake2b
+from typing import NamedTuple
 
 from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.settings import FleetSettings
 
-RANGES = 64
-ALL = (1 << RANGES) - 1  # a bit for each range
-MAX_DEPTH = 8  # neighbouring epochs through which a key is followed back
-MAX_SINGLE_KEYS = 10_000  # caught up with one by one, before their range was; the oldest is forgotten
+RANGE_COUNT = 64  # ranges of hashed keys; a set of ranges is an int with one bit for each
+ALL_RANGES = (1 << RANGE_COUNT) - 1
+MAX_DEPTH = 8  # successive epochs through which a key is followed back
+MAX_SINGLE_KEYS = 10_000  # caught up with one by one, ahead of their range; the oldest is dropped
+RANGES_CACHE_S = 1.0  # how long the computed set of complete ranges is used again
 
-FIRST, RESTARTED, GAINING = "first", "restarted", "gaining"
+
+class CatchUpReason(StrEnum):
+    """Why an agent has to catch up, which decides whose reports count."""
+
+    FIRST_RING = "first"  # the fleet's first ring: others confirm that they know no earlier incarnation
+    RESTARTED = "restarted"  # the store is empty: owners in the current ring report
+    OWNERSHIP_CHANGED = "gaining"  # the ring follows one this agent has seen: the former owners report
+
+
+class Quorum(NamedTuple):
+    """How many agents own a key, how many of them have to write, and how many have to answer a read."""
+
+    owners: int
+    writes: int
+    reads: int
 
 
 def key_bytes(key: str) -> bytes:
+    """The bytes of a record's key that are hashed, also for names that aren't valid Unicode."""
     return key.encode("utf-8", "surrogatepass")
 
 
 def range_of(key: str) -> int:
-    return blake2b(key_bytes(key), digest_size=1).digest()[0] % RANGES
+    """The index of the range that a record's key belongs to, from 0 to RANGE_COUNT - 1."""
+    return blake2b(key_bytes(key), digest_size=1).digest()[0] % RANGE_COUNT
 
 
-class CatchUp:
-    """One ring, from when it was learnt until its seats change. Times are local, monotonic seconds.
+def quorum(settings: FleetSettings, ring: Ring) -> Quorum:
+    """The quorum of a ring: the configured one, or a majority where there are fewer members than copies."""
+    count = min(settings.copies, len(ring.seats))
+    if count == settings.copies:
+        return Quorum(count, settings.write_by, settings.read_by)
+    majority = count // 2 + 1
+    return Quorum(count, majority, majority)
+
 
-    `was`, `now`: by source, a bit for each range in which it has told all that it had as an owner that was
-    caught up by the former ring, or is by this one. `clean`: who knows no other incarnation of ours.
+class CatchUp:
+    """Progress of one ring's transfer, from when the ring was learnt until its members change.
+
+    Times are monotonic seconds of this agent.
+
+    Attributes:
+        reason: Why there is something to catch up with.
+        previous: The progress by the ring before, where this one follows it directly.
+        reports_valid_at: From when on reports to a restarted agent count.
+        expires_at: When all that could be missing has expired.
+        former_ring_reports: By source, the ranges for which it has sent all that it held as an owner that had
+            caught up in the former ring.
+        current_ring_reports: The same for the current ring.
+        fresh_start_confirmations: Members that know no other incarnation of this agent, in order of arrival.
+        caught_up_keys: Keys caught up with one by one, oldest first.
     """
 
     def __init__(
         self,
         name: str,
-        settings,
+        settings: FleetSettings,
         ring: Ring,
-        former: Ring | None,
-        way: str,
-        since: float,
-        start: float,
-        before: "CatchUp | None",
-    ):
-        self.name, self.copies, self.ring, self.former, self.way = name, settings.copies, ring, former, way
-        self.before = before if before and before.depth < MAX_DEPTH else None
-        self.depth = 1 + (self.before.depth if self.before else 0)
-        self.n, self.w, self.r = quorum(settings, ring)
-        self.former_n, self.former_w, _ = quorum(settings, former) if former else (0, 0, 0)
-        self.others = tuple(each for each in ring.names if each != name)
-        self.ready_at = start + settings.lease_s * (
-            1 + settings.clock_drift
-        )  # when a restarted one may be told
-        self.over_at = since + (1 + settings.clock_drift) * (
-            settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
-        )
-        self.was: dict[str, int] = {}
-        self.now: dict[str, int] = {}
-        self.clean: dict[str, None] = {}
-        self.keys: dict[str, None] = {}
-        self.known_until = 0.0
-        self.whole = ALL if way == FIRST and not self.others else 0
+        former_ring: Ring | None,
+        reason: CatchUpReason,
+        learned_at: float,
+        started_at: float,
+        previous: "CatchUp | None",
+    ) -> None:
+        """Begins the catch-up of agent `name`, which started at `started_at`, with a ring learnt later."""
+        drift = 1 + settings.clock_drift
+        longest_s = settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
+        self.name = name
+        self.copies = settings.copies
+        self.ring = ring
+        self.former_ring = former_ring
+        self.reason = reason
+        self.previous = previous if previous and previous.depth < MAX_DEPTH else None
+        self.depth: int = 1 + (self.previous.depth if self.previous else 0)
+        self.quorum = quorum(settings, ring)
+        self.former_quorum = quorum(settings, former_ring) if former_ring else Quorum(0, 0, 0)
+        self.other_members = tuple(member for member in ring.names if member != name)
+        self.reports_valid_at = started_at + settings.lease_s * drift
+        self.expires_at = learned_at + drift * longest_s
+        self.former_ring_reports: dict[str, int] = {}
+        self.current_ring_reports: dict[str, int] = {}
+        self.fresh_start_confirmations: dict[str, None] = {}
+        self.caught_up_keys: dict[str, None] = {}
+        alone = reason == CatchUpReason.FIRST_RING and not self.other_members
+        self._complete_ranges = ALL_RANGES if alone else 0
+        self._complete_ranges_until = 0.0
 
     @property
     def sources(self) -> tuple[str, ...]:
-        if self.way == GAINING:
-            return tuple(each for each in self.former.names if each != self.name)
-        return self.others
-
-    def told(self, source: str, was: int, now: int):
-        self.known_until = 0.0
-        self.was[source] = self.was.get(source, 0) | was
-        self.now[source] = self.now.get(source, 0) | now
-
-    def restarted(self):
-        """Somebody knows another incarnation of ours in the first ring."""
-        if self.way == FIRST:
-            self.way, self.whole = RESTARTED, 0
-            self.clean, self.was, self.now = {}, {}, {}
-
-    def done(self, now: float) -> bool:
-        return self.ranges(now) == ALL
-
-    def ranges(self, now: float) -> int:
-        """A bit for each range that has been caught up with as a whole."""
-        if self.whole == ALL or now >= self.over_at:
-            return ALL
-        sources = self.sources
-        if self.way == FIRST:
-            if len(sources) - len(self.clean) <= self.w - 2:
-                self.whole = ALL
-            return self.whole
-        if self.known_until <= now:
-            # What a source has told changes it, and time does, by way of the era before.
-            self.known_until = now + 1.0
-            told, missing = (self.was, self.former_w - 1) if self.way == GAINING else (self.now, self.w - 2)
-            lacking = [ALL & ~told.get(each, 0) for each in sources]
-            if self.way == GAINING and self.name in self.former.by_name:
-                lacking.append(ALL & ~self.before.ranges(now) if self.before else ALL)
-            over = [ALL] + [0] * (missing + 1)  # by count: ranges that so many or more have not told of
-            for each in lacking:
-                for count in range(missing, -1, -1):
-                    over[count + 1] |= over[count] & each
-            self.whole |= ALL & ~over[-1]
-        return self.whole
-
-    def caught_up(self, key: str, now: float) -> bool:
-        place = range_of(key)
-        if now >= self.over_at or self.whole >> place & 1 or key in self.keys:
+        """The agents whose reports are wanted, in the ring's order."""
+        if self.reason == CatchUpReason.OWNERSHIP_CHANGED and self.former_ring is not None:
+            return tuple(member for member in self.former_ring.names if member != self.name)
+        return self.other_members
+
+    @property
+    def _was_member(self) -> bool:
+        return self.former_ring is not None and self.name in self.former_ring.by_name
+
+    def record_report(self, source: str, former_ranges: int, current_ranges: int) -> None:
+        """Notes that a source has sent all that it held in these ranges, as an owner in each of the rings."""
+        self._complete_ranges_until = 0.0
+        self.former_ring_reports[source] = self.former_ring_reports.get(source, 0) | former_ranges
+        self.current_ring_reports[source] = self.current_ring_reports.get(source, 0) | current_ranges
+
+    def mark_restarted(self) -> None:
+        """Notes that a member of the first ring knows another incarnation of this agent."""
+        if self.reason == CatchUpReason.FIRST_RING:
+            self.reason = CatchUpReason.RESTARTED
+            self._complete_ranges = 0
+            self.fresh_start_confirmations = {}
+            self.former_ring_reports = {}
+            self.current_ring_reports = {}
+
+    def is_complete(self, now: float) -> bool:
+        """Whether all ranges have been caught up with."""
+        return self.complete_ranges(now) == ALL_RANGES
+
+    def complete_ranges(self, now: float) -> int:
+        """The set of ranges that have been caught up with as a whole, one bit for each."""
+        if self._complete_ranges == ALL_RANGES or now >= self.expires_at:
+            return ALL_RANGES
+        if self.reason == CatchUpReason.FIRST_RING:
+            if len(self.sources) - len(self.fresh_start_confirmations) <= self.quorum.writes - 2:
+                self._complete_ranges = ALL_RANGES
+        elif self._complete_ranges_until <= now:
+            # Reports change it, and so does time, by way of the progress by the former ring.
+            self._complete_ranges_until = now + RANGES_CACHE_S
+            self._complete_ranges |= self._reported_ranges(now)
+        return self._complete_ranges
+
+    def _reported_ranges(self, now: float) -> int:
+        """The ranges on which so many sources have reported that every key in them has enough."""
+        if self.reason == CatchUpReason.OWNERSHIP_CHANGED:
+            reports, max_missing = self.former_ring_reports, self.former_quorum.writes - 1
+        else:
+            reports, max_missing = self.current_ring_reports, self.quorum.writes - 2
+        unreported = [ALL_RANGES & ~reports.get(source, 0) for source in self.sources]
+        if self.reason == CatchUpReason.OWNERSHIP_CHANGED and self._was_member:
+            unreported.append(ALL_RANGES & ~self.former_complete_ranges(now))
+        return ALL_RANGES & ~_ranges_in_more_than(unreported, max_missing)
+
+    def has_caught_up(self, key: str, now: float) -> bool:
+        """Whether this agent's copy of the key may be read."""
+        bit = range_of(key)
+        if now >= self.expires_at or self._complete_ranges >> bit & 1 or key in self.caught_up_keys:
             return True
-        if self.way == FIRST:
-            return self.enough(key, (), self.clean, now)
-        return self.enough(
-            key,
-            *([each for each, bits in told.items() if bits >> place & 1] for told in (self.was, self.now)),
-            now,
+        if self.reason == CatchUpReason.FIRST_RING:
+            return self.has_enough_sources(key, (), self.fresh_start_confirmations, now)
+        former, current = (
+            [source for source, ranges in reports.items() if ranges >> bit & 1]
+            for reports in (self.former_ring_reports, self.current_ring_reports)
         )
-
-    def enough(self, key: str, was, now_too, now: float) -> bool:
-        """Whether it is enough that these told of a key; `was`, `now_too` as above, for this key alone."""
-        here = owners(self.ring, key_bytes(key), self.copies)
-        if self.way != GAINING:
-            return sum(each in now_too for each in here if each != self.name) >= self.n - self.w + 1
-        there = owners(self.former, key_bytes(key), self.copies)
-        mine = self.name in there and self.before is not None and self.before.caught_up(key, now)
-        if mine and self.n >= self.former_n:
+        return self.has_enough_sources(key, former, current, now)
+
+    def has_enough_sources(
+        self, key: str, former_sources: Container[str], current_sources: Container[str], now: float
+    ) -> bool:
+        """Whether it is enough that these sources have reported on a key, as owners in each of the rings."""
+        current_owners = owners(self.ring, key_bytes(key), self.copies)
+        if self.reason != CatchUpReason.OWNERSHIP_CHANGED or self.former_ring is None:
+            reported = sum(owner in current_sources for owner in current_owners if owner != self.name)
+            return reported >= self.quorum.owners - self.quorum.writes + 1
+        former_owners = owners(self.former_ring, key_bytes(key), self.copies)
+        self_counts = self._had_caught_up_as_one_of(former_owners, key, now)
+        if self_counts and self.quorum.owners >= self.former_quorum.owners:
             return True
-        told = {each for each in there if each in was} | {each for each in here if each in now_too}
-        return mine + len(told - {self.name}) >= self.former_n - self.former_w + 1
-
-    def was_caught_up(self, key: str, now: float) -> bool:
-        """Whether we count as a source for what was written by the former ring."""
+        sources = {owner for owner in former_owners if owner in former_sources}
+        sources |= {owner for owner in current_owners if owner in current_sources}
+        needed = self.former_quorum.owners - self.former_quorum.writes + 1
+        return self_counts + len(sources - {self.name}) >= needed
+
+    def had_caught_up(self, key: str, now: float) -> bool:
+        """Whether this agent counts as a source for what was written to the key by the former ring."""
+        if self.previous is None or self.former_ring is None:
+            return False
+        return self._had_caught_up_as_one_of(owners(self.former_ring, key_bytes(key), self.copies), key, now)
+
+    def _had_caught_up_as_one_of(self, former_owners: Iterable[str], key: str, now: float) -> bool:
         return (
-            self.before is not None
-            and self.former is not None
-            and self.name in owners(self.former, key_bytes(key), self.copies)
-            and self.before.caught_up(key, now)
+            self.name in former_owners and self.previous is not None and self.previous.has_caught_up(key, now)
         )
 
-    def was_whole(self, now: float) -> int:
-        """The same for whole ranges, a bit for each."""
-        return self.before.ranges(now) if self.before and self.name in self.former.by_name else 0
+    def former_complete_ranges(self, now: float) -> int:
+        """The set of ranges for which this agent counts as a source for the former ring, one bit for each."""
+        return self.previous.complete_ranges(now) if self.previous and self._was_member else 0
 
-    def keep(self, key: str):
-        self.keys[key] = None
-        if len(self.keys) > MAX_SINGLE_KEYS:
-            del self.keys[next(iter(self.keys))]
+    def add_key(self, key: str) -> None:
+        """Notes that a single key has been caught up with, ahead of its range."""
+        self.caught_up_keys[key] = None
+        if len(self.caught_up_keys) > MAX_SINGLE_KEYS:
+            del self.caught_up_keys[next(iter(self.caught_up_keys))]
 
 
-def quorum(settings, ring: Ring) -> tuple[int, int, int]:
-    """Owners of a key, how many must write, how many answer; with fewer owners than copies, most of them."""
-    n = min(settings.copies, len(ring.seats))
-    if n == settings.copies:
-        return n, settings.write_by, settings.read_by
-    return n, n // 2 + 1, n // 2 + 1
+def _ranges_in_more_than(range_sets: list[int], limit: int) -> int:
+    """The set of ranges that are in more than `limit` of the sets, counted for all ranges at once."""
+    in_at_least = [ALL_RANGES] + [0] * (limit + 1)  # by count: the ranges that are in so many sets
+    for ranges in range_sets:
+        for count in range(limit, -1, -1):
+            in_at_least[count + 1] |= in_at_least[count] & ranges
+    return in_at_least[-1]
--- a/cartdeal/fleet/replication/messages.py
+++ b/cartdeal/fleet/replication/messages.py
@@ -4,7 +4,7 @@
 of the fields aren't.
 
 Record values are bytes as schema.py writes them. Sets of ranges are bit masks, one bit for each of the
-`catch_up.RANGES` ranges of hashed keys.
+`catch_up.RANGE_COUNT` ranges of hashed keys.
 """
 
 from typing import ClassVar
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -18,12 +18,10 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.replication import records, schema
 from cartdeal.fleet.replication.catch_up import (
-    ALL,
-    FIRST,
-    GAINING,
-    RANGES,
-    RESTARTED,
+    ALL_RANGES,
+    RANGE_COUNT,
     CatchUp,
+    CatchUpReason,
     key_bytes,
     range_of,
 )
@@ -156,7 +154,7 @@
         ] = {}  # of a peer: one of them, and whether there is another
         # Owner
         self.store: dict[str, StoredRecord] = {}
-        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGES)]
+        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGE_COUNT)]
         self.warm: dict[str, Record] = {}  # never changed in place
         self.sums: dict[str, list[int]] = {}  # peer -> digest by range of what both own
         self.left: dict[str, list[int]] = {}  # peer -> how many records by range it owns and we only keep
@@ -206,21 +204,25 @@
         else:
             start = self.start
             if era is None:
-                way = FIRST if ring.epoch == 1 and former is None else RESTARTED
+                way = (
+                    CatchUpReason.FIRST_RING
+                    if ring.epoch == 1 and former is None
+                    else CatchUpReason.RESTARTED
+                )
             elif ring.epoch <= old.epoch:
                 # The same epoch twice: what was caught up by the other ring is worth nothing by this one.
-                way, start = RESTARTED, now
+                way, start = CatchUpReason.RESTARTED, now
             else:
-                way = GAINING if self.vouched and follows else RESTARTED
-            before = era if way == GAINING and next_one and former == old else None
-            former = former if way == GAINING else None
+                way = CatchUpReason.OWNERSHIP_CHANGED if self.vouched and follows else CatchUpReason.RESTARTED
+            before = era if way == CatchUpReason.OWNERSHIP_CHANGED and next_one and former == old else None
+            former = former if way == CatchUpReason.OWNERSHIP_CHANGED else None
             self.era = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
             self.asked = {}
             self.place_anew()
         self.learning = {}
         if (ring.written, ring.phase) != self.stage:
             self.stage = (ring.written, ring.phase)
-            self.old_form, self.to_move = len(self.store), list(range(RANGES))
+            self.old_form, self.to_move = len(self.store), list(range(RANGE_COUNT))
         self.own_anew(old)
         for number, each in list(self.open.items()):
             if each.ended:
@@ -231,7 +233,7 @@
 
     def place_anew(self):
         self.sums, self.left, self.handing = {}, {}, {}
-        self.unplaced = list(range(RANGES))
+        self.unplaced = list(range(RANGE_COUNT))
         self.place()
 
     def place(self):
@@ -250,10 +252,12 @@
     def seat(self, key: str, kept: StoredRecord):
         kept.era, kept.owners = self.era, self.owners(key)
         self.add(key, kept, 1)
-        if self.era.way == GAINING and len(self.era.sources) > MOST_ASKED:
+        if self.era.reason == CatchUpReason.OWNERSHIP_CHANGED and len(self.era.sources) > MOST_ASKED:
             here = self.ring.by_name
             before = [
-                each for each in owners(self.era.former, key_bytes(key), self.settings.copies) if each in here
+                each
+                for each in owners(self.era.former_ring, key_bytes(key), self.settings.copies)
+                if each in here
             ]
             if before[:1] == [self.name]:  # one of the former owners gives it to the new ones, unasked
                 gainers = [each for each in kept.owners if each not in before]
@@ -272,12 +276,12 @@
             if ours:
                 sums = self.sums.get(peer)
                 if sums is None:
-                    sums = self.sums[peer] = [0] * RANGES
+                    sums = self.sums[peer] = [0] * RANGE_COUNT
                 sums[place] ^= kept.sum
             else:
                 left = self.left.get(peer)
                 if left is None:
-                    left = self.left[peer] = [0] * RANGES
+                    left = self.left[peer] = [0] * RANGE_COUNT
                 left[place] += more
 
     # Store
@@ -454,7 +458,7 @@
         if ring is None:
             return
         each.owners, each.epoch = self.owners(each.key), ring.epoch
-        each.need = (self.era.w if each.by else 0, self.era.r)
+        each.need = (self.era.quorum.writes if each.by else 0, self.era.quorum.reads)
         self.ask_owners(number, each.owners)
 
     def ask_owners(self, number: int, whom):
@@ -779,7 +783,7 @@
         return WriteResponse(number, incarnation, self.ring.epoch, wrote, caught_up, full, raw or b"")
 
     def caught_up(self, key: str) -> bool:
-        return self.era is not None and self.era.caught_up(key, self.context.now)
+        return self.era is not None and self.era.has_caught_up(key, self.context.now)
 
     def heard_give(self, sender: str, message: HintDelivery):
         if not self.timely(sender, message):
@@ -803,7 +807,11 @@
             if waiter not in each.waiters and len(each.waiters) < 16:
                 each.waiters.append(waiter)
             return
-        if self.era.way == FIRST or self.era.way == RESTARTED and self.context.now < self.era.ready_at:
+        if (
+            self.era.reason == CatchUpReason.FIRST_RING
+            or self.era.reason == CatchUpReason.RESTARTED
+            and self.context.now < self.era.reports_valid_at
+        ):
             return
         if len(self.learning) >= self.settings.most_waiting:
             return self.context.increment(Metric.PENDING_REPAIRS_FULL)
@@ -815,8 +823,8 @@
     def ask_about(self, key: str, each: PendingRepair):
         each.asked_at = self.context.now
         whom = dict.fromkeys(self.owners(key))
-        if self.era.way == GAINING:
-            whom |= dict.fromkeys(owners(self.era.former, key_bytes(key), self.settings.copies))
+        if self.era.reason == CatchUpReason.OWNERSHIP_CHANGED:
+            whom |= dict.fromkeys(owners(self.era.former_ring, key_bytes(key), self.settings.copies))
         message = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
         for name in whom:
             if name != self.name and name not in each.was and name not in each.now:
@@ -826,13 +834,13 @@
         if not self.timely(sender, message) or not self.sure():
             return
         era, now, key = self.era, self.context.now, message.key
-        was = era.was_caught_up(key, now)
-        here = self.name in self.owners(key) and era.caught_up(key, now)
+        was = era.had_caught_up(key, now)
+        here = self.name in self.owners(key) and era.has_caught_up(key, now)
         record, raw = self.record(key), b""
         if record is not None:
             raw = self.sendable(key, records.without_expired(record, self.wall_ms, self.slack_ms))
         if raw is not None:
-            former = era.former.epoch if era.former else 0
+            former = era.former_ring.epoch if era.former_ring else 0
             self.context.send(
                 sender,
                 ReadRepairResponse(
@@ -854,13 +862,13 @@
             record = self.read_in(key, message.record)
             if record is None or not self.merge(key, record):
                 return
-        if message.caught_up_by_former and era.former and message.former_epoch == era.former.epoch:
+        if message.caught_up_by_former and era.former_ring and message.former_epoch == era.former_ring.epoch:
             each.was[sender] = None
         if message.caught_up_by_current:
             each.now[sender] = None
-        if era.enough(key, each.was, each.now, self.context.now):
+        if era.has_enough_sources(key, each.was, each.now, self.context.now):
             del self.learning[key]
-            era.keep(key)
+            era.add_key(key)
             had = records.without_expired(self.record(key) or Session(), self.wall_ms, self.slack_ms)
             for asker, number, incarnation, by in each.waiters:
                 told = self.answer(number, incarnation, key, by, had, by in had.attempts, False)
@@ -876,14 +884,14 @@
         return blake2b(sums, digest_size=16).digest()
 
     def packed(self, peer: str) -> bytes:
-        return b"".join(each.to_bytes(8) for each in self.sums.get(peer, [0] * RANGES))
+        return b"".join(each.to_bytes(8) for each in self.sums.get(peer, [0] * RANGE_COUNT))
 
     def begin_talk(self, peer: str):
         if peer in self.talks or len(self.talks) >= TALKS or self.unplaced:
             return
         talk = self.talks[peer] = AntiEntropySession()
         era = self.era
-        talk.counts = era.way != RESTARTED or self.context.now >= era.ready_at
+        talk.counts = era.reason != CatchUpReason.RESTARTED or self.context.now >= era.reports_valid_at
         self.say(peer, talk, DigestRequest(0, self.incarnation, self.ring.epoch, self.whole(peer)))
 
     def say(self, peer: str, talk: AntiEntropySession, message):
@@ -914,8 +922,11 @@
         era, now = self.era, self.context.now
         sums = b"" if self.whole(sender) == message.combined_digest else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
-        here = era.ranges(now) if self.name in self.ring.by_name else 0
-        former, knew = era.former.epoch if era.former else 0, self.incarnations.get(sender, (0, True))[1]
+        here = era.complete_ranges(now) if self.name in self.ring.by_name else 0
+        former, knew = (
+            era.former_ring.epoch if era.former_ring else 0,
+            self.incarnations.get(sender, (0, True))[1],
+        )
         self.context.send(
             sender,
             DigestResponse(
@@ -923,7 +934,7 @@
                 message.incarnation,
                 message.epoch,
                 former,
-                era.was_whole(now),
+                era.former_complete_ranges(now),
                 here,
                 left,
                 knew,
@@ -933,21 +944,23 @@
 
     def heard_seen(self, sender: str, message: DigestResponse):
         talk = self.answered(sender, message, DigestRequest)
-        if talk is None or len(message.range_digests) not in (0, 8 * RANGES):
+        if talk is None or len(message.range_digests) not in (0, 8 * RANGE_COUNT):
             return
         era = self.era
-        if message.knows_other_incarnation and era.way == FIRST:
-            era.restarted()
+        if message.knows_other_incarnation and era.reason == CatchUpReason.FIRST_RING:
+            era.mark_restarted()
             for each in self.talks.values():
                 each.counts = False  # asked before a lease was over
-        elif era.way == FIRST and sender in era.others:
-            era.clean[sender] = None
-        talk.was = message.former_ranges if era.former and message.former_epoch == era.former.epoch else 0
+        elif era.reason == CatchUpReason.FIRST_RING and sender in era.other_members:
+            era.fresh_start_confirmations[sender] = None
+        talk.was = (
+            message.former_ranges if era.former_ring and message.former_epoch == era.former_ring.epoch else 0
+        )
         talk.now = message.current_ranges
         ours, differ = self.packed(sender), []
-        for place in range(RANGES):
+        for place in range(RANGE_COUNT):
             here = slice(8 * place, 8 * place + 8)
-            had = era.was.get(sender, 0) | era.now.get(sender, 0)
+            had = era.former_ring_reports.get(sender, 0) | era.current_ring_reports.get(sender, 0)
             if (
                 message.unowned_ranges & ~had & 1 << place
                 or message.range_digests
@@ -964,7 +977,7 @@
 
     def told(self, peer: str, talk: AntiEntropySession, bits: int):
         if talk.counts:
-            self.era.told(peer, talk.was & bits, talk.now & bits)
+            self.era.record_report(peer, talk.was & bits, talk.now & bits)
 
     def go_on(self, peer: str, talk: AntiEntropySession):
         """The next step: the records that differ, the next page of digests, the next range."""
@@ -991,7 +1004,7 @@
         )
 
     def heard_list(self, sender: str, message: KeyListRequest):
-        if not self.timely(sender, message) or self.unplaced or not 0 <= message.range_index < RANGES:
+        if not self.timely(sender, message) or self.unplaced or not 0 <= message.range_index < RANGE_COUNT:
             return
         keys = self.shared(sender, message.range_index, message.after)
         entries = tuple((key, self.store[key].digest[:8]) for key in keys[:PAGE])
@@ -1135,8 +1148,8 @@
                     talk.tries, talk.sent_at = talk.tries + 1, now
                     self.context.send(peer, talk.message)
         era = self.era
-        if not self.unplaced and not era.done(now) and self.name in self.ring.by_name:
-            if era.way != GAINING or len(era.sources) <= MOST_ASKED:
+        if not self.unplaced and not era.is_complete(now) and self.name in self.ring.by_name:
+            if era.reason != CatchUpReason.OWNERSHIP_CHANGED or len(era.sources) <= MOST_ASKED:
                 self.catch_up(era, now)
         if self.parting:
             for peer in list(self.parting):
@@ -1151,17 +1164,23 @@
         for source in era.sources:
             if source in self.talks or len(self.talks) >= TALKS:
                 continue
-            if era.way == FIRST:
-                finished = source in era.clean
+            if era.reason == CatchUpReason.FIRST_RING:
+                finished = source in era.fresh_start_confirmations
             elif len(era.sources) > MOST_ASKED:
-                finished = source in era.now  # the records; who counts as a source is asked key by key
+                finished = (
+                    source in era.current_ring_reports
+                )  # the records; who counts as a source is asked key by key
             else:
-                finished = (era.was if era.way == GAINING else era.now).get(source, 0) == ALL
+                finished = (
+                    era.former_ring_reports
+                    if era.reason == CatchUpReason.OWNERSHIP_CHANGED
+                    else era.current_ring_reports
+                ).get(source, 0) == ALL_RANGES
             again_at, pause = self.asked.get(source, (0.0, AGAIN))
             if not finished and now >= again_at:
                 pause = min(2 * pause, LONGEST_PAUSE * max(1.0, len(era.sources) / 32))
-                if era.way == RESTARTED and now < era.ready_at:
-                    again_at = max(era.ready_at, now + AGAIN)  # its records now, its word then
+                if era.reason == CatchUpReason.RESTARTED and now < era.reports_valid_at:
+                    again_at = max(era.reports_valid_at, now + AGAIN)  # its records now, its word then
                 else:
                     again_at = now + pause * (0.75 + 0.5 * self.context.random.random())
                 self.asked[source] = (again_at, pause)
@@ -1178,8 +1197,8 @@
             line.keys = {key: None for key in line.keys if key in self.mine or key in self.handing}
             if not line.keys:
                 del self.lines[owner]
-        if now >= era.over_at:
-            era.before = None
+        if now >= era.expires_at:
+            era.previous = None
             if self.left and not self.unplaced:
                 for key in [key for key, kept in self.store.items() if self.name not in kept.owners]:
                     self.drop(key)
@@ -1201,7 +1220,7 @@
             return True
         for key, own in self.mine.items():
             others = sum(name != self.name for name in self.owners(key))
-            if others - len(own.lacks) < min(self.era.w, others):
+            if others - len(own.lacks) < min(self.era.quorum.writes, others):
                 return False
         return not self.parting and not self.handing
 
@@ -1223,7 +1242,7 @@
 
     @property
     def all_caught_up(self) -> bool:
-        return self.era is not None and self.era.ranges(self.context.now) == ALL
+        return self.era is not None and self.era.complete_ranges(self.context.now) == ALL_RANGES
 
     def metrics(self) -> dict:
         era = self.era
@@ -1233,7 +1252,7 @@
             "hints_for": len(self.lines),
             "claims": sum(not each.ended for each in self.open.values()),
             "learning": len(self.learning),
-            "caught_up": era.ranges(self.context.now).bit_count() if era else 0,
+            "caught_up": era.complete_ranges(self.context.now).bit_count() if era else 0,
             "comparing": len(self.talks),
             "old_form": self.old_form,
             "moved": self.moved,
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -275,7 +275,7 @@
         if by is None and ring is not None and len(ring.seats) == 1:
             return  # nobody to tell
         has = {**self.writers[by], **({agent: None} if by in own_copy else {})}
-        need = quorum(self.settings, ring)[1] if ring else self.settings.write_by
+        need = quorum(self.settings, ring).writes if ring else self.settings.write_by
         if len(has) < need:
             self.violated(f"{agent}: went on though {by} was written at {len(has)} of {need}")
         if by:
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -12,7 +12,7 @@
 from cartdeal.fleet.quota.ledger import OwnershipHistory
 from cartdeal.fleet.quota.quota_leases import HeldLease, QuotaLeases
 from cartdeal.fleet.replication import records, replica, schema
-from cartdeal.fleet.replication.catch_up import ALL, CatchUp
+from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
 from cartdeal.fleet.settings import FleetSettings, RateLimit
@@ -240,8 +240,8 @@
 
 
 def answers_too_early(plant):
-    plant(CatchUp, "caught_up", lambda *_: True)
-    plant(CatchUp, "ranges", lambda *_: ALL)
+    plant(CatchUp, "has_caught_up", lambda *_: True)
+    plant(CatchUp, "complete_ranges", lambda *_: ALL_RANGES)
 
 
 def forgets_early(plant):
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -351,7 +351,7 @@
     assert not net["e"].replica.caught_up(f"s/{sid}")
     net.cuts.clear()
     net.run(4)
-    assert net["e"].replica.era.done(net["e"].now)
+    assert net["e"].replica.era.is_complete(net["e"].now)
     for sid in range(80):
         if "e" in owners(net.ring, f"s/{sid}".encode(), 3):
             assert marks[sid] in net["e"].replica.held()[f"s/{sid}"].attempts
@@ -388,7 +388,7 @@
     net.run(0.005)
     net["c"].kill()
     assert net["d"].asked(sid, wait=0.1) == ((mark.attempt_id,), True)  # by d, which asked a and b, and by b
-    assert not net["d"].replica.era.done(net["d"].now)
+    assert not net["d"].replica.era.is_complete(net["d"].now)
 
 
 def test_one_that_was_stopped_beyond_a_ring_is_not_heard_and_learns():
