--- a/cartdeal/fleet/metrics.py
+++ b/cartdeal/fleet/metrics.py
@@ -77,3 +77,4 @@
     STREAMS_FAILED = "streams failed"
     SUSPICIONS = "suspicions"
     WRITES_CERTAIN = "writes certain"
+    WRITES_UNCERTAIN = "writes uncertain"
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -79,7 +79,7 @@
         self.clock = HybridClock(settings.name, settings.clock_ahead_s)
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
-        self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
+        self.replica = Replica(self, settings, self.claimed, self.sure)
         self.quota = QuotaLeases(self, settings, self.spent, self.sure)
         self.parts = {
             kind: part
@@ -190,7 +190,7 @@
         if abs(offset - self.offset) > self.settings.clock_ahead_s:
             self.log_event(events.ClockAdjusted(round(offset - self.offset, 3), len(self.clocks)))
             self.offset = offset
-            self.clock = self.replica.clock = HybridClock(self.name, self.settings.clock_ahead_s)
+            self.clock = HybridClock(self.name, self.settings.clock_ahead_s)
 
     def tick(self):
         if self.now - self.ticked > LOOK / 4:  # stopped: what came in meanwhile is old
@@ -215,15 +215,15 @@
         self.replica.tick()
         self.quota.tick()
         self.tell_uses()
-        if self.replica.all_caught_up != self.caught_up:
+        if self.replica.is_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
             # Where agents are restarted one after the other, the next one has to wait for this.
             event = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event(self.ring and self.ring.epoch))
         me = self.membership.table.get(self.name)
         caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
-        if me and (self.replica.moved, caught) != (me.moved, me.caught):
-            self.membership.about_me(moved=self.replica.moved, caught=caught)
+        if me and (self.replica.migrated_version, caught) != (me.moved, me.caught):
+            self.membership.about_me(moved=self.replica.migrated_version, caught=caught)
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
             if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
@@ -300,7 +300,7 @@
         """The agent is about to end: it hands over what it holds, and goes on answering meanwhile."""
         if not self.is_leaving:
             self.is_leaving = True
-            self.replica.leaving()
+            self.replica.start_shutdown()
 
     def finish_shutdown(self):
         """The last message: what it has on loan is given back, and its peers are told that it leaves."""
@@ -311,7 +311,7 @@
     @property
     def is_handed_over(self) -> bool:
         """Whether all that it holds is with others, too."""
-        return self.replica.settled
+        return self.replica.is_drained
 
     def apply_settings(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
@@ -339,7 +339,7 @@
         if ok:
             each.step = "claim"
             each.mark = self.mark(question)
-            self.replica.claim(ticket, f"s/{question.session}", each.mark, each.until)
+            self.replica.write(ticket, f"s/{question.session}", each.mark, each.until)
         elif question.marked:
             # A client that is told to come again takes it that nothing ran.
             each.step = "denied"
@@ -435,14 +435,14 @@
         certainty = max(mark.certainty, changes.pop("certainty", 0))
         each.mark = replace(mark, certainty=certainty, **changes)
         if each.mark != mark:
-            self.replica.refine(f"s/{each.question.session}", each.mark)
+            self.replica.update(f"s/{each.question.session}", each.mark)
 
     def tell_uses(self):
         """By tenant and period, for operators: nothing is decided by it."""
         for tenant, served in self.quota.served.items():
             if served > self.served[tenant]:
                 period = int(self.wall // self.settings.period_s)
-                self.replica.count_use(tenant, period, served - self.served[tenant])
+                self.replica.count_usage(tenant, period, served - self.served[tenant])
                 self.served[tenant] = served
 
     def metrics(self) -> dict:
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -139,15 +139,19 @@
 
 
 class Replica:
-    """`done(ticket, marks, sure)` answers each claim and read once. `sure()`: if our ring is vouched for."""
+    """`on_done(ticket, attempts, certain)` is called once for each write and read.
 
-    def __init__(self, context, settings, clock, done, sure):
-        self.context, self.settings, self.clock, self.done, self.sure = context, settings, clock, done, sure
+    `has_valid_lease()`: whether this agent may answer as an owner by its ring.
+    """
+
+    def __init__(self, context, settings, on_done, has_valid_lease):
+        self.context, self.settings = context, settings
+        self.on_done, self.has_valid_lease = on_done, has_valid_lease
         self.name, self.incarnation = context.name, context.incarnation
         self.start = context.now
         self.ring: Ring | None = None
-        self.era: CatchUp | None = None
-        self.newest = 0  # epoch that anyone spoke of
+        self.catch_up: CatchUp | None = None
+        self.newest_epoch = 0  # epoch that anyone spoke of
         self.vouched = False  # our ring was, at least once since the start
         self.count = 0  # numbers given out
         self.slack_ms = int(settings.clock_ahead_s * 1e3)
@@ -194,7 +198,7 @@
 
     def on_ring_changed(self, ring: Ring, former: Ring | None, since: float | None = None):
         """A new epoch; `former`: the ring before it, if known; `since`: context.now when it was learnt."""
-        old, era, now = self.ring, self.era, self.context.now
+        old, era, now = self.ring, self.catch_up, self.context.now
         if ring == old:
             return
         since = now if since is None else since
@@ -214,7 +218,7 @@
                 way = GAINING if self.vouched and follows else RESTARTED
             before = era if way == GAINING and next_one and former == old else None
             former = former if way == GAINING else None
-            self.era = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
+            self.catch_up = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
             self.asked = {}
             self.place_anew()
         self.learning = {}
@@ -239,7 +243,7 @@
         most = min(PLACED, 50 * PLACED // len(self.ring.seats))
         while self.unplaced and most > 0:
             for key, kept in self.ranges[self.unplaced[-1]].items():
-                if kept.era is not self.era:
+                if kept.era is not self.catch_up:
                     self.seat(key, kept)
                     most -= 1
             self.unplaced.pop()
@@ -248,12 +252,14 @@
         return owners(self.ring, key_bytes(key), self.settings.copies) if self.ring else ()
 
     def seat(self, key: str, kept: StoredRecord):
-        kept.era, kept.owners = self.era, self.owners(key)
+        kept.era, kept.owners = self.catch_up, self.owners(key)
         self.add(key, kept, 1)
-        if self.era.way == GAINING and len(self.era.sources) > MOST_ASKED:
+        if self.catch_up.way == GAINING and len(self.catch_up.sources) > MOST_ASKED:
             here = self.ring.by_name
             before = [
-                each for each in owners(self.era.former, key_bytes(key), self.settings.copies) if each in here
+                each
+                for each in owners(self.catch_up.former, key_bytes(key), self.settings.copies)
+                if each in here
             ]
             if before[:1] == [self.name]:  # one of the former owners gives it to the new ones, unasked
                 gainers = [each for each in kept.owners if each not in before]
@@ -352,13 +358,13 @@
             kept.era, kept.due = None, 0
         else:
             self.old_form -= kept.stage != self.stage
-            if kept.era is self.era:
+            if kept.era is self.catch_up:
                 self.add(key, kept, -1)
         kept.data, kept.digest, kept.stage = data, digest, self.stage
         kept.sum = int.from_bytes(blake2b(key_bytes(key) + digest, digest_size=8).digest())
-        if kept.era is self.era and self.era is not None:
+        if kept.era is self.catch_up and self.catch_up is not None:
             self.add(key, kept, 1)
-        elif self.era is not None:
+        elif self.catch_up is not None:
             self.seat(key, kept)
         if isinstance(record, Session):
             longest = self.wall_ms + int(1e3 * self.settings.longest_mark_s) + self.slack_ms
@@ -373,7 +379,7 @@
         self.warm.pop(key, None)
         del self.ranges[range_of(key)][key]
         self.old_form -= kept.stage != self.stage
-        if kept.era is self.era and self.era is not None:
+        if kept.era is self.catch_up and self.catch_up is not None:
             self.add(key, kept, -1)
         self.handing.pop(key, None)
 
@@ -394,7 +400,7 @@
                 self.put(key, record)
 
     @property
-    def moved(self) -> int:
+    def migrated_version(self) -> int:
         """The version that all it keeps is written in."""
         return schema.moved(self.ring, self.old_form) if self.ring else self.settings.reads[0]
 
@@ -413,12 +419,12 @@
 
     # Asking
 
-    def claim(self, ticket: int, key: str, mark: AttemptRecord, until: float):
+    def write(self, ticket: int, key: str, mark: AttemptRecord, until: float):
         """Writes a mark at all owners and asks what they had before."""
         own = self.mine.get(key)
         if own and own.record.full(self.settings.most_marks_a_session):
             self.context.increment(Metric.ATTEMPTS_FULL)
-            return self.done(ticket, self.marks(key, mark.by), False)
+            return self.on_done(ticket, self.marks(key, mark.by), False)
         if self.has_room(ticket):
             self.own(key, Session({mark.by: mark}))
             self.begin(ticket, key, mark, until)
@@ -432,7 +438,7 @@
             ended = next((number for number, each in self.open.items() if each.ended), None)
             if ended is None:
                 self.context.increment(Metric.PENDING_OPERATIONS_FULL)
-                self.done(ticket, (), False)
+                self.on_done(ticket, (), False)
                 return False
             self.close(ended)
         return True
@@ -454,7 +460,7 @@
         if ring is None:
             return
         each.owners, each.epoch = self.owners(each.key), ring.epoch
-        each.need = (self.era.w if each.by else 0, self.era.r)
+        each.need = (self.catch_up.w if each.by else 0, self.catch_up.r)
         self.ask_owners(number, each.owners)
 
     def ask_owners(self, number: int, whom):
@@ -501,10 +507,10 @@
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
             self.open.pop(message.request_id, None)
 
-    def end(self, each: PendingOperation, sure: bool):
+    def end(self, each: PendingOperation, certain: bool):
         each.ended = True
-        self.context.increment(Metric.WRITES_CERTAIN if sure else "claims not sure")
-        self.done(each.ticket, self.marks(each.key, each.by, each.known), sure)
+        self.context.increment(Metric.WRITES_CERTAIN if certain else Metric.WRITES_UNCERTAIN)
+        self.on_done(each.ticket, self.marks(each.key, each.by, each.known), certain)
 
     def marks(self, key: str, by: str, known: Session | None = None) -> tuple[AttemptRecord, ...]:
         """What is known of a session, our own marks that are still on their way included, but for one."""
@@ -525,13 +531,13 @@
 
     # What this agent wrote
 
-    def refine(self, key: str, mark: AttemptRecord):
+    def update(self, key: str, mark: AttemptRecord):
         """More is known of an own mark; told to all owners, whenever they can be reached."""
         self.own(key, Session({mark.by: mark}))
         self.enqueue(key)
         self.take_own(key)
 
-    def count_use(self, tenant: str, period: int, served: int):
+    def count_usage(self, tenant: str, period: int, served: int):
         """So many more were served; told about once a second."""
         which = (self.name, self.context.incarnation, period)
         counts = {
@@ -726,7 +732,7 @@
             self.incarnations[sender] = (other, known or message.incarnation != other)
         if self.ring is not None and message.epoch == self.ring.epoch:
             return True
-        self.newest = max(self.newest, message.epoch)
+        self.newest_epoch = max(self.newest_epoch, message.epoch)
         if self.ring is not None and message.epoch < self.ring.epoch:
             self.context.increment(Metric.DROPPED_OLD_EPOCH)
             self.context.send(sender, StaleEpoch(self.ring.epoch))
@@ -742,7 +748,7 @@
 
     def serve(self, asker: str, message: WriteRequest) -> WriteResponse | None:
         """The owner's part of a claim, our own included."""
-        if not self.sure():
+        if not self.has_valid_lease():
             return self.context.increment(Metric.NO_VALID_LEASE)
         self.vouched = True
         key = message.key
@@ -764,7 +770,7 @@
                 self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
             self.put(key, had)  # moved when read
-        if not self.caught_up(key):
+        if not self.has_caught_up(key):
             self.learn(key, (asker, message.request_id, message.incarnation, message.attempt_id))
         return self.answer(message.request_id, message.incarnation, key, message.attempt_id, had, wrote, full)
 
@@ -775,11 +781,11 @@
         raw = b""
         if marks or had.beyond:
             raw = self.sendable(key, Session(marks, had.extra, had.beyond))
-        caught_up = raw is not None and self.caught_up(key)
+        caught_up = raw is not None and self.has_caught_up(key)
         return WriteResponse(number, incarnation, self.ring.epoch, wrote, caught_up, full, raw or b"")
 
-    def caught_up(self, key: str) -> bool:
-        return self.era is not None and self.era.caught_up(key, self.context.now)
+    def has_caught_up(self, key: str) -> bool:
+        return self.catch_up is not None and self.catch_up.caught_up(key, self.context.now)
 
     def heard_give(self, sender: str, message: HintDelivery):
         if not self.timely(sender, message):
@@ -803,7 +809,11 @@
             if waiter not in each.waiters and len(each.waiters) < 16:
                 each.waiters.append(waiter)
             return
-        if self.era.way == FIRST or self.era.way == RESTARTED and self.context.now < self.era.ready_at:
+        if (
+            self.catch_up.way == FIRST
+            or self.catch_up.way == RESTARTED
+            and self.context.now < self.catch_up.ready_at
+        ):
             return
         if len(self.learning) >= self.settings.most_waiting:
             return self.context.increment(Metric.PENDING_REPAIRS_FULL)
@@ -815,17 +825,17 @@
     def ask_about(self, key: str, each: PendingRepair):
         each.asked_at = self.context.now
         whom = dict.fromkeys(self.owners(key))
-        if self.era.way == GAINING:
-            whom |= dict.fromkeys(owners(self.era.former, key_bytes(key), self.settings.copies))
+        if self.catch_up.way == GAINING:
+            whom |= dict.fromkeys(owners(self.catch_up.former, key_bytes(key), self.settings.copies))
         message = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
         for name in whom:
             if name != self.name and name not in each.was and name not in each.now:
                 self.context.send(name, message)
 
     def heard_know(self, sender: str, message: ReadRepairRequest):
-        if not self.timely(sender, message) or not self.sure():
+        if not self.timely(sender, message) or not self.has_valid_lease():
             return
-        era, now, key = self.era, self.context.now, message.key
+        era, now, key = self.catch_up, self.context.now, message.key
         was = era.was_caught_up(key, now)
         here = self.name in self.owners(key) and era.caught_up(key, now)
         record, raw = self.record(key), b""
@@ -849,7 +859,7 @@
             or message.epoch != self.ring.epoch
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
-        (key, each), era = found[0], self.era
+        (key, each), era = found[0], self.catch_up
         if message.record:
             record = self.read_in(key, message.record)
             if record is None or not self.merge(key, record):
@@ -882,7 +892,7 @@
         if peer in self.talks or len(self.talks) >= TALKS or self.unplaced:
             return
         talk = self.talks[peer] = AntiEntropySession()
-        era = self.era
+        era = self.catch_up
         talk.counts = era.way != RESTARTED or self.context.now >= era.ready_at
         self.say(peer, talk, DigestRequest(0, self.incarnation, self.ring.epoch, self.whole(peer)))
 
@@ -911,7 +921,7 @@
             return
         if self.unplaced:
             return self.context.increment(Metric.NOT_PLACED_YET)
-        era, now = self.era, self.context.now
+        era, now = self.catch_up, self.context.now
         sums = b"" if self.whole(sender) == message.combined_digest else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
         here = era.ranges(now) if self.name in self.ring.by_name else 0
@@ -935,7 +945,7 @@
         talk = self.answered(sender, message, DigestRequest)
         if talk is None or len(message.range_digests) not in (0, 8 * RANGES):
             return
-        era = self.era
+        era = self.catch_up
         if message.knows_other_incarnation and era.way == FIRST:
             era.restarted()
             for each in self.talks.values():
@@ -964,7 +974,7 @@
 
     def told(self, peer: str, talk: AntiEntropySession, bits: int):
         if talk.counts:
-            self.era.told(peer, talk.was & bits, talk.now & bits)
+            self.catch_up.told(peer, talk.was & bits, talk.now & bits)
 
     def go_on(self, peer: str, talk: AntiEntropySession):
         """The next step: the records that differ, the next page of digests, the next range."""
@@ -1091,7 +1101,7 @@
             self.close(number)
         if self.ring is None:
             return
-        if not self.vouched and self.sure():
+        if not self.vouched and self.has_valid_lease():
             self.vouched = True
         for number, each in list(self.open.items()):
             if not each.ended and now >= each.asked_at + AGAIN:
@@ -1134,10 +1144,10 @@
                 else:
                     talk.tries, talk.sent_at = talk.tries + 1, now
                     self.context.send(peer, talk.message)
-        era = self.era
+        era = self.catch_up
         if not self.unplaced and not era.done(now) and self.name in self.ring.by_name:
             if era.way != GAINING or len(era.sources) <= MOST_ASKED:
-                self.catch_up(era, now)
+                self.request_catch_up(era, now)
         if self.parting:
             for peer in list(self.parting):
                 self.begin_talk(peer)
@@ -1147,7 +1157,7 @@
             if peers and self.name in self.ring.by_name:
                 self.begin_talk(self.context.random.choice(peers))
 
-    def catch_up(self, era: CatchUp, now: float):
+    def request_catch_up(self, era: CatchUp, now: float):
         for source in era.sources:
             if source in self.talks or len(self.talks) >= TALKS:
                 continue
@@ -1169,7 +1179,7 @@
 
     def forget(self, now: float):
         """What need not be told any more, as it is over, and what was kept for others."""
-        wall_ms, era = self.wall_ms, self.era
+        wall_ms, era = self.wall_ms, self.catch_up
         for key, own in list(self.mine.items()):
             own.record = records.expired(own.record, wall_ms, self.slack_ms)
             if records.empty(own.record):
@@ -1187,7 +1197,7 @@
 
     # The end of the process
 
-    def leaving(self):
+    def start_shutdown(self):
         """The agent is about to end: it compares with all co-owners once, and tells what they lack."""
         self.parting = dict.fromkeys(sorted(self.sums))
         for line in self.lines.values():
@@ -1195,22 +1205,22 @@
         self.flush_lines()
 
     @property
-    def settled(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether all that it holds is on enough others."""
         if self.ring is None:
             return True
         for key, own in self.mine.items():
             others = sum(name != self.name for name in self.owners(key))
-            if others - len(own.lacks) < min(self.era.w, others):
+            if others - len(own.lacks) < min(self.catch_up.w, others):
                 return False
         return not self.parting and not self.handing
 
     # What is looked at
 
-    def held(self) -> dict[str, Record]:
+    def all_records(self) -> dict[str, Record]:
         return {key: self.record(key) for key in sorted(self.store)}
 
-    def digest_all(self, peer: str = "") -> bytes:
+    def owned_digest(self, peer: str = "") -> bytes:
         """Of all records that we own, and a peer does, too, if one is named; marks that are over left out."""
         total = blake2b(digest_size=16)
         for key in sorted(self.store):
@@ -1222,11 +1232,11 @@
         return total.digest()
 
     @property
-    def all_caught_up(self) -> bool:
-        return self.era is not None and self.era.ranges(self.context.now) == ALL
+    def is_caught_up(self) -> bool:
+        return self.catch_up is not None and self.catch_up.ranges(self.context.now) == ALL
 
     def metrics(self) -> dict:
-        era = self.era
+        era = self.catch_up
         return {
             "records": len(self.store),
             "hints": len(self.mine),
@@ -1236,7 +1246,7 @@
             "caught_up": era.ranges(self.context.now).bit_count() if era else 0,
             "comparing": len(self.talks),
             "old_form": self.old_form,
-            "moved": self.moved,
+            "moved": self.migrated_version,
         }
 
     def on_message(self, sender: str, message):
@@ -1247,7 +1257,7 @@
             self.close(number)
         self.came_back(sender)
         if isinstance(message, StaleEpoch):
-            self.newest = max(self.newest, message.epoch)
+            self.newest_epoch = max(self.newest_epoch, message.epoch)
             return self.context.increment(Metric.NEWER_RING_ANNOUNCED)
         HANDLERS[type(message)](self, sender, message)
 
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -400,7 +400,7 @@
         """Whether each two agents have the same bytes of what both own."""
         nodes = self.nodes()
         return all(
-            a.replica.digest_all(x) == b.replica.digest_all(y)
+            a.replica.owned_digest(x) == b.replica.owned_digest(y)
             for y, a in nodes.items()
             for x, b in nodes.items()
             if y < x
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -57,8 +57,9 @@
         memory.intend(unrepeatable(f"s{turn}"), [f"a{turn % 3}"])
         memory.run(0.05)
     memory.run(5.0)
-    memory.judge.equal({name: node.replica.digest_all() for name, node in memory.nodes().items()}, "all keys")
-    assert memory.judge.close() == [] and memory.nodes()["a0"].replica.held()
+    digests = {name: node.replica.owned_digest() for name, node in memory.nodes().items()}
+    memory.judge.equal(digests, "all keys")
+    assert memory.judge.close() == [] and memory.nodes()["a0"].replica.all_records()
 
 
 def test_file_read_again_moves_what_it_changes_in_a_running_fleet():
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -6,7 +6,6 @@
 import msgspec
 
 from cartdeal.fleet.context import FleetSettings
-from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.replication import messages, replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
@@ -37,8 +36,7 @@
         )
         self.answers, self.issued, self.held = {}, 0, []
         self.stopped, self.dead, self.sure = False, False, True
-        clock = HybridClock(self.name, self.settings.clock_ahead_s)
-        self.replica = Replica(self, self.settings, clock, self.done, lambda: self.sure)
+        self.replica = Replica(self, self.settings, self.done, lambda: self.sure)
         self.tick(self.replica)
 
     now = property(lambda self: self.net.clock.now + 100)
@@ -94,7 +92,7 @@
     def claim(self, sid, wait=0.2, **more):
         mark = self.mark(**more)
         ticket = self.issued
-        self.replica.claim(ticket, f"s/{sid}", mark, self.now + wait)
+        self.replica.write(ticket, f"s/{sid}", mark, self.now + wait)
         return ticket, mark
 
     def asked(self, sid, wait=0.2, **more):
@@ -172,7 +170,7 @@
 
     def equal(self, names):
         pairs = [(self[a].replica, self[b].replica, a, b) for a in names for b in names if a < b]
-        return all(a.digest_all(y) == b.digest_all(x) for a, b, x, y in pairs)
+        return all(a.owned_digest(y) == b.owned_digest(x) for a, b, x, y in pairs)
 
     def sid(self, has=(), former=(), no=()):
         """One whose owners have these by the present ring, and by the former."""
@@ -246,13 +244,13 @@
             agent = net["abcde"[turn % 5]]
             _, mark = agent.claim(turn % 11, lasts=9.0)
             net.run(0.03)
-            agent.replica.refine(f"s/{turn % 11}", advanced(mark, certainty=Certainty.ANSWERED))
-            agent.replica.count_use("t", 1, 1)
+            agent.replica.update(f"s/{turn % 11}", advanced(mark, certainty=Certainty.ANSWERED))
+            agent.replica.count_usage("t", 1, 1)
         net.run(4)
         net.lose = 0
         net.run(3)
         assert net.equal("abcde")
-        use = net[owners(net.ring, b"u/t", 3)[0]].replica.held()["u/t"]
+        use = net[owners(net.ring, b"u/t", 3)[0]].replica.all_records()["u/t"]
         assert use.served(1) == 60
 
 
@@ -264,13 +262,13 @@
     ticket, mark = net["a"].claim("x", lasts=10.0)
     net.cut("c", "ab")
     net.run(0.1)
-    net["a"].replica.refine("s/x", advanced(mark, certainty=Certainty.ANSWERED))
+    net["a"].replica.update("s/x", advanced(mark, certainty=Certainty.ANSWERED))
     net.run(3)
     assert net["a"].replica.metrics()["hints"] == 1
     net.cuts.clear()
     net.run(5.5)
     assert net["a"].replica.metrics()["hints"] == 0
-    assert net["c"].replica.held()["s/x"].marks[mark.by].certainty == Certainty.ANSWERED
+    assert net["c"].replica.all_records()["s/x"].marks[mark.by].certainty == Certainty.ANSWERED
 
 
 def test_a_full_hint_store_drops_the_oldest_and_says_so_once():
@@ -284,7 +282,7 @@
     assert net["a"].events.count("hints full") == 1
     net.cuts.clear()
     net.run(4)  # what was dropped is made good by comparing
-    assert len(net["c"].replica.held()) == 50 and net.equal("abc")
+    assert len(net["c"].replica.all_records()) == 50 and net.equal("abc")
 
 
 def test_a_full_store_drops_what_is_over_first_and_then_is_doubt():
@@ -318,10 +316,10 @@
     net.start("b")  # of the two that wrote it, one has forgotten and one is cut off
     net.run(1.5)
     assert net["c"].asked("x")[1] is False
-    assert not net["b"].replica.caught_up("s/x")
+    assert not net["b"].replica.has_caught_up("s/x")
     net.cuts.clear()
     net.run(6)
-    assert net["b"].replica.caught_up("s/x")
+    assert net["b"].replica.has_caught_up("s/x")
     seen, sure = net["c"].asked("x")
     assert sure and "a/1/1" in seen
 
@@ -346,15 +344,15 @@
     net.cut("e", "abcd")
     net.change(ring(2, *"abcde"))
     sid = net.sid("e", "abc")
-    assert not net["e"].replica.caught_up(f"s/{sid}")
+    assert not net["e"].replica.has_caught_up(f"s/{sid}")
     net.run(1)
-    assert not net["e"].replica.caught_up(f"s/{sid}")
+    assert not net["e"].replica.has_caught_up(f"s/{sid}")
     net.cuts.clear()
     net.run(4)
-    assert net["e"].replica.era.done(net["e"].now)
+    assert net["e"].replica.catch_up.done(net["e"].now)
     for sid in range(80):
         if "e" in owners(net.ring, f"s/{sid}".encode(), 3):
-            assert marks[sid] in net["e"].replica.held()[f"s/{sid}"].marks
+            assert marks[sid] in net["e"].replica.all_records()[f"s/{sid}"].marks
     assert net["e"].asked(sid, wait=0.05) == ((marks[sid],), True)
     net.change(ring(3, *"cde"))  # two leave at once: of each key one or two owners are new
     tickets = {sid: net["cde"[sid % 3]].claim(sid, wait=0.2)[0] for sid in range(1, 80, 9)}
@@ -373,7 +371,7 @@
     net.change(ring(2, *"aef"), "a", "e", "f")
     net.cuts.clear()
     net.run(4)
-    assert f"s/{sid}" in net["e"].replica.held() and f"s/{sid}" in net["f"].replica.held()
+    assert f"s/{sid}" in net["e"].replica.all_records() and f"s/{sid}" in net["f"].replica.all_records()
 
 
 def test_one_key_is_asked_for_where_its_range_is_not_caught_up_yet():
@@ -388,7 +386,7 @@
     net.run(0.005)
     net["c"].kill()
     assert net["d"].asked(sid, wait=0.1) == ((mark.by,), True)  # by d, which asked a and b, and by b
-    assert not net["d"].replica.era.done(net["d"].now)
+    assert not net["d"].replica.catch_up.done(net["d"].now)
 
 
 def test_one_that_was_stopped_beyond_a_ring_is_not_heard_and_learns():
@@ -400,10 +398,10 @@
     net.run(3)
     late = net["b"].counts["dropped old epoch"]
     net["a"].go_on()
-    net["a"].replica.claim(99, f"s/{sid}", net["a"].mark(), net["a"].now + 0.2)
+    net["a"].replica.write(99, f"s/{sid}", net["a"].mark(), net["a"].now + 0.2)
     net.run(0.5)
     assert net["a"].answers[99][1] is False
-    assert net["b"].counts["dropped old epoch"] > late and net["a"].replica.newest == 2
+    assert net["b"].counts["dropped old epoch"] > late and net["a"].replica.newest_epoch == 2
 
 
 def test_in_a_larger_fleet_former_owners_hand_over_unasked(monkeypatch):
@@ -419,7 +417,7 @@
     net.run(1.5)
     for sid in range(60):
         for name in owners(net.ring, f"s/{sid}".encode(), 3):
-            assert f"s/{sid}" in net[name].replica.held()
+            assert f"s/{sid}" in net[name].replica.all_records()
     assert all(net[names[sid % 7]].asked(sid, wait=0.1)[1] for sid in range(0, 60, 5))
 
 
@@ -437,7 +435,7 @@
     net.cuts.clear()
     net.run(5)
     assert net.equal("abcdef")
-    held = [net[name].replica.held() for name in owners(net.ring, b"s/3", 3)]
+    held = [net[name].replica.all_records() for name in owners(net.ring, b"s/3", 3)]
     assert held[0]["s/3"].marks and digest(held[0]["s/3"]) == digest(held[1]["s/3"]) == digest(held[2]["s/3"])
 
 
@@ -470,16 +468,16 @@
         net["a"].claim(sid, lasts=10.0)
         net.run(0.002)
     net.run(0.3)
-    assert net["b"].replica.moved == 1
-    before = net["b"].replica.digest_all()
+    assert net["b"].replica.migrated_version == 1
+    before = net["b"].replica.owned_digest()
     net.change(ring(2, *"abc", written=1, phase="move"))
-    assert net["b"].replica.moved == 1 and net["b"].replica.caught_up("s/x")
+    assert net["b"].replica.migrated_version == 1 and net["b"].replica.has_caught_up("s/x")
     net["c"].asked("7", wait=0.001)
     net.run(0.5)
-    assert net["b"].replica.moved == 2
+    assert net["b"].replica.migrated_version == 2
     net.change(ring(3, *"abc", written=1, phase="narrow"))
     net.run(1)
-    assert net["b"].replica.moved == 2 and net["c"].asked("7", wait=0.1)[1]
+    assert net["b"].replica.migrated_version == 2 and net["c"].asked("7", wait=0.1)[1]
     assert before != b"" and merge(net["b"].replica.record("s/3"), net["c"].replica.record("s/3")).marks
 
 
@@ -488,9 +486,9 @@
     net["b"].skew = 0.4
     net["a"].claim("x", lasts=2.0)
     net.run(2.0)
-    assert "s/x" in net["b"].replica.held() and "s/x" in net["a"].replica.held()
+    assert "s/x" in net["b"].replica.all_records() and "s/x" in net["a"].replica.all_records()
     net.run(1.0)
-    assert not net["a"].replica.held() and not net["b"].replica.held() and not net["c"].replica.held()
+    assert not any(net[name].replica.all_records() for name in "abc")
     net["c"].skew = 20.0
     assert net["c"].asked("x")[1] is False  # its marks would bind for too long: refused, and said
     assert "clock ahead" in net["a"].events
@@ -500,10 +498,11 @@
     net = Net()
     mark = net["a"].mark(lasts=9.0)
     net["a"].replica.merge("s/x", Session({mark.by: mark}))
-    net["a"].replica.leaving()
-    assert not net["a"].replica.settled
+    net["a"].replica.start_shutdown()
+    assert not net["a"].replica.is_drained
     net.run(0.3)
-    assert net["a"].replica.settled and "s/x" in net["b"].replica.held() and "s/x" in net["c"].replica.held()
+    assert net["a"].replica.is_drained
+    assert all("s/x" in net[name].replica.all_records() for name in "bc")
 
 
 class Wild(Net):
@@ -521,7 +520,7 @@
 
     def vouch(self):
         for name, agent in self.agents.items():
-            agent.replica.sure = lambda name=name: self.clock.now <= self.vouched[name]
+            agent.replica.has_valid_lease = lambda name=name: self.clock.now <= self.vouched[name]
             agent.replica.compare_at = 1e9
             near = not agent.stopped and sum(self.reach(name, other) for other in self.ring.names)
             if self.knows[name] == self.ring.epoch and 2 * near > len(self.ring.seats):
