--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from cartdeal.fleet.context import FleetSettings
 from cartdeal.fleet.replication import messages, replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advanced, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
+from cartdeal.fleet.settings import FleetSettings
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 WORDS = msgspec.msgpack.Decoder(Union[messages.MESSAGE_TYPES])  # noqa: UP007
