--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -319,7 +319,8 @@
 
     def written() -> bool:
         return whole_ring(fleet) and all(
-            (node.ring.written_version, node.ring.phase) == (2, "steady") and node.replica.migrated_version == 2
+            (node.ring.written_version, node.ring.phase) == (2, "steady")
+            and node.replica.migrated_version == 2
             for node in fleet.nodes().values()
         )
 
