--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -69,7 +69,7 @@
 
 def quorum(settings: FleetSettings, ring: Ring) -> Quorum:
     """The quorum of a ring: the configured one, or a majority where there are fewer members than copies."""
-    count = min(settings.copies, len(ring.seats))
+    count = min(settings.copies, len(ring.members))
     if count == settings.copies:
         return Quorum(count, settings.write_by, settings.read_by)
     majority = count // 2 + 1
@@ -136,7 +136,7 @@
 
     @property
     def _was_member(self) -> bool:
-        return self.former_ring is not None and self.name in self.former_ring.by_name
+        return self.former_ring is not None and self.name in self.former_ring.member_by_name
 
     def record_report(self, source: str, former_ranges: int, current_ranges: int) -> None:
         """Notes that a source has sent all that it held in these ranges, as an owner in each of the rings."""
