--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -18,17 +18,10 @@
 
 from cartdeal.fleet import errors, events
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.ring.hash_ring import (
-    MAX_EPOCH,
-    Damper,
-    Ring,
-    RingMember,
-    RingStep,
-    apply_step,
-    is_valid_ring,
-    plan,
-    step_between,
-)
+from cartdeal.fleet.ring.damping import Damper
+from cartdeal.fleet.ring.movement import plan_next_ring
+from cartdeal.fleet.ring.ring import MAX_EPOCH, Ring, RingMember, is_valid_ring
+from cartdeal.fleet.ring.steps import RingStep, apply_step, step_between
 
 MAX_EPOCH_LEAD = 1 << 20  # epochs ahead of the own one that are no honest agent's
 MAX_BALLOT = 1 << 40
@@ -264,10 +257,10 @@
             self.need, self.needed = new, min(self.needed, now)
 
     def wanted(self, versions) -> Ring | None:
-        ring, seats = self.ring, self.damper.wanted(self.live, self.ring, self.context.now)
+        ring, seats = self.ring, self.damper.target_members(self.live, self.ring, self.context.now)
         new = ring
         if seats and seats != ring.member_by_name:
-            new = plan(ring, seats, self.settings.step_share)
+            new = plan_next_ring(ring, seats, self.settings.step_share)
             if len(new.members) > self.settings.most_agents:
                 self.context.increment(Metric.RING_FULL)
                 new = ring
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -43,7 +43,7 @@
     LeaseGrant,
     OwnershipHistory,
 )
-from cartdeal.fleet.ring.hash_ring import owners
+from cartdeal.fleet.ring.placement import owners
 
 OWN_TURNS = 16  # messages to the own owner's part in one event; what is left waits for the next tick
 MOST_A_MESSAGE = 200  # tenants in one message; more go in the next
--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -27,7 +27,8 @@
 
 from hashlib import blake2b
 
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 
 RANGES = 64
 ALL = (1 << RANGES) - 1  # a bit for each range
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -43,7 +43,8 @@
     WriteResponse,
 )
 from cartdeal.fleet.replication.records import AttemptRecord, Record, Session, UsageCounter
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 
 PIECE = 32 * 1024  # bytes of records in one message; one record alone may have more
 LARGEST = 200 * 1024  # bytes of one record that is sent
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -13,7 +13,10 @@
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.catch_up import quorum
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
+from cartdeal.fleet.ring.movement import minimal_movement
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import apply_step
 from cartdeal.fleet.settings import FleetSettings
 
 HAIR = 1e-6
--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -11,16 +11,10 @@
 
 import numpy as np
 
-from cartdeal.fleet.ring.hash_ring import (
-    Damper,
-    Ring,
-    RingMember,
-    hash_number,
-    minimal_movement,
-    moved_share,
-    owners,
-    plan,
-)
+from cartdeal.fleet.ring.damping import Damper
+from cartdeal.fleet.ring.movement import minimal_movement, moved_share, plan_next_ring
+from cartdeal.fleet.ring.placement import hash_number, owners
+from cartdeal.fleet.ring.ring import Ring, RingMember
 from cartdeal.fleet.settings import FleetSettings
 
 KEYS = 50_000  # for loads
@@ -82,7 +76,7 @@
                 name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, incarnation=1)
                 for name, seat in left.pop(0)[1].items()
             }
-        new = plan(ring, damper.wanted(live, ring, now), fleet_settings.step_share)
+        new = plan_next_ring(ring, damper.target_members(live, ring, now), fleet_settings.step_share)
         if new is not ring:
             rings.append(new)
         quiet, ring, now = 0 if new is not ring else quiet + 1, new, now + STEP
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -25,8 +25,9 @@
 from cartdeal.fleet.replication.records import session_key, usage_key
 from cartdeal.fleet.replication.schema import decode as decode_record
 from cartdeal.fleet.replication.schema import encode as encode_record
-from cartdeal.fleet.ring.hash_ring import Ring, RingStep, apply_step, owners
-from cartdeal.fleet.ring.hash_ring import digest as ring_digest
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
+from cartdeal.fleet.ring.steps import RingStep, apply_step
 from cartdeal.fleet.settings import FleetSettings as Settings
 
 
@@ -34,6 +35,10 @@
     return Settings(fleet=fleet, name=name, key=key)
 
 
+def ring_digest(ring: Ring) -> bytes:
+    return ring.digest
+
+
 def by_datagram(message) -> bool:
     return message.DATAGRAM
 
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -14,7 +14,8 @@
 from cartdeal.fleet.replication import records, replica, schema
 from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
-from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
+from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -14,7 +14,7 @@
 
 from cartdeal.fleet.quota import ledger, quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember
+from cartdeal.fleet.ring.ring import Ring, RingMember
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 
 WIRE = msgspec.msgpack.Decoder(quota_leases.LeaseRequestBatch | quota_leases.LeaseResponseBatch)
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -9,7 +9,8 @@
 from cartdeal.fleet.replication import messages, replica
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advance, digest, merge
 from cartdeal.fleet.replication.replica import Replica
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring, RingMember
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -5,18 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cartdeal.fleet.ring.hash_ring import (
-    Damper,
-    Ring,
-    RingMember,
-    apply_step,
-    is_valid_ring,
-    minimal_movement,
-    moved_share,
-    owners,
-    plan,
-    step_between,
-)
+from cartdeal.fleet.ring.damping import Damper
+from cartdeal.fleet.ring.movement import minimal_movement, moved_share, plan_next_ring
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring, RingMember, is_valid_ring
+from cartdeal.fleet.ring.steps import apply_step, step_between
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.lab import rings
 
@@ -103,7 +96,7 @@
 def test_steps_are_bounded_and_reach_what_is_wanted(one, wanted, share):
     at = drawn(one)
     for _ in range(int(3 + 4 / share)):
-        new = plan(at, wanted, share)
+        new = plan_next_ring(at, wanted, share)
         if new is at:
             break
         stay = [seat for seat in at.members if seat.name in wanted]
@@ -117,21 +110,23 @@
                 goal = wanted[seat.name].capacity
                 assert seat.capacity <= max(had, goal / 2) or had >= goal / 2
         at = new
-    assert at.member_by_name == wanted and plan(at, wanted, share) is at
+    assert at.member_by_name == wanted and plan_next_ring(at, wanted, share) is at
 
 
 def test_three_join_in_one_step_while_one_fails():
     old = ring([8] * 6)
     wanted = {name: seat for name, seat in old.member_by_name.items() if name != "a0000"}
     wanted |= {f"n{n}": RingMember(f"n{n}", "z0", 64.0) for n in range(3)}
-    one = plan(old, wanted, 0.34)
+    one = plan_next_ring(old, wanted, 0.34)
     assert "a0000" not in one.names and moved_share(old, one) <= 0.34 + 1e-9
     assert all(one.member_by_name[f"n{n}"].capacity < 32 for n in range(3))
 
 
 def test_the_largest_leaves_and_only_its_keys_move():
     old = ring([1, 2, 4, 8, 16, 32, 64])
-    new = plan(old, {name: seat for name, seat in old.member_by_name.items() if name != "a0006"}, 0.34)
+    new = plan_next_ring(
+        old, {name: seat for name, seat in old.member_by_name.items() if name != "a0006"}, 0.34
+    )
     assert len(new.members) == 6
     for key in KEYS[:1000]:
         was = owners(old, key, 1)
@@ -166,8 +161,8 @@
         for _ in range(int(seconds * 5)):
             self.now += 0.2
             each(self.now)
-            wanted = self.damper.wanted(self.live, self.ring, self.now)
-            new = plan(self.ring, wanted, 0.34)
+            wanted = self.damper.target_members(self.live, self.ring, self.now)
+            new = plan_next_ring(self.ring, wanted, 0.34)
             self.changes += new is not self.ring
             self.ring = new
         return self
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -10,7 +10,8 @@
 
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, step_between
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import apply_step, step_between
 from cartdeal.fleet.settings import FleetSettings
 
 CODEC = msgspec.msgpack.Decoder(ring_consensus.MESSAGE_TYPES[0] | ring_consensus.MESSAGE_TYPES[1])
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -8,7 +8,9 @@
 
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.replication.records import Certainty, Session
-from cartdeal.fleet.ring.hash_ring import Ring, minimal_movement, owners
+from cartdeal.fleet.ring.movement import minimal_movement
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -35,7 +35,8 @@
     StatePush,
 )
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import step_between
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
