--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -187,6 +187,11 @@
         self.targets: dict[str, int] = {}  # whom to ask for vouches -> asked in vain so often
         self.renew()
 
+    def update_settings(self, settings):
+        """Takes over the operator's settings."""
+        self.settings = settings
+        self.damper.update_settings(settings)
+
     def renew(self):
         """Forgets what belonged to the epoch before."""
         self.promised = (0, "")
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -319,8 +319,8 @@
 
     def apply_settings(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
-        self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
+        self.settings = self.membership.settings = self.replica.settings = settings
+        self.consensus.update_settings(settings)
         self.quota.update_limits(settings)
         self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
--- a/cartdeal/fleet/ring/damping.py
+++ b/cartdeal/fleet/ring/damping.py
@@ -44,13 +44,17 @@
     """
 
     def __init__(self, settings: FleetSettings) -> None:
-        self._min_change = settings.damp_share
-        self._damping_s = settings.damp_s
+        self.update_settings(settings)
         self._watched_s = 0.0  # for how long live agents were watched
         self._last_call: float | None = None
         self._observations: dict[str, Observation] = {}
         self._absent_since: dict[str, float] = {}  # members that are not live
 
+    def update_settings(self, settings: FleetSettings) -> None:
+        """Takes over the operator's settings; what was observed stays."""
+        self._min_change = settings.damp_share
+        self._damping_s = settings.damp_s
+
     def target_members(self, live: Mapping[str, LivePeer], ring: Ring, now: float) -> dict[str, RingMember]:
         """The members that are wanted, by name; `now` in local seconds."""
         if self._last_call is not None:
--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -227,6 +227,17 @@
     assert watch.changes == 1 and "a0001" not in watch.ring.names
 
 
+def test_settings_taken_over_apply_to_what_was_observed_before():
+    watch = Watch([10] * 5)
+    watch.run(1)
+    del watch.live["a0001"]
+    watch.run(2)
+    assert "a0001" in watch.ring.names
+    watch.damper.update_settings(FleetSettings(fleet="f", name="a", damp_s=1.0))
+    watch.run(0.4)
+    assert "a0001" not in watch.ring.names
+
+
 # The lab's measure
 
 
