--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -32,7 +32,7 @@
     "cartdeal.fleet.membership.swim",
     "cartdeal.fleet.consensus.ring_consensus",
     "cartdeal.fleet.replication.messages",
-    "cartdeal.fleet.quota.quota_leases",
+    "cartdeal.fleet.quota.messages",
 )
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -33,7 +33,7 @@
 from cartdeal.fleet.membership import swim
 from cartdeal.fleet.membership.swim import Membership
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
@@ -87,7 +87,7 @@
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
                 (messages, self.replica),
-                (quota_leases, self.quota),
+                (quota_messages, self.quota),
             )
             for kind in module.MESSAGE_TYPES
         }
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -8,9 +8,10 @@
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.quota import quota_leases
-from cartdeal.fleet.quota.ledger import OwnershipHistory
-from cartdeal.fleet.quota.quota_leases import HeldLease, QuotaLeases
+from cartdeal.fleet.quota import owner as lease_owner
+from cartdeal.fleet.quota.holder import LeaseHolder
+from cartdeal.fleet.quota.ownership import OwnershipHistory
+from cartdeal.fleet.quota.tenant_quota import HeldLease
 from cartdeal.fleet.replication import records, replica, schema
 from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
@@ -209,15 +210,17 @@
     plant(
         HeldLease,
         "__init__",
-        lambda self, incarnation, answer, asked, until: before(self, incarnation, answer, asked, 1e9),
+        lambda self, incarnation, response, requested_at, expires_at: before(
+            self, incarnation, response, requested_at, 1e9
+        ),
     )
 
 
 def no_fence(plant):
     plant(
-        quota_leases,
+        lease_owner,
         "OwnershipHistory",
-        lambda start, fence, share_in: OwnershipHistory(start, 0.0, share_in),
+        lambda start, fence_s, share_in: OwnershipHistory(start, 0.0, share_in),
     )
 
 
@@ -250,17 +253,18 @@
 
 
 def taken_twice(plant):
-    def answered(self, sender, incarnation, answer, now):
-        line = self.wards[answer.tenant].lines[sender] if answer.tenant in self.wards else None
-        if line is None or line.sequence == answer.sequence:
-            return before(self, sender, incarnation, answer, now)
-        waits, line.sequence = line.sequence, answer.sequence
-        ward = before(self, sender, incarnation, answer, now)
-        line.sequence = waits
-        return ward
-
-    before = QuotaLeases.answered
-    plant(QuotaLeases, "answered", answered)
+    def on_response(self, sender, incarnation, response, now):
+        quota = self.quotas.get(response.tenant)
+        exchange = quota.exchanges[sender] if quota is not None else None
+        if exchange is None or exchange.pending_sequence == response.sequence:
+            return before(self, sender, incarnation, response, now)
+        pending_sequence, exchange.pending_sequence = exchange.pending_sequence, response.sequence
+        quota = before(self, sender, incarnation, response, now)
+        exchange.pending_sequence = pending_sequence
+        return quota
+
+    before = LeaseHolder.on_response
+    plant(LeaseHolder, "on_response", on_response)
 
 
 def all_are_able(plant):
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -4,7 +4,7 @@
 
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.quota.holder import LeaseHolder
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
@@ -78,14 +78,14 @@
     """Seen once: an agent that was its own lender asked itself for ever, and answered nothing any more."""
     memory = fleet(agents=3)
 
-    def answered(self, sender, incarnation, answer, now):
-        ward = before(self, sender, incarnation, answer, now)
-        if ward and sender == self.context.name:
-            ward.lines[sender].more = True
-        return ward
+    def on_response(self, sender, incarnation, response, now):
+        quota = before(self, sender, incarnation, response, now)
+        if quota and sender == self.context.name:
+            quota.exchanges[sender].may_have_more = True
+        return quota
 
-    before = QuotaLeases.answered
-    monkeypatch.setattr(QuotaLeases, "answered", answered)
+    before = LeaseHolder.on_response
+    monkeypatch.setattr(LeaseHolder, "on_response", on_response)
     for _ in range(100):
         memory.intend(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
     memory.run(1.0)
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -12,12 +12,16 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from cartdeal.fleet.quota import ledger, quota_leases
+from cartdeal.fleet.quota.granting import LeaseGranter
+from cartdeal.fleet.quota.messages import LeaseRequest, LeaseRequestBatch, LeaseResponseBatch
+from cartdeal.fleet.quota.ownership import OwnershipHistory
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
+from cartdeal.fleet.quota.rates import max_min_fair_shares
+from cartdeal.fleet.quota.token_bucket import HolderId, TokenBucket
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 
-WIRE = msgspec.msgpack.Decoder(quota_leases.LeaseRequestBatch | quota_leases.LeaseResponseBatch)
+WIRE = msgspec.msgpack.Decoder(LeaseRequestBatch | LeaseResponseBatch)
 
 
 class Desk:
@@ -244,52 +248,56 @@
 
 
 def no_lease(part):
-    def answered(*about, real=part.answered):
-        ward = real(*about)
-        for held in ward.loans.values() if ward else ():
-            held.until = 1e18
-        return ward
+    def on_response(*args, real=part.holder.on_response):
+        quota = real(*args)
+        for lease in quota.leases.values() if quota else ():
+            lease.expires_at = 1e18
+        return quota
 
-    part.answered = answered
+    part.holder.on_response = on_response
 
 
 def no_fence(part):
-    part.tenure.fence = 1e-6
+    part.owner.history.fence_s = 1e-6
 
 
 def no_book(part):
-    def bucket(*about, real=part.bucket):
-        found = real(*about)
-        found.counted_s = 0.3
+    def granter(*args, real=part.owner.granter):
+        found = real(*args)
+        found.bucket.counted_lease_s = 0.3
         return found
 
-    part.bucket = bucket
+    part.owner.granter = granter
 
 
 def never_unsure(part):
-    part.has_valid_lease = lambda: True
+    part.owner.has_valid_lease = lambda: True
 
 
 def gap_overlooked(part):
-    def learn(ring, former, now, real=part.tenure.learn):
-        real(ring, former, now) if part.tenure.step.ring is None else part.tenure.add(ring, now)
+    history = part.owner.history
 
-    part.tenure.learn = learn
+    def learn(ring, former, now, real=history.learn):
+        real(ring, former, now) if history.current.ring is None else history.append(ring, now)
+
+    history.learn = learn
 
 
 def twice(part):
     """What comes doubled is taken twice: answers, and loans given back."""
 
-    def answered(sender, incarnation, answer, now, real=part.answered):
-        line = part.wards[answer.tenant].lines.get(sender) if answer.tenant in part.wards else None
-        if line and not line.sequence:
-            line.sequence = answer.sequence
-        return real(sender, incarnation, answer, now)
+    def on_response(sender, incarnation, response, now, real=part.holder.on_response):
+        quota = part.holder.quotas.get(response.tenant)
+        exchange = quota.exchanges.get(sender) if quota else None
+        if exchange and not exchange.pending_sequence:
+            exchange.pending_sequence = response.sequence
+        return real(sender, incarnation, response, now)
 
-    def returned(sender, incarnation, back, now):
-        part.bucket(back.tenant, now).tokens += back.tokens
+    def on_return(holder_id, lease_return, now):
+        part.owner.granter(lease_return.tenant, now).bucket.tokens += lease_return.tokens
 
-    part.answered, part.returned = answered, returned
+    part.holder.on_response = on_response
+    part.owner.on_return = on_return
 
 
 def planted(fault):
@@ -367,7 +375,7 @@
     net.run(27)
     sent = net.sent.copy()
     net.run(60)  # its loan was let go, so nothing is renewed
-    assert net.sent == sent and all(not agent.part.wards for agent in net.agents.values())
+    assert net.sent == sent and all(not agent.part.holder.quotas for agent in net.agents.values())
 
 
 def test_what_a_leaving_agent_holds_is_lent_again_at_once():
@@ -395,13 +403,13 @@
         ),
     )
     net.run(20)
-    mine = net.agents["d"].part
+    holder = net.agents["d"].part.holder
     late = [each for each in net.answers if each[0] > 14.5]
     assert len(late) > 100 and not any(ok or sure for _, _, ok, _, sure, _ in late)
     assert max(took for *_, took in late) <= net.settings.wait_s + 2 * net.settings.tick_s
-    mine.settings = replace(mine.settings, most_waiting=0)  # full: turned away at once, counted
+    holder.settings = replace(holder.settings, most_waiting=0)  # full: denied at once, counted
     net.request("d")
-    assert net.answers[-1][2] is False and mine.context.counted["admission queue full"] == 1
+    assert net.answers[-1][2] is False and holder.context.counted["admission queue full"] == 1
 
 
 def test_limits_read_anew_at_different_times_keep_to_the_greater():
@@ -418,28 +426,29 @@
 
 
 def test_an_answer_in_flight_finds_room_under_the_cap():
-    bucket = ledger.Bucket(
+    bucket = TokenBucket(
         b"u/t",
         RateLimit(30.0, 30.0),
-        ledger.OwnershipHistory(0.0, 0.0, lambda ring, key: 1.0),
+        OwnershipHistory(0.0, 0.0, lambda ring, key: 1.0),
         FleetSettings(fleet="f", name="a"),
         2,
     )
-    bucket.tenure.learn(Ring(1, ()), None, 0.0)
-    bucket.tenure.prove(10.0)
-    bucket.touch(10.0, 10, 10.0, 2)
-    holder, held = bucket.book("b", 1), 0
-    for turn in range(1, 6):
-        ask = quota_leases.LeaseRequest("t", turn, held, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
-        given = bucket.lend("b", 1, holder, ask, 10.0, turn)
-        assert given.tokens + (8.0 if held else 0.0) <= max(given.burst, 9.0 if held else 0.0)
-        assert bucket.tokens + bucket.out_burst <= 30.0 + 1e-9
-        held = given.number
+    bucket.history.learn(Ring(1, ()), None, 0.0)
+    bucket.history.prove(10.0)
+    bucket.advance(10.0, 10, 10.0, 2)
+    granter, holder_id, lease_number = LeaseGranter(bucket), HolderId("b", 1), 0
+    account = bucket.account(holder_id)
+    for sequence in range(1, 6):
+        request = LeaseRequest("t", sequence, lease_number, 9.0, 8.0, 0.0, 5.0, 40.0, 20.0)
+        grant = granter.grant(holder_id, account, request, 10.0, sequence)
+        assert grant.tokens + (8.0 if lease_number else 0.0) <= max(grant.burst, 9.0 if lease_number else 0.0)
+        assert bucket.tokens + bucket.leased_burst <= 30.0 + 1e-9
+        lease_number = grant.lease_number
 
 
 @given(st.floats(0, 100), st.lists(st.floats(0, 100), min_size=1, max_size=8))
 def test_water_fills_evenly(total, wants):
-    parts = ledger.waterfill(total, wants)
+    parts = max_min_fair_shares(total, wants)
     assert sum(parts) == pytest.approx(min(total, sum(wants)))
     level = max(parts)
     assert all(part == pytest.approx(min(want, level)) for part, want in zip(parts, wants, strict=True))
