--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -24,7 +24,8 @@
 )
 from cartdeal.fleet.quota.outbox import LeaseOutbox
 from cartdeal.fleet.quota.tenant_quota import HeldLease, OwnerExchange, TenantQuota
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 MIN_WAIT_S = 0.05  # who comes back sooner finds no token yet
@@ -78,7 +79,9 @@
         for quota in self.quotas.values():
             quota.retain_exchanges(self._owners(quota))
         self.owner_incarnations = {
-            name: incarnation for name, incarnation in self.owner_incarnations.items() if name in ring.by_name
+            name: incarnation
+            for name, incarnation in self.owner_incarnations.items()
+            if name in ring.member_by_name
         }
 
     def return_all_leases(self) -> None:
--- a/cartdeal/fleet/quota/owner.py
+++ b/cartdeal/fleet/quota/owner.py
@@ -23,7 +23,8 @@
 )
 from cartdeal.fleet.quota.ownership import OwnershipHistory
 from cartdeal.fleet.quota.token_bucket import HolderId, TokenBucket
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 FENCE_MARGIN_LEASES = 0.1  # covers rounding
--- a/cartdeal/fleet/quota/ownership.py
+++ b/cartdeal/fleet/quota/ownership.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from math import inf
 
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 
 MAX_REMEMBERED_RINGS = 16  # older ones count as unknown, and while an unknown one matters nothing is granted
 
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -40,7 +40,7 @@
 )
 from cartdeal.fleet.quota.outbox import LeaseOutbox
 from cartdeal.fleet.quota.owner import LeaseOwner
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 MAX_LOCAL_MESSAGES_PER_EVENT = 16  # to this agent's own owner side; the rest waits for the next tick
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -13,7 +13,10 @@
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.catch_up import quorum
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
+from cartdeal.fleet.ring.movement import minimal_movement
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import apply_step
 from cartdeal.fleet.settings import FleetSettings
 
 HAIR = 1e-6
@@ -50,9 +53,11 @@
         self.settings, self.limits = settings, settings.limits
         self.violations: list[str] = []
         self.intents: dict[str, tuple] = {}  # intent -> (repeat, group, window)
-        self.ran: dict[str, list[Execution]] = defaultdict(list)
+        self.executions: dict[str, list[Execution]] = defaultdict(list)
         self.told: dict[str, list] = defaultdict(list)  # intent -> (at, agent, verdict)
-        self.served: dict[str, list[float]] = defaultdict(list)  # tenant -> when a request of it went on
+        self.admission_times: dict[str, list[float]] = defaultdict(
+            list
+        )  # tenant -> when a request of it went on
         # Processes
         self.starts: dict[str, list[float]] = defaultdict(list)
         self.deaths: list[tuple[float, str]] = []
@@ -76,7 +81,7 @@
         self.claims: dict[tuple[str, int, int], tuple[str, str, str, int]] = {}
         self.latest: dict[tuple[str, str, str], str] = {}  # (agent, record, key of the request) -> mark
         self.writers: dict[str, dict[str, None]] = defaultdict(dict)
-        self.marks: dict[tuple[str, str], WrittenRecord] = {}
+        self.attempt_records: dict[tuple[str, str], WrittenRecord] = {}
         self.until: dict[str, int] = {}
         self.unreached = -1.0  # when a message last met a cut, or an agent that was stopped
 
@@ -91,7 +96,7 @@
 
     def attempt(self, intent: str, at: float, zone: str, cell: int, agent: str):
         repeat, group, window = self.intents[intent]
-        before = self.ran[intent]
+        before = self.executions[intent]
         for past in before:
             if repeat == "i":
                 break
@@ -111,7 +116,7 @@
     def answered(self, intent: str, at: float, agent: str, verdict: str):
         repeat, group, window = self.intents[intent]
         if verdict in (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value):
-            for past in self.ran[intent]:
+            for past in self.executions[intent]:
                 if repeat == "u" or repeat == "d" and (group != "all" or at - past.at > window + HAIR):
                     self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
         self.told[intent].append((at, agent, verdict))
@@ -123,7 +128,7 @@
 
     def went_on(self, tenant: str, at: float):
         if tenant in self.limits:
-            self.served[tenant].append(at)
+            self.admission_times[tenant].append(at)
 
     # What is said on the wire
 
@@ -154,23 +159,23 @@
     def of_rings(self, at, sender, to, message):
         kind = type(message)
         if kind is ring_consensus.RingSnapshot:
-            self.rings.setdefault(message.former.digest, message.former)
-            self.learn(message.former.digest, message.step)
+            self.rings.setdefault(message.previous_ring.digest, message.previous_ring)
+            self.learn(message.previous_ring.digest, message.step)
         elif kind is ring_consensus.RingUpdate:
-            self.learn(message.step.base, message.step)
+            self.learn(message.step.previous_digest, message.step)
         else:
             if kind is ring_consensus.Accept:
-                ring = self.learn(message.mark, message.step)
+                ring = self.learn(message.ring_digest, message.step)
                 if ring:
-                    self.ballots[message.mark, message.number, sender] = ring.digest
+                    self.ballots[message.ring_digest, message.number, sender] = ring.digest
                     self.votes[ring.digest][sender] = None
             elif kind is ring_consensus.Accepted:
-                self.votes[self.ballots.get((message.mark, message.number, to), b"")][sender] = None
-            if message.has:
-                self.ring_of[sender] = message.mark
-                self.last_shown[message.mark][sender] = at
-                if message.mark not in self.shown:
-                    self.drawn(at, sender, message.has, message.mark)
+                self.votes[self.ballots.get((message.ring_digest, message.number, to), b"")][sender] = None
+            if message.epoch:
+                self.ring_of[sender] = message.ring_digest
+                self.last_shown[message.ring_digest][sender] = at
+                if message.ring_digest not in self.shown:
+                    self.drawn(at, sender, message.epoch, message.ring_digest)
 
     def learn(self, base: bytes, step) -> Ring | None:
         if base not in self.rings:
@@ -194,9 +199,9 @@
         ring, former = self.rings.get(mark), self.rings.get(self.base.get(mark, b""))
         if ring is None or former is None:
             return
-        votes = [name for name in self.votes[mark] if name in former.by_name]
-        if 2 * len(votes) <= len(former.seats) and len(former.seats) > 1:
-            self.violated(f"epoch {epoch}: drawn by {len(votes)} of {len(former.seats)}, at {agent}")
+        votes = [name for name in self.votes[mark] if name in former.member_by_name]
+        if 2 * len(votes) <= len(former.members) and len(former.members) > 1:
+            self.violated(f"epoch {epoch}: drawn by {len(votes)} of {len(former.members)}, at {agent}")
         self.stepped(at, former, ring)
         if former.epoch:
             self.moved(former, ring)
@@ -209,10 +214,13 @@
         )
 
     def stepped(self, at, former: Ring, ring: Ring):
-        was, now = (former.written, former.phase), (ring.written, ring.phase)
+        was, now = (former.written_version, former.phase), (ring.written_version, ring.phase)
         if was == now or not former.epoch:
             return
-        target, step = former.written + 1, f"epoch {ring.epoch}: from {was[0]} {was[1]} to {now[0]} {now[1]}"
+        target, step = (
+            former.written_version + 1,
+            f"epoch {ring.epoch}: from {was[0]} {was[1]} to {now[0]} {now[1]}",
+        )
         if not (
             now[0] == was[0] and now[1] in STEPS[was[1]] or now == (target, "steady") and was[1] == "narrow"
         ):
@@ -225,9 +233,9 @@
             for name in former.names
             if self.programs[name][1] >= target or at - self.starts[name][-1] < 5.0
         ]
-        needed = len(former.seats) if now[1] == "narrow" else len(former.seats) // 2 + 1
+        needed = len(former.members) if now[1] == "narrow" else len(former.members) // 2 + 1
         if len(able) < needed:
-            self.violated(f"{step}: {len(able)} of {len(former.seats)} can read {target}")
+            self.violated(f"{step}: {len(able)} of {len(former.members)} can read {target}")
 
     def moved(self, former: Ring, ring: Ring):
         """A key goes from one that has less than before to one that has more, and no more go than have to."""
@@ -237,7 +245,7 @@
             here, there = owners(former, key, 1)[0], owners(ring, key, 1)[0]
             moves += here != there
             if here != there and all(
-                former.by_name.get(name) == ring.by_name.get(name) for name in (here, there)
+                former.member_by_name.get(name) == ring.member_by_name.get(name) for name in (here, there)
             ):
                 return self.violated(f"epoch {ring.epoch}: a key moved from {here} to {there}, which stayed")
         share = minimal_movement(former, ring)
@@ -272,21 +280,21 @@
         the record at the agent itself, as it may be an owner."""
         by = self.latest.get((agent, record, key))
         ring = self.rings.get(self.ring_of.get(agent, b""))
-        if by is None and ring is not None and len(ring.seats) == 1:
+        if by is None and ring is not None and len(ring.members) == 1:
             return  # nobody to tell
         has = {**self.writers[by], **({agent: None} if by in own_copy else {})}
         need = quorum(self.settings, ring)[1] if ring else self.settings.write_by
         if len(has) < need:
             self.violated(f"{agent}: went on though {by} was written at {len(has)} of {need}")
         if by:
-            self.marks[record, by] = WrittenRecord(at, agent, self.until[by])
+            self.attempt_records[record, by] = WrittenRecord(at, agent, self.until[by])
 
-    def lost(self, copies: dict[str, dict], now: float, wall_ms: float) -> int:
+    def count_lost_records(self, copies: dict[str, dict], now: float, wall_ms: float) -> int:
         """Marks that are not over and that no copy has. `copies`: agent -> record -> its marks. There is no
         excuse for one unless as many agents as there are copies have been down at once since; as many as it
         was written to, where an owner may have been out of reach."""
         lost = 0
-        for (record, by), each in self.marks.items():
+        for (record, by), each in self.attempt_records.items():
             if each.until_ms <= wall_ms or any(by in have.get(record, ()) for have in copies.values()):
                 continue
             lost += 1
@@ -315,7 +323,7 @@
         for mark, at in self.shown.items():
             ring = self.rings.get(mark)
             if ring and ring.epoch > newest:
-                newest, version = ring.epoch, schema.governs(ring.written, ring.phase)
+                newest, version = ring.epoch, schema.governs(ring.written_version, ring.phase)
                 if version != found[-1][1]:
                     found.append((at, version))
         return found
@@ -326,7 +334,7 @@
         Runs a bucket of the limit over what was served, as a server of the whole fleet would have; anew
         where another version came to govern, and once with room for a change over the whole time.
         """
-        limit, settings, times = self.limits[tenant], self.settings, sorted(self.served[tenant])
+        limit, settings, times = self.limits[tenant], self.settings, sorted(self.admission_times[tenant])
         by_period = 2 * limit.rate * settings.period_s + settings.copies
         versions = self.versions()
         rest = settings.lease_s * (1 + settings.clock_drift) + 2 * settings.period_s
@@ -350,7 +358,7 @@
                 self.violated(f"{tenant}: served {over:.2f} over its limit")
         return self.violations
 
-    def equal(self, copies: dict[str, bytes], what: str):
+    def check_equal(self, copies: dict[str, bytes], what: str):
         if len(set(copies.values())) > 1:
             self.violated(
                 f"{what}: copies differ: "
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -35,7 +35,8 @@
     StatePush,
 )
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import step_between
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
@@ -156,7 +157,7 @@
         + "".join(f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY))
     )
     config = replace(config, name=f"{1:064}")
-    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).settings
+    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE_VARIABLE: str(file)}).settings
     assert len(fleet_settings.seeds) == fleet_settings.most_agents == MANY
 
 
@@ -233,7 +234,7 @@
     )
     node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
     before = node.offset
-    for seat in node.ring.seats[1:]:
+    for seat in node.ring.members[1:]:
         node.timely(seat.name, int((node.wall + 7) * 1e3), True)
     assert len(node.clocks) == MANY - 1
     node.look_at_clock()
@@ -247,7 +248,7 @@
         lambda to, message: answered.append(to) if isinstance(message, LeaseRenewalAck) else None
     )
     empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
-    for seat in ring.seats:
+    for seat in ring.members:
         agent.on_message(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
     agent.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
@@ -256,9 +257,10 @@
 def test_a_ring_of_1024_with_the_longest_names_fits_one_message():
     seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
-    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME
+    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME_BYTES
     assert (
-        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
+        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names)))
+        < codec.MAX_FRAME_BYTES
     )
 
 
