--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -178,7 +178,7 @@
         self.host.flush(monotonic() + LAST_WORDS)
         log.info(
             "out of the fleet",
-            extra={"handed_over": self.host.node.is_handed_over, "unsent": self.host.waiting},
+            extra={"handed_over": self.host.node.is_handed_over, "unsent": self.host.queued_bytes},
         )
 
     def stop(self):
--- /dev/null
+++ b/cartdeal/fleet/transport/outgoing.py
@@ -0,0 +1,188 @@
+"""Streams to peers: one queue of messages and one writing greenlet for each.
+
+It must never block who enqueues a message. A queue that is full loses its oldest messages, a peer that can't
+be reached is tried again with exponential backoff, and messages that waited too long are dropped.
+"""
+
+import logging
+from collections import OrderedDict, deque
+from collections.abc import Callable
+from random import Random
+from time import monotonic
+from typing import NamedTuple
+
+import gevent
+from gevent import socket
+from gevent.event import Event
+
+from cartdeal.fleet import codec
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.transport.limits import TransportLimits
+from cartdeal.fleet.transport.reporting import PeerAddress, TransportReporter
+from cartdeal.fleet.transport.sockets import connect, is_closed_by_peer
+
+WRITE_TIMEOUT_S = 2.0  # how long a peer may take to accept what is written
+FIRST_RECONNECT_DELAY_S = 0.1  # doubled with each failure, and jittered by a factor of 0.5 to 1.5
+MAX_RECONNECT_DELAY_S = 3.0
+MAX_QUEUE_AGE_S = 5.0  # older messages are not sent any more: who asked has given up
+WRITER_IDLE_TIMEOUT_S = 30.0  # after which a stream that carries nothing is closed; shorter than the reader's
+MAX_QUEUED_MESSAGES = 1024  # for one peer
+WRITE_BATCH_BYTES = 65536  # written at once, or little more
+
+log = logging.getLogger("cartdeal.fleet")
+
+
+class QueuedMessage(NamedTuple):
+    """An encoded message that waits to be sealed and sent."""
+
+    queued_at: float  # monotonic seconds
+    encoded: bytes
+
+
+class OutgoingConnection:
+    """The queue for one peer, and the greenlet and the stream that write it."""
+
+    def __init__(self, address: PeerAddress):
+        self.address = address
+        self.queue: deque[QueuedMessage] = deque()
+        self.has_messages = Event()
+        self.greenlet: gevent.Greenlet | None = None
+        self.socket: socket.socket | None = None  # None while there is no connection
+
+    def close_socket(self) -> None:
+        """Closes the stream, if there is one."""
+        if self.socket is not None:
+            self.socket.close()
+            self.socket = None
+
+
+class OutgoingConnections:
+    """The streams to all peers.
+
+    `connections`: by the peer's address, the least recently used first. `queued_bytes`: the size of all
+    queues together. `seal` puts an encoded message into its envelope when it is sent.
+    """
+
+    def __init__(
+        self,
+        limits: TransportLimits,
+        seal: Callable[[bytes], bytes],
+        reporter: TransportReporter,
+        random: Random,
+    ):
+        self.limits = limits
+        self.seal = seal
+        self.reporter = reporter
+        self.random = random
+        self.connections: OrderedDict[PeerAddress, OutgoingConnection] = OrderedDict()
+        self.queued_bytes = 0
+
+    def enqueue(self, address: PeerAddress, encoded: bytes) -> None:
+        """Queues a message for the peer at `address`; opens a stream to it if there is none."""
+        connection = self._connection_to(address)
+        if connection is None:
+            self.reporter.increment(Metric.DROPPED_NO_STREAM)
+            return
+        queue, max_bytes = connection.queue, self.limits.max_queued_bytes
+        while queue and (len(queue) >= MAX_QUEUED_MESSAGES or self.queued_bytes + len(encoded) > max_bytes):
+            self.pop_message(connection)
+            self.reporter.increment(Metric.DROPPED_OLDEST)
+        if self.queued_bytes + len(encoded) > max_bytes:
+            self.reporter.increment(Metric.DROPPED_NO_MEMORY)
+            return
+        queue.append(QueuedMessage(monotonic(), encoded))
+        self.queued_bytes += len(encoded)
+        connection.has_messages.set()
+
+    def _connection_to(self, address: PeerAddress) -> OutgoingConnection | None:
+        connection = self.connections.get(address)
+        if connection is None:
+            if len(self.connections) >= self.limits.max_streams and not self.close_least_recently_used():
+                return None
+            connection = self.connections[address] = OutgoingConnection(address)
+            connection.greenlet = gevent.spawn(self.write, connection)
+        self.connections.move_to_end(address)
+        return connection
+
+    def pop_message(self, connection: OutgoingConnection) -> bytes:
+        """Takes the oldest message from a queue."""
+        encoded = connection.queue.popleft().encoded
+        self.queued_bytes -= len(encoded)
+        return encoded
+
+    def close_least_recently_used(self) -> bool:
+        """Closes the stream that has been unused for longest; one with queued messages stays."""
+        for address, connection in self.connections.items():
+            if not connection.queue:
+                del self.connections[address]
+                if connection.greenlet is not None:
+                    connection.greenlet.kill(block=False)
+                return True
+        return False
+
+    def write(self, connection: OutgoingConnection) -> None:
+        """Writes the queue of one connection until it has been empty for WRITER_IDLE_TIMEOUT_S."""
+        reconnect_delay_s = FIRST_RECONNECT_DELAY_S
+        try:
+            while self._wait_for_messages(connection):
+                try:
+                    if self._send_batch(connection):
+                        reconnect_delay_s = FIRST_RECONNECT_DELAY_S
+                except OSError:
+                    # What was being written is lost: whether the peer has read it can't be known.
+                    self.reporter.increment(Metric.STREAMS_FAILED)
+                    connection.close_socket()
+                    gevent.sleep(reconnect_delay_s * (0.5 + self.random.random()))
+                    reconnect_delay_s = min(MAX_RECONNECT_DELAY_S, 2 * reconnect_delay_s)
+                    self.drop_stale(connection)
+        except Exception:
+            log.exception("stream failed", extra={"address": connection.address})
+        finally:
+            self._remove(connection)
+
+    def _wait_for_messages(self, connection: OutgoingConnection) -> bool:
+        """Waits until there is a message; False where none came within WRITER_IDLE_TIMEOUT_S."""
+        while not connection.queue:
+            connection.has_messages.clear()
+            if not connection.has_messages.wait(WRITER_IDLE_TIMEOUT_S):
+                return False
+        return True
+
+    def _send_batch(self, connection: OutgoingConnection) -> bool:
+        """Connects if need be and writes what fits one batch; whether there was anything to write.
+
+        Raises OSError.
+        """
+        if connection.socket is not None and is_closed_by_peer(connection.socket):
+            connection.close_socket()
+        if connection.socket is None:
+            connection.socket = connect(connection.address)
+        batch = self.pop_batch(connection)
+        if not batch:
+            return False
+        connection.socket.settimeout(WRITE_TIMEOUT_S)
+        connection.socket.sendall(batch)
+        return True
+
+    def _remove(self, connection: OutgoingConnection) -> None:
+        connection.close_socket()
+        while connection.queue:
+            self.pop_message(connection)
+        if self.connections.get(connection.address) is connection:
+            del self.connections[connection.address]
+
+    def pop_batch(self, connection: OutgoingConnection) -> bytes:
+        """Takes messages from a queue, as frames, up to WRITE_BATCH_BYTES or a message more."""
+        self.drop_stale(connection)
+        frames: list[bytes] = []
+        size = 0
+        while connection.queue and size < WRITE_BATCH_BYTES:
+            frames.append(codec.frame_message(self.seal(self.pop_message(connection))))
+            size += len(frames[-1])
+        return b"".join(frames)
+
+    def drop_stale(self, connection: OutgoingConnection) -> None:
+        """Drops what has waited for longer than MAX_QUEUE_AGE_S."""
+        while connection.queue and connection.queue[0].queued_at < monotonic() - MAX_QUEUE_AGE_S:
+            self.pop_message(connection)
+            self.reporter.increment(Metric.DROPPED_STALE)
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -13,7 +13,8 @@
 from cartdeal.fleet.effects import DeliverDecision, SendMessage
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.settings import FleetSettings
-from cartdeal.fleet.transport import PeerConnection, PeerTransport, TransportLimits
+from cartdeal.fleet.transport import PeerTransport, TransportLimits
+from cartdeal.fleet.transport.outgoing import OutgoingConnection
 
 
 class Hail(Struct, frozen=True, tag="t.hail", array_like=True):
@@ -190,10 +191,9 @@
 def hosts():
     made = []
 
-    def make(name, decided=None, bounds=None, start=True, **more):
+    def make(name, decided=None, limits=None, start=True, **more):
         fleet_settings = msgspec.structs.replace(SETTINGS, name=name, address="", tick_s=0.01, **more)
-        made.append(PeerTransport(fleet_settings, ("127.0.0.1", 0), Scripted, decided, bounds))
-        made[-1].works = []
+        made.append(PeerTransport(fleet_settings, ("127.0.0.1", 0), Scripted, decided, limits))
         if start:
             made[-1].start()
         return made[-1]
@@ -216,10 +216,12 @@
 def test_words_go_by_datagram_or_stream_and_come_with_their_sender(hosts):
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(bytes(400_000)), Hail("x"), Load(b"y"))
-    until(lambda: len(b.node.got) == 3 and b.node.ticks and not a.waiting)
+    until(lambda: len(b.node.got) == 3 and b.node.ticks and not a.queued_bytes)
     assert {each[:3] for each in b.node.got} == {("a", 7, a.node.address)}
     assert [each[3] for each in b.node.got if type(each[3]) is Load] == [Load(bytes(400_000)), Load(b"y")]
-    assert len(a.roads) == 1 and len(b.readers) == 1 and not b.half
+    assert (
+        len(a.outgoing.connections) == 1 and len(b.incoming.connections) == 1 and not b.incoming.partial_bytes
+    )
     say(a, b, Hail("x" * 2000))
     a.dispatch("say", "b", "nowhere", Hail("x"))
     assert a.counters["dropped too large"] == a.counters["dropped no address"] == 1
@@ -241,7 +243,7 @@
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(b"x"), Hail("die"), Hail("on"))
     until(lambda: len(b.node.got) == 3)
-    assert "event failed" in caplog.text and len(b.readers) == 1
+    assert "event failed" in caplog.text and len(b.incoming.connections) == 1
 
 
 @pytest.mark.parametrize(
@@ -268,7 +270,11 @@
         assert bad.recv(1) == b""
     say(a, b, Load(b"y"))
     until(lambda: len(b.node.got) == 2)
-    assert b.counters[f"refused {kind}"] == 3 and len(b.readers) == 1 and not b.half
+    assert (
+        b.counters[f"refused {kind}"] == 3
+        and len(b.incoming.connections) == 1
+        and not b.incoming.partial_bytes
+    )
     assert len([each for each in caplog.messages if each == "refused"]) == 1
 
 
@@ -284,9 +290,9 @@
 
 
 def test_unidentified_clients_have_little_time_and_room_and_a_known_peer_keeps_its_stream(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.MAX_UNIDENTIFIED_CONNECTIONS", 3)
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 0.1)
-    a, b = hosts("a"), hosts("b", bounds=TransportLimits(half=100_000))
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.MAX_UNIDENTIFIED_CONNECTIONS", 3)
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 0.1)
+    a, b = hosts("a"), hosts("b", limits=TransportLimits(max_partial_bytes=100_000))
     say(a, b, Load(b"x"))
     until(lambda: b.node.got)
     silent = [socket.create_connection(("127.0.0.1", b.port)) for _ in range(8)]
@@ -298,33 +304,33 @@
             pass
         raise ConnectionResetError
     say(a, b, Load(b"y"))
-    until(lambda: len(b.node.got) == 2 and len(b.readers) == 1)
-    assert b.counters["closed partial messages"] == 1 and not b.half
+    until(lambda: len(b.node.got) == 2 and len(b.incoming.connections) == 1)
+    assert b.counters["closed partial messages"] == 1 and not b.incoming.partial_bytes
 
 
 def test_what_waits_for_a_peer_that_does_not_read_is_bounded_and_the_oldest_goes(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.MAX_QUEUED_MESSAGES", 8)
-    a, b = hosts("a", bounds=TransportLimits(waiting=40_000_000)), hosts("b", start=False)
+    monkeypatch.setattr("cartdeal.fleet.transport.outgoing.MAX_QUEUED_MESSAGES", 8)
+    a, b = hosts("a", limits=TransportLimits(max_queued_bytes=40_000_000)), hosts("b", start=False)
     for place in range(100):
         say(a, b, Load(bytes(500_000) + b"%d" % place))
         gevent.sleep(0)
-    assert a.counters["dropped oldest"] > 50 and a.waiting < 9 * 500_100
-    a.bounds = TransportLimits(waiting=1_000_000)
+    assert a.counters["dropped oldest"] > 50 and a.queued_bytes < 9 * 500_100
+    a.outgoing.limits = TransportLimits(max_queued_bytes=1_000_000)
     say(a, b, Load(bytes(500_000)))
-    assert a.waiting < 1_000_000
+    assert a.queued_bytes < 1_000_000
     b.start()
-    until(lambda: not a.waiting and b.node.got)
+    until(lambda: not a.queued_bytes and b.node.got)
 
 
 def test_a_peer_that_comes_back_is_reached_and_what_is_stale_is_not_sent(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_RECONNECT_DELAY_S", 0.01)
-    monkeypatch.setattr("cartdeal.fleet.transport.MAX_QUEUE_AGE_S", 0.2)
+    monkeypatch.setattr("cartdeal.fleet.transport.outgoing.FIRST_RECONNECT_DELAY_S", 0.01)
+    monkeypatch.setattr("cartdeal.fleet.transport.outgoing.MAX_QUEUE_AGE_S", 0.2)
     a, b = hosts("a"), hosts("b")
     say(a, b, Load(b"1"))
     until(lambda: b.node.got)
     port, old = b.port, b
     old.stop()
-    until(lambda: not old.readers)
+    until(lambda: not old.incoming.connections)
     say(a, b, Load(b"2"))
     until(lambda: a.counters["dropped stale"] == 1)
     say(a, b, Load(b"3"))
@@ -340,25 +346,27 @@
 def test_what_waited_is_stamped_when_it_goes_out(hosts):
     a, b, times = hosts("a"), hosts("b"), []
     b.node.on_message = lambda sender, incarnation, address, wall_ms, message: times.append(wall_ms)
-    a.roads[("127.0.0.1", b.port)] = road = PeerConnection(("127.0.0.1", b.port))  # nobody writes it yet
+    a.outgoing.connections[("127.0.0.1", b.port)] = connection = OutgoingConnection(
+        ("127.0.0.1", b.port)
+    )  # nobody writes it yet
     say(a, b, Load(b"x"))
     gevent.sleep(0.3)
     before = int(time.time() * 1e3)
-    road.greenlet = gevent.spawn(a.write, road)
+    connection.greenlet = gevent.spawn(a.outgoing.write, connection)
     until(lambda: times)
     assert times[0] >= before - 50
 
 
 def test_streams_are_bounded_and_close_when_they_carry_nothing(hosts, monkeypatch):
-    a, peers = hosts("a", bounds=TransportLimits(streams=2)), [hosts(name) for name in "bcd"]
+    a, peers = hosts("a", limits=TransportLimits(max_streams=2)), [hosts(name) for name in "bcd"]
     for peer in peers:
         say(a, peer, Load(b"x"))
         until(lambda peer=peer: peer.node.got)
-    assert len(a.roads) == 2
-    monkeypatch.setattr("cartdeal.fleet.transport.WRITER_IDLE_TIMEOUT_S", 0.05)
+    assert len(a.outgoing.connections) == 2
+    monkeypatch.setattr("cartdeal.fleet.transport.outgoing.WRITER_IDLE_TIMEOUT_S", 0.05)
     for peer in peers[1:]:
         say(a, peer, Load(b"y"))
-    until(lambda: not a.roads and not any(peer.readers for peer in peers))
+    until(lambda: not a.outgoing.connections and not any(peer.incoming.connections for peer in peers))
 
 
 def test_a_flood_of_datagrams_leaves_the_agent_its_turn(hosts):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -270,9 +270,12 @@
 def test_streams_and_faults_of_1024_peers_are_held(hosts):
     host = hosts("a", start=False)
     for n in range(MANY):
-        host.queue(("127.0.0.1", n + 1), b"x")
-        host.tell_once("refused", n, "")
-    assert len(host.roads) == len(host.told) == MANY and not host.counters["dropped no stream"]
+        host.outgoing.enqueue(("127.0.0.1", n + 1), b"x")
+        host.reporter.report_once("refused", n, "")
+    assert (
+        len(host.outgoing.connections) == len(host.reporter.reported_faults) == MANY
+        and not host.counters["dropped no stream"]
+    )
 
 
 def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(hosts):
@@ -285,16 +288,16 @@
 
 
 def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
     host = hosts("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
-    until(lambda: len(host.readers) == len(many) or host.counters["closed no room"])
+    until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
     assert not host.counters["closed no room"]
 
 
 def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a", bounds=TransportLimits(streams=4), start=False)
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
+    host = hosts("a", limits=TransportLimits(max_streams=4), start=False)
     said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, Load(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
@@ -303,4 +306,4 @@
     until(lambda: len(host.node.got) == len(many))
     silent = [called(host) for _ in range(20)]
     until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
-    assert sum(known for _, known, _ in host.readers.values()) == 3
+    assert sum(connection.is_identified for connection in host.incoming.connections.values()) == 3
