--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -33,7 +33,7 @@
 from cartdeal.fleet.membership import swim
 from cartdeal.fleet.membership.swim import Membership
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
@@ -87,7 +87,7 @@
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
                 (messages, self.replica),
-                (quota_leases, self.quota),
+                (quota_messages, self.quota),
             )
             for kind in module.MESSAGE_TYPES
         }
@@ -319,8 +319,8 @@
 
     def apply_settings(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
-        self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
+        self.settings = self.membership.settings = self.replica.settings = settings
+        self.consensus.update_settings(settings)
         self.quota.update_limits(settings)
         self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -31,7 +31,8 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 RANGE_COUNT = 64  # ranges of hashed keys; a set of ranges is an int with one bit for each
