--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -18,12 +18,10 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.replication import records, schema
 from cartdeal.fleet.replication.catch_up import (
-    ALL,
-    FIRST,
-    GAINING,
-    RANGES,
-    RESTARTED,
+    ALL_RANGES,
+    RANGE_COUNT,
     CatchUp,
+    CatchUpReason,
     key_bytes,
     range_of,
 )
@@ -43,7 +41,8 @@
     WriteResponse,
 )
 from cartdeal.fleet.replication.records import AttemptRecord, Record, Session, UsageCounter
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 
 PIECE = 32 * 1024  # bytes of records in one message; one record alone may have more
 LARGEST = 200 * 1024  # bytes of one record that is sent
@@ -139,15 +138,19 @@
 
 
 class Replica:
-    """`done(ticket, marks, sure)` answers each claim and read once. `sure()`: if our ring is vouched for."""
+    """`on_done(ticket, attempts, certain)` is called once for each write and read.
 
-    def __init__(self, context, settings, clock, done, sure):
-        self.context, self.settings, self.clock, self.done, self.sure = context, settings, clock, done, sure
+    `has_valid_lease()`: whether this agent may answer as an owner by its ring.
+    """
+
+    def __init__(self, context, settings, on_done, has_valid_lease):
+        self.context, self.settings = context, settings
+        self.on_done, self.has_valid_lease = on_done, has_valid_lease
         self.name, self.incarnation = context.name, context.incarnation
         self.start = context.now
         self.ring: Ring | None = None
-        self.era: CatchUp | None = None
-        self.newest = 0  # epoch that anyone spoke of
+        self.catch_up: CatchUp | None = None
+        self.newest_epoch = 0  # epoch that anyone spoke of
         self.vouched = False  # our ring was, at least once since the start
         self.count = 0  # numbers given out
         self.slack_ms = int(settings.clock_ahead_s * 1e3)
@@ -156,7 +159,7 @@
         ] = {}  # of a peer: one of them, and whether there is another
         # Owner
         self.store: dict[str, StoredRecord] = {}
-        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGES)]
+        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGE_COUNT)]
         self.warm: dict[str, Record] = {}  # never changed in place
         self.sums: dict[str, list[int]] = {}  # peer -> digest by range of what both own
         self.left: dict[str, list[int]] = {}  # peer -> how many records by range it owns and we only keep
@@ -194,7 +197,7 @@
 
     def on_ring_changed(self, ring: Ring, former: Ring | None, since: float | None = None):
         """A new epoch; `former`: the ring before it, if known; `since`: context.now when it was learnt."""
-        old, era, now = self.ring, self.era, self.context.now
+        old, era, now = self.ring, self.catch_up, self.context.now
         if ring == old:
             return
         since = now if since is None else since
@@ -206,21 +209,25 @@
         else:
             start = self.start
             if era is None:
-                way = FIRST if ring.epoch == 1 and former is None else RESTARTED
+                way = (
+                    CatchUpReason.FIRST_RING
+                    if ring.epoch == 1 and former is None
+                    else CatchUpReason.RESTARTED
+                )
             elif ring.epoch <= old.epoch:
                 # The same epoch twice: what was caught up by the other ring is worth nothing by this one.
-                way, start = RESTARTED, now
+                way, start = CatchUpReason.RESTARTED, now
             else:
-                way = GAINING if self.vouched and follows else RESTARTED
-            before = era if way == GAINING and next_one and former == old else None
-            former = former if way == GAINING else None
-            self.era = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
+                way = CatchUpReason.OWNERSHIP_CHANGED if self.vouched and follows else CatchUpReason.RESTARTED
+            before = era if way == CatchUpReason.OWNERSHIP_CHANGED and next_one and former == old else None
+            former = former if way == CatchUpReason.OWNERSHIP_CHANGED else None
+            self.catch_up = CatchUp(self.name, self.settings, ring, former, way, since, start, before)
             self.asked = {}
             self.place_anew()
         self.learning = {}
         if (ring.written_version, ring.phase) != self.stage:
             self.stage = (ring.written_version, ring.phase)
-            self.old_form, self.to_move = len(self.store), list(range(RANGES))
+            self.old_form, self.to_move = len(self.store), list(range(RANGE_COUNT))
         self.own_anew(old)
         for number, each in list(self.open.items()):
             if each.ended:
@@ -231,7 +238,7 @@
 
     def place_anew(self):
         self.sums, self.left, self.handing = {}, {}, {}
-        self.unplaced = list(range(RANGES))
+        self.unplaced = list(range(RANGE_COUNT))
         self.place()
 
     def place(self):
@@ -239,7 +246,7 @@
         most = min(PLACED, 50 * PLACED // len(self.ring.members))
         while self.unplaced and most > 0:
             for key, kept in self.ranges[self.unplaced[-1]].items():
-                if kept.era is not self.era:
+                if kept.era is not self.catch_up:
                     self.seat(key, kept)
                     most -= 1
             self.unplaced.pop()
@@ -248,12 +255,17 @@
         return owners(self.ring, key_bytes(key), self.settings.copies) if self.ring else ()
 
     def seat(self, key: str, kept: StoredRecord):
-        kept.era, kept.owners = self.era, self.owners(key)
+        kept.era, kept.owners = self.catch_up, self.owners(key)
         self.add(key, kept, 1)
-        if self.era.way == GAINING and len(self.era.sources) > MOST_ASKED:
+        if (
+            self.catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED
+            and len(self.catch_up.sources) > MOST_ASKED
+        ):
             here = self.ring.member_by_name
             before = [
-                each for each in owners(self.era.former, key_bytes(key), self.settings.copies) if each in here
+                each
+                for each in owners(self.catch_up.former_ring, key_bytes(key), self.settings.copies)
+                if each in here
             ]
             if before[:1] == [self.name]:  # one of the former owners gives it to the new ones, unasked
                 gainers = [each for each in kept.owners if each not in before]
@@ -272,12 +284,12 @@
             if ours:
                 sums = self.sums.get(peer)
                 if sums is None:
-                    sums = self.sums[peer] = [0] * RANGES
+                    sums = self.sums[peer] = [0] * RANGE_COUNT
                 sums[place] ^= kept.sum
             else:
                 left = self.left.get(peer)
                 if left is None:
-                    left = self.left[peer] = [0] * RANGES
+                    left = self.left[peer] = [0] * RANGE_COUNT
                 left[place] += more
 
     # Store
@@ -352,13 +364,13 @@
             kept.era, kept.due = None, 0
         else:
             self.old_form -= kept.stage != self.stage
-            if kept.era is self.era:
+            if kept.era is self.catch_up:
                 self.add(key, kept, -1)
         kept.data, kept.digest, kept.stage = data, digest, self.stage
         kept.sum = int.from_bytes(blake2b(key_bytes(key) + digest, digest_size=8).digest())
-        if kept.era is self.era and self.era is not None:
+        if kept.era is self.catch_up and self.catch_up is not None:
             self.add(key, kept, 1)
-        elif self.era is not None:
+        elif self.catch_up is not None:
             self.seat(key, kept)
         if isinstance(record, Session):
             longest = self.wall_ms + int(1e3 * self.settings.longest_mark_s) + self.slack_ms
@@ -373,7 +385,7 @@
         self.warm.pop(key, None)
         del self.ranges[range_of(key)][key]
         self.old_form -= kept.stage != self.stage
-        if kept.era is self.era and self.era is not None:
+        if kept.era is self.catch_up and self.catch_up is not None:
             self.add(key, kept, -1)
         self.handing.pop(key, None)
 
@@ -394,7 +406,7 @@
                 self.put(key, record)
 
     @property
-    def moved(self) -> int:
+    def migrated_version(self) -> int:
         """The version that all it keeps is written in."""
         return schema.moved(self.ring, self.old_form) if self.ring else self.settings.reads[0]
 
@@ -413,12 +425,12 @@
 
     # Asking
 
-    def claim(self, ticket: int, key: str, mark: AttemptRecord, until: float):
+    def write(self, ticket: int, key: str, mark: AttemptRecord, until: float):
         """Writes a mark at all owners and asks what they had before."""
         own = self.mine.get(key)
         if own and own.record.is_full(self.settings.most_marks_a_session):
             self.context.increment(Metric.ATTEMPTS_FULL)
-            return self.done(ticket, self.marks(key, mark.attempt_id), False)
+            return self.on_done(ticket, self.marks(key, mark.attempt_id), False)
         if self.has_room(ticket):
             self.own(key, Session({mark.attempt_id: mark}))
             self.begin(ticket, key, mark, until)
@@ -432,7 +444,7 @@
             ended = next((number for number, each in self.open.items() if each.ended), None)
             if ended is None:
                 self.context.increment(Metric.PENDING_OPERATIONS_FULL)
-                self.done(ticket, (), False)
+                self.on_done(ticket, (), False)
                 return False
             self.close(ended)
         return True
@@ -454,7 +466,7 @@
         if ring is None:
             return
         each.owners, each.epoch = self.owners(each.key), ring.epoch
-        each.need = (self.era.w if each.by else 0, self.era.r)
+        each.need = (self.catch_up.quorum.writes if each.by else 0, self.catch_up.quorum.reads)
         self.ask_owners(number, each.owners)
 
     def ask_owners(self, number: int, whom):
@@ -501,10 +513,10 @@
         if each.ended and len(each.wrote if each.by else each.read) == len(each.owners):
             self.open.pop(message.request_id, None)
 
-    def end(self, each: PendingOperation, sure: bool):
+    def end(self, each: PendingOperation, certain: bool):
         each.ended = True
-        self.context.increment(Metric.WRITES_CERTAIN if sure else "claims not sure")
-        self.done(each.ticket, self.marks(each.key, each.by, each.known), sure)
+        self.context.increment(Metric.WRITES_CERTAIN if certain else Metric.WRITES_UNCERTAIN)
+        self.on_done(each.ticket, self.marks(each.key, each.by, each.known), certain)
 
     def marks(self, key: str, by: str, known: Session | None = None) -> tuple[AttemptRecord, ...]:
         """What is known of a session, our own marks that are still on their way included, but for one."""
@@ -525,13 +537,13 @@
 
     # What this agent wrote
 
-    def refine(self, key: str, mark: AttemptRecord):
+    def update(self, key: str, mark: AttemptRecord):
         """More is known of an own mark; told to all owners, whenever they can be reached."""
         self.own(key, Session({mark.attempt_id: mark}))
         self.enqueue(key)
         self.take_own(key)
 
-    def count_use(self, tenant: str, period: int, served: int):
+    def count_usage(self, tenant: str, period: int, served: int):
         """So many more were served; told about once a second."""
         which = (self.name, self.context.incarnation, period)
         counts = {
@@ -726,7 +738,7 @@
             self.incarnations[sender] = (other, known or message.incarnation != other)
         if self.ring is not None and message.epoch == self.ring.epoch:
             return True
-        self.newest = max(self.newest, message.epoch)
+        self.newest_epoch = max(self.newest_epoch, message.epoch)
         if self.ring is not None and message.epoch < self.ring.epoch:
             self.context.increment(Metric.DROPPED_OLD_EPOCH)
             self.context.send(sender, StaleEpoch(self.ring.epoch))
@@ -742,7 +754,7 @@
 
     def serve(self, asker: str, message: WriteRequest) -> WriteResponse | None:
         """The owner's part of a claim, our own included."""
-        if not self.sure():
+        if not self.has_valid_lease():
             return self.context.increment(Metric.NO_VALID_LEASE)
         self.vouched = True
         key = message.key
@@ -764,7 +776,7 @@
                 self.context.increment(Metric.ATTEMPTS_FULL)
         elif key in self.store and self.store[key].stage != self.stage:
             self.put(key, had)  # moved when read
-        if not self.caught_up(key):
+        if not self.has_caught_up(key):
             self.learn(key, (asker, message.request_id, message.incarnation, message.attempt_id))
         return self.answer(message.request_id, message.incarnation, key, message.attempt_id, had, wrote, full)
 
@@ -775,11 +787,11 @@
         raw = b""
         if marks or had.required_version:
             raw = self.sendable(key, Session(marks, had.unknown_fields, had.required_version))
-        caught_up = raw is not None and self.caught_up(key)
+        caught_up = raw is not None and self.has_caught_up(key)
         return WriteResponse(number, incarnation, self.ring.epoch, wrote, caught_up, full, raw or b"")
 
-    def caught_up(self, key: str) -> bool:
-        return self.era is not None and self.era.caught_up(key, self.context.now)
+    def has_caught_up(self, key: str) -> bool:
+        return self.catch_up is not None and self.catch_up.has_caught_up(key, self.context.now)
 
     def heard_give(self, sender: str, message: HintDelivery):
         if not self.timely(sender, message):
@@ -803,7 +815,11 @@
             if waiter not in each.waiters and len(each.waiters) < 16:
                 each.waiters.append(waiter)
             return
-        if self.era.way == FIRST or self.era.way == RESTARTED and self.context.now < self.era.ready_at:
+        if (
+            self.catch_up.reason == CatchUpReason.FIRST_RING
+            or self.catch_up.reason == CatchUpReason.RESTARTED
+            and self.context.now < self.catch_up.reports_valid_at
+        ):
             return
         if len(self.learning) >= self.settings.most_waiting:
             return self.context.increment(Metric.PENDING_REPAIRS_FULL)
@@ -815,24 +831,24 @@
     def ask_about(self, key: str, each: PendingRepair):
         each.asked_at = self.context.now
         whom = dict.fromkeys(self.owners(key))
-        if self.era.way == GAINING:
-            whom |= dict.fromkeys(owners(self.era.former, key_bytes(key), self.settings.copies))
+        if self.catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED:
+            whom |= dict.fromkeys(owners(self.catch_up.former_ring, key_bytes(key), self.settings.copies))
         message = ReadRepairRequest(each.number, self.incarnation, self.ring.epoch, key)
         for name in whom:
             if name != self.name and name not in each.was and name not in each.now:
                 self.context.send(name, message)
 
     def heard_know(self, sender: str, message: ReadRepairRequest):
-        if not self.timely(sender, message) or not self.sure():
+        if not self.timely(sender, message) or not self.has_valid_lease():
             return
-        era, now, key = self.era, self.context.now, message.key
-        was = era.was_caught_up(key, now)
-        here = self.name in self.owners(key) and era.caught_up(key, now)
+        era, now, key = self.catch_up, self.context.now, message.key
+        was = era.had_caught_up(key, now)
+        here = self.name in self.owners(key) and era.has_caught_up(key, now)
         record, raw = self.record(key), b""
         if record is not None:
             raw = self.sendable(key, records.without_expired(record, self.wall_ms, self.slack_ms))
         if raw is not None:
-            former = era.former.epoch if era.former else 0
+            former = era.former_ring.epoch if era.former_ring else 0
             self.context.send(
                 sender,
                 ReadRepairResponse(
@@ -849,18 +865,18 @@
             or message.epoch != self.ring.epoch
         ):
             return self.context.increment(Metric.DROPPED_LATE_ANSWER)
-        (key, each), era = found[0], self.era
+        (key, each), era = found[0], self.catch_up
         if message.record:
             record = self.read_in(key, message.record)
             if record is None or not self.merge(key, record):
                 return
-        if message.caught_up_by_former and era.former and message.former_epoch == era.former.epoch:
+        if message.caught_up_by_former and era.former_ring and message.former_epoch == era.former_ring.epoch:
             each.was[sender] = None
         if message.caught_up_by_current:
             each.now[sender] = None
-        if era.enough(key, each.was, each.now, self.context.now):
+        if era.has_enough_sources(key, each.was, each.now, self.context.now):
             del self.learning[key]
-            era.keep(key)
+            era.add_key(key)
             had = records.without_expired(self.record(key) or Session(), self.wall_ms, self.slack_ms)
             for asker, number, incarnation, by in each.waiters:
                 told = self.answer(number, incarnation, key, by, had, by in had.attempts, False)
@@ -876,14 +892,14 @@
         return blake2b(sums, digest_size=16).digest()
 
     def packed(self, peer: str) -> bytes:
-        return b"".join(each.to_bytes(8) for each in self.sums.get(peer, [0] * RANGES))
+        return b"".join(each.to_bytes(8) for each in self.sums.get(peer, [0] * RANGE_COUNT))
 
     def begin_talk(self, peer: str):
         if peer in self.talks or len(self.talks) >= TALKS or self.unplaced:
             return
         talk = self.talks[peer] = AntiEntropySession()
-        era = self.era
-        talk.counts = era.way != RESTARTED or self.context.now >= era.ready_at
+        era = self.catch_up
+        talk.counts = era.reason != CatchUpReason.RESTARTED or self.context.now >= era.reports_valid_at
         self.say(peer, talk, DigestRequest(0, self.incarnation, self.ring.epoch, self.whole(peer)))
 
     def say(self, peer: str, talk: AntiEntropySession, message):
@@ -911,11 +927,14 @@
             return
         if self.unplaced:
             return self.context.increment(Metric.NOT_PLACED_YET)
-        era, now = self.era, self.context.now
+        era, now = self.catch_up, self.context.now
         sums = b"" if self.whole(sender) == message.combined_digest else self.packed(sender)
         left = sum((count > 0) << place for place, count in enumerate(self.left.get(sender, ())))
-        here = era.ranges(now) if self.name in self.ring.member_by_name else 0
-        former, knew = era.former.epoch if era.former else 0, self.incarnations.get(sender, (0, True))[1]
+        here = era.complete_ranges(now) if self.name in self.ring.member_by_name else 0
+        former, knew = (
+            era.former_ring.epoch if era.former_ring else 0,
+            self.incarnations.get(sender, (0, True))[1],
+        )
         self.context.send(
             sender,
             DigestResponse(
@@ -923,7 +942,7 @@
                 message.incarnation,
                 message.epoch,
                 former,
-                era.was_whole(now),
+                era.former_complete_ranges(now),
                 here,
                 left,
                 knew,
@@ -933,21 +952,23 @@
 
     def heard_seen(self, sender: str, message: DigestResponse):
         talk = self.answered(sender, message, DigestRequest)
-        if talk is None or len(message.range_digests) not in (0, 8 * RANGES):
+        if talk is None or len(message.range_digests) not in (0, 8 * RANGE_COUNT):
             return
-        era = self.era
-        if message.knows_other_incarnation and era.way == FIRST:
-            era.restarted()
+        era = self.catch_up
+        if message.knows_other_incarnation and era.reason == CatchUpReason.FIRST_RING:
+            era.mark_restarted()
             for each in self.talks.values():
                 each.counts = False  # asked before a lease was over
-        elif era.way == FIRST and sender in era.others:
-            era.clean[sender] = None
-        talk.was = message.former_ranges if era.former and message.former_epoch == era.former.epoch else 0
+        elif era.reason == CatchUpReason.FIRST_RING and sender in era.other_members:
+            era.fresh_start_confirmations[sender] = None
+        talk.was = (
+            message.former_ranges if era.former_ring and message.former_epoch == era.former_ring.epoch else 0
+        )
         talk.now = message.current_ranges
         ours, differ = self.packed(sender), []
-        for place in range(RANGES):
+        for place in range(RANGE_COUNT):
             here = slice(8 * place, 8 * place + 8)
-            had = era.was.get(sender, 0) | era.now.get(sender, 0)
+            had = era.former_ring_reports.get(sender, 0) | era.current_ring_reports.get(sender, 0)
             if (
                 message.unowned_ranges & ~had & 1 << place
                 or message.range_digests
@@ -964,7 +985,7 @@
 
     def told(self, peer: str, talk: AntiEntropySession, bits: int):
         if talk.counts:
-            self.era.told(peer, talk.was & bits, talk.now & bits)
+            self.catch_up.record_report(peer, talk.was & bits, talk.now & bits)
 
     def go_on(self, peer: str, talk: AntiEntropySession):
         """The next step: the records that differ, the next page of digests, the next range."""
@@ -991,7 +1012,7 @@
         )
 
     def heard_list(self, sender: str, message: KeyListRequest):
-        if not self.timely(sender, message) or self.unplaced or not 0 <= message.range_index < RANGES:
+        if not self.timely(sender, message) or self.unplaced or not 0 <= message.range_index < RANGE_COUNT:
             return
         keys = self.shared(sender, message.range_index, message.after)
         entries = tuple((key, self.store[key].digest[:8]) for key in keys[:PAGE])
@@ -1091,7 +1112,7 @@
             self.close(number)
         if self.ring is None:
             return
-        if not self.vouched and self.sure():
+        if not self.vouched and self.has_valid_lease():
             self.vouched = True
         for number, each in list(self.open.items()):
             if not each.ended and now >= each.asked_at + AGAIN:
@@ -1134,10 +1155,10 @@
                 else:
                     talk.tries, talk.sent_at = talk.tries + 1, now
                     self.context.send(peer, talk.message)
-        era = self.era
-        if not self.unplaced and not era.done(now) and self.name in self.ring.member_by_name:
-            if era.way != GAINING or len(era.sources) <= MOST_ASKED:
-                self.catch_up(era, now)
+        era = self.catch_up
+        if not self.unplaced and not era.is_complete(now) and self.name in self.ring.member_by_name:
+            if era.reason != CatchUpReason.OWNERSHIP_CHANGED or len(era.sources) <= MOST_ASKED:
+                self.request_catch_up(era, now)
         if self.parting:
             for peer in list(self.parting):
                 self.begin_talk(peer)
@@ -1147,21 +1168,27 @@
             if peers and self.name in self.ring.member_by_name:
                 self.begin_talk(self.context.random.choice(peers))
 
-    def catch_up(self, era: CatchUp, now: float):
+    def request_catch_up(self, era: CatchUp, now: float):
         for source in era.sources:
             if source in self.talks or len(self.talks) >= TALKS:
                 continue
-            if era.way == FIRST:
-                finished = source in era.clean
+            if era.reason == CatchUpReason.FIRST_RING:
+                finished = source in era.fresh_start_confirmations
             elif len(era.sources) > MOST_ASKED:
-                finished = source in era.now  # the records; who counts as a source is asked key by key
+                finished = (
+                    source in era.current_ring_reports
+                )  # the records; who counts as a source is asked key by key
             else:
-                finished = (era.was if era.way == GAINING else era.now).get(source, 0) == ALL
+                finished = (
+                    era.former_ring_reports
+                    if era.reason == CatchUpReason.OWNERSHIP_CHANGED
+                    else era.current_ring_reports
+                ).get(source, 0) == ALL_RANGES
             again_at, pause = self.asked.get(source, (0.0, AGAIN))
             if not finished and now >= again_at:
                 pause = min(2 * pause, LONGEST_PAUSE * max(1.0, len(era.sources) / 32))
-                if era.way == RESTARTED and now < era.ready_at:
-                    again_at = max(era.ready_at, now + AGAIN)  # its records now, its word then
+                if era.reason == CatchUpReason.RESTARTED and now < era.reports_valid_at:
+                    again_at = max(era.reports_valid_at, now + AGAIN)  # its records now, its word then
                 else:
                     again_at = now + pause * (0.75 + 0.5 * self.context.random.random())
                 self.asked[source] = (again_at, pause)
@@ -1169,7 +1196,7 @@
 
     def forget(self, now: float):
         """What need not be told any more, as it is over, and what was kept for others."""
-        wall_ms, era = self.wall_ms, self.era
+        wall_ms, era = self.wall_ms, self.catch_up
         for key, own in list(self.mine.items()):
             own.record = records.without_expired(own.record, wall_ms, self.slack_ms)
             if records.is_empty(own.record):
@@ -1178,8 +1205,8 @@
             line.keys = {key: None for key in line.keys if key in self.mine or key in self.handing}
             if not line.keys:
                 del self.lines[owner]
-        if now >= era.over_at:
-            era.before = None
+        if now >= era.expires_at:
+            era.previous = None
             if self.left and not self.unplaced:
                 for key in [key for key, kept in self.store.items() if self.name not in kept.owners]:
                     self.drop(key)
@@ -1187,7 +1214,7 @@
 
     # The end of the process
 
-    def leaving(self):
+    def start_shutdown(self):
         """The agent is about to end: it compares with all co-owners once, and tells what they lack."""
         self.parting = dict.fromkeys(sorted(self.sums))
         for line in self.lines.values():
@@ -1195,22 +1222,22 @@
         self.flush_lines()
 
     @property
-    def settled(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether all that it holds is on enough others."""
         if self.ring is None:
             return True
         for key, own in self.mine.items():
             others = sum(name != self.name for name in self.owners(key))
-            if others - len(own.lacks) < min(self.era.w, others):
+            if others - len(own.lacks) < min(self.catch_up.quorum.writes, others):
                 return False
         return not self.parting and not self.handing
 
     # What is looked at
 
-    def held(self) -> dict[str, Record]:
+    def all_records(self) -> dict[str, Record]:
         return {key: self.record(key) for key in sorted(self.store)}
 
-    def digest_all(self, peer: str = "") -> bytes:
+    def owned_digest(self, peer: str = "") -> bytes:
         """Of all records that we own, and a peer does, too, if one is named; marks that are over left out."""
         total = blake2b(digest_size=16)
         for key in sorted(self.store):
@@ -1222,21 +1249,21 @@
         return total.digest()
 
     @property
-    def all_caught_up(self) -> bool:
-        return self.era is not None and self.era.ranges(self.context.now) == ALL
+    def is_caught_up(self) -> bool:
+        return self.catch_up is not None and self.catch_up.complete_ranges(self.context.now) == ALL_RANGES
 
     def metrics(self) -> dict:
-        era = self.era
+        era = self.catch_up
         return {
             "records": len(self.store),
             "hints": len(self.mine),
             "hints_for": len(self.lines),
             "claims": sum(not each.ended for each in self.open.values()),
             "learning": len(self.learning),
-            "caught_up": era.ranges(self.context.now).bit_count() if era else 0,
+            "caught_up": era.complete_ranges(self.context.now).bit_count() if era else 0,
             "comparing": len(self.talks),
             "old_form": self.old_form,
-            "moved": self.moved,
+            "moved": self.migrated_version,
         }
 
     def on_message(self, sender: str, message):
@@ -1247,7 +1274,7 @@
             self.close(number)
         self.came_back(sender)
         if isinstance(message, StaleEpoch):
-            self.newest = max(self.newest, message.epoch)
+            self.newest_epoch = max(self.newest_epoch, message.epoch)
             return self.context.increment(Metric.NEWER_RING_ANNOUNCED)
         HANDLERS[type(message)](self, sender, message)
 
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -13,7 +13,10 @@
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.catch_up import quorum
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, apply_step, minimal_movement, owners
+from cartdeal.fleet.ring.movement import minimal_movement
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import apply_step
 from cartdeal.fleet.settings import FleetSettings
 
 HAIR = 1e-6
@@ -280,7 +283,7 @@
         if by is None and ring is not None and len(ring.members) == 1:
             return  # nobody to tell
         has = {**self.writers[by], **({agent: None} if by in own_copy else {})}
-        need = quorum(self.settings, ring)[1] if ring else self.settings.write_by
+        need = quorum(self.settings, ring).writes if ring else self.settings.write_by
         if len(has) < need:
             self.violated(f"{agent}: went on though {by} was written at {len(has)} of {need}")
         if by:
