--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -15,7 +15,7 @@
 from cartdeal.fleet import idempotency
 from cartdeal.fleet.effects import DeliverDecision
 from cartdeal.fleet.errors import InvalidConfigurationError
-from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.transport import PeerTransport, TransportLimits
 from cartdeal.settings import REPEATS, seconds
@@ -94,7 +94,7 @@
 
     def settled(self, number: int, ran: str):
         self.open.pop(number, None)
-        self.host.dispatch("on_request_ended", number, ran)
+        self.host.dispatch("on_request_ended", number, RanOutcome(ran))
 
     def question(self, request, left: float) -> AdmissionRequest:
         repeat, group, window, request_class = self.kinds[request.request_class]
@@ -146,7 +146,7 @@
                 log.warning("no word of the fleet", extra={"request_class": question.workload})
                 word = (
                     idempotency.decide_unknown(question, fleet_settings.on_doubt, fleet_settings.clients_mark)
-                    if question.marked
+                    if question.leaves_record
                     else AdmissionDecision.REJECT
                 )
                 self.decided(DeliverDecision(number, word))
--- a/cartdeal/fleet/context.py
+++ b/cartdeal/fleet/context.py
@@ -12,15 +12,20 @@
 
 
 class NodeContext(Protocol):
-    """What a part may use. `now`: local monotonic seconds of the event; `wall`: the fleet's time."""
-
-    now: float
-    wall: float
-    name: str
-    incarnation: int
-    address: str
-    random: Random
-
-    def send(self, recipient: str, message: Struct) -> None: ...
-    def log_event(self, event: LogEvent) -> None: ...
-    def increment(self, counter: str, by: int = 1) -> None: ...
+    """What a part may use."""
+
+    now: float  # local monotonic seconds of the event
+    wall: float  # the fleet's time, seconds
+    name: str  # this agent's
+    incarnation: int  # this start of the agent; a later start has a greater one
+    address: str  # "host:port" of this agent, as peers reach it
+    random: Random  # seeded: the same events lead to the same effects
+
+    def send(self, recipient: str, message: Struct) -> None:
+        """Send a message to a peer; it may be lost."""
+
+    def log_event(self, event: LogEvent) -> None:
+        """Write an event to the agent's log."""
+
+    def increment(self, counter: str, by: int = 1) -> None:
+        """Add to a counter; see metrics.py."""
--- a/cartdeal/fleet/idempotency.py
+++ b/cartdeal/fleet/idempotency.py
@@ -4,7 +4,7 @@
 and never guesses what is not known.
 """
 
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import NamedTuple
 
 from msgspec import Struct
@@ -28,10 +28,15 @@
     retried: bool = False  # whether the client marked it as a repeat
 
     @property
-    def marked(self) -> bool:
-        """Whether it leaves a mark: a repeat of it could do harm, and there is something to know it by."""
+    def leaves_record(self) -> bool:
+        """Whether it leaves an attempt record: a repeat could do harm, and its session identifies it."""
         return self.repeat != "i" and bool(self.session)
 
+    @property
+    def record_key(self) -> str:
+        """The key of its session's record."""
+        return f"s/{self.session}"
+
 
 class AdmissionDecision(Enum):
     """`value` is the word that the agent's side knows it by."""
@@ -42,6 +47,14 @@
     FAIL = "fail"
 
 
+class RanOutcome(StrEnum):
+    """Whether an ended request ran at a server; `value` is the word that the agent's side knows it by."""
+
+    NEVER = "never"  # provably not run
+    MAYBE = "maybe"
+    ANSWERED = "answered"
+
+
 class EarlierAttempt(NamedTuple):
     """An earlier attempt that may have run: a further one goes to its group only, no later than
     `until_ms`."""
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -1,461 +1,298 @@
-"""One agent's share of the fleet: membership, ring, copies and lending, tied into one reducer.
-
-One event comes in by one method; what it leads to stands in `asked` afterwards, for a host to carry out:
-    ("send", name, address, message)              to a peer
-    ("decided", ticket, verdict, wait, heed)    what is done with a request; `heed`: see verdict.Elsewhere
-    ("note", kind, about)                       for an operator to read
-It must never do I/O, read a clock or sleep: the host sets `now` (monotonic seconds) and `wall` (the wall
-clock's) before each event. It decides nothing of servers.
+"""One agent's share of the fleet: membership, ring, replicas and quota leases, tied into one reducer.
+
+An event comes in by one method; what it leads to stands in `effects` afterwards, for a host to carry out
+(effects.py). It must never do I/O, read a clock or sleep: the host sets `now` (monotonic seconds) and `wall`
+(the wall clock's) before each event. It decides nothing of servers.
 """
 
 from collections import Counter
 from random import Random
-from statistics import median_high
 
 from msgspec import Struct
-from msgspec.structs import replace
 
-from cartdeal.fleet import errors, events
+from cartdeal.fleet import events
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
-from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
+from cartdeal.fleet.effects import Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
-from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
-from cartdeal.fleet.idempotency import (
-    AdmissionDecision,
-    AdmissionRequest,
-    decide,
-    decide_unknown,
-    matching_attempts,
-    may_reject,
-    may_repeat,
-)
+from cartdeal.fleet.fleet_clock import FleetClock
+from cartdeal.fleet.idempotency import AdmissionRequest, RanOutcome
 from cartdeal.fleet.membership import swim
 from cartdeal.fleet.membership.swim import Membership
 from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.pending_admissions import PendingAdmissions
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages, schema
-from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
+from cartdeal.fleet.ring.hash_ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-COME_AGAIN = 0.5  # seconds after which one rejected in doubt may come again, 1.5 times that at most
-RAN = {"never": Certainty.NEVER_RAN, "maybe": Certainty.SENT, "answered": Certainty.ANSWERED}
-MOST_CLOCKS = 1024  # peers whose time is remembered between two looks: a majority of the ring has to fit
-LOOK = 10.0  # seconds between two looks at whether the own clock is the odd one
-KNOWN_PEERS = 4  # addresses kept of unidentified clients, as a multiple of the most agents there may be
-
+ADDRESSES_PER_AGENT = 4  # addresses of unverified peers, as a multiple of the most agents there may be
+INCARNATION_RANDOM_BITS = 16  # below the wall clock's milliseconds
+DAY_MS = 86_400_000
 
-class PendingAdmission:
-    """A request that waits for the fleet's word, or has had it and is not ended yet."""
 
-    __slots__ = ("question", "until", "by", "mark", "step", "limit_wait")
-
-    def __init__(self, question: AdmissionRequest, until: float):
-        self.question, self.until = question, until
-        self.by, self.mark = "", None  # its own mark, once it is claimed
-        self.step = "spend"  # then "claim" or "denied", and "open"
-        self.limit_wait = 0.0
+class Node:
+    """Ties the parts of one agent together: routes messages and events to them, and follows the ring.
 
+    It is the NodeContext that its parts work with.
+    """
 
-class Node:
-    def __init__(self, settings: FleetSettings, seed, now: float, wall: float):
+    def __init__(self, settings: FleetSettings, seed: object, now: float, wall: float) -> None:
         self.settings = settings
         self.effects: list[Effect] = []
         self.counters: Counter[str] = Counter()
-        self.now, self.offset = now, wall - now
-        self.name, self.address = settings.name, settings.address
+        self.now = now
+        self.name = settings.name
+        self.address = settings.address
         self.random = Random(f"{seed}/{settings.name}/{int(wall * 1e3)}")
-        self.incarnation = int(wall * 1e3) << 16 | self.random.getrandbits(16)
-        self.count_ = 0  # requests so far; with the incarnation, no number is ever given out twice
-        self.waiting: dict[int, PendingAdmission] = {}
-        self.open = 0  # of these, how many still wait for the fleet's word
-        self.addresses: dict[str, str] = {}
-        # By peer: whether it goes by a ring; how far its clock was ahead of `now`, at most, since the last
-        # look.
-        self.clocks: dict[str, tuple[bool, float]] = {}
-        self.look_at, self.ticked = now, now
-        self.clock = HybridClock(settings.name, settings.clock_ahead_s)
+        self.incarnation = int(wall * 1e3) << INCARNATION_RANDOM_BITS | self._random_bits()
+        self.addresses: dict[str, str] = {}  # of peers, as their messages gave them
+        self.fleet_clock = FleetClock(self, settings, wall - now)
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
-        self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
-        self.quota = QuotaLeases(self, settings, self.on_token_decision, self.sure)
-        self.parts = {
-            kind: part
+        self.admissions = PendingAdmissions(self, settings)
+        self.replica = Replica(
+            self,
+            settings,
+            self.fleet_clock.hybrid_clock,
+            self.admissions.on_attempt_records,
+            self.has_valid_lease,
+        )
+        self.quota = QuotaLeases(self, settings, self.admissions.on_token_decision, self.has_valid_lease)
+        self.handlers = {
+            message_type: part
             for module, part in (
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
                 (messages, self.replica),
                 (quota_leases, self.quota),
             )
-            for kind in module.MESSAGE_TYPES
+            for message_type in module.MESSAGE_TYPES
         }
-        self.ring = None
-        self.fenced = self.held_late = self.caught_up = False
-        self.is_leaving = False
-        self.served = Counter()  # by tenant, already told to the owners
+        self.ring: Ring | None = None
+        self.is_fenced = False  # the fleet writes what this program can't read
+        self.is_schema_hold_refused = False
+        self.caught_up = False
+        self.shutting_down = False
+        self.reported_usage: Counter[str] = Counter()  # by tenant, what its owners were sent
         self.membership.join()
 
     # What the host sets
 
     @property
     def wall(self) -> float:
-        """The fleet's time. A wall clock that is set while the agent runs moves nothing."""
-        return self.offset + self.now
+        """The fleet's time, seconds. A wall clock that is set while the agent runs moves nothing."""
+        return self.fleet_clock.offset_s + self.now
 
     @wall.setter
-    def wall(self, reading: float):
-        """A host may set it; what counts is the reading at the start, and what peers told since."""
+    def wall(self, reading: float) -> None:
+        """A host may set it; what counts is the reading at the start, and the peers' since."""
 
     # What the parts use
 
-    def send(self, to: str, message: Struct):
-        peer = self.membership.table.get(to)
-        address = peer.address if peer else self.settings.seeds.get(to) or self.addresses.get(to)
-        if address and to != self.name:
-            self.effects.append(SendMessage(to, address, message))
+    def send(self, recipient: str, message: Struct) -> None:
+        """Send a message to a peer, if its address is known."""
+        peer = self.membership.table.get(recipient)
+        address = (
+            peer.address if peer else self.settings.seeds.get(recipient) or self.addresses.get(recipient)
+        )
+        if address and recipient != self.name:
+            self.effects.append(SendMessage(recipient, address, message))
         else:
             self.increment(Metric.NO_ADDRESS)
 
-    def log_event(self, event: LogEvent):
+    def log_event(self, event: LogEvent) -> None:
+        """Write an event to the agent's log."""
         self.effects.append(WriteLog(event))
 
-    def increment(self, counter: str, by: int = 1):
+    def increment(self, counter: str, by: int = 1) -> None:
+        """Add to a counter; see metrics.py."""
         self.counters[counter] += by
 
+    def has_valid_lease(self) -> bool:
+        """Whether this agent may answer as an owner."""
+        return not self.is_fenced and self.consensus.sure()
+
+    @property
+    def is_warming_up(self) -> bool:
+        """Whether records of before the fleet's first ring may still bind a request.
+
+        A fleet whose agents all ended at once founds itself anew, and nobody knows then what ran before.
+        """
+        warm_up_s = self.settings.longest_mark_s + 2 * self.settings.clock_ahead_s
+        return self.ring is None or self.wall < self.ring.founded_ms / 1e3 + warm_up_s
+
     # Events
 
-    def on_message(self, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct):
-        """A message whose digest was right: that its sender knows the key is all that it proves."""
-        part = self.parts.get(type(message))
+    def on_message(self, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct) -> None:
+        """Route an authenticated message to its part.
+
+        That its sender knows the fleet's key is all that its digest proves.
+        """
+        part = self.handlers.get(type(message))
         if part is None or sender == self.name:
-            return self.increment(Metric.DROPPED_OWN_NAME)
+            self.increment(Metric.DROPPED_OWN_NAME)
+            return
         peer = self.membership.table.get(sender)
         if peer and incarnation < peer.incarnation and part is not self.membership:
-            # members answer with the incarnation that is known
-            return self.increment(Metric.DROPPED_OLD_INCARNATION)
-        in_ring = part is self.consensus and getattr(message, "has", 1) > 0
-        if not self.timely(sender, wall_ms, in_ring) and part is self.replica:
+            # membership answers with the incarnation that is known
+            self.increment(Metric.DROPPED_OLD_INCARNATION)
+            return
+        sender_has_ring = part is self.consensus and getattr(message, "has", 1) > 0
+        is_timely = self.fleet_clock.observe(sender, wall_ms, sender_has_ring, self.ring is not None)
+        if not is_timely and part is self.replica:
             return  # what it stamps can't be believed; that it is there, and what ring it has, can
-        if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.settings.most_agents:
+        if sender in self.addresses or len(self.addresses) < ADDRESSES_PER_AGENT * self.settings.most_agents:
             self.addresses[sender] = address
         part.on_message(sender, message)
-        self.follow()
-
-    def timely(self, sender: str, wall_ms: int, in_ring: bool) -> bool:
-        """Takes the fleet's time over from a peer that is ahead, but never more than is allowed."""
-        offset = wall_ms / 1e3 - self.now
-        if sender in self.clocks or len(self.clocks) < MOST_CLOCKS:
-            # A message that was long on its way says less than the next one; what a peer told before it went
-            # by a ring says nothing.
-            had = self.clocks.get(sender, (False, offset))
-            new = in_ring and not had[0]
-            self.clocks[sender] = had[0] or in_ring, offset if new else max(had[1], offset)
-        if self.ring is None:
-            return True  # of no standing yet
-        try:
-            self.clock.hear(Timestamp(wall_ms, 0, sender), self.wall)
-        except errors.ClockAheadError as error:
-            self.increment(Metric.DROPPED_CLOCK_AHEAD)
-            self.log_event(events.PeerClockAhead(sender, str(error)))
-            return False
-        self.offset = max(self.offset, offset)
-        return True
-
-    def set_clock(self):
-        """In the fleet now: an own clock that is far from the others' is wrong, whatever it says. Those that
-        are about to join as well know no better, unless nobody is there yet."""
-        there = [offset for in_ring, offset in self.clocks.values() if in_ring]
-        self.go_by(there or [self.offset, *(offset for _, offset in self.clocks.values())])
-        self.look_at, self.clocks = self.now + LOOK, {}
-
-    def look_at_clock(self):
-        """The majority of the ring's seats is never all wrong: without this, one that was told the wrong time
-        as it came would be refused by all the others for good."""
-        seats = self.ring.by_name
-        offsets = [offset for name, (_, offset) in self.clocks.items() if name in seats]
-        far = self.settings.clock_ahead_s
-        odd = max(
-            sum(each - self.offset > far for each in offsets),
-            sum(self.offset - each > far for each in offsets),
-        )
-        if 2 * odd > len(seats):
-            self.go_by(offsets)
-        self.look_at, self.clocks = self.now + LOOK, {}
-
-    def go_by(self, offsets):
-        """The middle one, and of two the one ahead: a time between them would be nobody's."""
-        offset = median_high(offsets)
-        if abs(offset - self.offset) > self.settings.clock_ahead_s:
-            self.log_event(events.ClockAdjusted(round(offset - self.offset, 3), len(self.clocks)))
-            self.offset = offset
-            self.clock = self.replica.clock = HybridClock(self.name, self.settings.clock_ahead_s)
-
-    def tick(self):
-        if self.now - self.ticked > LOOK / 4:  # stopped: what came in meanwhile is old
-            self.look_at, self.clocks = self.now + LOOK, {}
-        self.ticked = self.now
-        if self.ring is not None and self.now >= self.look_at:
-            self.look_at_clock()
+        self._adopt_ring()
+
+    def tick(self) -> None:
+        """Let each part do what is due; called every `tick_s`."""
+        self.fleet_clock.tick(self.ring)
+        self.replica.clock = self.fleet_clock.hybrid_clock
         self.membership.tick()
-        known = self.membership.known_incarnation()
-        if known >= self.incarnation and known >> 16 < int(self.wall * 1e3) + 86_400_000:
-            # Its own name is remembered from a later start, by a clock that was ahead then.
-            # The next number would be that of any start that learnt of the same incarnation and died unheard
-            # of.
-            self.incarnation = (known >> 16) + 1 + self.random.getrandbits(8) << 16 | self.random.getrandbits(
-                16
-            )
-            self.log_event(events.IncarnationRaised(self.incarnation))
+        self._raise_incarnation()
         self.consensus.tick(
             self.membership.live(), lambda ring, live: schema.agree(ring, live, self.settings)
         )
-        self.follow()
+        self._adopt_ring()
         self.replica.tick()
         self.quota.tick()
-        self.tell_uses()
-        if self.replica.all_caught_up != self.caught_up:
-            self.caught_up = not self.caught_up
-            # Where agents are restarted one after the other, the next one has to wait for this.
-            event = events.CaughtUp if self.caught_up else events.CatchingUp
-            self.log_event(event(self.ring and self.ring.epoch))
-        me = self.membership.table.get(self.name)
-        caught = self.ring.epoch if self.ring and self.caught_up else me.caught if me else 0
-        if me and (self.replica.moved, caught) != (me.moved, me.caught):
-            self.membership.about_me(moved=self.replica.moved, caught=caught)
-        for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
-            if self.now >= each.until + self.settings.tick_s:
-                # The parts answer by then; should a fault have kept one from it, this does.
-                self.increment(Metric.OVERDUE_DECISIONS)
-                self.doubt(ticket, each)
-
-    def follow(self):
-        """Tells the parts of a new ring."""
-        ring = self.consensus.ring
-        if ring is not None and ring != self.ring:
-            if self.ring is None:
-                self.set_clock()
-            self.ring = ring
-            self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
-            self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
-            self.fence(ring)
-
-    def fence(self, ring):
-        """A program too old for what the fleet writes now takes no part; its marks are still carried over."""
-        error = schema.refused(self.settings.reads, ring)
-        if error and not self.fenced:
-            self.log_event(events.Fenced(str(error)))
-        self.fenced = error is not None
-        back = schema.step_back_refused(ring, self.settings)
-        if back and not self.held_late:
-            self.log_event(events.SchemaHoldRefused(str(back)))
-        self.held_late = back is not None
-
-    @property
-    def young(self) -> bool:
-        """Whether marks of before the fleet was founded may still be due. It is founded anew where all of its
-        agents went at once, and nobody knows then what ran before."""
-        lasts = self.settings.longest_mark_s + 2 * self.settings.clock_ahead_s
-        return self.ring is None or self.wall < self.ring.founded_ms / 1e3 + lasts
-
-    def sure(self) -> bool:
-        """Whether this agent may answer as an owner."""
-        return not self.fenced and self.consensus.sure()
-
-    def request_admission(self, ticket: int, question: AdmissionRequest):
-        """May this request go on to the balancer? The word comes by a `decided`, `wait_s` from now at
-        most."""
-        if self.open >= self.settings.most_waiting:
-            self.increment(Metric.PENDING_ADMISSIONS_FULL)
-            return self.decide(ticket, self.doubtful(question), self.come_again())
-        until = self.now + min(self.settings.wait_s, question.limit_s / 2)
-        self.waiting[ticket] = PendingAdmission(question, until)
-        self.open += 1
-        self.increment(Metric.ADMISSION_REQUESTS)
-        if question.tenant in self.settings.limits:
-            self.quota.request_token(ticket, question.tenant, until)
-        else:
-            self.on_token_decision(ticket, True, 0.0, True)
-
-    def on_attempt_sent(self, ticket: int, zone: str, cell: int):
-        """An attempt of it goes out now."""
-        each = self.waiting.get(ticket)
-        if each and each.mark and (zone, cell) not in each.mark.places:
-            places = tuple(sorted({*each.mark.places, (zone, cell)}))
-            self.refine(each, places=places, certainty=int(Certainty.SENT))
-
-    def on_request_ended(self, ticket: int, ran: str):
-        """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
-        each = self.waiting.pop(ticket, None)
-        if each is None:
-            return
-        self.open -= each.step != "open"
-        if each.mark:
-            self.refine(each, certainty=int(RAN[ran]))
-
-    def begin_shutdown(self):
-        """The agent is about to end: it hands over what it holds, and goes on answering meanwhile."""
-        if not self.is_leaving:
-            self.is_leaving = True
+        self._report_usage()
+        self._report_progress()
+        self.admissions.tick()
+
+    def request_admission(self, ticket: int, request: AdmissionRequest) -> None:
+        """Ask whether a request may go on to the balancer; see PendingAdmissions."""
+        self.admissions.request_admission(ticket, request)
+
+    def on_attempt_sent(self, ticket: int, zone: str, cell: int) -> None:
+        """An attempt of an admitted request is being sent."""
+        self.admissions.on_attempt_sent(ticket, zone, cell)
+
+    def on_request_ended(self, ticket: int, outcome: RanOutcome) -> None:
+        """A request is answered, and no attempt of it is in flight any more."""
+        self.admissions.on_request_ended(ticket, outcome)
+
+    def begin_shutdown(self) -> None:
+        """Hand over what this agent holds, and go on answering meanwhile."""
+        if not self.shutting_down:
+            self.shutting_down = True
             self.replica.leaving()
 
-    def finish_shutdown(self):
-        """The last message: what it has on loan is given back, and its peers are told that it leaves."""
+    def finish_shutdown(self) -> None:
+        """Return the leases and tell the peers that this agent leaves: its last messages."""
         self.quota.return_all_leases()
-        self.tell_uses()
+        self._report_usage()
         self.membership.leave()
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether all that it holds is with others, too."""
+        """Whether other agents have all that this one holds."""
         return self.replica.settled
 
-    def apply_settings(self, settings: FleetSettings):
-        """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
-        self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
+    def apply_settings(self, settings: FleetSettings) -> None:
+        """Adopt what a running agent can change; configuration.py says which keys these are."""
+        self.settings = settings
+        self.fleet_clock.settings = settings
+        self.admissions.settings = settings
+        self.membership.settings = settings
+        self.consensus.settings = settings
+        self.replica.settings = settings
+        self.consensus.damper.share = settings.damp_share
+        self.consensus.damper.wait = settings.damp_s
         self.quota.update_limits(settings)
         self.membership.about_me(capacity=settings.capacity)
         if self.ring is not None:
-            self.fence(self.ring)
+            self._fence(self.ring)
 
-    # What the parts answer
+    # What is due at a tick
 
-    def on_token_decision(self, ticket: int, ok: bool, wait_s: float, certain: bool):
-        each = self.waiting.get(ticket)
-        if each is None or each.step != "spend":
-            return
-        question = each.question
-        if not certain and self.settings.limit_doubt == "serve":
-            ok = True
-        if ok and not question.marked:
-            return self.settle(ticket, each, AdmissionDecision.ADMIT)
-        if question.marked and self.now >= each.until:
-            return self.doubt(ticket, each)  # no time is left to ask for its marks
-        each.limit_wait = wait_s
-        if ok:
-            each.step = "claim"
-            each.mark = self.mark(question)
-            self.replica.claim(ticket, f"s/{question.session}", each.mark, each.until)
-        elif question.marked:
-            # A client that is told to come again takes it that nothing ran.
-            each.step = "denied"
-            self.replica.read(ticket, f"s/{question.session}", each.until)
-        else:
-            self.settle(
-                ticket,
-                each,
-                AdmissionDecision.RATE_LIMITED if certain else AdmissionDecision.REJECT,
-                wait_s or self.come_again(),
-            )
+    def _random_bits(self) -> int:
+        return self.random.getrandbits(INCARNATION_RANDOM_BITS)
 
-    def claimed(self, ticket: int, marks: tuple[AttemptRecord, ...], sure: bool):
-        each = self.waiting.get(ticket)
-        if each is None or each.step not in ("claim", "denied"):
-            return
-        question, wall_ms = each.question, int(self.wall * 1e3)
-        slack, marking = int(self.settings.clock_ahead_s * 1e3), self.settings.clients_mark
-        if not sure or self.fenced:  # fenced, it can't read all that the owners told it
-            return self.doubt(ticket, each)
-        if self.young and may_repeat(question, marking) and not matching_attempts(question, marks, marking):
-            return self.doubt(ticket, each)
-        if each.step == "denied":
-            if may_reject(question, marks, wall_ms, slack, marking):
-                return self.settle(
-                    ticket, each, AdmissionDecision.RATE_LIMITED, each.limit_wait or self.come_again()
-                )
-            return self.settle(ticket, each, AdmissionDecision.FAIL)
-        verdict, earlier_attempts = decide(question, marks, wall_ms, slack, marking)
-        self.settle(ticket, each, verdict, 0.0, earlier_attempts)
-
-    # Ways of ending the wait
-
-    def doubt(self, ticket: int, each: PendingAdmission):
-        self.increment(Metric.DECIDED_UNKNOWN)
-        self.settle(ticket, each, self.doubtful(each.question), self.come_again())
-
-    def doubtful(self, question: AdmissionRequest) -> AdmissionDecision:
-        if not question.marked:
-            return AdmissionDecision.REJECT
-        return decide_unknown(question, self.settings.on_doubt, self.settings.clients_mark)
-
-    def settle(
-        self,
-        ticket: int,
-        each: PendingAdmission,
-        verdict: AdmissionDecision,
-        wait: float = 0.0,
-        earlier_attempts=(),
-    ):
-        self.open -= 1
-        if verdict is AdmissionDecision.ADMIT:
-            each.step = "open"
-        else:
-            del self.waiting[ticket]
-            if each.mark:
-                # This request went nowhere. What an earlier one did is kept in a mark of its own.
-                self.refine(each, certainty=int(Certainty.NEVER_RAN))
-        self.decide(ticket, verdict, wait, earlier_attempts)
-
-    def decide(self, ticket: int, verdict: AdmissionDecision, wait: float, earlier_attempts=()):
-        self.increment(verdict.value)
-        wait = 0.0 if verdict in (AdmissionDecision.ADMIT, AdmissionDecision.FAIL) else wait
-        self.effects.append(DeliverDecision(ticket, verdict, wait, earlier_attempts))
-
-    def come_again(self) -> float:
-        return COME_AGAIN * (1.0 + 0.5 * self.random.random())
-
-    # Marks and uses
-
-    def mark(self, question: AdmissionRequest) -> AttemptRecord:
-        self.count_ += 1
-        now_ms = int(self.wall * 1e3)
-        lasts = (
-            question.window_s + question.limit_s if question.repeat == "d" else self.settings.longest_mark_s
-        )
-        return AttemptRecord(
-            by=f"{self.name}/{self.incarnation}/{self.count_}",
-            key=question.key,
-            repeat=question.repeat,
-            group=question.group,
-            window_ms=int(question.window_s * 1e3),
-            places=(),
-            certainty=int(Certainty.CLAIMED),
-            sent_ms=now_ms,
-            workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
-            extra={},
-        )
+    def _raise_incarnation(self) -> None:
+        """Take a later incarnation where peers remember one of this agent's name, by a clock that was ahead.
+
+        One that is further ahead than a day is not followed.
+        """
+        known = self.membership.known_incarnation()
+        known_ms = known >> INCARNATION_RANDOM_BITS
+        if known >= self.incarnation and known_ms < int(self.wall * 1e3) + DAY_MS:
+            # The very next number would be that of any start that learnt of the same incarnation and died
+            # before it was heard.
+            incarnation_ms = known_ms + 1 + self.random.getrandbits(8)
+            self.incarnation = incarnation_ms << INCARNATION_RANDOM_BITS | self._random_bits()
+            self.log_event(events.IncarnationRaised(self.incarnation))
 
-    def refine(self, each: PendingAdmission, **changes):
-        mark = each.mark
-        certainty = max(mark.certainty, changes.pop("certainty", 0))
-        each.mark = replace(mark, certainty=certainty, **changes)
-        if each.mark != mark:
-            self.replica.refine(f"s/{each.question.session}", each.mark)
+    def _report_progress(self) -> None:
+        """Log and gossip whether this agent has caught up and moved its records to the next schema."""
+        if self.replica.all_caught_up != self.caught_up:
+            self.caught_up = not self.caught_up
+            # Where agents are restarted one after the other, the next one has to wait for this.
+            event_type = events.CaughtUp if self.caught_up else events.CatchingUp
+            self.log_event(event_type(self.ring.epoch if self.ring else None))
+        own_entry = self.membership.table.get(self.name)
+        if own_entry is None:
+            return
+        caught_up_epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught
+        if (self.replica.moved, caught_up_epoch) != (own_entry.moved, own_entry.caught):
+            self.membership.about_me(moved=self.replica.moved, caught=caught_up_epoch)
 
-    def tell_uses(self):
-        """By tenant and period, for operators: nothing is decided by it."""
+    def _report_usage(self) -> None:
+        """Add up the usage of tenants by period, for operators: nothing is decided by it."""
         for tenant, served in self.quota.served.items():
-            if served > self.served[tenant]:
+            if served > self.reported_usage[tenant]:
                 period = int(self.wall // self.settings.period_s)
-                self.replica.count_use(tenant, period, served - self.served[tenant])
-                self.served[tenant] = served
+                self.replica.count_use(tenant, period, served - self.reported_usage[tenant])
+                self.reported_usage[tenant] = served
+
+    # The ring
 
-    def metrics(self) -> dict:
+    def _adopt_ring(self) -> None:
+        """Bring the parts to the ring that the consensus has learnt, if it is another one."""
+        ring = self.consensus.ring
+        if ring is None or ring == self.ring:
+            return
+        if self.ring is None:
+            self.fleet_clock.synchronize_on_joining()
+            self.replica.clock = self.fleet_clock.hybrid_clock
+        self.ring = ring
+        self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
+        self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
+        self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
+        self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
+        self._fence(ring)
+
+    def _fence(self, ring: Ring) -> None:
+        """Take no part where the fleet writes what this program can't read.
+
+        The records that this agent still holds are carried over all the same.
+        """
+        unsupported = schema.refused(self.settings.reads, ring)
+        if unsupported and not self.is_fenced:
+            self.log_event(events.Fenced(str(unsupported)))
+        self.is_fenced = unsupported is not None
+        downgrade = schema.step_back_refused(ring, self.settings)
+        if downgrade and not self.is_schema_hold_refused:
+            self.log_event(events.SchemaHoldRefused(str(downgrade)))
+        self.is_schema_hold_refused = downgrade is not None
+
+    def metrics(self) -> dict[str, object]:
+        """The node's state and counters, for the log line `msg=metrics`."""
         ring = self.ring
         return {
             "epoch": ring.epoch if ring else 0,
-            "seats": len(ring.seats) if ring else 0,
+            "members": len(ring.seats) if ring else 0,
             "written": ring.written if ring else 0,
             "phase": ring.phase if ring else "",
-            "fenced": self.fenced,
+            "fenced": self.is_fenced,
             "live": len(self.membership.live()),
-            "sure": self.sure(),
-            "waiting": self.open,
+            "has_valid_lease": self.has_valid_lease(),
+            "pending_admissions": self.admissions.undecided_count,
             **self.replica.metrics(),
             **self.quota.metrics(),
             **self.counters,
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -12,7 +12,7 @@
 
 from cartdeal.fleet import codec
 from cartdeal.fleet.effects import DeliverDecision, SendMessage
-from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
@@ -296,13 +296,13 @@
         if found is None:
             # Its client went away; what the fleet's word is meets nobody.
             if verdict is AdmissionDecision.ADMIT:
-                place.node.on_request_ended(ticket, "never")
+                place.node.on_request_ended(ticket, RanOutcome.NEVER)
                 self.clock.after(0.0, self.flush, place, place.node)
             return
         client, turn = found
         if verdict is AdmissionDecision.ADMIT:
             self.judge.went_on(client.question.tenant, self.clock.now)
-            if client.question.marked:
+            if client.question.leaves_record:
                 key = f"s/{client.question.session}"
                 self.judge.marked(
                     place.settings.name,
@@ -341,7 +341,7 @@
         good = good and node.wall * 1e3 <= min((each[3] for each in earlier_attempts), default=float("inf"))
         if not good or place.stopped:
             place.tickets.pop(ticket)
-            place.play(node.on_request_ended, ticket, "never")
+            place.play(node.on_request_ended, ticket, RanOutcome.NEVER)
             self.outcomes[client.intent].append(AdmissionDecision.FAIL.value)
             return
         place.play(node.on_attempt_sent, ticket, zone, cell)
@@ -352,10 +352,10 @@
         found = place.tickets.pop(ticket, None) if place.node is node else None
         if found is None:
             if place.node is node:
-                place.play(node.on_request_ended, ticket, "maybe")
+                place.play(node.on_request_ended, ticket, RanOutcome.MAYBE)
             return
         client, _ = found
-        place.play(node.on_request_ended, ticket, "answered")
+        place.play(node.on_request_ended, ticket, RanOutcome.ANSWERED)
         self.judge.answered(client.intent, self.clock.now, place.settings.name, "completed")
         self.outcomes[client.intent].append("completed")
 
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from cartdeal.fleet import node
+from cartdeal.fleet import pending_admissions
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
@@ -175,7 +175,7 @@
 
     def stubborn(*args):
         made = Node(*args)
-        made.timely = lambda *_: True
+        made.fleet_clock.observe = lambda *_: True
         return made
 
     memory.makers["a9"] = stubborn
@@ -198,7 +198,7 @@
 def number_again(plant):
     def init(self, fleet_settings, seed, now, wall):
         before(self, fleet_settings, "the same", now, 1_700_000_000.0)
-        self.offset = wall - now
+        self.fleet_clock.offset_s = wall - now
 
     before = Node.__init__
     plant(Node, "__init__", init)
@@ -293,12 +293,12 @@
 
 
 def come_again(plant):
-    plant(node, "in_doubt", lambda *_: AdmissionDecision.REJECT)
+    plant(pending_admissions, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
 
 
 def places_forgotten(plant):
-    before = node.decide
-    plant(node, "judge", lambda *args: (before(*args)[0], ()))
+    before = pending_admissions.decide
+    plant(pending_admissions, "decide", lambda *args: (before(*args)[0], ()))
 
 
 def by_remainder(plant):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -232,12 +232,12 @@
         FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds={"a0": "10.0.0.1:1"}), "1", 1000.0, 1.7e9
     )
     node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
-    before = node.offset
+    before = node.fleet_clock.offset_s
     for seat in node.ring.seats[1:]:
-        node.timely(seat.name, int((node.wall + 7) * 1e3), True)
-    assert len(node.clocks) == MANY - 1
-    node.look_at_clock()
-    assert node.offset == pytest.approx(before + 7, abs=0.01)
+        node.fleet_clock.observe(seat.name, int((node.wall + 7) * 1e3), True, True)
+    assert len(node.fleet_clock.peer_clocks) == MANY - 1
+    node.fleet_clock.check(node.ring)
+    assert node.fleet_clock.offset_s == pytest.approx(before + 7, abs=0.01)
 
 
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
