--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -96,7 +96,7 @@
         A majority is never all wrong. Without this, an agent that took over a wrong time as it joined would
         be refused by all the others for good.
         """
-        members = ring.by_name
+        members = ring.member_by_name
         offsets = [peer.offset_s for name, peer in self.peer_clocks.items() if name in members]
         max_s = self.settings.clock_ahead_s
         ahead = sum(offset - self.offset_s > max_s for offset in offsets)
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -94,7 +94,7 @@
 
     def send(self, recipient: str, message: Struct) -> None:
         """Send a message to a peer, if its address is known."""
-        peer = self.membership.table.get(recipient)
+        peer = self.membership.peers.get(recipient)
         address = (
             peer.address if peer else self.settings.seeds.get(recipient) or self.addresses.get(recipient)
         )
@@ -113,7 +113,7 @@
 
     def has_valid_lease(self) -> bool:
         """Whether this agent may answer as an owner."""
-        return not self.is_fenced and self.consensus.sure()
+        return not self.is_fenced and self.consensus.has_valid_lease()
 
     @property
     def is_warming_up(self) -> bool:
@@ -135,12 +135,12 @@
         if part is None or sender == self.name:
             self.increment(Metric.DROPPED_OWN_NAME)
             return
-        peer = self.membership.table.get(sender)
+        peer = self.membership.peers.get(sender)
         if peer and incarnation < peer.incarnation and part is not self.membership:
             # membership answers with the incarnation that is known
             self.increment(Metric.DROPPED_OLD_INCARNATION)
             return
-        sender_has_ring = part is self.consensus and getattr(message, "has", 1) > 0
+        sender_has_ring = part is self.consensus and getattr(message, "epoch", 1) > 0
         is_timely = self.fleet_clock.observe(sender, wall_ms, sender_has_ring, self.ring is not None)
         if not is_timely and part is self.replica:
             return  # what it stamps can't be believed; that it is there, and what ring it has, can
@@ -156,7 +156,7 @@
         self.membership.tick()
         self._raise_incarnation()
         self.consensus.tick(
-            self.membership.live(), lambda ring, live: schema.agree(ring, live, self.settings)
+            self.membership.live_peers(), lambda ring, live: schema.agree(ring, live, self.settings)
         )
         self._adopt_ring()
         self.replica.tick()
@@ -205,7 +205,7 @@
         self.consensus.damper.share = settings.damp_share
         self.consensus.damper.wait = settings.damp_s
         self.quota.update_limits(settings)
-        self.membership.about_me(capacity=settings.capacity)
+        self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
             self._fence(self.ring)
 
@@ -219,7 +219,7 @@
 
         One that is further ahead than a day is not followed.
         """
-        known = self.membership.known_incarnation()
+        known = self.membership.newer_incarnation()
         known_ms = known >> INCARNATION_RANDOM_BITS
         if known >= self.incarnation and known_ms < int(self.wall * 1e3) + DAY_MS:
             # The very next number would be that of any start that learnt of the same incarnation and died
@@ -235,12 +235,12 @@
             # Where agents are restarted one after the other, the next one has to wait for this.
             event_type = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event_type(self.ring.epoch if self.ring else None))
-        own_entry = self.membership.table.get(self.name)
+        own_entry = self.membership.peers.get(self.name)
         if own_entry is None:
             return
-        caught_up_epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught
-        if (self.replica.moved, caught_up_epoch) != (own_entry.moved, own_entry.caught):
-            self.membership.about_me(moved=self.replica.moved, caught=caught_up_epoch)
+        caught_up_epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught_up_epoch
+        if (self.replica.moved, caught_up_epoch) != (own_entry.migrated_version, own_entry.caught_up_epoch):
+            self.membership.update_self(migrated_version=self.replica.moved, caught_up_epoch=caught_up_epoch)
 
     def _report_usage(self) -> None:
         """Add up the usage of tenants by period, for operators: nothing is decided by it."""
@@ -261,10 +261,10 @@
             self.fleet_clock.synchronize_on_joining()
             self.replica.clock = self.fleet_clock.hybrid_clock
         self.ring = ring
-        self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
-        self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-        self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-        self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
+        self.log_event(events.RingAdopted(ring.epoch, len(ring.members), ring.written_version, ring.phase))
+        self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
+        self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
+        self.quota.set_schema_version(schema.governs(ring.written_version, ring.phase))
         self._fence(ring)
 
     def _fence(self, ring: Ring) -> None:
@@ -286,11 +286,11 @@
         ring = self.ring
         return {
             "epoch": ring.epoch if ring else 0,
-            "members": len(ring.seats) if ring else 0,
-            "written": ring.written if ring else 0,
+            "members": len(ring.members) if ring else 0,
+            "written": ring.written_version if ring else 0,
             "phase": ring.phase if ring else "",
             "fenced": self.is_fenced,
-            "live": len(self.membership.live()),
+            "live": len(self.membership.live_peers()),
             "has_valid_lease": self.has_valid_lease(),
             "pending_admissions": self.admissions.undecided_count,
             **self.replica.metrics(),
--- a/cartdeal/fleet/pending_admissions.py
+++ b/cartdeal/fleet/pending_admissions.py
@@ -111,9 +111,9 @@
     def on_attempt_sent(self, ticket: int, zone: str, cell: int) -> None:
         """Record where an attempt of an admitted request goes, as it is sent."""
         admission = self.by_ticket.get(ticket)
-        if admission and admission.record and (zone, cell) not in admission.record.places:
-            places = tuple(sorted({*admission.record.places, (zone, cell)}))
-            self._refine_record(admission, Certainty.SENT, places)
+        if admission and admission.record and (zone, cell) not in admission.record.locations:
+            locations = tuple(sorted({*admission.record.locations, (zone, cell)}))
+            self._refine_record(admission, Certainty.SENT, locations)
 
     def on_request_ended(self, ticket: int, outcome: RanOutcome) -> None:
         """Record the outcome of a request that is answered and has no attempt in flight any more."""
@@ -250,29 +250,31 @@
         is_deduplicated = request.repeat == "d"
         lifetime_s = request.window_s + request.limit_s if is_deduplicated else longest_s
         return AttemptRecord(
-            by=f"{self.context.name}/{self.context.incarnation}/{self.record_count}",
+            attempt_id=f"{self.context.name}/{self.context.incarnation}/{self.record_count}",
             key=request.key,
             repeat=request.repeat,
             group=request.group,
             window_ms=int(request.window_s * 1e3),
-            places=(),
+            locations=(),
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=request.workload,
-            until_ms=now_ms + int(1e3 * min(lifetime_s, longest_s)),
-            extra={},
+            expires_ms=now_ms + int(1e3 * min(lifetime_s, longest_s)),
+            unknown_fields={},
         )
 
     def _refine_record(
         self,
         admission: PendingAdmission,
         certainty: Certainty,
-        places: tuple[tuple[str, int], ...] | None = None,
+        locations: tuple[tuple[str, int], ...] | None = None,
     ) -> None:
         """Write what became known, if anything did; certainty only grows."""
         record = admission.record
         assert record is not None
-        places = record.places if places is None else places
-        admission.record = replace(record, certainty=max(record.certainty, int(certainty)), places=places)
+        locations = record.locations if locations is None else locations
+        admission.record = replace(
+            record, certainty=max(record.certainty, int(certainty)), locations=locations
+        )
         if admission.record != record:
             self.context.replica.refine(admission.request.record_key, admission.record)
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -148,7 +148,7 @@
     memory.intend(sheet(0), ["a0"])
     memory.run(1.0)
     store = memory.nodes()["a0"].replica
-    store.merge("s/s0", Session(store.record("s/s0").marks, {"new": [7]}))
+    store.merge("s/s0", Session(store.record("s/s0").attempts, {"new": [7]}))
     before = store.store["s/s0"].digest
     memory.run(5.0)
     memory.kill("a0")
@@ -222,17 +222,17 @@
 
 
 def minority(plant):
-    plant(Ring, "majority", property(lambda ring: max(1, len(ring.seats) // 2)))
+    plant(Ring, "majority", property(lambda ring: max(1, len(ring.members) // 2)))
 
 
 def no_vouching(plant):
-    plant(RingConsensus, "sure", lambda self: self.ring is not None)
+    plant(RingConsensus, "has_valid_lease", lambda self: self.ring is not None)
 
 
 def field_dropped(plant):
     def decode(*args):
         record = before(*args)
-        record.extra = {}
+        record.unknown_fields = {}
         return record
 
     before = schema.decode
@@ -245,8 +245,8 @@
 
 
 def forgets_early(plant):
-    before = records.expired
-    plant(records, "expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
+    before = records.without_expired
+    plant(records, "without_expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
 
 
 def taken_twice(plant):
@@ -273,7 +273,7 @@
             peer.name,
             peer.address,
             peer.incarnation,
-            peer.turn,
+            peer.version,
             peer.state,
             peer.zone,
             peer.capacity,
@@ -302,11 +302,11 @@
 
 
 def by_remainder(plant):
-    def drawn(self, key, n):
+    def compute_owners(self, key, n):
         first = hash_number(key) % len(self.names)
         return tuple(sorted(self.names)[(first + turn) % len(self.names)] for turn in range(n))
 
-    plant(RendezvousHash, "drawn", drawn)
+    plant(RendezvousHash, "compute_owners", compute_owners)
 
 
 def believes_clocks(plant):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -233,7 +233,7 @@
     )
     node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
     before = node.fleet_clock.offset_s
-    for seat in node.ring.seats[1:]:
+    for seat in node.ring.members[1:]:
         node.fleet_clock.observe(seat.name, int((node.wall + 7) * 1e3), True, True)
     assert len(node.fleet_clock.peer_clocks) == MANY - 1
     node.fleet_clock.check(node.ring)
