--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -14,7 +14,7 @@
 from cartdeal.fleet.errors import ClockAheadError
 from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 MAX_PEER_CLOCKS = 1024  # peers observed between two checks: a majority of the ring has to fit
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -25,7 +25,7 @@
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.replica import Replica
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 ADDRESSES_PER_AGENT = 4  # addresses of unverified peers, as a multiple of the most agents there may be
@@ -53,13 +53,7 @@
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
         self.admissions = PendingAdmissions(self, settings)
-        self.replica = Replica(
-            self,
-            settings,
-            self.fleet_clock.hybrid_clock,
-            self.admissions.on_attempt_records,
-            self.has_valid_lease,
-        )
+        self.replica = Replica(self, settings, self.admissions.on_attempt_records, self.has_valid_lease)
         self.quota = QuotaLeases(self, settings, self.admissions.on_token_decision, self.has_valid_lease)
         self.handlers = {
             message_type: part
@@ -152,7 +146,6 @@
     def tick(self) -> None:
         """Let each part do what is due; called every `tick_s`."""
         self.fleet_clock.tick(self.ring)
-        self.replica.clock = self.fleet_clock.hybrid_clock
         self.membership.tick()
         self._raise_incarnation()
         self.consensus.tick(
@@ -181,7 +174,7 @@
         """Hand over what this agent holds, and go on answering meanwhile."""
         if not self.shutting_down:
             self.shutting_down = True
-            self.replica.leaving()
+            self.replica.start_shutdown()
 
     def finish_shutdown(self) -> None:
         """Return the leases and tell the peers that this agent leaves: its last messages."""
@@ -192,7 +185,7 @@
     @property
     def is_handed_over(self) -> bool:
         """Whether other agents have all that this one holds."""
-        return self.replica.settled
+        return self.replica.is_drained
 
     def apply_settings(self, settings: FleetSettings) -> None:
         """Adopt what a running agent can change; configuration.py says which keys these are."""
@@ -230,7 +223,7 @@
 
     def _report_progress(self) -> None:
         """Log and gossip whether this agent has caught up and moved its records to the next schema."""
-        if self.replica.all_caught_up != self.caught_up:
+        if self.replica.is_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
             # Where agents are restarted one after the other, the next one has to wait for this.
             event_type = events.CaughtUp if self.caught_up else events.CatchingUp
@@ -238,16 +231,17 @@
         own_entry = self.membership.peers.get(self.name)
         if own_entry is None:
             return
-        caught_up_epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught_up_epoch
-        if (self.replica.moved, caught_up_epoch) != (own_entry.migrated_version, own_entry.caught_up_epoch):
-            self.membership.update_self(migrated_version=self.replica.moved, caught_up_epoch=caught_up_epoch)
+        version = self.replica.migrated_version
+        epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught_up_epoch
+        if (version, epoch) != (own_entry.migrated_version, own_entry.caught_up_epoch):
+            self.membership.update_self(migrated_version=version, caught_up_epoch=epoch)
 
     def _report_usage(self) -> None:
         """Add up the usage of tenants by period, for operators: nothing is decided by it."""
         for tenant, served in self.quota.served.items():
             if served > self.reported_usage[tenant]:
                 period = int(self.wall // self.settings.period_s)
-                self.replica.count_use(tenant, period, served - self.reported_usage[tenant])
+                self.replica.count_usage(tenant, period, served - self.reported_usage[tenant])
                 self.reported_usage[tenant] = served
 
     # The ring
@@ -259,8 +253,7 @@
             return
         if self.ring is None:
             self.fleet_clock.synchronize_on_joining()
-            self.replica.clock = self.fleet_clock.hybrid_clock
-        self.ring = ring
+            self.ring = ring
         self.log_event(events.RingAdopted(ring.epoch, len(ring.members), ring.written_version, ring.phase))
         self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
         self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
--- a/cartdeal/fleet/pending_admissions.py
+++ b/cartdeal/fleet/pending_admissions.py
@@ -153,7 +153,7 @@
         elif granted:
             admission.step = AdmissionStep.CLAIMING
             admission.record = self._new_record(request)
-            self.context.replica.claim(ticket, request.record_key, admission.record, admission.deadline)
+            self.context.replica.write(ticket, request.record_key, admission.record, admission.deadline)
         elif request.leaves_record:
             # A client that is told to come again takes it that nothing ran.
             admission.step = AdmissionStep.CHECKING_REJECTION
@@ -277,4 +277,4 @@
             record, certainty=max(record.certainty, int(certainty)), locations=locations
         )
         if admission.record != record:
-            self.context.replica.refine(admission.request.record_key, admission.record)
+            self.context.replica.update(admission.request.record_key, admission.record)
