--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -21,9 +21,10 @@
 from cartdeal.fleet.membership.swim import Membership
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.pending_admissions import PendingAdmissions
-from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.replication import messages, schema
+from cartdeal.fleet.replication import messages as replication_messages
+from cartdeal.fleet.replication import schema
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
@@ -60,8 +61,8 @@
             for module, part in (
                 (swim, self.membership),
                 (ring_consensus, self.consensus),
-                (messages, self.replica),
-                (quota_leases, self.quota),
+                (replication_messages, self.replica),
+                (quota_messages, self.quota),
             )
             for message_type in module.MESSAGE_TYPES
         }
@@ -193,10 +194,8 @@
         self.fleet_clock.settings = settings
         self.admissions.settings = settings
         self.membership.settings = settings
-        self.consensus.settings = settings
         self.replica.settings = settings
-        self.consensus.damper.share = settings.damp_share
-        self.consensus.damper.wait = settings.damp_s
+        self.consensus.update_settings(settings)
         self.quota.update_limits(settings)
         self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
