--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -252,7 +252,7 @@
             return
         if self.ring is None:
             self.fleet_clock.synchronize_on_joining()
-            self.ring = ring
+        self.ring = ring
         self.log_event(events.RingAdopted(ring.epoch, len(ring.members), ring.written_version, ring.phase))
         self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
         self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
