--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -29,7 +29,7 @@
 ENVELOPE_OVERHEAD = 1024  # the most that version, digest and envelope add to the message
 FRAME_HEADER = 4  # bytes of a frame's length
 MESSAGE_MODULES = (
-    "cartdeal.fleet.membership.swim",
+    "cartdeal.fleet.membership.messages",
     "cartdeal.fleet.consensus.ring_consensus",
     "cartdeal.fleet.replication.messages",
     "cartdeal.fleet.quota.quota_leases",
--- /dev/null
+++ b/cartdeal/fleet/membership/failure_detector.py
@@ -0,0 +1,223 @@
+"""The failure detector: one probe at a time in a shuffled round, and indirect probes by helpers.
+
+Follows SWIM (Das, Gupta, Motivala, DSN 2002) for the round and the indirect probes, and Lifeguard (Dadgar,
+Phillips, Currey, DSN 2018) for nacks and the local health. A peer must never be suspected for what ran out
+while this agent was stopped.
+"""
+
+from collections.abc import Iterator
+
+from msgspec import Struct
+
+from cartdeal.fleet import events
+from cartdeal.fleet.context import NodeContext
+from cartdeal.fleet.membership.gossip import Gossip
+from cartdeal.fleet.membership.local_health import LocalHealth
+from cartdeal.fleet.membership.messages import Ack, Nack, Peer, PeerState, Ping, PingRequest
+from cartdeal.fleet.membership.peer_table import PeerTable
+from cartdeal.fleet.membership.randomness import sample
+from cartdeal.fleet.membership.suspicion import INDIRECT_PROBES, MAX_SUSPICION_FACTOR, SuspicionTracker
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.settings import FleetSettings
+
+DIRECT_PROBE_SHARE = 0.4  # of a probe's time: then helpers are asked; a helper gives up after as long
+MAX_RELAYED_PINGS = 1024  # pings on behalf of others that wait for their answer
+
+
+class Probe(Struct):
+    """The probe that is under way."""
+
+    peer: Peer
+    number: int
+    started: float
+    timeout_s: float
+    helpers: tuple[str, ...] = ()
+    has_requested_help: bool = False
+    nacks: int = 0
+    is_done: bool = False
+
+
+class RelayedPing(Struct):
+    """A ping on behalf of another agent, the requester."""
+
+    requester: str
+    request_number: int
+    target: str
+    deadline: float
+
+
+class FailureDetector:
+    """Probes the peers, answers probes, and relays those of others."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        settings: FleetSettings,
+        numbers: Iterator[int],
+        table: PeerTable,
+        gossip: Gossip,
+        health: LocalHealth,
+        suspicion: SuspicionTracker,
+    ):
+        self.context = context
+        self.settings = settings
+        self.numbers = numbers  # of pings, shared with the peer verifier
+        self.table = table
+        self.gossip = gossip
+        self.health = health
+        self.suspicion = suspicion
+        self.probe: Probe | None = None
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by the number of the ping
+        self._round: list[str] = []  # peers that are still to be probed, the next one last
+        self._failed_in_succession: int = 0
+        self._next_probe_at: float = context.now + settings.probe_s * context.random.random()
+
+    # Time
+
+    def tick(self, now: float) -> None:
+        """Ask helpers, end the probe or begin the next one, where it is time."""
+        probe = self.probe
+        if probe and not probe.is_done:
+            if not probe.has_requested_help and now >= probe.started + DIRECT_PROBE_SHARE * probe.timeout_s:
+                self._request_help(probe)
+            if now >= probe.started + probe.timeout_s:
+                self._fail(probe)
+                self._suspect_all_if_isolated(now)
+        if now >= self._next_probe_at:
+            self._start_probe(now)
+
+    def expire_relayed_pings(self, now: float) -> None:
+        """Answer with a Nack where the target of a relayed ping has not answered in time."""
+        expired = [number for number, relayed in self.relayed_pings.items() if relayed.deadline <= now]
+        for number in expired:
+            relayed = self.relayed_pings.pop(number)
+            if relayed.requester in self.table.peers:
+                self.gossip.send(relayed.requester, Nack, relayed.request_number)
+
+    def reset_after_pause(self) -> None:
+        """Drop all that is under way: this agent was stopped, and could hear no answers."""
+        self.probe = None
+        self._failed_in_succession = 0
+        self.relayed_pings.clear()
+
+    def stop(self) -> None:
+        """Give up the probe that is under way: this agent leaves."""
+        self.probe = None
+
+    def insert_in_round(self, name: str) -> None:
+        """Have a new peer probed at a random place of the current round."""
+        self._round.insert(self.context.random.randint(0, len(self._round)), name)
+
+    # Messages
+
+    def on_ping(self, sender: str, message: Ping) -> None:
+        """Acknowledge a probe."""
+        self.gossip.send(sender, Ack, message.number)
+
+    def on_ack(self, sender: str, message: Ack) -> None:
+        """End the probe that it answers, or pass it on to the requester of a relayed ping."""
+        probe = self.probe
+        if (
+            probe
+            and probe.number == message.number
+            and not probe.is_done
+            and (sender == probe.peer.name or sender in probe.helpers)
+        ):
+            probe.is_done = True
+            self._failed_in_succession = 0
+            self.health.improve()
+            return
+        relayed = self.relayed_pings.get(message.number)
+        if relayed is None or relayed.target != sender:
+            self.context.increment(Metric.LATE_ACKS)
+            return
+        del self.relayed_pings[message.number]
+        if relayed.requester in self.table.peers:
+            self.gossip.send(relayed.requester, Ack, relayed.request_number, about=sender)
+
+    def on_nack(self, sender: str, message: Nack) -> None:
+        """Count a helper that is well: the target, not this agent, is cut off."""
+        if self.probe and self.probe.number == message.number and sender in self.probe.helpers:
+            self.probe.nacks += 1
+
+    def on_ping_request(self, sender: str, message: PingRequest) -> None:
+        """Ping the target on the sender's behalf."""
+        if (
+            message.target not in self.table.peers
+            or message.target == self.table.name
+            or len(self.relayed_pings) >= MAX_RELAYED_PINGS
+        ):
+            self.gossip.send(sender, Nack, message.number)
+            return
+        number = next(self.numbers)
+        deadline = self.context.now + DIRECT_PROBE_SHARE * self.settings.probe_s
+        self.relayed_pings[number] = RelayedPing(sender, message.number, message.target, deadline)
+        self.gossip.send(message.target, Ping, number)
+
+    # Steps of a probe
+
+    def _start_probe(self, now: float) -> None:
+        peer = self._next_peer()
+        self.probe = None
+        timeout_s = self.settings.probe_s * (1 + self.health.score)
+        self._next_probe_at = now + timeout_s
+        if peer:
+            self.probe = Probe(peer, next(self.numbers), now, timeout_s)
+            self.gossip.send(peer.name, Ping, self.probe.number)
+
+    def _next_peer(self) -> Peer | None:
+        """Return the next peer of SWIM's round, which takes each peer once.
+
+        Each round is shuffled anew, so that no peer waits longer than two rounds.
+        """
+        for is_new_round in (False, True):
+            if is_new_round:
+                self._round = self.table.others(PeerState.SUSPECT)
+                self.context.random.shuffle(self._round)
+            while self._round:
+                peer = self.table.peers.get(self._round.pop())
+                if peer and peer.state <= PeerState.SUSPECT:
+                    return peer
+        return None
+
+    def _request_help(self, probe: Probe) -> None:
+        probe.has_requested_help = True
+        target = probe.peer.name
+        candidates = [name for name in self.table.others(PeerState.ALIVE) if name != target]
+        probe.helpers = tuple(sample(self.context.random, candidates, INDIRECT_PROBES))
+        self.gossip.send(target, Ping, probe.number)  # a second chance: one datagram may be lost
+        for helper in probe.helpers:
+            # With what the target is accused of, which may not have counted yet.
+            self.gossip.send(helper, PingRequest, probe.number, target, about=target)
+
+    def _fail(self, probe: Probe) -> None:
+        probe.is_done = True
+        self._failed_in_succession += 1
+        if probe.nacks < len(probe.helpers) or not probe.helpers:
+            self.health.degrade()  # helpers are silent as well: it may be this agent that hears nobody
+        peer, known = probe.peer, self.table.peers.get(probe.peer.name)
+        if known is None or known.state > PeerState.SUSPECT:
+            return
+        # A version that was raised meanwhile is a sign of life that came some other way.
+        if (known.incarnation, known.version) == (peer.incarnation, peer.version):
+            self.suspicion.suspect(peer.name, (), own_probe_failed=True)
+
+    def _suspect_all_if_isolated(self, now: float) -> None:
+        """Suspect all peers where this agent is cut off from all of them.
+
+        By probes alone it would take as many rounds to see that as there are agents.
+        """
+        if not self._is_isolated(now):
+            return
+        others = self.table.others(PeerState.ALIVE)
+        if others:
+            self.context.log_event(events.Isolated(len(others)))
+        for name in others:
+            self.suspicion.suspect(name, (), own_probe_failed=True, warn=False)
+
+    def _is_isolated(self, now: float) -> bool:
+        """Return whether nothing at all came in for long, though this agent was not stopped."""
+        return (
+            self._failed_in_succession >= INDIRECT_PROBES + 1
+            and self.health.silence_s(now) > MAX_SUSPICION_FACTOR * self.settings.suspect_s
+        )
--- /dev/null
+++ b/cartdeal/fleet/membership/gossip.py
@@ -0,0 +1,105 @@
+"""Dissemination: news of peers is piggybacked on messages, each item a bounded number of times (SWIM)."""
+
+from collections.abc import Callable
+from heapq import nsmallest
+from math import ceil, log2
+from typing import NamedTuple
+
+from msgspec import msgpack
+
+from cartdeal.fleet.context import NodeContext
+from cartdeal.fleet.membership.messages import (
+    MAX_GOSSIP_ITEMS,
+    GossipItem,
+    MembershipMessage,
+    PeerState,
+    StatePush,
+)
+from cartdeal.fleet.membership.peer_table import PeerTable
+
+MAX_MESSAGE_BYTES = 1_100  # the envelope comes on top of it
+ARRAY_HEADER_BYTES = 2  # by which the header of a longer array of items exceeds that of an empty one
+RETRANSMIT_FACTOR = 3  # an item is sent this many times log2 of the fleet's size
+
+
+class ItemPacker:
+    """Collects gossip items for one message, up to its size."""
+
+    def __init__(self, empty_message: MembershipMessage):
+        self.items: list[GossipItem] = []
+        self._room_bytes: int = MAX_MESSAGE_BYTES - len(msgpack.encode(empty_message)) - ARRAY_HEADER_BYTES
+
+    def add(self, item: GossipItem) -> None:
+        """Add an item whether it fits or not."""
+        self.items.append(item)
+        self._room_bytes -= len(msgpack.encode(item))
+
+    def add_if_fits(self, item: GossipItem) -> bool:
+        """Add an item where it fits, and return whether it did."""
+        size_bytes = len(msgpack.encode(item))
+        if size_bytes > self._room_bytes or len(self.items) >= MAX_GOSSIP_ITEMS:
+            return False
+        self._room_bytes -= size_bytes
+        self.items.append(item)
+        return True
+
+
+class QueuedNews(NamedTuple):
+    """Order in which news is sent: what was sent least often first, and the newest of these."""
+
+    times_sent: int
+    negated_sequence: int
+
+
+class Gossip:
+    """Sends the membership's messages, and adds news to them."""
+
+    def __init__(self, context: NodeContext, table: PeerTable):
+        self.context = context
+        self.table = table
+        self.news: dict[str, QueuedNews] = {}  # by name of the peer that has changed
+        self._sequence: int = 0
+
+    def announce(self, name: str) -> None:
+        """Pass on what is known of a peer: it has changed."""
+        self._sequence += 1
+        self.news[name] = QueuedNews(0, -self._sequence)
+
+    def forget(self, name: str) -> None:
+        """Drop the news of a peer."""
+        self.news.pop(name, None)
+
+    def send(
+        self, recipient: str, make_message: Callable[..., MembershipMessage], *fields: object, about: str = ""
+    ) -> None:
+        """Send a message with as much gossip as fits.
+
+        What the recipient is accused of comes first, then what is known of the peer `about`.
+        """
+        local_peer = self.table.local_peer
+        packer = ItemPacker(make_message(*fields, sender=local_peer, items=()))
+        peers = self.table.peers
+        first = [recipient] if recipient in peers and peers[recipient].state != PeerState.ALIVE else []
+        first += [about] if about in peers else []
+        for name in first:
+            packer.add(self.table.gossip_item(name))
+        self._add_news(packer, {self.table.name, *first})
+        self.context.send(recipient, make_message(*fields, sender=local_peer, items=tuple(packer.items)))
+
+    def send_items(self, recipient: str, items: tuple[GossipItem, ...]) -> None:
+        """Send these entries of the table and no other gossip."""
+        self.context.send(recipient, StatePush(sender=self.table.local_peer, items=items))
+
+    def _add_news(self, packer: ItemPacker, included: set[str]) -> None:
+        max_transmissions = RETRANSMIT_FACTOR * ceil(log2(self.table.size() + 1))
+        for name in nsmallest(MAX_GOSSIP_ITEMS, self.news, key=self.news.__getitem__):
+            queued = self.news[name]
+            if name not in included:
+                if not packer.add_if_fits(self.table.gossip_item(name)):
+                    continue
+            elif name != self.table.name:  # each message carries the description of its sender
+                continue
+            times_sent = queued.times_sent + 1
+            self.news[name] = QueuedNews(times_sent, queued.negated_sequence)
+            if times_sent >= max_transmissions:
+                del self.news[name]
--- /dev/null
+++ b/cartdeal/fleet/membership/update.py
@@ -0,0 +1,131 @@
+"""How gossip changes the peer table.
+
+A higher incarnation overrides all of a lower one, then a higher version, then the worse state. Two things
+differ from SWIM: that a peer is dead is never taken from hearsay, it counts as an accusation by its
+witnesses; and no agent must ever believe another about its own name.
+"""
+
+from msgspec.structs import replace
+
+from cartdeal.fleet import events
+from cartdeal.fleet.context import NodeContext
+from cartdeal.fleet.errors import DuplicateNameError
+from cartdeal.fleet.membership.failure_detector import FailureDetector
+from cartdeal.fleet.membership.gossip import Gossip
+from cartdeal.fleet.membership.local_health import LocalHealth
+from cartdeal.fleet.membership.messages import GossipItem, Peer, PeerState
+from cartdeal.fleet.membership.peer_table import PeerTable
+from cartdeal.fleet.membership.suspicion import SuspicionTracker
+from cartdeal.fleet.membership.verification import PeerVerifier
+from cartdeal.fleet.metrics import Metric
+
+
+class TableUpdater:
+    """Applies what others tell of peers, and of this agent itself."""
+
+    def __init__(
+        self,
+        context: NodeContext,
+        table: PeerTable,
+        gossip: Gossip,
+        health: LocalHealth,
+        suspicion: SuspicionTracker,
+        detector: FailureDetector,
+        verifier: PeerVerifier,
+    ):
+        self.context = context
+        self.table = table
+        self.gossip = gossip
+        self.health = health
+        self.suspicion = suspicion
+        self.detector = detector
+        self.verifier = verifier
+        self.error: DuplicateNameError | None = None  # the last one
+        self.highest_reported_incarnation: int = 0  # of this agent's name, as peers remember it
+
+    def apply_gossip(self, item: GossipItem) -> None:
+        """Apply one item of gossip."""
+        peer = item.peer
+        if peer.name == self.table.name:
+            self.apply_to_self(peer)
+            return
+        if not self._apply_description(peer):
+            return
+        if (
+            peer.state in (PeerState.SUSPECT, PeerState.DEAD)
+            and self.table.peers[peer.name].state < PeerState.DEAD
+        ):
+            self.suspicion.suspect(peer.name, item.accusers)
+
+    def apply_to_self(self, reported: Peer) -> None:
+        """Refute what is wrongly told of this agent, and find another one that runs under its name."""
+        local = self.table.local_peer
+        if reported.incarnation < local.incarnation:
+            self.context.increment(Metric.DROPPED_OLD_INCARNATION)
+            return
+        is_same_agent = (reported.address, reported.zone) == (local.address, local.zone)
+        if not is_same_agent:
+            self._report_duplicate_name(local, reported)
+        if reported.incarnation > local.incarnation:
+            self.highest_reported_incarnation = max(self.highest_reported_incarnation, reported.incarnation)
+            return
+        is_accused = reported.state != PeerState.ALIVE
+        is_overridden = reported.version > local.version or (reported.version == local.version and is_accused)
+        if is_same_agent and local.state == PeerState.ALIVE and is_overridden:
+            if is_accused:
+                self.health.degrade()
+                self.context.increment(Metric.REFUTATIONS)
+            self.refute(reported.version)
+
+    def refute(self, version: int) -> None:
+        """Override all that is told of this agent up to this version."""
+        self.replace_self(replace(self.table.local_peer, version=version + 1))
+
+    def replace_self(self, local_peer: Peer) -> None:
+        """Change this agent's description of itself, and announce it."""
+        self.table.put(local_peer)
+        self.gossip.announce(self.table.name)
+
+    def _apply_description(self, peer: Peer) -> bool:
+        """Take over a newer description of a peer; return whether the item's state still counts."""
+        known = self.table.peers.get(peer.name)
+        if known is None:
+            # One that is dead or has left isn't added: agents that forget it at different times would pass
+            # it round for ever.
+            if peer.state >= PeerState.DEAD or not self.table.make_room():
+                return False
+            self._add_peer(peer)
+        elif peer.incarnation < known.incarnation:
+            self.context.increment(Metric.DROPPED_OLD_INCARNATION)
+            return False
+        elif (peer.incarnation, peer.version) > (known.incarnation, known.version):
+            if peer.state == PeerState.DEAD and known.state >= PeerState.DEAD:
+                self.table.put(replace(peer, state=known.state))
+            else:
+                self._add_peer(peer)
+        elif peer.version < known.version:
+            return False
+        elif peer.state == PeerState.LEFT and known.state != PeerState.LEFT:
+            self._add_peer(peer)
+        return True
+
+    def _add_peer(self, peer: Peer) -> None:
+        """Take a peer's description of itself in place of what was known; any suspicion begins anew."""
+        name, known = peer.name, self.table.peers.get(peer.name)
+        if known and known.state == PeerState.DEAD and known.incarnation == peer.incarnation:
+            self.suspicion.record_return(name)
+        self.suspicion.end(name)
+        self.table.forget_at.pop(name, None)
+        self.verifier.remove(name)
+        has_left = peer.state == PeerState.LEFT
+        if has_left:
+            self.table.retain(name, self.context.now)
+        elif known is None or known.state > PeerState.SUSPECT:
+            self.detector.insert_in_round(name)
+        self.table.put(replace(peer, state=PeerState.LEFT if has_left else PeerState.ALIVE))
+        self.gossip.announce(name)
+
+    def _report_duplicate_name(self, local: Peer, other: Peer) -> None:
+        observed = f"{local.address} in zone {local.zone!r}, {other.address} in zone {other.zone!r}"
+        self.error = DuplicateNameError(self.table.name, observed)
+        self.context.log_event(events.DuplicateName.of(self.error))
--- /dev/null
+++ b/cartdeal/fleet/membership/verification.py
@@ -0,0 +1,59 @@
+"""Verification of unknown or dead callers: each has to answer a ping before anything it says is believed.
+
+A caller that is heard but can't hear must never be taken in: it would be declared dead again and again.
+"""
+
+from collections.abc import Iterator
+
+from msgspec import Struct
+
+from cartdeal.fleet.context import NodeContext
+from cartdeal.fleet.membership.gossip import Gossip
+from cartdeal.fleet.membership.messages import Peer, Ping
+from cartdeal.fleet.metrics import Metric
+
+MAX_UNVERIFIED_PEERS = 1024
+CHALLENGE_TIMEOUT_S = 1.0  # after which a caller may be challenged again
+
+
+class UnverifiedPeer(Struct):
+    """A caller that has been sent a ping, and has not answered it yet."""
+
+    peer: Peer
+    challenge_number: int
+    deadline: float
+
+
+class PeerVerifier:
+    """The challenges that have not been answered yet."""
+
+    def __init__(self, context: NodeContext, numbers: Iterator[int], gossip: Gossip):
+        self.context = context
+        self.numbers = numbers  # of pings, shared with the failure detector
+        self.gossip = gossip
+        self.unverified_peers: dict[str, UnverifiedPeer] = {}  # by name
+
+    def may_challenge(self) -> bool:
+        """Return whether there is room for another challenge; counts where there is none."""
+        if len(self.unverified_peers) < MAX_UNVERIFIED_PEERS:
+            return True
+        self.context.increment(Metric.DROPPED_UNVERIFIED_PEERS)
+        return False
+
+    def challenge(self, peer: Peer) -> None:
+        """Send a ping that the caller has to answer."""
+        number = next(self.numbers)
+        self.unverified_peers[peer.name] = UnverifiedPeer(
+            peer, number, self.context.now + CHALLENGE_TIMEOUT_S
+        )
+        self.gossip.send(peer.name, Ping, number)
+
+    def remove(self, name: str) -> None:
+        """Drop the challenge of a peer."""
+        self.unverified_peers.pop(name, None)
+
+    def expire(self, now: float) -> None:
+        """Drop the challenges that were not answered in time."""
+        unverified = self.unverified_peers
+        for name in [name for name, caller in unverified.items() if caller.deadline <= now]:
+            del unverified[name]
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -30,8 +30,8 @@
     may_reject,
     may_repeat,
 )
-from cartdeal.fleet.membership import swim
-from cartdeal.fleet.membership.swim import Membership
+from cartdeal.fleet.membership import messages as membership_messages
+from cartdeal.fleet.membership.membership import Membership
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
@@ -84,7 +84,7 @@
         self.parts = {
             kind: part
             for module, part in (
-                (swim, self.membership),
+                (membership_messages, self.membership),
                 (ring_consensus, self.consensus),
                 (messages, self.replica),
                 (quota_leases, self.quota),
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -12,322 +12,376 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet.events import AgentDead
-from cartdeal.fleet.membership.swim import MESSAGE_TYPES, GossipItem, Membership, Peer, PeerState, StatePush
+from cartdeal.fleet.membership.membership import Membership
+from cartdeal.fleet.membership.messages import MESSAGE_TYPES, GossipItem, Peer, PeerState, StatePush
 from cartdeal.fleet.settings import FleetSettings
 
 decode = msgpack.Decoder(reduce(or_, MESSAGE_TYPES)).decode
 
 
-class Desk:
+class FakeContext:
+    """What an agent may use, on a FakeNetwork."""
+
     wall = 0.0
-    now = property(lambda self: self.net.now)
+    now = property(lambda self: self.network.now)
 
-    def __init__(self, net, name, incarnation, port):
-        self.net, self.name, self.incarnation, self.address = net, name, incarnation, f"10.0.0.1:{port}"
-        self.called = dict(net.seeds)  # by where it called from last
-        self.random, self.events, self.counts = Random(f"{net.seed} {name} {incarnation}"), [], Counter()
+    def __init__(self, network, name, incarnation, port):
+        self.network = network
+        self.name = name
+        self.incarnation = incarnation
+        self.address = f"10.0.0.1:{port}"
+        self.caller_addresses = dict(network.seeds)  # by name: where it called from last
+        self.random = Random(f"{network.seed} {name} {incarnation}")
+        self.events = []
+        self.counters = Counter()
 
-    def send(self, to, message):
-        self.net.send(self.name, to, message)
+    def send(self, recipient, message):
+        self.network.send(self.name, recipient, message)
 
     def log_event(self, event):
         self.events.append(event.MESSAGE)
         if isinstance(event, AgentDead):
-            self.net.gone[self.name, event.name, self.now] = self.now
+            self.network.declared_dead[self.name, event.name, self.now] = self.now
 
     def increment(self, counter, by=1):
-        self.counts[counter] += by
-
-
-class Net:
-    late = 0.0
-
-    def __init__(self, seed=1, loss=0.0, double=0.0, delay=(0.001, 0.02)):
-        self.seed, self.random, self.now, self.heap, self.place = seed, Random(seed), 100.0, [], 0
-        self.loss, self.double, self.delay, self.cut = loss, double, delay, lambda a, b: False
-        self.agents, self.stopped, self.sent, self.size, self.gone = {}, {}, Counter(), Counter(), {}
+        self.counters[counter] += by
+
+
+class FakeNetwork:
+    """Carries messages between agents with the delays and losses that a test asks for."""
+
+    late_share = 0.0  # of the messages: these come 5 s later
+
+    def __init__(self, seed=1, loss=0.0, duplicated=0.0, delay_s=(0.001, 0.02)):
+        self.seed = seed
+        self.random = Random(seed)
+        self.now = 100.0
+        self.scheduled = []  # heap of (time, sequence, call, arguments)
+        self.sequence = 0
+        self.loss = loss
+        self.duplicated = duplicated
+        self.delay_s = delay_s
+        self.is_cut = lambda sender, recipient: False
+        self.agents = {}
+        self.paused = {}  # by name: what came in for it meanwhile
+        self.sent_messages = Counter()
+        self.sent_bytes = Counter()
+        self.declared_dead = {}  # (by whom, name, when): when
         self.seeds = {f"n{i:03}": f"10.0.0.1:{i}" for i in range(3)}
 
     def start(self, name, incarnation=1, port=None):
         fleet_settings = FleetSettings(fleet="f", name=name, zone="z", seeds=self.seeds)
-        agent = self.agents[name] = Membership(
-            Desk(self, name, incarnation, port or int(name[1:])), fleet_settings
-        )
+        context = FakeContext(self, name, incarnation, port or int(name[1:]))
+        agent = self.agents[name] = Membership(context, fleet_settings)
         agent.join()
-        self.at(self.random.random() * fleet_settings.tick_s, self.tick, agent)
+        self.schedule(self.random.random() * fleet_settings.tick_s, self.tick, agent)
         return agent
 
-    def fleet(self, count, seconds=15.0):
+    def start_fleet(self, count, seconds=15.0):
         agents = [self.start(f"n{i:03}") for i in range(count)]
         self.run(seconds)
         assert {agent.size() for agent in agents} == {count}
         return agents
 
-    def at(self, after, what, *args):
-        self.place += 1
-        heapq.heappush(self.heap, (self.now + after, self.place, what, args))
+    def schedule(self, delay_s, call, *args):
+        self.sequence += 1
+        heapq.heappush(self.scheduled, (self.now + delay_s, self.sequence, call, args))
 
     def run(self, seconds):
         end = self.now + seconds
-        while self.heap[0][0] <= end:
-            self.now, _, what, args = heapq.heappop(self.heap)
-            what(*args)
+        while self.scheduled[0][0] <= end:
+            self.now, _, call, args = heapq.heappop(self.scheduled)
+            call(*args)
         self.now = end
 
     def tick(self, agent):
         if self.agents.get(agent.name) is agent:
-            self.at(agent.settings.tick_s, self.tick, agent)
-            if agent.name not in self.stopped:
+            self.schedule(agent.settings.tick_s, self.tick, agent)
+            if agent.name not in self.paused:
                 agent.tick()
 
-    def send(self, sender, to, message):
+    def send(self, sender, recipient, message):
         data = msgpack.encode(message)
         assert len(data) <= 1_200 and message.DATAGRAM
-        self.sent[sender] += 1
-        self.size[sender] += len(data)
-        here, known = self.agents[sender].context, self.agents[sender].peers.get(to)
-        address = known.address if known else here.called.get(to)
-        for _ in range(1 + (self.random.random() < self.double)):
-            if self.random.random() >= self.loss and not self.cut(sender, to):
-                late = 5.0 * (self.random.random() < self.late) + self.random.uniform(*self.delay)
-                self.at(late, self.arrive, (sender, here.address), (to, address), data)
+        self.sent_messages[sender] += 1
+        self.sent_bytes[sender] += len(data)
+        context, known = self.agents[sender].context, self.agents[sender].peers.get(recipient)
+        address = known.address if known else context.caller_addresses.get(recipient)
+        for _ in range(1 + (self.random.random() < self.duplicated)):
+            if self.random.random() >= self.loss and not self.is_cut(sender, recipient):
+                delay_s = 5.0 * (self.random.random() < self.late_share) + self.random.uniform(*self.delay_s)
+                self.schedule(delay_s, self.deliver, (sender, context.address), (recipient, address), data)
 
-    def arrive(self, sender, to, data):
-        if to[0] in self.stopped:
-            self.stopped[to[0]].append((sender, to, data))
-        elif to[0] in self.agents and self.agents[to[0]].context.address == to[1]:
-            self.agents[to[0]].context.called[sender[0]] = sender[1]
-            self.agents[to[0]].on_message(sender[0], decode(data))
+    def deliver(self, sender, recipient, data):
+        (sender_name, sender_address), (name, address) = sender, recipient
+        if name in self.paused:
+            self.paused[name].append((sender, recipient, data))
+        elif name in self.agents and self.agents[name].context.address == address:
+            self.agents[name].context.caller_addresses[sender_name] = sender_address
+            self.agents[name].on_message(sender_name, decode(data))
 
-    def states(self, of):
-        return {agent.peers[of].state for agent in self.agents.values()}
+    def states(self, name):
+        return {agent.peers[name].state for agent in self.agents.values()}
 
 
-def told(agent, sender, *pieces, **me):
-    agent.on_message(sender, StatePush(peer(sender, **me), pieces))
+def receive(agent, sender, *items, **description):
+    agent.on_message(sender, StatePush(sender=peer(sender, **description), items=items))
 
 
-def peer(name, **more):
-    return replace(Peer(name, f"10.0.0.1:{int(name[1:])}", 1, 0, 0, "z", 1.0, (1, 2), 1), **more)
+def peer(name, **changes):
+    return replace(Peer(name, f"10.0.0.1:{int(name[1:])}", 1, 0, 0, "z", 1.0, (1, 2), 1), **changes)
 
 
-def deaf(*names):
-    return lambda a, b: b in names
+def cut_inbound(*names):
+    return lambda sender, recipient: recipient in names
 
 
 @pytest.mark.parametrize("count", [5, 20, 100])
-def test_work_is_flat_in_fleet_size_and_a_killed_agent_is_found(count):
-    net, took = Net(count), []
-    net.fleet(count, 60)
-    net.sent, net.size = Counter(), Counter()
-    net.run(20)
-    each, size = [net.sent[name] / 20 for name in net.agents], sum(net.size.values()) / count / 20
-    for victim in list(net.agents)[::-1][:3]:
-        net.agents.pop(victim)
-        began, net.gone = net.now, {}
+def test_load_is_independent_of_fleet_size_and_a_killed_agent_is_detected(count):
+    network, detection_s = FakeNetwork(count), []
+    network.start_fleet(count, 60)
+    network.sent_messages, network.sent_bytes = Counter(), Counter()
+    network.run(20)
+    rates = [network.sent_messages[name] / 20 for name in network.agents]
+    size_bytes = sum(network.sent_bytes.values()) / count / 20
+    for victim in list(network.agents)[::-1][:3]:
+        network.agents.pop(victim)
+        killed_at, network.declared_dead = network.now, {}
         for _ in range(90):
-            net.run(0.1)
-            assert count == 5 or not any(agent.health for agent in net.agents.values())  # nacks came
-        took += [at - began for at in net.gone.values()]
-    took.sort()
+            network.run(0.1)
+            assert count == 5 or not any(
+                agent.health.score for agent in network.agents.values()
+            )  # nacks came
+        detection_s += [at - killed_at for at in network.declared_dead.values()]
+    detection_s.sort()
     print(
-        f"{count}: {sum(each) / count:.2f} messages (at most {max(each):.2f}), {size:.0f} bytes an agent "
-        f"and second; found after p50 {took[len(took) // 2]:.2f} s, at most {took[-1]:.2f} s"
+        f"{count}: {sum(rates) / count:.2f} messages (at most {max(rates):.2f}), {size_bytes:.0f} bytes an "
+        f"agent and second; detected after p50 {detection_s[len(detection_s) // 2]:.2f} s, "
+        f"at most {detection_s[-1]:.2f} s"
     )
-    assert sum(each) / count < 4 and max(each) < 5.5 and size < 260
-    assert len(took) == 3 * (count - 2) and took[-1] < 8
+    assert sum(rates) / count < 4 and max(rates) < 5.5 and size_bytes < 260
+    assert len(detection_s) == 3 * (count - 2) and detection_s[-1] < 8
 
 
-def test_ten_in_a_hundred_lost_call_nobody_gone():
-    net = Net(2, loss=0.1, double=0.05, delay=(0.001, 0.05))
-    agents = net.fleet(40)
-    net.run(120)
-    counts = sum((agent.context.counts for agent in agents), Counter())
+def test_ten_percent_loss_declares_nobody_dead():
+    network = FakeNetwork(2, loss=0.1, duplicated=0.05, delay_s=(0.001, 0.05))
+    agents = network.start_fleet(40)
+    network.run(120)
+    counts = sum((agent.context.counters for agent in agents), Counter())
     print(counts)
-    assert counts["accusations"] < 25 and not net.gone and {agent.size() for agent in agents} == {40}
-
-
-@pytest.mark.parametrize("count, part, seconds", [(2, 1, 30), (3, 1, 30), (20, 6, 40), (30, 15, 150)])
-def test_two_halves_find_each_other_and_bury_nobody_anew(count, part, seconds):
-    net = Net(3, loss=0.02)
-    agents = net.fleet(count, 20)
-    small = {agent.name for agent in agents[-part:]}
-    net.cut = lambda a, b: (a in small) != (b in small)
-    net.run(seconds)
-    assert all(agent.size() == (part if agent.name in small else count - part) for agent in agents)
-    assert all(net.cut(a, b) for a, b, _ in net.gone)
-    net.cut, net.gone = deaf(), {}
-    net.run(8)
+    assert (
+        counts["accusations"] < 25
+        and not network.declared_dead
+        and {agent.size() for agent in agents} == {40}
+    )
+
+
+@pytest.mark.parametrize(
+    "count, minority_size, seconds", [(2, 1, 30), (3, 1, 30), (20, 6, 40), (30, 15, 150)]
+)
+def test_healed_partition_merges_and_declares_nobody_dead_again(count, minority_size, seconds):
+    network = FakeNetwork(3, loss=0.02)
+    agents = network.start_fleet(count, 20)
+    minority = {agent.name for agent in agents[-minority_size:]}
+    network.is_cut = lambda a, b: (a in minority) != (b in minority)
+    network.run(seconds)
+    assert all(
+        agent.size() == (minority_size if agent.name in minority else count - minority_size)
+        for agent in agents
+    )
+    assert all(network.is_cut(a, b) for a, b, _ in network.declared_dead)
+    network.is_cut, network.declared_dead = cut_inbound(), {}
+    network.run(8)
     assert {agent.size() for agent in agents} == {count}
-    net.run(40)
-    assert not net.gone
-
-
-def test_one_that_dies_just_after_a_cut_is_found_though_no_witness_counts_yet():
-    net = Net(9)
-    agents = net.fleet(3)
-    net.cut = lambda a, b: (a == "n002") != (b == "n002")
-    net.run(20)
-    net.cut = deaf()
-    net.run(3)
-    net.agents.pop("n001")
-    net.run(25)
+    network.run(40)
+    assert not network.declared_dead
+
+
+def test_agent_killed_just_after_a_partition_is_detected_without_trusted_witnesses():
+    network = FakeNetwork(9)
+    agents = network.start_fleet(3)
+    network.is_cut = lambda a, b: (a == "n002") != (b == "n002")
+    network.run(20)
+    network.is_cut = cut_inbound()
+    network.run(3)
+    network.agents.pop("n001")
+    network.run(25)
     assert [agents[0].size(), agents[2].size()] == [2, 2]
 
 
 @pytest.mark.parametrize(
-    "count, cut, apart",
+    "count, cut, is_separated",
     [
         (5, lambda a, b: a + b == "n003n004", 0),
         (3, lambda a, b: a + b == "n000n001", 0),
-        (2, deaf("n001"), 1),
-        (20, deaf("n019"), 1),
+        (2, cut_inbound("n001"), 1),
+        (20, cut_inbound("n019"), 1),
         (5, lambda a, b: a == "n004", 1),
         (5, lambda a, b: a == "n001", 1),
     ],
 )
-def test_one_way_cut_makes_nobody_flap(count, cut, apart):
-    net = Net(4)
-    agents = net.fleet(count)
-    net.cut = cut
-    one = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
+def test_one_way_cut_keeps_membership_stable(count, cut, is_separated):
+    network = FakeNetwork(4)
+    agents = network.start_fleet(count)
+    network.is_cut = cut
+    restless = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
     for i in range(112):
-        one.update_self(capacity=1.0 + i % 2)
-        net.run(0.25)
-    sizes = [1] + [count - 1] * (count - 1) if apart else [count] * count
+        restless.update_self(capacity=1.0 + i % 2)
+        network.run(0.25)
+    sizes = [1] + [count - 1] * (count - 1) if is_separated else [count] * count
     assert sorted(agent.size() for agent in agents) == sizes
-    assert max(agent.health for agent in agents) == (4 if apart else 0)
-    net.gone = {}
+    assert max(agent.health.score for agent in agents) == (4 if is_separated else 0)
+    network.declared_dead = {}
     for i in range(150):
-        one.update_self(capacity=1.0 + i % 2)
-        net.run(2)
-        assert sorted(agent.size() for agent in agents) == sizes and not net.gone
-    net.cut = deaf()
-    net.run(10)
+        restless.update_self(capacity=1.0 + i % 2)
+        network.run(2)
+        assert sorted(agent.size() for agent in agents) == sizes and not network.declared_dead
+    network.is_cut = cut_inbound()
+    network.run(10)
     assert {agent.size() for agent in agents} == {count}
 
 
 @pytest.mark.parametrize("seconds", [1.5, 30.0, 90.0])
-def test_stopped_agent_accuses_nobody_and_is_back_at_once(seconds):
-    net = Net(5)
-    agents = net.fleet(10)
-    net.stopped["n004"] = []
-    net.run(seconds)
+def test_paused_agent_suspects_nobody_and_returns_at_once(seconds):
+    network = FakeNetwork(5)
+    agents = network.start_fleet(10)
+    network.paused["n004"] = []
+    network.run(seconds)
     assert {agent.size() for agent in agents if agent.name != "n004"} == {10 if seconds < 2 else 9}
-    net.gone = {}
-    for each in net.stopped.pop("n004"):
-        net.arrive(*each)
-    net.run(3)
-    assert {agent.size() for agent in agents} == {10} and not net.gone and not agents[4].cases
-    word = GossipItem(
-        replace(agents[2].me, state=PeerState.SUSPECT), ("n004",)
+    network.declared_dead = {}
+    for datagram in network.paused.pop("n004"):
+        network.deliver(*datagram)
+    network.run(3)
+    assert (
+        {agent.size() for agent in agents} == {10}
+        and not network.declared_dead
+        and not agents[4].table.suspicions
+    )
+    accusation = GossipItem(
+        replace(agents[2].local_peer, state=PeerState.SUSPECT), ("n004",)
     )  # of one that came back just now
-    told(agents[0], "n004", word)
+    receive(agents[0], "n004", accusation)
     assert agents[0].peers["n002"].state == (PeerState.ALIVE if seconds == 30 else PeerState.SUSPECT)
-    net.run(2)
-    while agents[4].probe.done:
-        net.run(0.01)
-    told(agents[4], "n001", GossipItem(replace(agents[2].me, state=PeerState.SUSPECT), ("n001", "n003")))
-    version, missed = agents[4].me.version, agents[4].probe.peer.name
-    net.now += seconds  # and what came meanwhile is lost
+    network.run(2)
+    while agents[4].detector.probe.is_done:
+        network.run(0.01)
+    receive(
+        agents[4],
+        "n001",
+        GossipItem(replace(agents[2].local_peer, state=PeerState.SUSPECT), ("n001", "n003")),
+    )
+    version, probed = agents[4].local_peer.version, agents[4].detector.probe.peer.name
+    network.now += seconds  # and what came meanwhile is lost
     agents[4].tick()
-    assert agents[4].peers["n002"].state == PeerState.SUSPECT and agents[4].me.version > version
-    assert missed == "n002" or agents[4].peers[missed].state == PeerState.ALIVE
-
-
-def test_higher_life_replaces_a_lower_one_learns_of_it_and_the_same_twice_is_named():
-    net = Net(6)
-    first = net.fleet(5)[0]
-    net.start("n004", incarnation=7)
-    net.run(3)
-    told(
-        first, "n004", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
+    assert agents[4].peers["n002"].state == PeerState.SUSPECT and agents[4].local_peer.version > version
+    assert probed == "n002" or agents[4].peers[probed].state == PeerState.ALIVE
+
+
+def test_higher_incarnation_replaces_a_lower_one_and_a_duplicate_name_is_reported():
+    network = FakeNetwork(6)
+    first = network.start_fleet(5)[0]
+    network.start("n004", incarnation=7)
+    network.run(3)
+    receive(
+        first,
+        "n004",
+        GossipItem(replace(network.agents["n003"].local_peer, state=PeerState.SUSPECT), ("n004",)),
     )  # the former
     assert first.peers["n003"].state == PeerState.ALIVE
-    assert first.peers["n004"].incarnation == 7 and net.states("n004") == {PeerState.ALIVE}
-    agent = net.start("n004", incarnation=5)  # its clock was set back
-    net.run(3)
+    assert first.peers["n004"].incarnation == 7 and network.states("n004") == {PeerState.ALIVE}
+    agent = network.start("n004", incarnation=5)  # its clock was set back
+    network.run(3)
     assert (
         agent.newer_incarnation() == 7
         and first.peers["n004"].incarnation == 7
         and not first.newer_incarnation()
     )
     agent.context.incarnation = 8
-    net.run(3)
+    network.run(3)
     assert first.peers["n004"].incarnation == 8 and not agent.newer_incarnation()
-    net.agents.pop("n004")
-    net.run(10)
-    agent = net.start("n004", incarnation=9, port=77)
-    net.run(3)
-    assert net.states("n004") == {PeerState.ALIVE} and agent.size() == 5
-    mine = agent.me  # and another of the same incarnation at another place
-    told(agent, "n000", GossipItem(replace(mine, address="10.0.0.9:9", version=9)))
-    assert agent.me == mine and agent.error.subject == "n004" and "10.0.0.9:9" in agent.error.observed
+    network.agents.pop("n004")
+    network.run(10)
+    agent = network.start("n004", incarnation=9, port=77)
+    network.run(3)
+    assert network.states("n004") == {PeerState.ALIVE} and agent.size() == 5
+    local_peer = agent.local_peer  # and another of the same incarnation at another place
+    receive(agent, "n000", GossipItem(replace(local_peer, address="10.0.0.9:9", version=9)))
+    assert (
+        agent.local_peer == local_peer
+        and agent.error.subject == "n004"
+        and "10.0.0.9:9" in agent.error.observed
+    )
     assert agent.context.events[-1] == "duplicate name"
 
 
-def test_one_witness_or_hearsay_is_not_enough_and_the_accused_refutes():
-    net = Net()
-    agents = net.fleet(6)
-    first, accused = agents[0], replace(agents[5].me, state=PeerState.DEAD)
-    told(first, "n001", GossipItem(accused, ("n001",)))
-    first._suspicions(net.now + 60)
+def test_one_witness_or_hearsay_is_not_enough_and_the_suspect_refutes():
+    network = FakeNetwork()
+    agents = network.start_fleet(6)
+    first, accused = agents[0], replace(agents[5].local_peer, state=PeerState.DEAD)
+    receive(first, "n001", GossipItem(accused, ("n001",)))
+    first.suspicion.declare_dead(network.now + 60)
     assert first.peers["n005"].state == PeerState.SUSPECT and first.size() == 6
-    told(first, "n001", GossipItem(accused, ("n001", "n002")))
+    receive(first, "n001", GossipItem(accused, ("n001", "n002")))
     assert first.peers["n005"].state == PeerState.SUSPECT
-    first._suspicions(net.now + 60)
+    first.suspicion.declare_dead(network.now + 60)
     assert first.peers["n005"].state == PeerState.DEAD
-    told(first, "n001", GossipItem(replace(agents[4].me, state=PeerState.SUSPECT), ("n001",)))
-    net.run(0.2)
-    assert agents[4].me.version == 1  # told at once
-    net.run(5)
-    assert agents[5].me.version > accused.version and net.states("n005") == {PeerState.ALIVE}
-
-
-def test_old_gossip_raises_none_that_is_gone_until_it_is_forgotten():
-    net = Net()
-    first = net.fleet(5)[0]
-    late = net.agents.pop("n004").me
-    net.run(15)
-    told(first, "n001", GossipItem(late))
-    told(
-        first, "n001", GossipItem(replace(net.agents["n003"].me, state=PeerState.SUSPECT), ("n004",))
+    receive(first, "n001", GossipItem(replace(agents[4].local_peer, state=PeerState.SUSPECT), ("n001",)))
+    network.run(0.2)
+    assert agents[4].local_peer.version == 1  # told at once
+    network.run(5)
+    assert agents[5].local_peer.version > accused.version and network.states("n005") == {PeerState.ALIVE}
+
+
+def test_old_gossip_does_not_revive_a_dead_agent():
+    network = FakeNetwork()
+    first = network.start_fleet(5)[0]
+    departed = network.agents.pop("n004").local_peer
+    network.run(15)
+    receive(first, "n001", GossipItem(departed))
+    receive(
+        first,
+        "n001",
+        GossipItem(replace(network.agents["n003"].local_peer, state=PeerState.SUSPECT), ("n004",)),
     )  # no witness
-    assert net.states("n004") == {PeerState.DEAD} and first.peers["n003"].state == PeerState.ALIVE
-    net.run(75)
-    told(first, "n001", GossipItem(replace(late, state=PeerState.DEAD), ("n001", "n002")))
-    assert not any("n004" in agent.peers for agent in net.agents.values())
+    assert network.states("n004") == {PeerState.DEAD} and first.peers["n003"].state == PeerState.ALIVE
+    network.run(75)
+    receive(first, "n001", GossipItem(replace(departed, state=PeerState.DEAD), ("n001", "n002")))
+    assert not any("n004" in agent.peers for agent in network.agents.values())
 
 
-def test_leaving_is_told_and_changes_reach_all_and_lost_gossip_heals():
-    net = Net(7, loss=0.05, double=0.3, delay=(0.0, 0.3))
-    agents = net.fleet(20, 30)
-    seen = [agent.view_version for agent in agents]
+def test_departures_and_changes_reach_all_and_state_exchange_repairs_lost_gossip():
+    network = FakeNetwork(7, loss=0.05, duplicated=0.3, delay_s=(0.0, 0.3))
+    agents = network.start_fleet(20, 30)
+    views = [agent.view_version for agent in agents]
     agents[3].update_self(capacity=8.0, migrated_version=2)
-    net.run(6)
+    network.run(6)
     assert {(agent.peers["n003"].capacity, agent.peers["n003"].migrated_version) for agent in agents} == {
         (8.0, 2)
     }
-    assert all(agent.view_version > before for agent, before in zip(agents, seen, strict=True))
-    net.agents.pop("n003")
-    told(agents[0], "n003", version=9, capacity=4.0)
+    assert all(agent.view_version > before for agent, before in zip(agents, views, strict=True))
+    network.agents.pop("n003")
+    receive(agents[0], "n003", version=9, capacity=4.0)
     for agent in agents:
-        agent.news.clear()
-        agent.compare_at = net.now
-    net.run(1)
+        agent.gossip.news.clear()
+        agent.exchange.compare_at = network.now
+    network.run(1)
     assert Counter(agent.peers["n003"].capacity for agent in agents)[4.0] > 2
-    net.run(9)
-    net.gone = {}
+    network.run(9)
+    network.declared_dead = {}
     agents[4].leave()
-    net.run(1)
-    net.agents.pop("n004")
-    net.run(4)
-    assert net.states("n004") == {PeerState.LEFT} and "n004" not in agents[0].live_peers() and not net.gone
+    network.run(1)
+    network.agents.pop("n004")
+    network.run(4)
+    assert (
+        network.states("n004") == {PeerState.LEFT}
+        and "n004" not in agents[0].live_peers()
+        and not network.declared_dead
+    )
 
 
-def test_out_of_range_is_dropped_and_the_table_is_bounded():
-    agent = Net().fleet(3)[0]
-    for wrong in (
+def test_out_of_range_messages_are_dropped_and_the_table_is_bounded():
+    agent = FakeNetwork().start_fleet(3)[0]
+    for invalid in (
         {"capacity": nan},
         {"zone": "z" * 65},
         {"version": -1},
@@ -337,25 +391,27 @@
         {"incarnation": 1 << 62},
         {"migrated_version": -1},
     ):
-        told(agent, "n001", GossipItem(peer("n002", **{"version": 5, **wrong})))
-        told(agent, "n007", **wrong)
-    told(agent, "n001", *[GossipItem(peer("n002"))] * 65)
-    told(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
-    agent.on_message("n001", StatePush(peer("n002"), ()))
-    assert agent.size() == 3 and agent.context.counts["dropped out of range"] == 18
-    assert agent.context.counts["dropped wrong sender"] == 1
+        receive(agent, "n001", GossipItem(peer("n002", **{"version": 5, **invalid})))
+        receive(agent, "n007", **invalid)
+    receive(agent, "n001", *[GossipItem(peer("n002"))] * 65)
+    receive(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
+    agent.on_message("n001", StatePush(sender=peer("n002"), items=()))
+    assert agent.size() == 3 and agent.context.counters["dropped out of range"] == 18
+    assert agent.context.counters["dropped wrong sender"] == 1
     for i in range(2000):
-        told(agent, "n001", GossipItem(peer(f"n{i + 10}")))
+        receive(agent, "n001", GossipItem(peer(f"n{i + 10}")))
     assert len(agent.peers) == 1024 and agent.context.events == ["membership full"]
 
 
-def test_late_doubled_and_reordered_messages_change_nothing_and_the_same_seed_gives_the_same_trace():
+def test_late_duplicated_and_reordered_messages_change_nothing_and_runs_are_deterministic():
     traces = []
     for _ in range(2):
-        net = Net(8, loss=0.02, double=0.2, delay=(0.0, 0.2))
-        net.fleet(8, 30)
-        net.late = 0.1
-        net.run(60)
-        traces.append((net.sent, net.size, [agent.peers for agent in net.agents.values()]))
-        assert not net.gone and {agent.size() for agent in net.agents.values()} == {8}
+        network = FakeNetwork(8, loss=0.02, duplicated=0.2, delay_s=(0.0, 0.2))
+        network.start_fleet(8, 30)
+        network.late_share = 0.1
+        network.run(60)
+        traces.append(
+            (network.sent_messages, network.sent_bytes, [agent.peers for agent in network.agents.values()])
+        )
+        assert not network.declared_dead and {agent.size() for agent in network.agents.values()} == {8}
     assert traces[0] == traces[1]
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,7 +24,7 @@
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
-from cartdeal.fleet.membership.swim import (
+from cartdeal.fleet.membership.messages import (
     Ack,
     DigestExchange,
     GossipItem,
@@ -187,15 +187,20 @@
 
 def full_hub(many=MANY):
     """A real agent that all the others, here by their messages alone, have called and answered at once."""
-    net, sent, peers = test_membership.Net(), [], [peer(f"n{n}") for n in range(1, many)]
+    net, sent, peers = test_membership.FakeNetwork(), [], [peer(f"n{n}") for n in range(1, many)]
     hub = net.start("n000")
     hub.context.send = lambda to, message: sent.append((to, message))
     for each in peers:
-        hub.on_message(each.name, Ping(1, each, ()))
-    assert len(hub.strangers) == many - 1 and not hub.context.counts["dropped unverified peers"]
+        hub.on_message(each.name, Ping(1, sender=each, items=()))
+    assert (
+        len(hub.verifier.unverified_peers) == many - 1
+        and not hub.context.counters["dropped unverified peers"]
+    )
     for each in peers:
-        hub.on_message(each.name, Ack(hub.strangers[each.name].number, each, ()))
-    assert hub.size() == many and not hub.strangers
+        hub.on_message(
+            each.name, Ack(hub.verifier.unverified_peers[each.name].challenge_number, sender=each, items=())
+        )
+    assert hub.size() == many and not hub.verifier.unverified_peers
     sent.clear()
     return net, hub, peers, sent
 
@@ -211,20 +216,25 @@
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
     net, hub, peers, sent = full_hub()
     for each in peers:
-        hub.on_message(each.name, DigestExchange(bytes(64), True, each, ()))
+        hub.on_message(each.name, DigestExchange(bytes(64), True, sender=each, items=()))
     names = {each.name for each in peers}
-    assert set(hub.owed) == names and {to for to, message in sent if isinstance(message, StatePush)} == names
+    assert (
+        set(hub.exchange.pending_pushes) == names
+        and {to for to, message in sent if isinstance(message, StatePush)} == names
+    )
     # By need: each holds a part of the table.
-    assert sum(len(each.names) for each in hub.owed.values()) < MANY * MANY / 8
+    assert sum(len(each.names) for each in hub.exchange.pending_pushes.values()) < MANY * MANY / 8
     sent.clear()
     for each, target in zip(peers, peers[1:] + peers[:1], strict=True):
-        hub.on_message(each.name, PingRequest(1, target.name, each, ()))
-    assert len(hub.relays) == MANY - 1 and not any(isinstance(message, Nack) for _, message in sent)
+        hub.on_message(each.name, PingRequest(1, target.name, sender=each, items=()))
+    assert len(hub.detector.relayed_pings) == MANY - 1 and not any(
+        isinstance(message, Nack) for _, message in sent
+    )
     witness, *accused = peers
     for each in accused:
-        told = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
-        hub.on_message(witness.name, StatePush(witness, told))
-    assert len(hub.warnings) == MANY - 2
+        items = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
+        hub.on_message(witness.name, StatePush(sender=witness, items=items))
+    assert len(hub.suspicion.warnings) == MANY - 2
 
 
 def test_clocks_of_a_majority_of_1024_seats_set_one_that_is_wrong():
