--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -33,7 +33,7 @@
 from cartdeal.fleet.membership import messages as membership_messages
 from cartdeal.fleet.membership.membership import Membership
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.quota import quota_leases
+from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages, schema
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
@@ -79,7 +79,7 @@
         self.clock = HybridClock(settings.name, settings.clock_ahead_s)
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
-        self.replica = Replica(self, settings, self.clock, self.claimed, self.sure)
+        self.replica = Replica(self, settings, self.claimed, self.sure)
         self.quota = QuotaLeases(self, settings, self.on_token_decision, self.sure)
         self.parts = {
             kind: part
@@ -87,7 +87,7 @@
                 (membership_messages, self.membership),
                 (ring_consensus, self.consensus),
                 (messages, self.replica),
-                (quota_leases, self.quota),
+                (quota_messages, self.quota),
             )
             for kind in module.MESSAGE_TYPES
         }
@@ -135,7 +135,7 @@
         if peer and incarnation < peer.incarnation and part is not self.membership:
             # members answer with the incarnation that is known
             return self.increment(Metric.DROPPED_OLD_INCARNATION)
-        in_ring = part is self.consensus and getattr(message, "has", 1) > 0
+        in_ring = part is self.consensus and getattr(message, "epoch", 1) > 0
         if not self.timely(sender, wall_ms, in_ring) and part is self.replica:
             return  # what it stamps can't be believed; that it is there, and what ring it has, can
         if sender in self.addresses or len(self.addresses) < KNOWN_PEERS * self.settings.most_agents:
@@ -173,7 +173,7 @@
     def look_at_clock(self):
         """The majority of the ring's seats is never all wrong: without this, one that was told the wrong time
         as it came would be refused by all the others for good."""
-        seats = self.ring.by_name
+        seats = self.ring.member_by_name
         offsets = [offset for name, (_, offset) in self.clocks.items() if name in seats]
         far = self.settings.clock_ahead_s
         odd = max(
@@ -190,7 +190,7 @@
         if abs(offset - self.offset) > self.settings.clock_ahead_s:
             self.log_event(events.ClockAdjusted(round(offset - self.offset, 3), len(self.clocks)))
             self.offset = offset
-            self.clock = self.replica.clock = HybridClock(self.name, self.settings.clock_ahead_s)
+            self.clock = HybridClock(self.name, self.settings.clock_ahead_s)
 
     def tick(self):
         if self.now - self.ticked > LOOK / 4:  # stopped: what came in meanwhile is old
@@ -215,15 +215,17 @@
         self.replica.tick()
         self.quota.tick()
         self.tell_uses()
-        if self.replica.all_caught_up != self.caught_up:
+        if self.replica.is_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
             # Where agents are restarted one after the other, the next one has to wait for this.
             event = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event(self.ring and self.ring.epoch))
         me = self.membership.peers.get(self.name)
         caught = self.ring.epoch if self.ring and self.caught_up else me.caught_up_epoch if me else 0
-        if me and (self.replica.moved, caught) != (me.migrated_version, me.caught_up_epoch):
-            self.membership.update_self(migrated_version=self.replica.moved, caught_up_epoch=caught)
+        if me and (self.replica.migrated_version, caught) != (me.migrated_version, me.caught_up_epoch):
+            self.membership.update_self(
+                migrated_version=self.replica.migrated_version, caught_up_epoch=caught
+            )
         for ticket, each in [(t, e) for t, e in self.waiting.items() if e.step != "open"]:
             if self.now >= each.until + self.settings.tick_s:
                 # The parts answer by then; should a fault have kept one from it, this does.
@@ -237,10 +239,12 @@
             if self.ring is None:
                 self.set_clock()
             self.ring = ring
-            self.log_event(events.RingAdopted(ring.epoch, len(ring.seats), ring.written, ring.phase))
-            self.replica.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.on_ring_changed(ring, self.consensus.former, self.consensus.since)
-            self.quota.set_schema_version(schema.governs(ring.written, ring.phase))
+            self.log_event(
+                events.RingAdopted(ring.epoch, len(ring.members), ring.written_version, ring.phase)
+            )
+            self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
+            self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
+            self.quota.set_schema_version(schema.governs(ring.written_version, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
@@ -263,7 +267,7 @@
 
     def sure(self) -> bool:
         """Whether this agent may answer as an owner."""
-        return not self.fenced and self.consensus.sure()
+        return not self.fenced and self.consensus.has_valid_lease()
 
     def request_admission(self, ticket: int, question: AdmissionRequest):
         """May this request go on to the balancer? The word comes by a `decided`, `wait_s` from now at
@@ -283,9 +287,9 @@
     def on_attempt_sent(self, ticket: int, zone: str, cell: int):
         """An attempt of it goes out now."""
         each = self.waiting.get(ticket)
-        if each and each.mark and (zone, cell) not in each.mark.places:
-            places = tuple(sorted({*each.mark.places, (zone, cell)}))
-            self.refine(each, places=places, certainty=int(Certainty.SENT))
+        if each and each.mark and (zone, cell) not in each.mark.locations:
+            places = tuple(sorted({*each.mark.locations, (zone, cell)}))
+            self.refine(each, locations=places, certainty=int(Certainty.SENT))
 
     def on_request_ended(self, ticket: int, ran: str):
         """It is answered and no attempt is out any more. `ran`: "never" (provably), "maybe" or "answered"."""
@@ -300,7 +304,7 @@
         """The agent is about to end: it hands over what it holds, and goes on answering meanwhile."""
         if not self.is_leaving:
             self.is_leaving = True
-            self.replica.leaving()
+            self.replica.start_shutdown()
 
     def finish_shutdown(self):
         """The last message: what it has on loan is given back, and its peers are told that it leaves."""
@@ -311,12 +315,12 @@
     @property
     def is_handed_over(self) -> bool:
         """Whether all that it holds is with others, too."""
-        return self.replica.settled
+        return self.replica.is_drained
 
     def apply_settings(self, settings: FleetSettings):
         """Takes over what a running agent can; configuration.py says which keys these are."""
-        self.settings = self.membership.settings = self.consensus.settings = self.replica.settings = settings
-        self.consensus.damper.share, self.consensus.damper.wait = settings.damp_share, settings.damp_s
+        self.settings = self.membership.settings = self.replica.settings = settings
+        self.consensus.update_settings(settings)
         self.quota.update_limits(settings)
         self.membership.update_self(capacity=settings.capacity)
         if self.ring is not None:
@@ -339,7 +343,7 @@
         if ok:
             each.step = "claim"
             each.mark = self.mark(question)
-            self.replica.claim(ticket, f"s/{question.session}", each.mark, each.until)
+            self.replica.write(ticket, f"s/{question.session}", each.mark, each.until)
         elif question.marked:
             # A client that is told to come again takes it that nothing ran.
             each.step = "denied"
@@ -417,17 +421,17 @@
             question.window_s + question.limit_s if question.repeat == "d" else self.settings.longest_mark_s
         )
         return AttemptRecord(
-            by=f"{self.name}/{self.incarnation}/{self.count_}",
+            attempt_id=f"{self.name}/{self.incarnation}/{self.count_}",
             key=question.key,
             repeat=question.repeat,
             group=question.group,
             window_ms=int(question.window_s * 1e3),
-            places=(),
+            locations=(),
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=question.workload,
-            until_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
-            extra={},
+            expires_ms=now_ms + int(1e3 * min(lasts, self.settings.longest_mark_s)),
+            unknown_fields={},
         )
 
     def refine(self, each: PendingAdmission, **changes):
@@ -435,22 +439,22 @@
         certainty = max(mark.certainty, changes.pop("certainty", 0))
         each.mark = replace(mark, certainty=certainty, **changes)
         if each.mark != mark:
-            self.replica.refine(f"s/{each.question.session}", each.mark)
+            self.replica.update(f"s/{each.question.session}", each.mark)
 
     def tell_uses(self):
         """By tenant and period, for operators: nothing is decided by it."""
         for tenant, served in self.quota.served.items():
             if served > self.served[tenant]:
                 period = int(self.wall // self.settings.period_s)
-                self.replica.count_use(tenant, period, served - self.served[tenant])
+                self.replica.count_usage(tenant, period, served - self.served[tenant])
                 self.served[tenant] = served
 
     def metrics(self) -> dict:
         ring = self.ring
         return {
             "epoch": ring.epoch if ring else 0,
-            "seats": len(ring.seats) if ring else 0,
-            "written": ring.written if ring else 0,
+            "seats": len(ring.members) if ring else 0,
+            "written": ring.written_version if ring else 0,
             "phase": ring.phase if ring else "",
             "fenced": self.fenced,
             "live": len(self.membership.live_peers()),
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -22,11 +22,12 @@
 from cartdeal.fleet.errors import FleetError as Refusal
 from cartdeal.fleet.replication.catch_up import key_bytes, range_of
 from cartdeal.fleet.replication.records import digest as record_digest
-from cartdeal.fleet.replication.records import session_key, use_key
+from cartdeal.fleet.replication.records import session_key, usage_key
 from cartdeal.fleet.replication.schema import decode as decode_record
 from cartdeal.fleet.replication.schema import encode as encode_record
-from cartdeal.fleet.ring.hash_ring import Ring, RingStep, apply_step, owners
-from cartdeal.fleet.ring.hash_ring import digest as ring_digest
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
+from cartdeal.fleet.ring.steps import RingStep, apply_step
 from cartdeal.fleet.settings import FleetSettings as Settings
 
 
@@ -34,12 +35,16 @@
     return Settings(fleet=fleet, name=name, key=key)
 
 
+def ring_digest(ring: Ring) -> bytes:
+    return ring.digest
+
+
 def by_datagram(message) -> bool:
     return message.DATAGRAM
 
 
 def binds_a_repeat(record, key: str, wall_ms: int) -> bool:
-    return bool(record.open_marks(key, wall_ms))
+    return bool(record.open_attempts(key, wall_ms))
 
 
 # Nothing below names a type, field or module of the fleet.
@@ -114,7 +119,7 @@
 def test_frame(sample):
     raw, frame = bytes.fromhex(sample["bytes"]), bytes.fromhex(sample["frame"])
     assert frame_message(raw) == frame
-    assert FrameReader().dispatch(frame) == [raw]
+    assert FrameReader().feed(frame) == [raw]
 
 
 @pytest.mark.parametrize("size", [1, 7, 1 << 20])
@@ -122,7 +127,7 @@
     stream = b"".join(bytes.fromhex(sample["frame"]) for sample in ENVELOPES)
     reader, found = FrameReader(), []
     for at in range(0, len(stream), size):
-        found += reader.dispatch(stream[at : at + size])
+        found += reader.feed(stream[at : at + size])
     assert found == [bytes.fromhex(sample["bytes"]) for sample in ENVELOPES]
 
 
@@ -197,7 +202,7 @@
     for name, key in PLACEMENT["session_keys"]:
         assert session_key(name) == key
     for name, key in PLACEMENT["use_keys"]:
-        assert use_key(name) == key
+        assert usage_key(name) == key
     for key, place in PLACEMENT["ranges"]:
         assert range_of(key) == place
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -35,7 +35,8 @@
     StatePush,
 )
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.ring.hash_ring import Ring, RingMember, step_between
+from cartdeal.fleet.ring.ring import Ring, RingMember
+from cartdeal.fleet.ring.steps import step_between
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
@@ -156,7 +157,7 @@
         + "".join(f'{n:064} = "10.0.{n >> 8}.{n & 255}:7946"\n' for n in range(MANY))
     )
     config = replace(config, name=f"{1:064}")
-    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE: str(file)}).settings
+    fleet_settings = fleet_configuration.read(config, {fleet_configuration.FILE_VARIABLE: str(file)}).settings
     assert len(fleet_settings.seeds) == fleet_settings.most_agents == MANY
 
 
@@ -243,7 +244,7 @@
     )
     node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
     before = node.offset
-    for seat in node.ring.seats[1:]:
+    for seat in node.ring.members[1:]:
         node.timely(seat.name, int((node.wall + 7) * 1e3), True)
     assert len(node.clocks) == MANY - 1
     node.look_at_clock()
@@ -257,7 +258,7 @@
         lambda to, message: answered.append(to) if isinstance(message, LeaseRenewalAck) else None
     )
     empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
-    for seat in ring.seats:
+    for seat in ring.members:
         agent.on_message(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
     agent.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
@@ -266,9 +267,10 @@
 def test_a_ring_of_1024_with_the_longest_names_fits_one_message():
     seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
-    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME
+    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME_BYTES
     assert (
-        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
+        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names)))
+        < codec.MAX_FRAME_BYTES
     )
 
 
@@ -279,9 +281,12 @@
 def test_streams_and_faults_of_1024_peers_are_held(hosts):
     host = hosts("a", start=False)
     for n in range(MANY):
-        host.queue(("127.0.0.1", n + 1), b"x")
-        host.tell_once("refused", n, "")
-    assert len(host.roads) == len(host.told) == MANY and not host.counters["dropped no stream"]
+        host.outgoing.enqueue(("127.0.0.1", n + 1), b"x")
+        host.reporter.report_once("refused", n, "")
+    assert (
+        len(host.outgoing.connections) == len(host.reporter.reported_faults) == MANY
+        and not host.counters["dropped no stream"]
+    )
 
 
 def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(hosts):
@@ -294,16 +299,16 @@
 
 
 def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
     host = hosts("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
-    until(lambda: len(host.readers) == len(many) or host.counters["closed no room"])
+    until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
     assert not host.counters["closed no room"]
 
 
 def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
-    monkeypatch.setattr("cartdeal.fleet.transport.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a", bounds=TransportLimits(streams=4), start=False)
+    monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
+    host = hosts("a", limits=TransportLimits(max_streams=4), start=False)
     said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, Load(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
@@ -312,4 +317,4 @@
     until(lambda: len(host.node.got) == len(many))
     silent = [called(host) for _ in range(20)]
     until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
-    assert sum(known for _, known, _ in host.readers.values()) == 3
+    assert sum(connection.is_identified for connection in host.incoming.connections.values()) == 3
