--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -35,7 +35,7 @@
 MAX_ENVELOPE_BYTES = 1024  # the most that version, MAC and envelope add to the message
 FRAME_HEADER_BYTES = 4
 MESSAGE_MODULES = (
-    "cartdeal.fleet.membership.swim",
+    "cartdeal.fleet.membership.messages",
     "cartdeal.fleet.consensus.ring_consensus",
     "cartdeal.fleet.replication.messages",
     "cartdeal.fleet.quota.messages",
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -17,8 +17,8 @@
 from cartdeal.fleet.events import LogEvent
 from cartdeal.fleet.fleet_clock import FleetClock
 from cartdeal.fleet.idempotency import AdmissionRequest, RanOutcome
-from cartdeal.fleet.membership import swim
-from cartdeal.fleet.membership.swim import Membership
+from cartdeal.fleet.membership import messages as membership_messages
+from cartdeal.fleet.membership.membership import Membership
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.pending_admissions import PendingAdmissions
 from cartdeal.fleet.quota import messages as quota_messages
@@ -59,7 +59,7 @@
         self.handlers = {
             message_type: part
             for module, part in (
-                (swim, self.membership),
+                (membership_messages, self.membership),
                 (ring_consensus, self.consensus),
                 (replication_messages, self.replica),
                 (quota_messages, self.quota),
