--- /dev/null
+++ b/cartdeal/fleet/simulation/clients.py
@@ -0,0 +1,206 @@
+"""Simulated clients: each wants one effect, and retries at another agent when its agent dies or rejects it.
+
+They also stand for the balancer and the servers behind an agent: one attempt for each admitted request.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from random import Random
+from typing import TYPE_CHECKING, NamedTuple
+
+from msgspec.structs import replace
+
+from cartdeal.fleet.effects import DeliverDecision
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, EarlierAttempt
+from cartdeal.fleet.node import Node
+from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
+from cartdeal.simulated_time import SimulatedClock
+
+if TYPE_CHECKING:
+    from cartdeal.fleet.simulation.host import SimulatedHost
+
+CELLS_PER_ZONE = 2  # where servers stand
+RETRY_DELAY_S = 0.05  # of a client whose connection broke
+MIN_RETRY_DELAY_S = 0.01  # of a client that was rejected
+DISCONNECTED = "broke off"  # an outcome
+COMPLETED = "completed"  # an outcome; the others are the values of AdmissionDecision
+
+
+class Client(NamedTuple):
+    """One that wants one effect, and comes to `agents` in turn."""
+
+    intent: str  # identifies the effect, whatever the number of attempts
+    request: AdmissionRequest
+    max_tries: int
+    agents: tuple[str, ...]
+    work_s: float  # how long a server works on it
+    patience_s: float  # how long the client waits for its answer
+
+
+class PendingRequest(NamedTuple):
+    """A client's request at an agent; `tries_before`: how often the client came before."""
+
+    client: Client
+    tries_before: int
+
+
+class SimulatedClients:
+    """All clients of a fleet, and what became of their requests."""
+
+    def __init__(
+        self,
+        clock: SimulatedClock,
+        hosts: dict[str, SimulatedHost],
+        checker: InvariantChecker,
+        random: Random,
+    ):
+        self.clock = clock
+        self.hosts = hosts
+        self.checker = checker
+        self.random = random
+        self.submitted = 0
+        self.outcomes: dict[str, list[str]] = {}  # intent -> an outcome for each try
+        self.decision_waits_s: list[float] = []
+
+    def submit(
+        self,
+        request: AdmissionRequest,
+        agents: Sequence[str],
+        max_tries: int = 1,
+        work_s: float = 0.05,
+        patience_s: float = 1.0,
+    ) -> str:
+        """Has a client come to the first of the agents, then to the next ones; returns its intent."""
+        self.submitted += 1
+        intent = f"i{self.submitted}"
+        self.outcomes[intent] = []
+        self.checker.client_came(intent, request.repeat, request.group, request.window_s)
+        client = Client(intent, request, max_tries, tuple(agents), work_s, patience_s)
+        self._send_request(PendingRequest(client, 0))
+        return intent
+
+    def submit_retry(
+        self, intent: str, request: AdmissionRequest, agent: str, work_s: float, patience_s: float
+    ) -> None:
+        """Has the client of an earlier request come once more, at another agent."""
+        client = Client(intent, request, 2, (agent, agent), work_s, patience_s)
+        self._send_request(PendingRequest(client, 1))
+
+    def on_decision(self, host: SimulatedHost, effect: DeliverDecision) -> None:
+        """Takes the fleet's decision on a request: sends its attempt, or answers its client."""
+        ticket, decision, node = effect.ticket, effect.decision, host.node
+        assert node is not None
+        name = host.settings.name
+        if ticket in host.undecided_since:
+            wait_s = self.clock.now - host.undecided_since.pop(ticket)
+            self.decision_waits_s.append(wait_s)
+            self.checker.decision_waited(name, wait_s)
+        pending = host.requests.get(ticket)
+        if pending is None:
+            # Its client is gone: an admitted request ends without an attempt.
+            if decision is AdmissionDecision.ADMIT:
+                node.on_request_ended(ticket, "never")
+                self.clock.after(0.0, self._flush_effects, host, node)
+            return
+        client = pending.client
+        if decision is AdmissionDecision.ADMIT:
+            self._check_admission(host, node, client.request)
+            self.clock.after(0.0, self._send_attempt, host, node, ticket, effect.earlier_attempts)
+            return
+        del host.requests[ticket]
+        self.checker.request_answered(client.intent, self.clock.now, name, decision.value)
+        self.outcomes[client.intent].append(decision.value)
+        if decision is not AdmissionDecision.FAIL:
+            self._retry(pending, max(MIN_RETRY_DELAY_S, effect.retry_after_s))
+
+    def disconnect(self, request: PendingRequest) -> None:
+        """Ends a client's connection; it retries if it has tries left."""
+        self.outcomes[request.client.intent].append(DISCONNECTED)
+        self._retry(request, RETRY_DELAY_S)
+
+    def _send_request(self, pending: PendingRequest) -> None:
+        client, tries_before = pending
+        host = self.hosts[client.agents[tries_before % len(client.agents)]]
+        node = host.node
+        if node is None:
+            self.disconnect(pending)
+            return
+        host.last_ticket += 1
+        ticket = host.last_ticket
+        host.requests[ticket] = pending
+        request = replace(client.request, retried=True) if tries_before else client.request
+        self.clock.after(client.patience_s, self._time_out, host, node, ticket)
+        if not host.is_stopped:
+            host.undecided_since[ticket] = self.clock.now
+        host.dispatch(node.request_admission, ticket, request)
+
+    def _retry(self, pending: PendingRequest, delay_s: float) -> None:
+        client, tries = pending.client, pending.tries_before + 1
+        if tries < client.max_tries:
+            self.clock.after(delay_s, self._send_request, PendingRequest(client, tries))
+
+    def _time_out(self, host: SimulatedHost, node: Node, ticket: int) -> None:
+        pending = host.requests.pop(ticket, None) if host.node is node else None
+        if pending:
+            self.disconnect(pending)
+
+    def _check_admission(self, host: SimulatedHost, node: Node, request: AdmissionRequest) -> None:
+        name = host.settings.name
+        self.checker.request_admitted(request.tenant, self.clock.now)
+        if request.marked:
+            key = f"s/{request.session}"
+            self.checker.attempt_recorded(name, self.clock.now, key, request.key, attempt_ids(node, key))
+
+    def _flush_effects(self, host: SimulatedHost, node: Node) -> None:
+        if host.node is node:
+            host.apply_effects(node)
+
+    def _send_attempt(
+        self, host: SimulatedHost, node: Node, ticket: int, earlier_attempts: Sequence[EarlierAttempt]
+    ) -> None:
+        """Does what the balancer and the gate behind it would: one attempt, where earlier ones allow it."""
+        pending = host.requests.get(ticket) if host.node is node else None
+        if pending is None:
+            return
+        intent = pending.client.intent
+        zone, cell = host.settings.zone, self.random.randrange(CELLS_PER_ZONE)
+        for earlier in earlier_attempts:
+            if earlier.group == "zone":
+                zone = earlier.zone
+            elif earlier.group == "cell":
+                zone, cell = earlier.zone, earlier.cell
+        allowed = all(_is_allowed(earlier, zone, cell, node.wall * 1e3) for earlier in earlier_attempts)
+        if not allowed or host.is_stopped:
+            host.requests.pop(ticket)
+            host.dispatch(node.on_request_ended, ticket, "never")
+            self.outcomes[intent].append(AdmissionDecision.FAIL.value)
+            return
+        host.dispatch(node.on_attempt_sent, ticket, zone, cell)
+        self.checker.attempt_executed(intent, self.clock.now, zone, cell, host.settings.name)
+        self.clock.after(pending.client.work_s, self._complete, host, node, ticket)
+
+    def _complete(self, host: SimulatedHost, node: Node, ticket: int) -> None:
+        if host.node is not node:
+            return
+        pending = host.requests.pop(ticket, None)
+        if pending is None:
+            host.dispatch(node.on_request_ended, ticket, "maybe")
+            return
+        intent = pending.client.intent
+        host.dispatch(node.on_request_ended, ticket, "answered")
+        self.checker.request_answered(intent, self.clock.now, host.settings.name, COMPLETED)
+        self.outcomes[intent].append(COMPLETED)
+
+
+def attempt_ids(node: Node, key: str) -> tuple[str, ...]:
+    """The attempt records that the node has of a session, by their identifiers."""
+    record = node.replica.record(key) if key in node.replica.store else None
+    return tuple(record.attempts) if record else ()
+
+
+def _is_allowed(earlier: EarlierAttempt, zone: str, cell: int, wall_ms: float) -> bool:
+    """Whether one more attempt at the zone and cell is within what an earlier one allows."""
+    same_zone = zone == earlier.zone
+    same_group = earlier.group == "all" or (same_zone and (earlier.group == "zone" or cell == earlier.cell))
+    return same_group and wall_ms <= earlier.until_ms
--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -6,7 +6,8 @@
 
 from cartdeal.fleet.idempotency import AdmissionRequest
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 from cartdeal.simulated_time import seeded_random
 
 LIMITS = {
@@ -70,7 +71,7 @@
                 capacity=self.fates.choice([1.0, 1.0, 2.0, 4.0]),
                 **({"reads": (1, 1)} if upgrade else {}),
             )
-            host.rate = 1.0 + apart * self.fates.random()
+            host.clock_rate = 1.0 + apart * self.fates.random()
             host.wall_offset_s = self.fates.choice([0.0, 0.0, 0.0, 0.2, -0.2, 10.0, -10.0])
             fleet.clock.at(self.fates.random(), host.start)
 
@@ -120,7 +121,7 @@
         self.fleet.stop(name, seconds)
 
     def leave(self, name):
-        if self.fleet.hosts[name].runs:
+        if self.fleet.hosts[name].is_running:
             self.wrote("leave", name)
             self.fleet.leave(name)
             self.after(self.fates.uniform(2.0, 15.0), self.start, name)
@@ -158,7 +159,7 @@
         self.joint()
 
     def joint(self):
-        self.fleet.cuts = {pair for cut in self.cuts for pair in cut}
+        self.fleet.network.cuts = {pair for cut in self.cuts for pair in cut}
 
     def weather(self, name):
         fates = self.fates
@@ -191,7 +192,7 @@
 
     def client(self):
         people, fleet = self.people, self.fleet
-        number = fleet.intents
+        number = fleet.clients.submitted
         tenant = people.choices(["", "shop", "deli"], [8, 1, 1])[0]
         repeat = people.choice(["i", "d", "u"])
         group = people.choice(["all", "zone", "cell"]) if repeat == "d" else "all"
@@ -241,8 +242,8 @@
         fleet.run(self.seconds)
         clients, self.requests, self.pressed = self.requests, 1e-9, 1e-9
         for name, host in fleet.hosts.items():
-            if host.stopped:
-                host.go_on()
+            if host.is_stopped:
+                host.resume()
             reads = {"reads": (1, 2)} if self.upgrade and host.settings.reads != (1, 2) else {}
             if reads:
                 fleet.kill(name)
@@ -282,14 +283,14 @@
             checker.violated(f"no one ring {quiet} s after all was healed")
         if equal == float("inf"):
             checker.violated(f"no equal copies {quiet} s after the ring was one")
-        found, waits = list(checker.close()), sorted(fleet.waits)
-        alive, messages = len(fleet.hosts) * fleet.clock.now, fleet.count["messages"]
+        found, waits = list(checker.close()), sorted(fleet.clients.decision_waits_s)
+        alive, messages = len(fleet.hosts) * fleet.clock.now, fleet.network.message_count
         return {
             "seed": fleet.seed,
             "agents": len(fleet.hosts),
             "violations": len(found),
             "found": found,
-            "lookups": fleet.intents,
+            "lookups": fleet.clients.submitted,
             "served": self.served(self.patient[:asked]),
             "served_after": self.served(self.patient[asked:]),
             "shop_after": round(shop / 20.0 / LIMITS["shop"].rate, 4),
@@ -299,7 +300,7 @@
             "one_ring_s": round(one_ring, 2),
             "equal_s": round(equal, 2),
             "messages": round(messages / alive, 2),
-            "bytes": round(sum(fleet.bytes.values()) / alive, 1),
+            "bytes": round(sum(fleet.network.bytes_by_sender.values()) / alive, 1),
             "marks": len(checker.attempt_records),
             "marks_lost": lost,
             "over_limit": round(max(map(checker.over, checker.limits)), 3),
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -87,11 +87,11 @@
 
     # What the network sees
 
-    def intended(self, intent: str, repeat: str, group: str, window: float):
+    def client_came(self, intent: str, repeat: str, group: str, window: float):
         """A client wants one effect, however often it comes."""
         self.intents[intent] = (repeat, group, window)
 
-    def attempt(self, intent: str, at: float, zone: str, cell: int, agent: str):
+    def attempt_executed(self, intent: str, at: float, zone: str, cell: int, agent: str):
         repeat, group, window = self.intents[intent]
         before = self.executions[intent]
         for past in before:
@@ -110,7 +110,7 @@
                 )
         before.append(Execution(at, zone, cell, agent))
 
-    def answered(self, intent: str, at: float, agent: str, verdict: str):
+    def request_answered(self, intent: str, at: float, agent: str, verdict: str):
         repeat, group, window = self.intents[intent]
         if verdict in (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value):
             for past in self.executions[intent]:
@@ -118,28 +118,28 @@
                     self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
         self.told[intent].append((at, agent, verdict))
 
-    def waited(self, agent: str, seconds: float):
+    def decision_waited(self, agent: str, seconds: float):
         """For the fleet's word. A tick more than is allowed, as that's when an agent looks at its clock."""
         if seconds > self.settings.wait_s + 1.2 * self.settings.tick_s:
             self.violated(f"{agent}: a request waited for {seconds:.3f} s")
 
-    def went_on(self, tenant: str, at: float):
+    def request_admitted(self, tenant: str, at: float):
         if tenant in self.limits:
             self.admission_times[tenant].append(at)
 
     # What is said on the wire
 
-    def started(self, agent: str, at: float, reads: tuple[int, int]):
+    def agent_started(self, agent: str, at: float, reads: tuple[int, int]):
         self.starts[agent].append(at)
         self.programs[agent] = reads
 
-    def died(self, agent: str, at: float):
+    def agent_died(self, agent: str, at: float):
         self.deaths.append((at, agent))
 
-    def out_of_reach(self, at: float):
+    def recipient_unreachable(self, at: float):
         self.unreached = at
 
-    def said(self, at: float, sender: str, incarnation: int, to: str, message):
+    def message_sent(self, at: float, sender: str, incarnation: int, to: str, message):
         start = len(self.starts[sender])
         if self.incarnations.setdefault((sender, incarnation), start) != start:
             self.violated(f"{sender}: incarnation {incarnation} given out twice")
@@ -272,7 +272,7 @@
         )
         self.latest[agent, message.key, mark.key] = message.attempt_id
 
-    def marked(self, agent: str, at: float, record: str, key: str, own_copy):
+    def attempt_recorded(self, agent: str, at: float, record: str, key: str, own_copy):
         """A request that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
         the record at the agent itself, as it may be an owner."""
         by = self.latest.get((agent, record, key))
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -108,22 +108,11 @@
     from cartdeal.fleet.settings import FleetSettings
     from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
-    class Counted(InMemoryFleet):
-        """Counts bytes by tag, too."""
-
-        bytes_by_tag = Counter()
-
-        def carry(self, host, node, to, address, message):
-            before = self.bytes[node.name]
-            super().carry(host, node, to, address, message)
-            self.bytes_by_tag[type(message).__struct_config__.tag] += self.bytes[node.name] - before
-
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(min(agents, FOUNDERS))}
     fleet, fates = (
-        Counted(FleetSettings(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
+        InMemoryFleet(FleetSettings(fleet="lab", name="", key=b"k" * 32, seeds=seeds, limits=limits), seed),
         seeded_random(seed, "starts"),
     )
-    fleet.bytes_by_tag = Counter()
     for number in range(agents):
         host = fleet.add(f"a{number}", zone=f"z{number % ZONES}", start=False, **terms)
         fleet.clock.at(fates.random(), host.start)
@@ -145,7 +134,12 @@
     asked = [
         fleet.submit(
             AdmissionRequest(
-                tenant="", session=f"probe {fleet.intents}", key="k", repeat="u", limit_s=2.0, workload="w"
+                tenant="",
+                session=f"probe {fleet.clients.submitted}",
+                key="k",
+                repeat="u",
+                limit_s=2.0,
+                workload="w",
             ),
             [name],
         )
@@ -175,13 +169,13 @@
 
 def talk(fleet, seconds: float) -> dict:
     """Messages and bytes an agent and second meanwhile, and both by part."""
-    before, size = Counter(fleet.count), Counter(fleet.bytes_by_tag)
+    before, size = Counter(fleet.network.messages_by_tag), Counter(fleet.network.bytes_by_tag)
     fleet.run(seconds)
     share = 1 / (seconds * len(fleet.hosts))
-    said, sizes = Counter(fleet.count), Counter(fleet.bytes_by_tag)
+    said, sizes = Counter(fleet.network.messages_by_tag), Counter(fleet.network.bytes_by_tag)
     said.subtract(before)
     sizes.subtract(size)
-    row = {"messages": round(said["messages"] * share, 1), "bytes": round(sizes.total() * share)}
+    row = {"messages": round(said.total() * share, 1), "bytes": round(sizes.total() * share)}
     for letter, part in PARTS.items():
         tags = [tag for tag in sizes if tag[0] == letter]
         row[f"messages of {part}"] = round(sum(said[tag] for tag in tags) * share, 1)
@@ -206,7 +200,12 @@
         if going[0]:
             session = f"{people.randrange(10 * agents)}"
             question = AdmissionRequest(
-                tenant="shop", session=session, key=f"k{fleet.intents}", repeat="u", limit_s=2.0, workload="w"
+                tenant="shop",
+                session=session,
+                key=f"k{fleet.clients.submitted}",
+                repeat="u",
+                limit_s=2.0,
+                workload="w",
             )
             intents.append(fleet.submit(question, [people.choice(names)]))
             fleet.clock.after(people.expovariate(coming), client)
@@ -289,7 +288,7 @@
         question = AdmissionRequest(
             tenant="",
             session=f"{people.randrange(200)}",
-            key=f"k{fleet.intents}",
+            key=f"k{fleet.clients.submitted}",
             repeat=repeat,
             window_s=4.0 * (repeat == "d"),
             limit_s=2.0,
@@ -303,7 +302,7 @@
         fleet.clock.after(people.expovariate(2 * terms.limit), limited)
 
     def look():
-        wall, have = max(node.wall for node in fleet.nodes().values()) * 1e3, fleet.copies()
+        wall, have = max(node.wall for node in fleet.nodes().values()) * 1e3, fleet.attempt_ids_by_agent()
         for (record, by), each in checker.attempt_records.items():
             if each.until_ms > wall and not any(by in copies.get(record, ()) for copies in have.values()):
                 lost[by] = True
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -16,7 +16,8 @@
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
 
@@ -61,7 +62,7 @@
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
-            memory.submit(sheet(f"{memory.hosts['a0'].starts}/{turn}"), ["a0"])
+            memory.submit(sheet(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
             memory.run(0.2)
         memory.kill("a0")
         memory.start("a0")
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -69,7 +69,7 @@
     assert {node.ring.written_version for node in nodes.values()} == {1}
     for name, node in nodes.items():
         changes = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
-        memory.hosts[name].play(node.apply_settings, replace(node.settings, **changes))
+        memory.hosts[name].dispatch(node.apply_settings, replace(node.settings, **changes))
     memory.run(20.0)
     assert memory.has_one_ring()
     ring = nodes["a1"].ring
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -10,7 +10,8 @@
 from cartdeal.fleet.replication.records import Certainty, Session
 from cartdeal.fleet.ring.hash_ring import Ring, minimal_movement, owners
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 scenarios("stories")
 
