--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -199,7 +199,7 @@
         """Whether each two agents have the same bytes of what both own."""
         nodes = self.nodes()
         return all(
-            node.replica.owned_digest(other_name) == other.replica.digest_all(name)
+            node.replica.owned_digest(other_name) == other.replica.owned_digest(name)
             for name, node in nodes.items()
             for other_name, other in nodes.items()
             if other_name < name
