--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -45,12 +45,12 @@
 from cartdeal.terms import State as ServerState
 from tests.fleet import test_membership, test_ring_consensus, test_transport
 from tests.fleet.test_membership import peer
-from tests.fleet.test_transport import SETTINGS, Load, until
+from tests.fleet.test_transport import SETTINGS, StreamMessage, wait_until
 from tests.scene import config_file
 
 MANY = 1024
 # pytest finds fixtures by their names here
-hosts, message_decoder = test_transport.hosts, test_transport.message_decoder
+make_transport, message_decoder = test_transport.make_transport, test_transport.message_decoder
 TCP_INFO_BACKLOG = 28  # of a listening socket: where TCP_INFO has the bound of its queue
 
 
@@ -139,7 +139,7 @@
     with gevent.Timeout(20):
         client.run_fetch()
         client.watch(True)
-        until(lambda: len(heard) == 2)
+        wait_until(lambda: len(heard) == 2)
     client.watch(False)
     server.stop(0)
     assert [(len(found.entries), fresh) for _, found, fresh in heard] == [(entries, False), (entries, True)]
@@ -268,8 +268,8 @@
     return socket.create_connection(("127.0.0.1", host.port))
 
 
-def test_streams_and_faults_of_1024_peers_are_held(hosts):
-    host = hosts("a", start=False)
+def test_streams_and_faults_of_1024_peers_are_held(make_transport):
+    host = make_transport("a", start=False)
     for n in range(MANY):
         host.outgoing.enqueue(("127.0.0.1", n + 1), b"x")
         host.reporter.report_once("refused", n, "")
@@ -279,32 +279,32 @@
     )
 
 
-def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(hosts):
+def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(make_transport):
     service = DiscoveryService(play.Rig(worlds.made({}), 1, "true"))
     most = int(Path("/proc/sys/net/core/somaxconn").read_text())
-    for listener in (hosts("a", start=False).listener, service.socket):
+    for listener in (make_transport("a", start=False).listener, service.socket):
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
         assert struct.unpack_from("I", info, TCP_INFO_BACKLOG)[0] == min(MANY, most)
     service.close()
 
 
-def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
+def test_many_peers_that_connect_at_once_all_keep_their_streams(make_transport, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a")
+    host = make_transport("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
-    until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
+    wait_until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
     assert not host.counters["closed no room"]
 
 
-def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
+def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(make_transport, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a", limits=TransportLimits(max_streams=4), start=False)
-    said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, Load(b"x")))
+    host = make_transport("a", limits=TransportLimits(max_streams=4), start=False)
+    said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, StreamMessage(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
         each.sendall(said)
     host.start()
-    until(lambda: len(host.node.got) == len(many))
+    wait_until(lambda: len(host.node.received) == len(many))
     silent = [called(host) for _ in range(20)]
-    until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
+    wait_until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
     assert sum(connection.is_identified for connection in host.incoming.connections.values()) == 3
