--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -13,7 +13,7 @@
 from cartdeal.fleet.quota.ownership import OwnershipHistory
 from cartdeal.fleet.quota.tenant_quota import HeldLease
 from cartdeal.fleet.replication import records, replica, schema
-from cartdeal.fleet.replication.catch_up import ALL, CatchUp
+from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
 from cartdeal.fleet.ring.ring import Ring
@@ -244,8 +244,8 @@
 
 
 def answers_too_early(plant):
-    plant(CatchUp, "caught_up", lambda *_: True)
-    plant(CatchUp, "ranges", lambda *_: ALL)
+    plant(CatchUp, "has_caught_up", lambda *_: True)
+    plant(CatchUp, "complete_ranges", lambda *_: ALL_RANGES)
 
 
 def forgets_early(plant):
