--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -102,7 +102,8 @@
 
     def send(self, sender, recipient, message):
         data = msgpack.encode(message)
-        assert len(data) <= 1_200 and message.DATAGRAM
+        assert len(data) <= 1_200
+        assert message.DATAGRAM
         self.sent_messages[sender] += 1
         self.sent_bytes[sender] += len(data)
         context, known = self.agents[sender].context, self.agents[sender].peers.get(recipient)
@@ -159,8 +160,11 @@
         f"agent and second; detected after p50 {detection_s[len(detection_s) // 2]:.2f} s, "
         f"at most {detection_s[-1]:.2f} s"
     )
-    assert sum(rates) / count < 4 and max(rates) < 5.5 and size_bytes < 260
-    assert len(detection_s) == 3 * (count - 2) and detection_s[-1] < 8
+    assert sum(rates) / count < 4
+    assert max(rates) < 5.5
+    assert size_bytes < 260
+    assert len(detection_s) == 3 * (count - 2)
+    assert detection_s[-1] < 8
 
 
 def test_ten_percent_loss_declares_nobody_dead():
@@ -169,15 +173,13 @@
     network.run(120)
     counts = sum((agent.context.counters for agent in agents), Counter())
     print(counts)
-    assert (
-        counts["accusations"] < 25
-        and not network.declared_dead
-        and {agent.size() for agent in agents} == {40}
-    )
+    assert counts["accusations"] < 25
+    assert not network.declared_dead
+    assert {agent.size() for agent in agents} == {40}
 
 
 @pytest.mark.parametrize(
-    "count, minority_size, seconds", [(2, 1, 30), (3, 1, 30), (20, 6, 40), (30, 15, 150)]
+    ("count", "minority_size", "seconds"), [(2, 1, 30), (3, 1, 30), (20, 6, 40), (30, 15, 150)]
 )
 def test_healed_partition_merges_and_declares_nobody_dead_again(count, minority_size, seconds):
     network = FakeNetwork(3, loss=0.02)
@@ -210,7 +212,7 @@
 
 
 @pytest.mark.parametrize(
-    "count, cut, is_separated",
+    ("count", "cut", "is_separated"),
     [
         (5, lambda a, b: a + b == "n003n004", 0),
         (3, lambda a, b: a + b == "n000n001", 0),
@@ -235,7 +237,8 @@
     for i in range(150):
         restless.update_self(capacity=1.0 + i % 2)
         network.run(2)
-        assert sorted(agent.size() for agent in agents) == sizes and not network.declared_dead
+        assert sorted(agent.size() for agent in agents) == sizes
+        assert not network.declared_dead
     network.is_cut = cut_inbound()
     network.run(10)
     assert {agent.size() for agent in agents} == {count}
@@ -252,11 +255,9 @@
     for datagram in network.paused.pop("n004"):
         network.deliver(*datagram)
     network.run(3)
-    assert (
-        {agent.size() for agent in agents} == {10}
-        and not network.declared_dead
-        and not agents[4].table.suspicions
-    )
+    assert {agent.size() for agent in agents} == {10}
+    assert not network.declared_dead
+    assert not agents[4].table.suspicions
     accusation = GossipItem(
         replace(agents[2].local_peer, state=PeerState.SUSPECT), ("n004",)
     )  # of one that came back just now
@@ -273,7 +274,8 @@
     version, probed = agents[4].local_peer.version, agents[4].detector.probe.peer.name
     network.now += seconds  # and what came meanwhile is lost
     agents[4].tick()
-    assert agents[4].peers["n002"].state == PeerState.SUSPECT and agents[4].local_peer.version > version
+    assert agents[4].peers["n002"].state == PeerState.SUSPECT
+    assert agents[4].local_peer.version > version
     assert probed == "n002" or agents[4].peers[probed].state == PeerState.ALIVE
 
 
@@ -288,29 +290,28 @@
         GossipItem(replace(network.agents["n003"].local_peer, state=PeerState.SUSPECT), ("n004",)),
     )  # the former
     assert first.peers["n003"].state == PeerState.ALIVE
-    assert first.peers["n004"].incarnation == 7 and network.states("n004") == {PeerState.ALIVE}
+    assert first.peers["n004"].incarnation == 7
+    assert network.states("n004") == {PeerState.ALIVE}
     agent = network.start("n004", incarnation=5)  # its clock was set back
     network.run(3)
-    assert (
-        agent.newer_incarnation() == 7
-        and first.peers["n004"].incarnation == 7
-        and not first.newer_incarnation()
-    )
+    assert agent.newer_incarnation() == 7
+    assert first.peers["n004"].incarnation == 7
+    assert not first.newer_incarnation()
     agent.context.incarnation = 8
     network.run(3)
-    assert first.peers["n004"].incarnation == 8 and not agent.newer_incarnation()
+    assert first.peers["n004"].incarnation == 8
+    assert not agent.newer_incarnation()
     network.agents.pop("n004")
     network.run(10)
     agent = network.start("n004", incarnation=9, port=77)
     network.run(3)
-    assert network.states("n004") == {PeerState.ALIVE} and agent.size() == 5
+    assert network.states("n004") == {PeerState.ALIVE}
+    assert agent.size() == 5
     local_peer = agent.local_peer  # and another of the same incarnation at another place
     receive(agent, "n000", GossipItem(replace(local_peer, address="10.0.0.9:9", version=9)))
-    assert (
-        agent.local_peer == local_peer
-        and agent.error.subject == "n004"
-        and "10.0.0.9:9" in agent.error.observed
-    )
+    assert agent.local_peer == local_peer
+    assert agent.error.subject == "n004"
+    assert "10.0.0.9:9" in agent.error.observed
     assert agent.context.events[-1] == "duplicate name"
 
 
@@ -320,7 +321,8 @@
     first, accused = agents[0], replace(agents[5].local_peer, state=PeerState.DEAD)
     receive(first, "n001", GossipItem(accused, ("n001",)))
     first.suspicion.declare_dead(network.now + 60)
-    assert first.peers["n005"].state == PeerState.SUSPECT and first.size() == 6
+    assert first.peers["n005"].state == PeerState.SUSPECT
+    assert first.size() == 6
     receive(first, "n001", GossipItem(accused, ("n001", "n002")))
     assert first.peers["n005"].state == PeerState.SUSPECT
     first.suspicion.declare_dead(network.now + 60)
@@ -329,7 +331,8 @@
     network.run(0.2)
     assert agents[4].local_peer.version == 1  # told at once
     network.run(5)
-    assert agents[5].local_peer.version > accused.version and network.states("n005") == {PeerState.ALIVE}
+    assert agents[5].local_peer.version > accused.version
+    assert network.states("n005") == {PeerState.ALIVE}
 
 
 def test_old_gossip_does_not_revive_a_dead_agent():
@@ -343,7 +346,8 @@
         "n001",
         GossipItem(replace(network.agents["n003"].local_peer, state=PeerState.SUSPECT), ("n004",)),
     )  # no witness
-    assert network.states("n004") == {PeerState.DEAD} and first.peers["n003"].state == PeerState.ALIVE
+    assert network.states("n004") == {PeerState.DEAD}
+    assert first.peers["n003"].state == PeerState.ALIVE
     network.run(75)
     receive(first, "n001", GossipItem(replace(departed, state=PeerState.DEAD), ("n001", "n002")))
     assert not any("n004" in agent.peers for agent in network.agents.values())
@@ -372,11 +376,9 @@
     network.run(1)
     network.agents.pop("n004")
     network.run(4)
-    assert (
-        network.states("n004") == {PeerState.LEFT}
-        and "n004" not in agents[0].live_peers()
-        and not network.declared_dead
-    )
+    assert network.states("n004") == {PeerState.LEFT}
+    assert "n004" not in agents[0].live_peers()
+    assert not network.declared_dead
 
 
 def test_out_of_range_messages_are_dropped_and_the_table_is_bounded():
@@ -396,11 +398,13 @@
     receive(agent, "n001", *[GossipItem(peer("n002"))] * 65)
     receive(agent, "n001", GossipItem(peer("n002"), ("n001",) * 5))
     agent.on_message("n001", StatePush(sender=peer("n002"), items=()))
-    assert agent.size() == 3 and agent.context.counters["dropped out of range"] == 18
+    assert agent.size() == 3
+    assert agent.context.counters["dropped out of range"] == 18
     assert agent.context.counters["dropped wrong sender"] == 1
     for i in range(2000):
         receive(agent, "n001", GossipItem(peer(f"n{i + 10}")))
-    assert len(agent.peers) == 1024 and agent.context.events == ["membership full"]
+    assert len(agent.peers) == 1024
+    assert agent.context.events == ["membership full"]
 
 
 def test_late_duplicated_and_reordered_messages_change_nothing_and_runs_are_deterministic():
@@ -413,5 +417,6 @@
         traces.append(
             (network.sent_messages, network.sent_bytes, [agent.peers for agent in network.agents.values()])
         )
-        assert not network.declared_dead and {agent.size() for agent in network.agents.values()} == {8}
+        assert not network.declared_dead
+        assert {agent.size() for agent in network.agents.values()} == {8}
     assert traces[0] == traces[1]
