--- a/cartdeal/fleet/membership/membership.py
+++ b/cartdeal/fleet/membership/membership.py
@@ -194,7 +194,7 @@
         self._resume_after_pause(now - self._last_tick)
         self._last_tick = self._last_event = now
         if self.context.incarnation > self.local_peer.incarnation:
-            # The node took a higher one: what was told of the former is over.
+            # The node took a higher one: what was said of the former one is void.
             self.updater.replace_self(
                 replace(self.local_peer, incarnation=self.context.incarnation, version=0)
             )
@@ -247,12 +247,12 @@
         now = self.context.now
         self._resume_after_pause(now - max(self._last_tick, self._last_event))
         self._last_event = now
-        if not self._is_acceptable(sender, message):
+        if not self._accept(sender, message):
             return
         self.health.record_contact(now)
         version = self.local_peer.version
         known = self.peers.get(sender)
-        if (known is None or known.state >= PeerState.DEAD) and not self._is_verified(message):
+        if (known is None or known.state >= PeerState.DEAD) and not self._verify(message):
             self._on_unverified_message(sender, message)
             return
         self.updater.apply_gossip(GossipItem(message.sender))
@@ -262,8 +262,11 @@
         if self.local_peer.version != version and type(message) is StatePush:
             self.gossip.send(sender, StatePush)  # the refutation
 
-    def _is_acceptable(self, sender: str, message: MembershipMessage) -> bool:
-        """Return whether a message is to be read; answers one of an earlier incarnation of its sender."""
+    def _accept(self, sender: str, message: MembershipMessage) -> bool:
+        """Check a message's values and its sender's incarnation, and return whether it is to be read.
+
+        One from an earlier incarnation is answered with the incarnation that is known.
+        """
         described = message.sender
         if not is_valid_peer(described) or not are_valid_items(message.items):
             self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
@@ -283,8 +286,11 @@
             return False
         return True
 
-    def _is_verified(self, message: MembershipMessage) -> bool:
-        """Return whether an unknown or dead sender has shown that it hears; if not, it is challenged."""
+    def _verify(self, message: MembershipMessage) -> bool:
+        """Check whether an unknown or dead sender has answered its challenge, and return whether it has.
+
+        One that has not been challenged yet is challenged now.
+        """
         peer = message.sender
         known = self.peers.get(peer.name)
         if PeerState.LEFT in (peer.state, self.local_peer.state):
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -226,16 +226,16 @@
     network = FakeNetwork(4)
     agents = network.start_fleet(count)
     network.is_cut = cut
-    restless = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
+    unstable_agent = agents[1 if cut("n001", "n000") else -1]  # whose capacity wobbles all the time
     for i in range(112):
-        restless.update_self(capacity=1.0 + i % 2)
+        unstable_agent.update_self(capacity=1.0 + i % 2)
         network.run(0.25)
     sizes = [1] + [count - 1] * (count - 1) if is_separated else [count] * count
     assert sorted(agent.size() for agent in agents) == sizes
     assert max(agent.health.score for agent in agents) == (4 if is_separated else 0)
     network.declared_dead = {}
     for i in range(150):
-        restless.update_self(capacity=1.0 + i % 2)
+        unstable_agent.update_self(capacity=1.0 + i % 2)
         network.run(2)
         assert sorted(agent.size() for agent in agents) == sizes
         assert not network.declared_dead
@@ -338,9 +338,9 @@
 def test_old_gossip_does_not_revive_a_dead_agent():
     network = FakeNetwork()
     first = network.start_fleet(5)[0]
-    departed = network.agents.pop("n004").local_peer
+    dead_peer = network.agents.pop("n004").local_peer
     network.run(15)
-    receive(first, "n001", GossipItem(departed))
+    receive(first, "n001", GossipItem(dead_peer))
     receive(
         first,
         "n001",
@@ -349,7 +349,7 @@
     assert network.states("n004") == {PeerState.DEAD}
     assert first.peers["n003"].state == PeerState.ALIVE
     network.run(75)
-    receive(first, "n001", GossipItem(replace(departed, state=PeerState.DEAD), ("n001", "n002")))
+    receive(first, "n001", GossipItem(replace(dead_peer, state=PeerState.DEAD), ("n001", "n002")))
     assert not any("n004" in agent.peers for agent in network.agents.values())
 
 
