--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -106,7 +106,8 @@
         quota.used_at = now
         if not quota.waiting and quota.take_token(now):
             self._serve(quota, ticket, now)
-            self._request_leases_if_low(quota, now)
+            if quota.refill(now) < quota.low_tokens:
+                self._request_more(quota, now)
             return
         is_queue_full = len(self.queue) >= self.settings.most_waiting
         if self.ring is None or now < quota.exhausted_until or is_queue_full:
@@ -201,9 +202,9 @@
     def _owners(self, quota: TenantQuota) -> tuple[str, ...]:
         return owners(self.ring, quota.key, self.settings.copies) if self.ring is not None else ()
 
-    def _request_leases_if_low(self, quota: TenantQuota, now: float) -> None:
-        next_request_at = max(quota.exhausted_until, quota.requested_at + self.settings.lease_s / 8)
-        if quota.refill(now) < quota.low_tokens and now >= next_request_at:
+    def _request_more(self, quota: TenantQuota, now: float) -> None:
+        """Requests leases before a request has to wait, at most once in an eighth of a lease."""
+        if now >= max(quota.exhausted_until, quota.requested_at + self.settings.lease_s / 8):
             self._request_leases(quota, now, self._owners(quota))
             self.send_pending()
 
