--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -12,7 +12,8 @@
 from cartdeal.fleet.ring.placement import owners
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 scenarios("stories")
 
