--- a/cartdeal/fleet/quota/admission_queue.py
+++ b/cartdeal/fleet/quota/admission_queue.py
@@ -11,21 +11,18 @@
 
     def __init__(self) -> None:
         self._tenants: dict[str, TenantQuota] = {}  # those with requests that wait, in the order of arrival
-        self._length = 0
-
-    def __len__(self) -> int:
-        return self._length
+        self.length = 0  # of all tenants' queues together; read on each request, so a plain attribute
 
     def add(self, quota: TenantQuota, ticket: int, deadline: float) -> None:
         """Adds a request at the end of its tenant's queue."""
         quota.waiting.append(WaitingRequest(ticket, deadline))
-        self._length += 1
+        self.length += 1
         self._tenants[quota.tenant] = quota
 
     def pop(self, quota: TenantQuota) -> int:
         """Takes out a tenant's first request and returns its ticket. Raises IndexError if none waits."""
         ticket = quota.waiting.popleft().ticket
-        self._length -= 1
+        self.length -= 1
         if not quota.waiting:
             self._tenants.pop(quota.tenant, None)
         return ticket
--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -109,7 +109,7 @@
             if quota.refill(now) < quota.low_tokens:
                 self._request_more(quota, now)
             return
-        is_queue_full = len(self.queue) >= self.settings.most_waiting
+        is_queue_full = self.queue.length >= self.settings.most_waiting
         if self.ring is None or now < quota.exhausted_until or is_queue_full:
             if is_queue_full:
                 self.context.increment(Metric.ADMISSION_QUEUE_FULL)
