--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -35,7 +35,7 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
-from cartdeal.fleet.replication import messages, schema
+from cartdeal.fleet.replication import messages, migration
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.settings import FleetSettings
@@ -209,7 +209,7 @@
             )
             self.log_event(events.IncarnationRaised(self.incarnation))
         self.consensus.tick(
-            self.membership.live_peers(), lambda ring, live: schema.agree(ring, live, self.settings)
+            self.membership.live_peers(), lambda ring, live: migration.next_step(ring, live, self.settings)
         )
         self.follow()
         self.replica.tick()
@@ -244,16 +244,16 @@
             )
             self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
             self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
-            self.quota.set_schema_version(schema.governs(ring.written_version, ring.phase))
+            self.quota.set_schema_version(migration.governing_version(ring.written_version, ring.phase))
             self.fence(ring)
 
     def fence(self, ring):
         """A program too old for what the fleet writes now takes no part; its marks are still carried over."""
-        error = schema.refused(self.settings.reads, ring)
+        error = migration.unsupported_error(self.settings.reads, ring)
         if error and not self.fenced:
             self.log_event(events.Fenced(str(error)))
         self.fenced = error is not None
-        back = schema.step_back_refused(ring, self.settings)
+        back = migration.downgrade_error(ring, self.settings)
         if back and not self.held_late:
             self.log_event(events.SchemaHoldRefused(str(back)))
         self.held_late = back is not None
--- a/cartdeal/fleet/replication/messages.py
+++ b/cartdeal/fleet/replication/messages.py
@@ -3,7 +3,7 @@
 It owns the messages' layout. Tags and the order of fields are on the wire and must never change; the names
 of the fields aren't.
 
-Record values are bytes as schema.py writes them. Sets of ranges are bit masks, one bit for each of the
+Record values are bytes as record_codec.py writes them. Sets of ranges are bit masks, one bit for each of the
 `catch_up.RANGE_COUNT` ranges of hashed keys.
 """
 
--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -118,12 +118,14 @@
         return sum(each for (_, _, when), each in self.served_counts.items() if when == period)
 
 
-RECORD_TYPES = {"s": Session, "u": UsageCounter}
+SESSION_KIND = "s"
+USAGE_KIND = "u"
+RECORD_TYPES = {SESSION_KIND: Session, USAGE_KIND: UsageCounter}
 Record = Session | UsageCounter
 
 
 def record_kind(record: Record) -> str:
-    return "s" if isinstance(record, Session) else "u"
+    return SESSION_KIND if isinstance(record, Session) else USAGE_KIND
 
 
 def session_key(sid: str) -> str:
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -16,7 +16,7 @@
 from cartdeal.fleet import events
 from cartdeal.fleet.errors import InvalidRecordError, RecordTooLargeError
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.replication import records, schema
+from cartdeal.fleet.replication import migration, record_codec, records
 from cartdeal.fleet.replication.catch_up import (
     ALL_RANGES,
     RANGE_COUNT,
@@ -297,7 +297,7 @@
     def record(self, key: str) -> Record | None:
         record = self.warm.get(key)
         if record is None and key in self.store:
-            record = schema.decode(key[0], self.store[key].data, self.settings.reads[1])
+            record = record_codec.decode(key[0], self.store[key].data, self.settings.reads[1])
             self.keep_warm(key, record)
         return record
 
@@ -308,14 +308,14 @@
             del self.warm[next(iter(self.warm))]
 
     def written(self, key: str, record: Record) -> bytes:
-        return schema.encode(key[0], record, *self.stage, knows=self.settings.reads[1])
+        return record_codec.encode(key[0], record, *self.stage, supported_version=self.settings.reads[1])
 
     def read_in(self, key: str, raw: bytes) -> Record | None:
         """A record that came from outside, or None: it is dropped and counted."""
         if not (2 <= len(key) <= LONGEST_KEY and key[:2] in ("s/", "u/")):
             return self.context.increment(Metric.DROPPED_BAD_KEY)
         try:
-            record = schema.decode(key[0], raw, self.settings.reads[1])
+            record = record_codec.decode(key[0], raw, self.settings.reads[1])
         except InvalidRecordError:
             return self.context.increment(Metric.DROPPED_BAD_RECORD)
         error = records.clock_error(
@@ -408,7 +408,7 @@
     @property
     def migrated_version(self) -> int:
         """The version that all it keeps is written in."""
-        return schema.moved(self.ring, self.old_form) if self.ring else self.settings.reads[0]
+        return migration.migrated_version(self.ring, self.old_form) if self.ring else self.settings.reads[0]
 
     def move(self):
         """Some of what is in an older form is written in the present one."""
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -11,7 +11,7 @@
 from cartdeal.fleet.consensus import ring_consensus
 from cartdeal.fleet.errors import InvalidRecordError
 from cartdeal.fleet.idempotency import AdmissionDecision
-from cartdeal.fleet.replication import messages, schema
+from cartdeal.fleet.replication import messages, migration, record_codec
 from cartdeal.fleet.replication.catch_up import quorum
 from cartdeal.fleet.ring.movement import minimal_movement
 from cartdeal.fleet.ring.placement import owners
@@ -258,7 +258,7 @@
         if not message.attempt_id:
             return
         try:
-            mark = schema.decode("s", message.record).attempts.get(message.attempt_id)
+            mark = record_codec.decode("s", message.record).attempts.get(message.attempt_id)
         except InvalidRecordError:
             mark = None
         if mark is None:
@@ -323,7 +323,7 @@
         for mark, at in self.shown.items():
             ring = self.rings.get(mark)
             if ring and ring.epoch > newest:
-                newest, version = ring.epoch, schema.governs(ring.written_version, ring.phase)
+                newest, version = ring.epoch, migration.governing_version(ring.written_version, ring.phase)
                 if version != found[-1][1]:
                     found.append((at, version))
         return found
--- a/tests/fleet/test_compatibility.py
+++ b/tests/fleet/test_compatibility.py
@@ -21,10 +21,10 @@
 from cartdeal.fleet.codec import encode as encode_envelope
 from cartdeal.fleet.errors import FleetError as Refusal
 from cartdeal.fleet.replication.catch_up import key_bytes, range_of
+from cartdeal.fleet.replication.record_codec import decode as decode_record
+from cartdeal.fleet.replication.record_codec import encode as encode_record
 from cartdeal.fleet.replication.records import digest as record_digest
 from cartdeal.fleet.replication.records import session_key, usage_key
-from cartdeal.fleet.replication.schema import decode as decode_record
-from cartdeal.fleet.replication.schema import encode as encode_record
 from cartdeal.fleet.ring.placement import owners
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.ring.steps import RingStep, apply_step
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -12,7 +12,7 @@
 from cartdeal.fleet.quota.holder import LeaseHolder
 from cartdeal.fleet.quota.ownership import OwnershipHistory
 from cartdeal.fleet.quota.tenant_quota import HeldLease
-from cartdeal.fleet.replication import records, replica, schema
+from cartdeal.fleet.replication import migration, record_codec, records, replica
 from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
@@ -239,8 +239,8 @@
         record.unknown_fields = {}
         return record
 
-    before = schema.decode
-    plant(schema, "decode", decode)
+    before = record_codec.decode
+    plant(record_codec, "decode", decode)
 
 
 def answers_too_early(plant):
@@ -286,8 +286,8 @@
             9,
         )
 
-    before = schema.agree
-    plant(schema, "agree", agree)
+    before = migration.next_step
+    plant(migration, "next_step", agree)
 
 
 def written_by_one(plant):
--- a/tests/fleet/test_schema.py
+++ b/tests/fleet/test_migration.py
@@ -5,7 +5,9 @@
 from hypothesis import strategies as some
 
 from cartdeal.fleet import errors
-from cartdeal.fleet.replication import schema
+from cartdeal.fleet.replication import migration, record_validation
+from cartdeal.fleet.replication.migration import next_step
+from cartdeal.fleet.replication.record_codec import decode, encode, needs_rewrite
 from cartdeal.fleet.replication.records import (
     AttemptRecord,
     Certainty,
@@ -14,7 +16,7 @@
     advance,
     merge,
 )
-from cartdeal.fleet.replication.schema import agree, decode, encode, needs_move
+from cartdeal.fleet.ring.ring import PHASES
 from cartdeal.fleet.settings import FleetSettings
 
 NEW, OLD = (1, 2), (1, 1)
@@ -54,7 +56,9 @@
         peers(OLD, migrated_version=2),
         peers(migrated_version=2),
     ):
-        here = ring(*agree(here, live, fleet_settings()))  # a new ring each time: nothing else is remembered
+        here = ring(
+            *next_step(here, live, fleet_settings())
+        )  # a new ring each time: nothing else is remembered
         seen.append((here.written_version, here.phase))
     assert seen == [
         (1, "steady"),
@@ -71,17 +75,20 @@
 
 @pytest.mark.parametrize("phase", ["steady", "widen", "move", "narrow"])
 def test_a_minority_takes_no_step(phase):
-    assert agree(ring(1, phase), peers(migrated_version=2, names="ab"), fleet_settings()) == (1, phase)
+    assert next_step(ring(1, phase), peers(migrated_version=2, names="ab"), fleet_settings()) == (1, phase)
     cut_off = peers(migrated_version=2, names="ab") | peers(OLD, names="cde", state=2)
-    assert agree(ring(1, phase), cut_off, fleet_settings()) == (1, phase)
+    assert next_step(ring(1, phase), cut_off, fleet_settings()) == (1, phase)
 
 
 def test_absent_seats_are_owed_a_look_until_they_lose_their_seat():
     moving, away = ring(1, "move"), peers(migrated_version=2, names="abcd")
-    assert agree(moving, away, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(migrated_version=1, state=2)}, fleet_settings()) == (1, "move")
-    assert agree(moving, away | {"e": peer(migrated_version=2, state=2)}, fleet_settings()) == (1, "narrow")
-    assert agree(ring(1, "move", "abcd"), away, fleet_settings()) == (1, "narrow")
+    assert next_step(moving, away, fleet_settings()) == (1, "move")
+    assert next_step(moving, away | {"e": peer(migrated_version=1, state=2)}, fleet_settings()) == (1, "move")
+    assert next_step(moving, away | {"e": peer(migrated_version=2, state=2)}, fleet_settings()) == (
+        1,
+        "narrow",
+    )
+    assert next_step(ring(1, "move", "abcd"), away, fleet_settings()) == (1, "narrow")
 
 
 @pytest.mark.parametrize(
@@ -94,36 +101,40 @@
     ids=["held", "half rolled back", "old one joins"],
 )
 def test_a_step_back_is_possible_until_narrowed(live, hold):
-    back = {phase: agree(ring(1, phase), live, fleet_settings(hold)) for phase in schema.PHASES}
+    back = {phase: next_step(ring(1, phase), live, fleet_settings(hold)) for phase in PHASES}
     assert back == {
         "steady": (1, "steady"),
         "widen": (1, "steady"),
         "move": (1, "widen"),
         "narrow": (2, "steady"),
     }
-    assert agree(ring(2), live, fleet_settings(hold)) == (2, "steady")
+    assert next_step(ring(2), live, fleet_settings(hold)) == (2, "steady")
 
 
 def test_a_step_back_after_narrowing_is_refused_with_what_to_do():
     for here in (ring(1, "narrow"), ring(2)):
-        trouble = schema.step_back_refused(here, fleet_settings(hold=1))
+        trouble = migration.downgrade_error(here, fleet_settings(hold=1))
         assert isinstance(trouble, errors.SchemaDowngradeError) and "hold_version" in trouble.remedy
         assert (
-            schema.step_back_refused(here, fleet_settings())
-            is schema.step_back_refused(here, fleet_settings(hold=2))
+            migration.downgrade_error(here, fleet_settings())
+            is migration.downgrade_error(here, fleet_settings(hold=2))
             is None
         )
-    assert schema.step_back_refused(ring(1, "move"), fleet_settings(hold=1)) is None
+    assert migration.downgrade_error(ring(1, "move"), fleet_settings(hold=1)) is None
 
 
 def test_an_old_agent_that_comes_back_after_narrowing_is_fenced_and_its_marks_carried_over():
     for phase in ("steady", "widen", "move"):
-        assert schema.refused(OLD, ring(1, phase)) is schema.refused(NEW, ring(1, phase)) is None
-    assert schema.refused((2, 3), ring(1, "move"))  # what hasn't moved yet it couldn't read
+        assert (
+            migration.unsupported_error(OLD, ring(1, phase))
+            is migration.unsupported_error(NEW, ring(1, phase))
+            is None
+        )
+    assert migration.unsupported_error((2, 3), ring(1, "move"))  # what hasn't moved yet it couldn't read
     for here in (ring(1, "narrow"), ring(2)):
-        trouble = schema.refused(OLD, here)
+        trouble = migration.unsupported_error(OLD, here)
         assert isinstance(trouble, errors.UnsupportedSchemaError) and "program" in trouble.remedy
-        assert schema.refused(NEW, here) is None
+        assert migration.unsupported_error(NEW, here) is None
     later = AttemptRecord("b/1/1", "k", "u", "cell", 7, expires_ms=9)
     fleets = decode("s", encode("s", Session({MARK.attempt_id: MARK}), 2, "steady"))
     kept = encode(
@@ -131,23 +142,23 @@
         Session({later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}),
         1,
         "move",
-        knows=1,
+        supported_version=1,
     )
     both = merge(fleets, decode("s", kept))
     assert both.attempts == {later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}
     # Read by the old agent, it says that there is more than that program can see.
-    assert decode("s", encode("s", both, 2, "steady"), knows=1).required_version == 2
+    assert decode("s", encode("s", both, 2, "steady"), supported_version=1).required_version == 2
 
 
 def test_old_agents_read_all_until_narrowed_and_both_forms_say_the_same():
     record = Session({MARK.attempt_id: MARK})
     for phase in ("steady", "widen", "move"):
-        by_old = decode("s", encode("s", record, 1, phase), knows=1)
+        by_old = decode("s", encode("s", record, 1, phase), supported_version=1)
         assert by_old.attempts == record.attempts and not by_old.required_version
     raw = encode("s", record, 1, "move")
-    assert {"marks", "by"} < schema.decoder.decode(raw).keys()
-    assert "marks" not in schema.decoder.decode(encode("s", record, 1, "narrow"))
-    assert list(schema.decoder.decode(raw)["by"]) == ["zone/5"]
+    assert {"marks", "by"} < record_validation.decoder.decode(raw).keys()
+    assert "marks" not in record_validation.decoder.decode(encode("s", record, 1, "narrow"))
+    assert list(record_validation.decoder.decode(raw)["by"]) == ["zone/5"]
     use = UsageCounter({("a", 1, 3): 4}, {"h": (3, 5.0, 2.0)})
     back = decode("u", encode("u", decode("u", encode("u", use, 1, "move"), 1), 1, "move", 1))
     assert back == use
@@ -158,15 +169,17 @@
     record = Session({MARK.attempt_id: MARK})
     raw = {step: encode("s", record, *step) for step in ((1, "steady"), (1, "move"), (2, "steady"))}
     for step, each in raw.items():
-        assert [needs_move(each, *other) for other in raw] == [other != step for other in raw]
+        assert [needs_rewrite(each, *other) for other in raw] == [other != step for other in raw]
     # An old agent has added a mark to its own form of a record that had both.
-    by_old = decode("s", raw[1, "move"], knows=1)
+    by_old = decode("s", raw[1, "move"], supported_version=1)
     by_old.attempts["b/1/1"] = AttemptRecord("b/1/1", "k", "d", "all", 5)
-    assert needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move")
-    assert not needs_move(encode("s", by_old, 1, "move", knows=1), 1, "move", knows=1)
+    assert needs_rewrite(encode("s", by_old, 1, "move", supported_version=1), 1, "move")
+    assert not needs_rewrite(
+        encode("s", by_old, 1, "move", supported_version=1), 1, "move", supported_version=1
+    )
     with pytest.raises(errors.InvalidRecordError):
-        needs_move(b"", 1, "move")
-    assert [schema.moved(ring(1, phase), left) for phase in schema.PHASES for left in (1, 0)] == [
+        needs_rewrite(b"", 1, "move")
+    assert [migration.migrated_version(ring(1, phase), left) for phase in PHASES for left in (1, 0)] == [
         1,
         1,
         1,
@@ -176,7 +189,7 @@
         2,
         2,
     ]
-    assert [schema.governs(1, phase) for phase in schema.PHASES] == [1, 1, 1, 2]
+    assert [migration.governing_version(1, phase) for phase in PHASES] == [1, 1, 1, 2]
 
 
 whole = some.integers(0, 2)
@@ -189,8 +202,8 @@
     line = [(1, "steady"), (1, "widen"), (1, "move"), (1, "narrow"), (2, "steady")]
     here = line[0]
     for live in views:
-        after = agree(ring(*here), live, fleet_settings(hold))
-        assert after == agree(ring(*here), dict(sorted(live.items(), reverse=True)), fleet_settings(hold))
+        after = next_step(ring(*here), live, fleet_settings(hold))
+        assert after == next_step(ring(*here), dict(sorted(live.items(), reverse=True)), fleet_settings(hold))
         step = line.index(after) - line.index(here)
         assert abs(step) <= 1 and (step >= 0 or line.index(here) < 3)
         if step and after != (2, "steady"):
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -8,7 +8,7 @@
 
 from cartdeal.fleet import errors
 from cartdeal.fleet.hybrid_clock import HybridClock, Timestamp
-from cartdeal.fleet.replication import records, schema
+from cartdeal.fleet.replication import record_codec, records
 from cartdeal.fleet.replication.records import (
     AttemptRecord,
     Certainty,
@@ -62,8 +62,8 @@
 alike = some.one_of(some.lists(sessions, min_size=3, max_size=3), some.lists(uses, min_size=3, max_size=3))
 
 
-def raw_of(record, step=(1, "move"), knows=2):
-    return schema.encode(records.record_kind(record), record, *step, knows)
+def raw_of(record, step=(1, "move"), supported_version=2):
+    return record_codec.encode(records.record_kind(record), record, *step, supported_version)
 
 
 @checked
@@ -84,9 +84,9 @@
 def test_every_version_reads_and_writes_back_every_other(three, written, rewritten):
     record = records.bounded(three[0]) if isinstance(three[0], UsageCounter) else three[0]
     kind = records.record_kind(record)
-    by_old = schema.decode(kind, raw_of(record, written), knows=1)
-    passed = raw_of(merge(by_old, type(record)()), rewritten, knows=1)
-    again = schema.decode(kind, passed)
+    by_old = record_codec.decode(kind, raw_of(record, written), supported_version=1)
+    passed = raw_of(merge(by_old, type(record)()), rewritten, supported_version=1)
+    again = record_codec.decode(kind, passed)
     assert raw_of(again, written) == raw_of(record, written)
     assert digest(again) == digest(record) and again.required_version == record.required_version
     if written[1] == "move" and not record.required_version:  # the old agent knows all that the new one does
@@ -97,34 +97,36 @@
 @given(alike)
 def test_copies_of_old_and_new_agents_come_to_the_same_digest(three):
     kind = records.record_kind(three[0])
-    read = [[schema.decode(kind, raw_of(each), knows) for each in three] for knows in (1, 2)]
+    read = [[record_codec.decode(kind, raw_of(each), knows) for each in three] for knows in (1, 2)]
     assert digest(reduce(merge, read[0])) == digest(reduce(merge, read[1]))
 
 
 def test_a_field_from_the_future_comes_back_through_an_old_agent():
     later = {"kind": "s", "v": 3, "needs": 1, "marks": [], "by": {}, "newest": {"p": [1, {"q": b"z"}]}}
     for knows in (1, 2):
-        record = schema.decode("s", msgspec.msgpack.encode(later), knows)
+        record = record_codec.decode("s", msgspec.msgpack.encode(later), knows)
         back = msgspec.msgpack.decode(raw_of(record, (1, "steady"), knows))
         assert back["newest"] == later["newest"]
-    only = schema.decode("s", msgspec.msgpack.encode({**later, "needs": 3}))
+    only = record_codec.decode("s", msgspec.msgpack.encode({**later, "needs": 3}))
     assert only.required_version == 3 and not records.is_empty(only)  # it says that it can't answer from this
 
 
 def test_what_only_an_old_agent_added_counts_beside_the_new_form():
     first, added = (AttemptRecord(f"a/1/{n}", "k", "u", "zone", 5, expires_ms=9) for n in (1, 2))
-    by_old = schema.decode("s", raw_of(Session({first.attempt_id: first}), (1, "narrow")), knows=1)
+    by_old = record_codec.decode(
+        "s", raw_of(Session({first.attempt_id: first}), (1, "narrow")), supported_version=1
+    )
     by_old = merge(
         by_old, Session({added.attempt_id: added})
     )  # it can't see the first any more, and keeps it
-    assert schema.decode("s", raw_of(by_old, knows=1)).attempts == {
+    assert record_codec.decode("s", raw_of(by_old, supported_version=1)).attempts == {
         first.attempt_id: first,
         added.attempt_id: added,
     }
-    by_old = schema.decode("s", raw_of(Session({first.attempt_id: first})), knows=1)
+    by_old = record_codec.decode("s", raw_of(Session({first.attempt_id: first})), supported_version=1)
     more = records.advance(by_old.attempts[first.attempt_id], certainty=Certainty.ANSWERED)
     by_old = merge(by_old, Session({added.attempt_id: added, more.attempt_id: more}))
-    assert schema.decode("s", raw_of(by_old, knows=1)).attempts == {
+    assert record_codec.decode("s", raw_of(by_old, supported_version=1)).attempts == {
         more.attempt_id: more,
         added.attempt_id: added,
     }
@@ -137,13 +139,15 @@
         some.sampled_from(["kind", "v", "needs", "marks", "by", "counts", "parts"]),
         plain
         | some.sampled_from(["s", "u", 1, 2])
-        | some.lists(some.dictionaries(some.sampled_from(schema.OWN), plain, max_size=3), max_size=2),
+        | some.lists(
+            some.dictionaries(some.sampled_from(record_codec.ATTEMPT_FIELDS), plain, max_size=3), max_size=2
+        ),
     ).map(lambda each: msgspec.msgpack.encode({"kind": "s", "v": 2, "needs": 1} | each)),
     some.sampled_from("su"),
 )
 def test_bytes_are_never_trusted(raw, kind):
     try:
-        raw_of(schema.decode(kind, raw))
+        raw_of(record_codec.decode(kind, raw))
     except errors.FleetError:
         pass
 
@@ -155,7 +159,7 @@
     at %= len(raw)
     for bad in (raw[:at], raw[:at] + noise + raw[at + len(noise) :], raw + noise):
         try:
-            raw_of(schema.decode(records.record_kind(three[0]), bad))
+            raw_of(record_codec.decode(records.record_kind(three[0]), bad))
         except errors.FleetError:
             pass
 
@@ -183,7 +187,7 @@
     if isinstance(raw, dict):
         raw = msgspec.msgpack.encode({"kind": "s", "v": 1, "needs": 1} | raw)
     with pytest.raises(errors.InvalidRecordError) as trouble:
-        schema.decode("s", raw)
+        record_codec.decode("s", raw)
     assert len(str(trouble.value)) < 300
 
 
