--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from cartdeal.fleet import node
+from cartdeal.fleet import pending_admissions
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
@@ -18,7 +18,8 @@
 from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
 
@@ -63,7 +64,7 @@
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
-            memory.submit(sheet(f"{memory.hosts['a0'].starts}/{turn}"), ["a0"])
+            memory.submit(sheet(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
             memory.run(0.2)
         memory.kill("a0")
         memory.start("a0")
@@ -177,7 +178,7 @@
 
     def stubborn(*args):
         made = Node(*args)
-        made.timely = lambda *_: True
+        made.fleet_clock.observe = lambda *_: True
         return made
 
     memory.node_factories["a9"] = stubborn
@@ -200,7 +201,7 @@
 def number_again(plant):
     def init(self, fleet_settings, seed, now, wall):
         before(self, fleet_settings, "the same", now, 1_700_000_000.0)
-        self.offset = wall - now
+        self.fleet_clock.offset_s = wall - now
 
     before = Node.__init__
     plant(Node, "__init__", init)
@@ -298,12 +299,12 @@
 
 
 def come_again(plant):
-    plant(node, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
+    plant(pending_admissions, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
 
 
 def places_forgotten(plant):
-    before = node.decide
-    plant(node, "decide", lambda *args: (before(*args)[0], ()))
+    before = pending_admissions.decide
+    plant(pending_admissions, "decide", lambda *args: (before(*args)[0], ()))
 
 
 def by_remainder(plant):
