--- a/cartdeal/fleet/replication/record_codec.py
+++ b/cartdeal/fleet/replication/record_codec.py
@@ -28,7 +28,15 @@
     check_text,
     decode_fields,
 )
-from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Record, Session, UsageCounter
+from cartdeal.fleet.replication.records import (
+    AttemptRecord,
+    Certainty,
+    LimitLease,
+    Record,
+    Session,
+    UsageCounter,
+)
+from cartdeal.fleet.replication.unknown_fields import encoder
 
 VERSIONS = (1, 2)
 LATEST_VERSION = VERSIONS[-1]
@@ -47,7 +55,7 @@
 ATTEMPT_FIELDS = tuple(records.STORED_NAMES.values())
 
 KINDS = tuple(records.RECORD_TYPES)
-REPEATS = ("d", "u")
+REPEAT_MODES = tuple(records.RepeatMode)
 
 
 def encode(
@@ -79,7 +87,7 @@
         fields[COUNTS_FIELD] = [[*counter, counts[counter]] for counter in sorted(counts)]
         if record.leases:  # whatever is written now: a step back must not lose what is on lease
             fields[LEASES_FIELD] = records.lease_fields(record)
-    raw = records.encoder.encode(fields)
+    raw = encoder.encode(fields)
     if len(raw) > MAX_RECORD_BYTES:
         raise RecordTooLargeError("a record", f"{len(raw)} bytes")
     return raw
@@ -165,7 +173,7 @@
     return AttemptRecord(
         check_text(known["by"], "by", 1),
         check_text(known["key"], "key"),
-        check_choice(known["repeat"], "repeat", REPEATS),
+        check_choice(known["repeat"], "repeat", REPEAT_MODES),
         check_choice(known["group"], "group", records.DEDUPLICATION_GROUPS),
         check_integer(known["window_ms"], "window_ms"),
         _decode_locations(known["places"]),
@@ -219,12 +227,12 @@
     return records.bounded(UsageCounter(counts, leases, fields, required_version))
 
 
-def _decode_leases(value: Any) -> dict[str, tuple[int, float, float]]:
+def _decode_leases(value: Any) -> dict[str, LimitLease]:
     leases = {}
     for holder, lease in check_map(value, LEASES_FIELD, records.MAX_LEASES).items():
         until, rate, burst = check_length(lease, "a part", 3, "numbers")
         for share in (rate, burst):
             if type(share) is not float or not 0 <= share <= MAX_NUMBER:
                 raise InvalidRecordError("a part's rate or burst", type(share).__name__)
-        leases[check_text(holder, "holder", 1)] = (check_integer(until, "until"), rate, burst)
+        leases[check_text(holder, "holder", 1)] = LimitLease(check_integer(until, "until"), rate, burst)
     return leases
--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -1,73 +1,81 @@
-"""The kinds of record that the fleet shares, and how two copies of one become one: state-based CRDTs
-(Shapiro and others, 2011).
+"""The records that a fleet shares, and how two copies of one are merged.
 
-It owns what a mark and a count of use mean in memory, whatever version they were written by. It must never
-depend on order, grouping or number of arrivals: `merge` is commutative, associative and idempotent, and what
-it drops depends on the merged state alone.
-
-Fields that a program doesn't know are kept and merged by one rule for ever (`join`): maps by key, anything
-else the greater by `rank`. A later version that adds a field must live with it: old agents merge it so.
+They are state-based CRDTs (Shapiro and others, 2011). The module owns what attempt records and usage counters
+mean in memory, whatever version they were written by. It must never depend on the order, grouping or number
+of arrivals: `merge` is commutative, associative and idempotent, and what it drops depends on the merged state
+alone. Fields that a program doesn't know are kept and merged as unknown_fields says.
 """
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 from hashlib import blake2b
-from math import copysign
+from typing import Any, NamedTuple
 
-import msgspec
 from msgspec import Struct
 from msgspec.structs import force_setattr, replace
 
 from cartdeal.fleet.errors import ClockAheadError, InvalidRecordError
+from cartdeal.fleet.replication.unknown_fields import encoder, is_too_large, merge_fields, rank
 
-MAX_LOCATIONS = 32  # of one mark; with more, UNKNOWN_LOCATION says that the rest is forgotten
-UNKNOWN_LOCATION = ("*", -1)  # it may have been at any place
-RETAINED_PERIODS = 16  # of a tenant's use; older are dropped: at 250 agents a record is full
-MAX_USAGE_COUNTS = 4096  # of a tenant's use; the newest are kept
+MAX_LOCATIONS = 32  # of one attempt record; beyond them, UNKNOWN_LOCATION says that some are forgotten
+UNKNOWN_LOCATION = ("*", -1)  # the request may have been sent to any zone and cell
+RETAINED_PERIODS = 16  # of a tenant's usage; older ones are dropped: at 250 agents a record is full
+MAX_USAGE_COUNTS = 4096  # of a tenant's usage; the newest are kept
 MAX_LEASES = 1024  # of a tenant's limit; those that last longest are kept
-MAX_UNKNOWN_BYTES = 32 * 1024  # bytes of unknown fields in a record; more makes it full
+DIGEST_BYTES = 16
 DEDUPLICATION_GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
 
-# Fields of a session that say again, in another form, what its marks say. Version 1 has reserved these names:
-# old agents, which can't read them, leave them out of digests, and keep one copy, so that it can't grow.
+# Fields of a session that repeat, in another form, what its attempt records say. Version 1 has reserved
+# these names: old agents, which can't read them, leave them out of digests, and keep one copy, so that it
+# can't grow.
 REDUNDANT_FIELDS = ("by",)
 
-encoder = msgspec.msgpack.Encoder(order="deterministic")
+Location = tuple[str, int]  # zone and cell
+CounterKey = tuple[str, int, int]  # agent, its incarnation, period
 
 
 class Certainty(IntEnum):
-    """What is known of a request that a mark stands for; it is only ever gained."""
+    """What is known of the request that an attempt record stands for; it only ever grows."""
 
     CLAIMED = 0  # may be sent at any moment
     SENT = 1  # may have run
-    NEVER_RAN = 2  # surely not run; one that sends again takes a new mark
+    NEVER_RAN = 2  # certainly not run; sending it again takes a new attempt record
     ANSWERED = 3
 
 
+class RepeatMode(StrEnum):
+    """What a server does with a repeat of the request."""
+
+    DEDUPLICATED = "d"  # servers recognise and drop it, within a window
+    NON_IDEMPOTENT = "u"  # it would run twice
+
+
 class AttemptRecord(Struct, frozen=True):
-    """One request of a session. One agent writes it (`attempt_id`: "name/incarnation/number"); copies may be
-    of any age."""
+    """One request of a session. A single agent writes it; copies of it may be of any age.
 
-    attempt_id: str
-    key: str
-    repeat: str  # "d": deduplicated, "u": non-idempotent
+    `fields` gives the names in stored bytes, where they differ from these.
+    """
+
+    attempt_id: str  # "name/incarnation/number" of the agent that writes it
+    key: str  # the request's idempotency key
+    repeat: str  # a RepeatMode's value
     group: str  # where servers deduplicate together: one of DEDUPLICATION_GROUPS
     window_ms: int  # how long they do
-    locations: tuple[tuple[str, int], ...] = ()  # (zone, cell) of each attempt, sorted
+    locations: tuple[Location, ...] = ()  # of each time it was sent, sorted
     certainty: int = Certainty.CLAIMED
     sent_ms: int = 0  # wall clock
-    expires_ms: int = 0  # wall clock; the mark goes then
+    expires_ms: int = 0  # wall clock; the attempt record is dropped then
     workload: str = ""
-    unknown_fields: dict = {}  # unknown fields
+    unknown_fields: dict[str, Any] = {}
 
-    def __post_init__(self):
-        places = _places(self.locations)
-        if places != self.locations:
-            force_setattr(self, "locations", places)
+    def __post_init__(self) -> None:
+        locations = _bounded_locations(self.locations)
+        if locations != self.locations:
+            force_setattr(self, "locations", locations)
 
-    def fields(self) -> dict:
-        """The form that versions write and digests are made of."""
-        own = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
-        return {**self.unknown_fields, **own, "certainty": int(self.certainty)}
+    def fields(self) -> dict[str, Any]:
+        """The form that every version writes, and that digests are made of."""
+        known = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
+        return {**self.unknown_fields, **known, "certainty": int(self.certainty)}
 
 
 # Python's name of each field -> its name in stored bytes and in digests
@@ -79,43 +87,56 @@
 
 
 class Session(Struct):
-    """Where a session's requests went. `required_version`: what it takes to read it all, if not this one."""
+    """The requests of a client's session, and where each was sent."""
 
     attempts: dict[str, AttemptRecord] = {}  # by attempt_id
-    unknown_fields: dict = {}  # unknown fields
-    required_version: int = 0
+    unknown_fields: dict[str, Any] = {}
+    required_version: int = 0  # the schema version it takes to read all of it, if this program's won't do
 
     def open_attempts(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[AttemptRecord, ...]:
-        """The marks of a request that still bind a repeat: not over by the slowest clock, and may have
-        run."""
+        """The attempts of a request that still bind a repeat: not expired by the slowest clock, may have run.
+
+        Args:
+            key: The request's idempotency key.
+            wall_ms: This agent's wall clock.
+            slack_ms: How far another clock may be behind it.
+        """
         return tuple(
-            mark
-            for _, mark in sorted(self.attempts.items())
-            if mark.key == key
-            and mark.certainty != Certainty.NEVER_RAN
-            and mark.expires_ms + slack_ms > wall_ms
+            attempt
+            for _, attempt in sorted(self.attempts.items())
+            if attempt.key == key
+            and attempt.certainty != Certainty.NEVER_RAN
+            and attempt.expires_ms + slack_ms > wall_ms
         )
 
-    def is_full(self, most_marks: int) -> bool:
-        """Whether it can take no further mark; merging takes all the same, so that no copy loses one."""
-        return len(self.attempts) >= most_marks or _heavy(self.unknown_fields)
+    def is_full(self, max_attempts: int) -> bool:
+        """Whether it can take no further attempt. Merging takes it all the same: no copy loses one."""
+        return len(self.attempts) >= max_attempts or is_too_large(self.unknown_fields)
+
+
+class LimitLease(NamedTuple):
+    """The part of a tenant's limit that a holder has on lease."""
+
+    until_period: int
+    rate: float  # requests per second
+    burst: float  # requests
 
 
 class UsageCounter(Struct):
-    """What a tenant was served, by whom and when, and the parts of its limit that are lent."""
+    """What a tenant was served, by whom and when, and the parts of its limit that are on lease."""
 
-    served_counts: dict[
-        tuple[str, int, int], int
-    ] = {}  # (agent, incarnation, period) -> served; single writers
-    leases: dict[str, tuple[int, float, float]] = {}  # holder -> (until period, rate, burst)
-    unknown_fields: dict = {}
-    required_version: int = 0
+    served_counts: dict[CounterKey, int] = {}  # each written by one agent only
+    leases: dict[str, LimitLease] = {}  # by holder
+    unknown_fields: dict[str, Any] = {}
+    required_version: int = 0  # as in Session
 
-    def is_full(self, most_marks: int = 0) -> bool:
-        return _heavy(self.unknown_fields)
+    def is_full(self, max_attempts: int = 0) -> bool:
+        """Whether it can take no further unknown fields; counts and leases are bounded by merging."""
+        return is_too_large(self.unknown_fields)
 
     def total_served(self, period: int) -> int:
-        return sum(each for (_, _, when), each in self.served_counts.items() if when == period)
+        """The requests served in a period, by all agents."""
+        return sum(count for (_, _, counted), count in self.served_counts.items() if counted == period)
 
 
 SESSION_KIND = "s"
@@ -125,39 +146,57 @@
 
 
 def record_kind(record: Record) -> str:
+    """The letter for the record's type: in its key, and in its bytes."""
     return SESSION_KIND if isinstance(record, Session) else USAGE_KIND
 
 
-def session_key(sid: str) -> str:
-    return "s/" + blake2b(sid.encode("utf-8", "surrogateescape"), digest_size=16).hexdigest()
+def session_key(session_id: str) -> str:
+    """The key under which a session's record is stored; the client's identifier can't be read out of it."""
+    return "s/" + blake2b(session_id.encode("utf-8", "surrogateescape"), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def usage_key(tenant: str) -> str:
+    """The key under which a tenant's usage counter is stored."""
     return "u/" + tenant
 
 
 def merge(a: Record, b: Record) -> Record:
-    """All that either knows. Raises InvalidRecordError when they're of two kinds. Neither is changed."""
-    if type(a) is not type(b):
-        raise InvalidRecordError("two copies of one record", f"{type(a).__name__} and {type(b).__name__}")
-    beyond = max(a.required_version, b.required_version)
-    if isinstance(a, Session):
-        marks = dict(a.attempts)
-        for by, mark in b.attempts.items():
-            marks[by] = merge_attempts(marks[by], mark) if by in marks else mark
-        return Session(marks, _merge_extra(a.unknown_fields, b.unknown_fields, REDUNDANT_FIELDS), beyond)
+    """All that either copy knows; neither is changed.
+
+    Raises:
+        InvalidRecordError: The copies are of two types.
+    """
+    if isinstance(a, Session) and isinstance(b, Session):
+        return _merge_sessions(a, b)
+    if isinstance(a, UsageCounter) and isinstance(b, UsageCounter):
+        return _merge_usage(a, b)
+    raise InvalidRecordError("two copies of one record", f"{type(a).__name__} and {type(b).__name__}")
+
+
+def _merge_sessions(a: Session, b: Session) -> Session:
+    attempts = dict(a.attempts)
+    for attempt_id, attempt in b.attempts.items():
+        attempts[attempt_id] = (
+            merge_attempts(attempts[attempt_id], attempt) if attempt_id in attempts else attempt
+        )
+    unknown = merge_fields(a.unknown_fields, b.unknown_fields, REDUNDANT_FIELDS)
+    return Session(attempts, unknown, max(a.required_version, b.required_version))
+
+
+def _merge_usage(a: UsageCounter, b: UsageCounter) -> UsageCounter:
     counts = dict(a.served_counts)
-    for which, served in b.served_counts.items():
-        counts[which] = max(served, counts.get(which, 0))
-    parts = dict(a.leases)
-    for holder, part in b.leases.items():
-        parts[holder] = max(part, parts.get(holder, part), key=rank)
-    return bounded(UsageCounter(counts, parts, _merge_extra(a.unknown_fields, b.unknown_fields), beyond))
+    for counter, served in b.served_counts.items():
+        counts[counter] = max(served, counts.get(counter, 0))
+    leases = dict(a.leases)
+    for holder, lease in b.leases.items():
+        leases[holder] = max(lease, leases.get(holder, lease), key=rank)
+    unknown = merge_fields(a.unknown_fields, b.unknown_fields)
+    return bounded(UsageCounter(counts, leases, unknown, max(a.required_version, b.required_version)))
 
 
 def merge_attempts(a: AttemptRecord, b: AttemptRecord) -> AttemptRecord:
-    """One mark from two copies. Where fixed fields differ, a writer broke the rules: the careful wins."""
-    if a is b or a == b and not (a.unknown_fields or b.unknown_fields):
+    """One from two copies. Where fixed fields differ, a writer broke the rules: the careful value wins."""
+    if a is b or (a == b and not (a.unknown_fields or b.unknown_fields)):
         return a
     return AttemptRecord(
         max(a.attempt_id, b.attempt_id),
@@ -170,154 +209,140 @@
         min(a.sent_ms, b.sent_ms),
         max(a.expires_ms, b.expires_ms),
         max(a.workload, b.workload),
-        _merge_extra(a.unknown_fields, b.unknown_fields),
+        merge_fields(a.unknown_fields, b.unknown_fields),
     )
 
 
-def bounded(use: UsageCounter) -> UsageCounter:
-    """Without what is over a bound. It's the same whatever came first: the newest of all are among the newest
-    of each copy that had them, so no copy has dropped them before."""
-    counts, parts = use.served_counts, use.leases
+def advance(attempt: AttemptRecord, **changes: Any) -> AttemptRecord:
+    """The writer's next copy of its own attempt record: like `replace`, but knowledge can only grow."""
+    return merge_attempts(attempt, replace(attempt, **changes))
+
+
+def bounded(usage: UsageCounter) -> UsageCounter:
+    """The usage without what exceeds a bound.
+
+    The result is the same in any order of merging: the newest of all are among the newest of each copy that
+    had them, so no copy has dropped them before.
+    """
+    counts, leases = usage.served_counts, usage.leases
     if counts:
         oldest = max(period for _, _, period in counts) - RETAINED_PERIODS
-        counts = {which: served for which, served in counts.items() if which[2] > oldest}
+        counts = {counter: served for counter, served in counts.items() if counter[2] > oldest}
     if len(counts) > MAX_USAGE_COUNTS:
-        newest = sorted(counts, key=lambda which: (which[2], which), reverse=True)[:MAX_USAGE_COUNTS]
-        counts = {which: counts[which] for which in newest}
-    if len(parts) > MAX_LEASES:
-        longest = sorted(parts, key=lambda holder: (rank(parts[holder]), holder), reverse=True)[:MAX_LEASES]
-        parts = {holder: parts[holder] for holder in longest}
-    return UsageCounter(counts, parts, use.unknown_fields, use.required_version)
+        newest = sorted(counts, key=lambda counter: (counter[2], counter), reverse=True)[:MAX_USAGE_COUNTS]
+        counts = {counter: counts[counter] for counter in newest}
+    if len(leases) > MAX_LEASES:
+        longest = sorted(leases, key=lambda holder: (rank(leases[holder]), holder), reverse=True)[:MAX_LEASES]
+        leases = {holder: leases[holder] for holder in longest}
+    return UsageCounter(counts, leases, usage.unknown_fields, usage.required_version)
 
 
 def without_expired(record: Record, wall_ms: int, slack_ms: int) -> Record:
-    """The record without marks that are over by every clock allowed. Call it on what arrives, too: an old
-    agent may pass on marks that are over, in a form that it can't read."""
+    """The record without attempts that have expired by every tolerated clock.
+
+    Apply it to what arrives, too: an old agent may pass on expired attempts, in a form that it can't read.
+    """
     if isinstance(record, UsageCounter) or all(
-        mark.expires_ms + slack_ms > wall_ms for mark in record.attempts.values()
+        attempt.expires_ms + slack_ms > wall_ms for attempt in record.attempts.values()
     ):
         return record
-    marks = {by: mark for by, mark in record.attempts.items() if mark.expires_ms + slack_ms > wall_ms}
-    return Session(marks, record.unknown_fields, record.required_version)
+    attempts = {
+        attempt_id: attempt
+        for attempt_id, attempt in record.attempts.items()
+        if attempt.expires_ms + slack_ms > wall_ms
+    }
+    return Session(attempts, record.unknown_fields, record.required_version)
 
 
 def is_empty(record: Record) -> bool:
-    """Whether it may be forgotten. What is unknown of a session goes with its last mark, if all were read."""
+    """Whether it may be dropped. A session's unknown fields go with its last attempt, if all were read."""
     if isinstance(record, Session):
         return not record.attempts and not record.required_version
     return not (record.served_counts or record.leases or record.unknown_fields)
 
 
 def clock_error(
-    record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s=1.0
+    record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s: float = 1.0
 ) -> ClockAheadError | None:
-    """Says whose mark lasts longer than any may, or whose use is of a time to come: its clock is ahead, and
-    the record isn't to be taken in. One far period would push out all that was counted by then."""
+    """Why the record must not be merged: the clock of an agent that wrote in it is ahead. None if it is not.
+
+    An attempt then lasts longer than any may, or a count is of a period to come. One period far ahead would
+    push out all that was counted until then.
+
+    Args:
+        record: A record that has arrived.
+        wall_ms: This agent's wall clock.
+        longest_ms: The longest lifetime of an attempt record.
+        slack_ms: How far another clock may be ahead.
+        period_s: The length of a period of usage.
+    """
     if isinstance(record, Session):
-        for by, mark in sorted(record.attempts.items()):
-            if mark.expires_ms > wall_ms + longest_ms + slack_ms:
-                lasts = (mark.expires_ms - wall_ms) / 1000
-                return ClockAheadError(f"a mark of {by}", f"lasts {lasts:.3f} s from now")
-    else:
-        newest = int((wall_ms + slack_ms) / 1e3 // period_s) + 1
-        for agent, incarnation, period in sorted(record.served_counts):
-            if period > newest:
+        for attempt_id, attempt in sorted(record.attempts.items()):
+            if attempt.expires_ms > wall_ms + longest_ms + slack_ms:
+                lasts_s = (attempt.expires_ms - wall_ms) / 1000
                 return ClockAheadError(
-                    f"a use of {agent}/{incarnation}", f"period {period}, {newest} at most"
+                    f"an attempt record of {attempt_id}", f"lasts {lasts_s:.3f} s from now"
                 )
+        return None
+    newest = int((wall_ms + slack_ms) / 1e3 // period_s) + 1
+    for agent, incarnation, period in sorted(record.served_counts):
+        if period > newest:
+            return ClockAheadError(f"a count of {agent}/{incarnation}", f"period {period}, {newest} at most")
     return None
 
 
 def digest(record: Record) -> bytes:
-    """16 bytes, the same for equal records whatever order, version or program they came by."""
+    """DIGEST_BYTES, the same for equal records whatever order, version or program they came by."""
+    unknown = record.unknown_fields
+    content: list[Any]
     if isinstance(record, Session):
-        extra = {name: value for name, value in record.unknown_fields.items() if name not in REDUNDANT_FIELDS}
-        said = ["s", [record.attempts[by].fields() for by in sorted(record.attempts)], extra]
+        unknown = {name: value for name, value in unknown.items() if name not in REDUNDANT_FIELDS}
+        attempts = [record.attempts[attempt_id].fields() for attempt_id in sorted(record.attempts)]
+        content = [SESSION_KIND, attempts, unknown]
     else:
-        extra = (
-            {"parts": lease_fields(record), **record.unknown_fields}
-            if record.leases
-            else record.unknown_fields
-        )
-        said = ["u", [[*which, record.served_counts[which]] for which in sorted(record.served_counts)], extra]
-    return blake2b(encoder.encode(said), digest_size=16).digest()
+        if record.leases:
+            unknown = {"parts": lease_fields(record), **unknown}
+        counts = record.served_counts
+        content = [USAGE_KIND, [[*counter, counts[counter]] for counter in sorted(counts)], unknown]
+    return blake2b(encoder.encode(content), digest_size=DIGEST_BYTES).digest()
 
 
-def lease_fields(use: UsageCounter) -> dict:
-    return {holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in use.leases.items()}
+def lease_fields(usage: UsageCounter) -> dict[str, list[float]]:
+    """The form of leases that every version writes, and that digests are made of."""
+    return {
+        holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in usage.leases.items()
+    }
 
 
-def delta(record: Record, theirs: Record) -> Record:
-    """What `theirs` lacks: merged into it, it gives the same as the whole record would."""
-    both = merge(theirs, record)
-    if isinstance(both, Session):
-        marks = {
-            by: mark
-            for by, mark in record.attempts.items()
-            if by not in theirs.attempts
-            or encodes_differently(both.attempts[by].fields(), theirs.attempts[by].fields())
+def delta(record: Record, other: Record) -> Record:
+    """What `other` lacks: merged into it, it gives the same as the whole record would."""
+    merged = merge(other, record)
+    if isinstance(merged, Session) and isinstance(record, Session) and isinstance(other, Session):
+        attempts = {
+            attempt_id: attempt
+            for attempt_id, attempt in record.attempts.items()
+            if attempt_id not in other.attempts
+            or encodes_differently(merged.attempts[attempt_id].fields(), other.attempts[attempt_id].fields())
         }
-        return Session(marks, record.unknown_fields, record.required_version)
+        return Session(attempts, record.unknown_fields, record.required_version)
+    assert isinstance(merged, UsageCounter)
+    assert isinstance(other, UsageCounter)
     counts = {
-        which: served
-        for which, served in both.served_counts.items()
-        if theirs.served_counts.get(which) != served
+        counter: served
+        for counter, served in merged.served_counts.items()
+        if other.served_counts.get(counter) != served
     }
-    parts = {holder: part for holder, part in both.leases.items() if theirs.leases.get(holder) != part}
-    return UsageCounter(counts, parts, record.unknown_fields, record.required_version)
-
-
-def advance(mark: AttemptRecord, **more) -> AttemptRecord:
-    """The writer's own next copy of a mark: like `replace`, but it can only gain."""
-    return merge_attempts(mark, replace(mark, **more))
-
-
-def rank(value):
-    """A total order of all plain values; numbers by value, lists item by item."""
-    if value is None:
-        return (0,)
-    if isinstance(value, bool):
-        return (1, value)
-    if isinstance(value, int | float):
-        return (2, value, isinstance(value, float), copysign(1, value))
-    if isinstance(value, str):
-        return (3, value)
-    if isinstance(value, bytes):
-        return (4, value)
-    if isinstance(value, dict):
-        return (6, [(name, rank(each)) for name, each in sorted(value.items())])
-    return (5, [rank(each) for each in value])
-
-
-def join(a, b):
-    """The rule for values that nobody here understands; see the top of this file."""
-    if isinstance(a, dict) and isinstance(b, dict):
-        return _merge_extra(a, b)
-    return max(a, b, key=rank)
-
-
-def _merge_extra(a: dict, b: dict, again: tuple = ()) -> dict:
-    if not (a and b):
-        return dict(a or b)
-    both = dict(a)
-    for name, value in b.items():
-        if name not in both:
-            both[name] = value
-        else:
-            both[name] = max(both[name], value, key=rank) if name in again else join(both[name], value)
-    return both
-
-
-def _places(places) -> tuple:
-    known = sorted(set(places) - {UNKNOWN_LOCATION})
-    if len(known) > MAX_LOCATIONS or UNKNOWN_LOCATION in places:
-        known = [UNKNOWN_LOCATION, *known[:MAX_LOCATIONS]]
-    return tuple(known)
+    leases = {holder: lease for holder, lease in merged.leases.items() if other.leases.get(holder) != lease}
+    return UsageCounter(counts, leases, record.unknown_fields, record.required_version)
 
 
-def _heavy(extra: dict) -> bool:
-    return bool(extra) and len(encoder.encode(extra)) > MAX_UNKNOWN_BYTES
+def encodes_differently(a: Any, b: Any) -> bool:
+    """Whether two plain values have different bytes: 1, 1.0 and true do, though they are equal."""
+    return encoder.encode(a) != encoder.encode(b)
 
 
-def encodes_differently(a, b) -> bool:
-    return encoder.encode(a) != encoder.encode(b)
+def _bounded_locations(locations: tuple[Location, ...]) -> tuple[Location, ...]:
+    known = sorted(set(locations) - {UNKNOWN_LOCATION})
+    if len(known) > MAX_LOCATIONS or UNKNOWN_LOCATION in locations:
+        known = [UNKNOWN_LOCATION, *known[:MAX_LOCATIONS]]
+    return tuple(known)
