--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -36,7 +36,7 @@
 FRAME_HEADER_BYTES = 4
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.swim",
-    "cartdeal.fleet.consensus.ring_consensus",
+    "cartdeal.fleet.consensus.messages",
     "cartdeal.fleet.replication.messages",
     "cartdeal.fleet.quota.messages",
 )
--- /dev/null
+++ b/cartdeal/fleet/consensus/acceptor.py
@@ -0,0 +1,74 @@
+"""The acceptor of Paxos (Lamport 1998): what this agent promised and accepted for the next epoch.
+
+Its memory is its process: one that restarted is silent for twice lease_s, by when each ballot that it may
+have forgotten is over.
+"""
+
+from cartdeal.fleet.consensus.messages import Accepted, Nack, Promise, RefusalReason
+from cartdeal.fleet.consensus.state import AcceptedStep, EpochState, ProposalBackoff
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.ring.steps import RingStep
+
+
+class Acceptor:
+    """Votes on the step to the next epoch."""
+
+    def __init__(self, state: EpochState, backoff: ProposalBackoff) -> None:
+        self._state = state
+        self._context = state.context
+        self._backoff = backoff
+        self.reset()
+
+    def reset(self) -> None:
+        """Forgets what belonged to the epoch before."""
+        self.promised: tuple[int, str] = (0, "")
+        self.accepted: AcceptedStep | None = None
+
+    @property
+    def has_accepted_next(self) -> bool:
+        """Whether the next epoch may be decided already, so that this one's lease can't be renewed."""
+        return self.accepted is not None
+
+    def prepare(self, sender: str, number: int, removed: tuple[str, ...]) -> Promise | Nack:
+        """The answer to a ballot: a promise, or why not."""
+        state = self._state
+        ballot = (number, sender)
+        if not state.remembers_promises:
+            return self._nack(number, RefusalReason.RECENTLY_STARTED)
+        if ballot < self.promised:
+            return self._nack(number, RefusalReason.OLDER_BALLOT)
+        if any(name in state.live and state.live[name].state == 0 for name in removed):
+            # One witness is not enough to remove an agent.
+            return self._nack(number, RefusalReason.MEMBER_IS_LIVE)
+        self.promised = ballot
+        if sender != self._context.name:
+            ballot_lasts_s = state.settings.lease_s * (0.25 + 0.5 * self._context.random.random())
+            self._backoff.defer(self._context.now + ballot_lasts_s)
+        accepted = self.accepted
+        return Promise(
+            state.base.epoch,
+            state.base.digest,
+            number,
+            accepted.ballot if accepted else None,
+            accepted.step if accepted else None,
+        )
+
+    def accept(self, sender: str, number: int, step: RingStep) -> Accepted | Nack | None:
+        """The answer to the step of a ballot; None where the step can't be used."""
+        state = self._state
+        if not state.remembers_promises:
+            return self._nack(number, RefusalReason.RECENTLY_STARTED)
+        if (number, sender) < self.promised:
+            return self._nack(number, RefusalReason.OLDER_BALLOT)
+        if state.next_ring(step) is None:
+            self._context.increment(Metric.DROPPED_MALFORMED_RING)
+            return None
+        self.promised = (number, sender)
+        self.accepted = AcceptedStep(self.promised, step)
+        if sender != self._context.name:
+            self._backoff.defer(self._context.now + state.settings.lease_s / 2)
+        return Accepted(state.base.epoch, state.base.digest, number)
+
+    def _nack(self, number: int, reason: RefusalReason) -> Nack:
+        base = self._state.base
+        return Nack(base.epoch, base.digest, number, self.promised[0], reason)
--- /dev/null
+++ b/cartdeal/fleet/consensus/bootstrap.py
@@ -0,0 +1,73 @@
+"""How an agent without a ring finds one, or founds the first with the other seeds."""
+
+from math import inf
+
+from cartdeal.fleet.consensus.messages import RingQuery
+from cartdeal.fleet.consensus.state import EpochState
+from cartdeal.fleet.ring.ring import Ring, RingMember, is_valid_ring
+
+MAX_FOUNDERS = 8  # so many of the seeds that are there, by name, ask all seeds for a ring
+QUERIED_PEERS = 3
+FIRST_SEARCH_S = 0.2
+MAX_SEARCH_S = 2.0
+
+
+class RingSearch:
+    """Asks for a ring; once all seeds say that they know none, it proposes the first."""
+
+    def __init__(self, state: EpochState) -> None:
+        self._state = state
+        self._context = state.context
+        self._next_search_at = -inf
+        self._interval_s = 0.0
+        self._no_ring_at: dict[str, float] = {}  # agent -> when it last said that it knows no ring
+
+    def on_no_ring(self, sender: str) -> None:
+        """An agent says that it knows no ring."""
+        self._no_ring_at[sender] = self._context.now
+
+    def search_ring(self) -> None:
+        """Asks those who may know a ring, ever more rarely."""
+        state, context = self._state, self._context
+        if context.now < self._next_search_at:
+            return
+        self._interval_s = min(MAX_SEARCH_S, self._interval_s * 1.5 or FIRST_SEARCH_S)
+        self._next_search_at = context.now + self._interval_s * (0.5 + context.random.random())
+        names = sorted((set(state.live) | set(state.settings.seeds)) - {context.name})
+        queried = context.random.sample(names, min(QUERIED_PEERS, len(names)))
+        if state.is_member:
+            present = [name for name in state.seed_ring.names if name in state.live]
+            if context.name in present[:MAX_FOUNDERS]:
+                queried += [
+                    name for name in state.seed_ring.names if name not in queried and name != context.name
+                ]
+        for name in queried:
+            state.send(name, RingQuery)
+
+    def first_ring(self) -> Ring | None:
+        """The first ring, once all seeds say that they know none; a majority is enough after damp_s more."""
+        state, context = self._state, self._context
+        if not state.is_member or not state.remembers_promises:
+            return None
+        now, names, lease_s = context.now, state.seed_ring.names, state.settings.lease_s
+        without_ring = [
+            name
+            for name in names
+            if name == context.name or now - self._no_ring_at.get(name, -inf) <= 2 * lease_s
+        ]
+        majority_is_enough = now - state.started_at >= 2 * lease_s + state.settings.damp_s
+        if len(without_ring) < state.seed_ring.majority:
+            return None
+        if len(without_ring) < len(names) and not majority_is_enough:
+            return None
+        members = [
+            RingMember(peer.name, peer.zone, float(peer.capacity)) for _, peer in sorted(state.live.items())
+        ]
+        written_version = max((peer.reads[0] for peer in state.live.values()), default=1)
+        ring = Ring(
+            1,
+            tuple(members[: state.settings.most_agents]),
+            max(1, written_version),
+            founded_ms=int(context.wall * 1e3),
+        )
+        return ring if is_valid_ring(ring, state.settings.most_agents) else None
--- /dev/null
+++ b/cartdeal/fleet/consensus/learner.py
@@ -0,0 +1,111 @@
+"""The learner of Paxos (Lamport 1998): takes over decided rings and passes them on."""
+
+from collections.abc import Callable
+from math import inf
+
+from cartdeal.fleet import errors, events
+from cartdeal.fleet.consensus.messages import RingMessage, RingQuery, RingSnapshot, RingUpdate
+from cartdeal.fleet.consensus.state import EpochState
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.ring.ring import MAX_EPOCH, Ring, is_valid_ring
+from cartdeal.fleet.ring.steps import RingStep
+
+MAX_EPOCH_LEAD = 1 << 20  # epochs ahead of the own one that are no honest agent's
+MAX_CONFLICTING_RINGS = 64  # rings that are logged
+MIN_QUERY_INTERVAL_S = 0.1
+
+
+class Learner:
+    """Puts decided rings into force; `on_learned` is called after each."""
+
+    def __init__(self, state: EpochState, on_learned: Callable[[], None]) -> None:
+        self._state = state
+        self._context = state.context
+        self._on_learned = on_learned
+        self._conflicting_rings: dict[bytes, bool] = {}
+        self._query_at = -inf
+
+    @property
+    def max_epoch(self) -> int:
+        """The highest epoch that is believed."""
+        return self._state.base.epoch + MAX_EPOCH_LEAD if self._state.ring else MAX_EPOCH
+
+    def learn(self, previous: Ring, step: RingStep, ring: Ring) -> None:
+        """Takes over a decided ring if it's newer than the own one.
+
+        Of two conflicting rings of one epoch, the one of the lower digest is taken.
+        """
+        own = self._state.base
+        if ring.epoch < own.epoch or ring.digest == own.digest:
+            return
+        if ring.epoch == own.epoch:
+            self._log_conflict(own, ring)
+            if ring.digest > own.digest:
+                return
+        self._state.adopt(previous, step, ring)
+        self._on_learned()
+
+    def announce_decision(self, step: RingStep) -> None:
+        """Learns the ring of a ballot that was won, and tells all that may need it."""
+        previous, ring = self._state.base, self._state.next_ring(step)
+        if ring is None:
+            raise AssertionError("a majority accepted a step that leads to no valid ring")
+        self.learn(previous, step, ring)
+        recipients = {*previous.names, *ring.names, *self._state.live} - {self._context.name}
+        for name in sorted(recipients):
+            self._context.send(name, RingUpdate(step))
+
+    def query_ring(self, name: str) -> None:
+        """Asks an agent for its ring, not too often."""
+        if self._context.now >= self._query_at:
+            self._query_at = self._context.now + MIN_QUERY_INTERVAL_S + 0.1 * self._context.random.random()
+            self._state.send(name, RingQuery)
+
+    def send_ring(self, recipient: str, message: RingMessage) -> None:
+        """Sends the ring in force to one that asked: the step alone if that's all it lacks."""
+        base, step = self._state.last_step_base, self._state.last_step
+        if step is None:
+            return
+        if (message.epoch, message.ring_digest) == (base.epoch, base.digest):
+            self._context.send(recipient, RingUpdate(step))
+        else:
+            self._context.send(recipient, RingSnapshot(base, step))
+
+    def on_ring_update(self, sender: str, message: RingUpdate) -> None:
+        """A decided step; a step from another ring means that the own one may be old."""
+        step, base = message.step, self._state.base
+        if step.previous_digest == base.digest:
+            ring = self._state.next_ring(step)
+            if ring is None:
+                self._context.increment(Metric.DROPPED_MALFORMED_RING)
+                return
+            self.learn(base, step, ring)
+        elif base.epoch <= step.epoch <= self.max_epoch:
+            if step != self._state.last_step:
+                self.query_ring(sender)
+        elif step.epoch < base.epoch:
+            self._context.increment(Metric.DROPPED_OLDER_EPOCH)
+        else:
+            self._context.increment(Metric.DROPPED_DISTANT_EPOCH)
+
+    def on_ring_snapshot(self, message: RingSnapshot) -> None:
+        """A decided ring with the one before it."""
+        previous = message.previous_ring
+        if not 0 <= previous.epoch < self.max_epoch:
+            self._context.increment(Metric.DROPPED_DISTANT_EPOCH)
+            return
+        ring = self._state.valid_successor(previous, message.step)
+        max_members = self._state.settings.most_agents
+        if ring is None or (previous.epoch and not is_valid_ring(previous, max_members)):
+            self._context.increment(Metric.DROPPED_MALFORMED_RING)
+            return
+        self.learn(previous, message.step, ring)
+
+    def _log_conflict(self, own: Ring, ring: Ring) -> None:
+        known = self._conflicting_rings
+        if ring.digest in known or len(known) >= MAX_CONFLICTING_RINGS:
+            return
+        known[ring.digest] = True
+        digests = f"{own.digest.hex()} and {ring.digest.hex()}"
+        error = errors.ConflictingRingsError(f"epoch {own.epoch}", digests)
+        self._context.log_event(events.ConflictingRings.of(error))
--- /dev/null
+++ b/cartdeal/fleet/consensus/lease.py
@@ -0,0 +1,171 @@
+"""The lease that proves a ring: a majority of its members has confirmed it within lease_s.
+
+It must never confirm an epoch after this agent accepted the next, or believe an answer not asked for.
+"""
+
+from collections.abc import Collection
+from heapq import nlargest
+from math import ceil, inf, sqrt
+
+from cartdeal.fleet.consensus.acceptor import Acceptor
+from cartdeal.fleet.consensus.messages import NOT_HEARD, LeaseRenewal, LeaseRenewalAck
+from cartdeal.fleet.consensus.state import EpochState
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.ring.ring import Ring
+
+AGE_STEPS = 200  # steps of age in a lease
+AGES_REUSED_S = 0.05  # for which encoded ages are sent again
+MAX_UNIT_MS = 10_000
+MAX_PENDING_RENEWALS = 1024  # renewals of one epoch that wait until this agent has learnt it
+MAX_OPEN_ROUNDS = 8
+MAX_UNANSWERED = 2  # renewals to one target, before another takes its place
+FIRST_RETRY_S = 0.1
+
+
+class RingLease:
+    """Renews the lease and answers the renewals of others.
+
+    Each round asks few members, about as many as the square root of all. They pass on whom they heard, with
+    ages: two rounds bring a majority. In a small ring the few are a majority and a spare by themselves.
+    """
+
+    def __init__(self, state: EpochState, acceptor: Acceptor) -> None:
+        self._state = state
+        self._context = state.context
+        self._acceptor = acceptor
+        self._unit_ms = ceil(state.settings.lease_s * 1000 / AGE_STEPS)
+        self._round = 0
+        self._targets: dict[str, int] = {}  # whom to ask -> renewals without an answer
+        self.reset()
+
+    def reset(self) -> None:
+        """Forgets what belonged to the epoch before."""
+        self.next_renewal_at = -inf
+        self._retry_s = FIRST_RETRY_S
+        self._round_started_at: dict[int, float] = {}
+        self._heard_at: list[float] = [-inf] * len(self._state.base.members)
+        self._majority_heard_at = -inf  # since when a majority has confirmed; it only grows
+        self._majority_is_stale = False
+        self._encoded_until = -inf
+        self._encoded_ages = b""
+        self._pending_renewals: dict[str, LeaseRenewal] = {}
+
+    def take_pending_renewals(self) -> dict[str, LeaseRenewal]:
+        """The renewals of epochs that weren't known when they came; they are to be answered or dropped."""
+        pending, self._pending_renewals = self._pending_renewals, {}
+        return pending
+
+    def add_pending_renewal(self, sender: str, message: LeaseRenewal) -> None:
+        """Remembers a renewal of an epoch that isn't known yet."""
+        if len(self._pending_renewals) < MAX_PENDING_RENEWALS:
+            self._pending_renewals[sender] = message
+
+    def request_renewals(self, ring: Ring) -> None:
+        """Starts a round."""
+        now, third_s = self._context.now, self._state.settings.lease_s / 3
+        self.next_renewal_at = now + (third_s if self.is_valid() else min(self._retry_s, third_s))
+        self._retry_s *= 2
+        self._choose_targets(ring)
+        self._round += 1
+        self._round_started_at[self._round] = now
+        self._round_started_at.pop(self._round - MAX_OPEN_ROUNDS, None)
+        for name in self._targets:
+            self._targets[name] += 1
+            self._state.send(name, LeaseRenewal, self._round)
+
+    def on_renewal(self, sender: str, message: LeaseRenewal) -> None:
+        """Answers with the ages of all confirmations, the own one among them."""
+        ages = bytearray(self._ages())
+        own_index = self._state.index_by_name.get(self._context.name)
+        if own_index is not None:
+            confirms = self._state.remembers_promises and not self._acceptor.has_accepted_next
+            ages[own_index] = 0 if confirms else NOT_HEARD
+        self._state.send(sender, LeaseRenewalAck, message.round, self._unit_ms, bytes(ages))
+
+    def on_renewal_ack(self, sender: str, message: LeaseRenewalAck) -> None:
+        """Takes in the confirmations that a member heard of; ages count from when it was asked."""
+        started_at = self._round_started_at.get(message.round)
+        if (
+            started_at is None
+            or len(message.ages) != len(self._heard_at)
+            or not 0 < message.unit_ms <= MAX_UNIT_MS
+        ):
+            self._context.increment(Metric.DROPPED_LEASE_RENEWAL)
+            return
+        if sender in self._targets:
+            self._targets[sender] = 0
+        unit_s, heard_at = message.unit_ms / 1000, self._heard_at
+        for index, age in enumerate(message.ages):
+            if age != NOT_HEARD and (at := started_at - age * unit_s) > heard_at[index]:
+                heard_at[index] = at
+        self._majority_is_stale = True
+
+    def is_valid(self) -> bool:
+        """Whether this agent may count on its ring.
+
+        Asked with every request: in most of a lease what was counted last is enough.
+        """
+        if (
+            self._context.now < self._majority_heard_at + self._state.settings.lease_s / 2
+            and not self._acceptor.has_accepted_next
+        ):
+            return True
+        return self._context.now < self.valid_until
+
+    @property
+    def valid_until(self) -> float:
+        """Local time until which this agent may count on its epoch; -inf: not at all.
+
+        It is lease_s after the moment since which a majority of the members has confirmed it.
+        """
+        state = self._state
+        if state.ring is None or self._acceptor.has_accepted_next:
+            return -inf
+        own_index = state.index_by_name.get(self._context.name)
+        needed = state.ring.majority - (own_index is not None and state.remembers_promises)
+        if needed <= 0:
+            return self._context.now + state.settings.lease_s
+        if self._majority_is_stale:
+            others = (at for index, at in enumerate(self._heard_at) if index != own_index)
+            latest = nlargest(needed, others)
+            self._majority_heard_at = latest[-1] if len(latest) == needed else -inf
+            self._majority_is_stale = False
+        return self._majority_heard_at + state.settings.lease_s
+
+    def _choose_targets(self, ring: Ring) -> None:
+        state, own_name = self._state, self._context.name
+        count = min(
+            len(ring.members) - state.is_member,
+            ring.majority + 1 - state.is_member,
+            ceil(1.5 * sqrt(len(ring.members))) + 2,
+        )
+        answering = {
+            name: unanswered
+            for name, unanswered in self._targets.items()
+            if name in state.index_by_name and name in state.live and unanswered < MAX_UNANSWERED
+        }
+        self._targets = dict(list(answering.items())[:count])
+        candidate_sets: tuple[Collection[str], ...] = (state.live, ())  # first those that are live, then any
+        for candidates in candidate_sets:
+            if len(self._targets) < count:
+                left = [
+                    name
+                    for name in ring.names
+                    if name != own_name
+                    and name not in self._targets
+                    and (not candidates or name in candidates)
+                ]
+                chosen = self._context.random.sample(left, min(len(left), count - len(self._targets)))
+                self._targets |= dict.fromkeys(chosen, 0)
+
+    def _ages(self) -> bytes:
+        """As they will be when AGES_REUSED_S are over; until then they are sent again."""
+        now, settings = self._context.now, self._state.settings
+        if now >= self._encoded_until:
+            self._encoded_until = then = now + AGES_REUSED_S
+            oldest = then - settings.lease_s
+            units_per_s = (1 + settings.clock_drift) * 1000 / self._unit_ms
+            self._encoded_ages = bytes(
+                [int((then - at) * units_per_s) + 1 if at > oldest else NOT_HEARD for at in self._heard_at]
+            )
+        return self._encoded_ages
--- /dev/null
+++ b/cartdeal/fleet/consensus/reconfiguration.py
@@ -0,0 +1,103 @@
+"""Which ring is to follow the one in force, and the alarm when none can."""
+
+from collections.abc import Callable, Mapping
+from math import inf
+
+from msgspec.structs import replace
+
+from cartdeal.fleet import errors, events
+from cartdeal.fleet.consensus.bootstrap import RingSearch
+from cartdeal.fleet.consensus.state import EpochState, Peer
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.ring.damping import Damper
+from cartdeal.fleet.ring.movement import plan_next_ring
+from cartdeal.fleet.ring.ring import Ring
+
+MAJORITY_LOST_ALARM_S = 30.0  # without a majority of the ring's members, and an operator is told
+MAX_EVALUATION_S = 0.5
+MAX_COUNTED_GAP_S = 2.0
+
+# (ring, live) -> (written version, phase) of the epoch after the ring
+NextVersions = Callable[[Ring, Mapping[str, Peer]], tuple[int, str]]
+
+
+class TargetRing:
+    """The ring that this agent wants next, if any, and since when it wants one."""
+
+    def __init__(self, state: EpochState, search: RingSearch) -> None:
+        self._state = state
+        self._context = state.context
+        self._search = search
+        self._evaluate_at = -inf
+        self.damper = Damper(state.settings)
+        self.majority_monitor = MajorityMonitor(state)
+        self.reset()
+
+    def reset(self) -> None:
+        """Forgets what belonged to the epoch before."""
+        self.ring: Ring | None = None
+        self.wanted_since = inf
+
+    def evaluate_if_due(self, next_versions: NextVersions) -> None:
+        """Evaluates, several times in damp_s."""
+        now, damp_s = self._context.now, self._state.settings.damp_s
+        if now >= self._evaluate_at:
+            interval_s = min(MAX_EVALUATION_S, damp_s / 8)
+            self._evaluate_at = now + interval_s * (0.8 + 0.2 * self._context.random.random())
+            self.evaluate_target_ring(next_versions)
+
+    def evaluate_target_ring(self, next_versions: NextVersions) -> None:
+        """Sees whether another ring is wanted."""
+        self.majority_monitor.check()
+        ring = self._state.ring
+        target = self._search.first_ring() if ring is None else self._successor_of(ring, next_versions)
+        if target is None:
+            self.reset()
+        else:
+            self.ring = target
+            self.wanted_since = min(self.wanted_since, self._context.now)
+
+    def _successor_of(self, ring: Ring, next_versions: NextVersions) -> Ring | None:
+        state = self._state
+        members = self.damper.target_members(state.live, ring, self._context.now)
+        target = ring
+        if members and members != ring.member_by_name:
+            target = plan_next_ring(ring, members, state.settings.step_share)
+            if len(target.members) > state.settings.most_agents:
+                self._context.increment(Metric.RING_FULL)
+                target = ring
+        written_version, phase = next_versions(ring, state.live)
+        if target is ring and (written_version, phase) == (ring.written_version, ring.phase):
+            return None
+        return replace(target, epoch=ring.epoch + 1, written_version=written_version, phase=phase)
+
+
+class MajorityMonitor:
+    """Tells an operator, once, when a majority of the ring's members has been away for long."""
+
+    def __init__(self, state: EpochState) -> None:
+        self._state = state
+        self._context = state.context
+        self._checked_at = state.context.now
+        self.reset()
+
+    def reset(self) -> None:
+        """Starts anew with another ring."""
+        self._lost_for_s = 0.0
+        self._is_logged = False
+
+    def check(self) -> None:
+        """Counts the time without a majority; a gap between two calls counts for 2 s at most."""
+        now, base = self._context.now, self._state.base
+        present = sum(name in self._state.live for name in base.names)
+        if present < base.majority:
+            self._lost_for_s += min(now - self._checked_at, MAX_COUNTED_GAP_S)
+        else:
+            self._lost_for_s = 0.0
+        self._checked_at = now
+        limit_s = max(MAJORITY_LOST_ALARM_S, 6 * self._state.settings.damp_s)
+        if self._lost_for_s >= limit_s and not self._is_logged and base.members:
+            self._is_logged = True
+            kind = errors.RingMajorityLostError if self._state.ring else errors.BootstrapIncompleteError
+            error = kind(f"epoch {base.epoch}", f"{present} of {len(base.members)} seats there")
+            self._context.log_event(events.RingMajorityLost.of(error))
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet import errors, events
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages as consensus_messages
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
@@ -85,7 +85,7 @@
             kind: part
             for module, part in (
                 (swim, self.membership),
-                (ring_consensus, self.consensus),
+                (consensus_messages, self.consensus),
                 (messages, self.replica),
                 (quota_messages, self.quota),
             )
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -8,7 +8,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages as consensus_messages
 from cartdeal.fleet.errors import InvalidRecordError
 from cartdeal.fleet.idempotency import AdmissionDecision
 from cartdeal.fleet.replication import messages, schema
@@ -153,23 +153,23 @@
         elif kind is messages.WriteResponse:
             if message.written and (to, message.incarnation, message.request_id) in self.claims:
                 self.writers[self.claims[to, message.incarnation, message.request_id][2]][sender] = None
-        elif kind.__module__ == ring_consensus.__name__:
+        elif kind.__module__ == consensus_messages.__name__:
             self.of_rings(at, sender, to, message)
 
     def of_rings(self, at, sender, to, message):
         kind = type(message)
-        if kind is ring_consensus.RingSnapshot:
+        if kind is consensus_messages.RingSnapshot:
             self.rings.setdefault(message.previous_ring.digest, message.previous_ring)
             self.learn(message.previous_ring.digest, message.step)
-        elif kind is ring_consensus.RingUpdate:
+        elif kind is consensus_messages.RingUpdate:
             self.learn(message.step.previous_digest, message.step)
         else:
-            if kind is ring_consensus.Accept:
+            if kind is consensus_messages.Accept:
                 ring = self.learn(message.ring_digest, message.step)
                 if ring:
                     self.ballots[message.ring_digest, message.number, sender] = ring.digest
                     self.votes[ring.digest][sender] = None
-            elif kind is ring_consensus.Accepted:
+            elif kind is consensus_messages.Accepted:
                 self.votes[self.ballots.get((message.ring_digest, message.number, to), b"")][sender] = None
             if message.epoch:
                 self.ring_of[sender] = message.ring_digest
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -8,14 +8,16 @@
 import msgspec
 import pytest
 
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages
+from cartdeal.fleet.consensus.acceptor import Acceptor
+from cartdeal.fleet.consensus.proposer import Proposer
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.ring.ring import Ring, RingMember
 from cartdeal.fleet.ring.steps import apply_step, step_between
 from cartdeal.fleet.settings import FleetSettings
 
-CODEC = msgspec.msgpack.Decoder(ring_consensus.MESSAGE_TYPES[0] | ring_consensus.MESSAGE_TYPES[1])
-for kind in ring_consensus.MESSAGE_TYPES[2:]:
+CODEC = msgspec.msgpack.Decoder(messages.MESSAGE_TYPES[0] | messages.MESSAGE_TYPES[1])
+for kind in messages.MESSAGE_TYPES[2:]:
     CODEC = msgspec.msgpack.Decoder(CODEC.type | kind)
 
 
@@ -112,7 +114,7 @@
             self.first.setdefault(epoch, self.now)
             if (
                 agent.has_valid_lease()
-                and self.now - self.first.get(epoch + 1, self.now) > agent.settings.lease_s
+                and self.now - self.first.get(epoch + 1, self.now) > agent.state.settings.lease_s
             ):
                 self.stale.append((name, epoch))
 
@@ -143,7 +145,7 @@
 
     def settled(self):
         return self.agreed(self.agents) and all(
-            agent.has_valid_lease() and agent.need is None for agent in self.agents.values()
+            agent.has_valid_lease() and agent.target.ring is None for agent in self.agents.values()
         )
 
     def agreed(self, names):
@@ -272,16 +274,16 @@
 def test_a_ballot_that_outlived_its_lease_is_given_up():
     net = settled()
     net.start("d")
-    assert net.run(20, lambda: any(agent.attempt for agent in net.agents.values()))
-    name = next(name for name, agent in net.agents.items() if agent.attempt)
+    assert net.run(20, lambda: any(agent.proposer.proposal for agent in net.agents.values()))
+    name = next(name for name, agent in net.agents.items() if agent.proposer.proposal)
     net.stopped[name] = []
     net.run(2.5)
     agent, kept = net.agents[name], net.stopped[name]
     agent.context.now = net.now
     for sender, _, raw in kept:
-        if isinstance(message := CODEC.decode(raw), ring_consensus.Promise | ring_consensus.Accepted):
+        if isinstance(message := CODEC.decode(raw), messages.Promise | messages.Accepted):
             agent.on_message(sender, message)
-    assert agent.attempt is None and agent.accepted is None
+    assert agent.proposer.proposal is None and agent.acceptor.accepted is None
 
 
 def test_accepted_the_next_epoch_it_vouches_no_more():
@@ -289,25 +291,23 @@
     agent, said = net.agents["b"], []
     agent.context.send = lambda to, message: said.append(message)
     head = agent.ring.epoch, agent.ring.digest
-    agent.on_message("c", ring_consensus.LeaseRenewal(*head, 9))
+    agent.on_message("c", messages.LeaseRenewal(*head, 9))
     assert said.pop().ages[1] == 0
-    agent.on_message(
-        "a", ring_consensus.Accept(*head, 7, step_between(agent.ring, Ring(2, agent.ring.members, 2)))
-    )
+    agent.on_message("a", messages.Accept(*head, 7, step_between(agent.ring, Ring(2, agent.ring.members, 2))))
     assert (
-        isinstance(said.pop(), ring_consensus.Accepted)
-        and agent.accepted_higher
+        isinstance(said.pop(), messages.Accepted)
+        and agent.acceptor.has_accepted_next
         and not agent.has_valid_lease()
     )
-    agent.on_message("c", ring_consensus.LeaseRenewal(*head, 10))
-    assert said.pop().ages[1] == ring_consensus.NOT_HEARD
+    agent.on_message("c", messages.LeaseRenewal(*head, 10))
+    assert said.pop().ages[1] == messages.NOT_HEARD
 
 
 def test_accepted_by_one_and_its_proposer_dead_it_is_still_brought_to_an_end():
     net = settled()
     agent = net.agents["b"]
     wanted = step_between(agent.ring, Ring(2, agent.ring.members[1:]))
-    agent.on_message("a", ring_consensus.Accept(1, agent.ring.digest, 7, wanted))
+    agent.on_message("a", messages.Accept(1, agent.ring.digest, 7, wanted))
     assert net.run(3, lambda: net.agents["c"].ring.epoch == 2)
     assert net.agents["c"].ring.names == ("b", "c") and not net.split()
 
@@ -317,9 +317,9 @@
     old, other = net.agents["a"].ring, net.agents["e"]
     first = step_between(old, Ring(2, old.members[1:]))
     for name in "bcd":
-        net.agents[name].on_message("a", ring_consensus.Accept(1, old.digest, 7, first))
-    other.top = 7
-    other.begin(step_between(old, Ring(2, old.members[:-1])), ())
+        net.agents[name].on_message("a", messages.Accept(1, old.digest, 7, first))
+    other.proposer.highest_number = 7
+    other.proposer.start_proposal(step_between(old, Ring(2, old.members[:-1])), ())
     net.run(1)
     assert net.decided[2].keys() == {apply_step(old, first).digest}
 
@@ -329,11 +329,11 @@
     net.stop("c")
     net.start("c")
     agent, said = net.agents["c"], []
-    assert net.run(2, lambda: agent.ring is not None) and not agent.remembers
+    assert net.run(2, lambda: agent.ring is not None) and not agent.state.remembers_promises
     agent.context.send = lambda to, message: said.append(message)
-    agent.on_message("a", ring_consensus.Prepare(1, agent.ring.digest, 7, ()))
-    agent.on_message("a", ring_consensus.LeaseRenewal(1, agent.ring.digest, 7))
-    assert said[0].why == "forgot" and said[1].ages[2] == ring_consensus.NOT_HEARD
+    agent.on_message("a", messages.Prepare(1, agent.ring.digest, 7, ()))
+    agent.on_message("a", messages.LeaseRenewal(1, agent.ring.digest, 7))
+    assert said[0].reason == "forgot" and said[1].ages[2] == messages.NOT_HEARD
 
 
 def test_an_epoch_agreed_twice_ends_in_the_lower_digest_everywhere():
@@ -342,12 +342,12 @@
     twins = [Ring(2, old.members, written, founded_ms=old.founded_ms) for written in (1, 2)]
     twins.sort(key=lambda ring: ring.digest)
     for name, ring in (("a", twins[1]), ("b", twins[0])):
-        net.agents[name].on_message("c", ring_consensus.RingUpdate(step_between(old, ring)))
+        net.agents[name].on_message("c", messages.RingUpdate(step_between(old, ring)))
         net.judge(name, net.agents[name])
     net.run(2)
     assert net.split() == [2] and net.rings() == {twins[0].digest}
     assert {name for name, kind in net.events if kind == "conflicting rings"} >= {"a"}
-    net.agents["b"].on_message("c", ring_consensus.RingSnapshot(old, step_between(old, twins[1])))
+    net.agents["b"].on_message("c", messages.RingSnapshot(old, step_between(old, twins[1])))
     assert net.agents["b"].ring.digest == twins[0].digest and ("b", "conflicting rings") in net.events
 
 
@@ -356,8 +356,8 @@
     agent, counts = net.agents["a"], net.counts["a"]
     ring = agent.ring
     one, two = ring.members[:2]
-    agent.on_message("b", ring_consensus.LeaseRenewal(1 << 30, b"", 1))
-    agent.on_message("b", ring_consensus.RingSnapshot(Ring(1 << 30, ring.members), step_between(ring, ring)))
+    agent.on_message("b", messages.LeaseRenewal(1 << 30, b"", 1))
+    agent.on_message("b", messages.RingSnapshot(Ring(1 << 30, ring.members), step_between(ring, ring)))
     assert counts["dropped distant epoch"] == 2
     for seats in [
         (two, one),
@@ -369,16 +369,15 @@
         (RingMember("", "", 1.0),),
     ]:
         former = Ring(7, seats)
-        agent.on_message(
-            "b", ring_consensus.RingSnapshot(former, step_between(former, Ring(8, ring.members)))
-        )
+        agent.on_message("b", messages.RingSnapshot(former, step_between(former, Ring(8, ring.members))))
         bad = msgspec.structs.replace(
             step_between(ring, ring), epoch=2, members=seats, removed=() if seats else ABC
         )
         if seats not in [(two, one), (one, one)]:  # these are put in order, which makes them sound
-            agent.on_message("b", ring_consensus.RingUpdate(bad))
-            agent.on_message("b", ring_consensus.Accept(1, ring.digest, 5, bad))
-    assert counts["dropped malformed ring"] == 17 and agent.ring is ring and not agent.accepted_higher
+            agent.on_message("b", messages.RingUpdate(bad))
+            agent.on_message("b", messages.Accept(1, ring.digest, 5, bad))
+    assert counts["dropped malformed ring"] == 17
+    assert agent.ring is ring and not agent.acceptor.has_accepted_next
 
 
 def test_a_step_of_the_schema_is_an_epoch():
@@ -402,28 +401,47 @@
     assert sum(net.bytes.values()) < 61 * 20 * 4000  # the whole ring went to the one that had none
 
 
-class Forgetful(RingConsensus):
+class ForgetfulAcceptor(Acceptor):
     """Says that it accepted, and forgets."""
 
-    def accept(self, sender, number, wanted):
-        answer = super().accept(sender, number, wanted)
+    def accept(self, sender, number, step):
+        answer = super().accept(sender, number, step)
         self.accepted, self.promised = None, (0, "")
         return answer
 
 
-class Loose(RingConsensus):
-    """Vouches for an epoch after it accepted the next."""
+class LooseAcceptor(Acceptor):
+    """Lets the lease be renewed after it accepted the next epoch."""
 
-    accepted_higher = False
+    has_accepted_next = False
 
 
-class Rash(RingConsensus):
+class RashProposer(Proposer):
     """Takes half of the voters for a majority."""
 
-    def promise_came(self, attempt, sender, message):
-        super().promise_came(attempt, sender, message)
-        if not attempt.accepting and 2 * len(attempt.promises) >= len(self.place) - 1:
-            self.decided(attempt.step)
+    def _on_promise(self, proposal, sender, message):
+        super()._on_promise(proposal, sender, message)
+        half = len(self._state.index_by_name) - 1
+        if not proposal.accepting and 2 * len(proposal.promises) >= half:
+            self._learner.announce_decision(proposal.step)
+
+
+class Forgetful(RingConsensus):
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.acceptor.__class__ = ForgetfulAcceptor
+
+
+class Loose(RingConsensus):
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.acceptor.__class__ = LooseAcceptor
+
+
+class Rash(RingConsensus):
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.proposer.__class__ = RashProposer
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -22,8 +22,7 @@
 from cartdeal.emulator.world import Unusable
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
-from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
+from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, Prepare, RingSnapshot
 from cartdeal.fleet.membership.swim import (
     Ack,
     DigestExchange,
@@ -250,7 +249,7 @@
     empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
     for seat in ring.members:
         agent.on_message(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
-    agent.learn(empty, step_between(empty, ring), ring)
+    agent.learner.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
 
 
@@ -258,10 +257,7 @@
     seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
     assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME_BYTES
-    assert (
-        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names)))
-        < codec.MAX_FRAME_BYTES
-    )
+    assert len(codec.encode_message(Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME_BYTES
 
 
 def called(host):
