--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -16,7 +16,6 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet import errors, events
-from cartdeal.fleet.consensus import messages as consensus_messages
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.effects import DeliverDecision, Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
@@ -30,8 +29,8 @@
     may_reject,
     may_repeat,
 )
-from cartdeal.fleet.membership import swim
-from cartdeal.fleet.membership.swim import Membership
+from cartdeal.fleet.membership import messages as membership_messages
+from cartdeal.fleet.membership.membership import Membership
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
@@ -84,8 +83,8 @@
         self.parts = {
             kind: part
             for module, part in (
-                (swim, self.membership),
-                (consensus_messages, self.consensus),
+                (membership_messages, self.membership),
+                (ring_consensus, self.consensus),
                 (messages, self.replica),
                 (quota_messages, self.quota),
             )
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -22,8 +22,8 @@
 from cartdeal.emulator.world import Unusable
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
-from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, Prepare, RingSnapshot
-from cartdeal.fleet.membership.swim import (
+from cartdeal.fleet.consensus.ring_consensus import LeaseRenewal, LeaseRenewalAck, RingSnapshot
+from cartdeal.fleet.membership.messages import (
     Ack,
     DigestExchange,
     GossipItem,
@@ -44,12 +44,12 @@
 from cartdeal.terms import State as ServerState
 from tests.fleet import test_membership, test_ring_consensus, test_transport
 from tests.fleet.test_membership import peer
-from tests.fleet.test_transport import SETTINGS, Load, until
+from tests.fleet.test_transport import SETTINGS, StreamMessage, wait_until
 from tests.scene import config_file
 
 MANY = 1024
 # pytest finds fixtures by their names here
-hosts, message_decoder = test_transport.hosts, test_transport.message_decoder
+make_transport, message_decoder = test_transport.make_transport, test_transport.message_decoder
 TCP_INFO_BACKLOG = 28  # of a listening socket: where TCP_INFO has the bound of its queue
 
 
@@ -138,7 +138,7 @@
     with gevent.Timeout(20):
         client.run_fetch()
         client.watch(True)
-        until(lambda: len(heard) == 2)
+        wait_until(lambda: len(heard) == 2)
     client.watch(False)
     server.stop(0)
     assert [(len(found.entries), fresh) for _, found, fresh in heard] == [(entries, False), (entries, True)]
@@ -187,15 +187,20 @@
 
 def full_hub(many=MANY):
     """A real agent that all the others, here by their messages alone, have called and answered at once."""
-    net, sent, peers = test_membership.Net(), [], [peer(f"n{n}") for n in range(1, many)]
+    net, sent, peers = test_membership.FakeNetwork(), [], [peer(f"n{n}") for n in range(1, many)]
     hub = net.start("n000")
     hub.context.send = lambda to, message: sent.append((to, message))
     for each in peers:
-        hub.on_message(each.name, Ping(1, each, ()))
-    assert len(hub.strangers) == many - 1 and not hub.context.counts["dropped unverified peers"]
+        hub.on_message(each.name, Ping(1, sender=each, items=()))
+    assert (
+        len(hub.verifier.unverified_peers) == many - 1
+        and not hub.context.counters["dropped unverified peers"]
+    )
     for each in peers:
-        hub.on_message(each.name, Ack(hub.strangers[each.name].number, each, ()))
-    assert hub.size() == many and not hub.strangers
+        hub.on_message(
+            each.name, Ack(hub.verifier.unverified_peers[each.name].challenge_number, sender=each, items=())
+        )
+    assert hub.size() == many and not hub.verifier.unverified_peers
     sent.clear()
     return net, hub, peers, sent
 
@@ -211,20 +216,25 @@
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
     net, hub, peers, sent = full_hub()
     for each in peers:
-        hub.on_message(each.name, DigestExchange(bytes(64), True, each, ()))
+        hub.on_message(each.name, DigestExchange(bytes(64), True, sender=each, items=()))
     names = {each.name for each in peers}
-    assert set(hub.owed) == names and {to for to, message in sent if isinstance(message, StatePush)} == names
+    assert (
+        set(hub.exchange.pending_pushes) == names
+        and {to for to, message in sent if isinstance(message, StatePush)} == names
+    )
     # By need: each holds a part of the table.
-    assert sum(len(each.names) for each in hub.owed.values()) < MANY * MANY / 8
+    assert sum(len(each.names) for each in hub.exchange.pending_pushes.values()) < MANY * MANY / 8
     sent.clear()
     for each, target in zip(peers, peers[1:] + peers[:1], strict=True):
-        hub.on_message(each.name, PingRequest(1, target.name, each, ()))
-    assert len(hub.relays) == MANY - 1 and not any(isinstance(message, Nack) for _, message in sent)
+        hub.on_message(each.name, PingRequest(1, target.name, sender=each, items=()))
+    assert len(hub.detector.relayed_pings) == MANY - 1 and not any(
+        isinstance(message, Nack) for _, message in sent
+    )
     witness, *accused = peers
     for each in accused:
-        told = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
-        hub.on_message(witness.name, StatePush(witness, told))
-    assert len(hub.warnings) == MANY - 2
+        items = (GossipItem(replace(each, state=PeerState.SUSPECT), (witness.name,)),)
+        hub.on_message(witness.name, StatePush(sender=witness, items=items))
+    assert len(hub.suspicion.warnings) == MANY - 2
 
 
 def test_clocks_of_a_majority_of_1024_seats_set_one_that_is_wrong():
@@ -264,8 +274,8 @@
     return socket.create_connection(("127.0.0.1", host.port))
 
 
-def test_streams_and_faults_of_1024_peers_are_held(hosts):
-    host = hosts("a", start=False)
+def test_streams_and_faults_of_1024_peers_are_held(make_transport):
+    host = make_transport("a", start=False)
     for n in range(MANY):
         host.outgoing.enqueue(("127.0.0.1", n + 1), b"x")
         host.reporter.report_once("refused", n, "")
@@ -275,32 +285,32 @@
     )
 
 
-def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(hosts):
+def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(make_transport):
     service = DiscoveryService(play.Rig(worlds.made({}), 1, "true"))
     most = int(Path("/proc/sys/net/core/somaxconn").read_text())
-    for listener in (hosts("a", start=False).listener, service.socket):
+    for listener in (make_transport("a", start=False).listener, service.socket):
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
         assert struct.unpack_from("I", info, TCP_INFO_BACKLOG)[0] == min(MANY, most)
     service.close()
 
 
-def test_many_peers_that_connect_at_once_all_keep_their_streams(hosts, monkeypatch):
+def test_many_peers_that_connect_at_once_all_keep_their_streams(make_transport, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a")
+    host = make_transport("a")
     many = [called(host) for _ in range(300)]  # each takes two descriptors of this process
-    until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
+    wait_until(lambda: len(host.incoming.connections) == len(many) or host.counters["closed no room"])
     assert not host.counters["closed no room"]
 
 
-def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(hosts, monkeypatch):
+def test_peers_that_said_something_keep_their_streams_and_none_is_closed_unread(make_transport, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.transport.incoming.FIRST_MESSAGE_TIMEOUT_S", 20.0)
-    host = hosts("a", limits=TransportLimits(max_streams=4), start=False)
-    said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, Load(b"x")))
+    host = make_transport("a", limits=TransportLimits(max_streams=4), start=False)
+    said = codec.frame_message(codec.encode(SETTINGS, "b", 1, "", 9, StreamMessage(b"x")))
     many = [called(host) for _ in range(20)]
     for each in many:
         each.sendall(said)
     host.start()
-    until(lambda: len(host.node.got) == len(many))
+    wait_until(lambda: len(host.node.received) == len(many))
     silent = [called(host) for _ in range(20)]
-    until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
+    wait_until(lambda: host.counters["closed no room"] >= len(many) - 4 + len(silent))
     assert sum(connection.is_identified for connection in host.incoming.connections.values()) == 3
