--- a/cartdeal/fleet/simulation/clients.py
+++ b/cartdeal/fleet/simulation/clients.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from cartdeal.fleet.effects import DeliverDecision
-from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, EarlierAttempt
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, EarlierAttempt, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.simulation.invariant_checker import InvariantChecker
 from cartdeal.simulated_time import SimulatedClock
@@ -100,7 +100,7 @@
         if pending is None:
             # Its client is gone: an admitted request ends without an attempt.
             if decision is AdmissionDecision.ADMIT:
-                node.on_request_ended(ticket, "never")
+                node.on_request_ended(ticket, RanOutcome.NEVER)
                 self.clock.after(0.0, self._flush_effects, host, node)
             return
         client = pending.client
@@ -148,7 +148,7 @@
     def _check_admission(self, host: SimulatedHost, node: Node, request: AdmissionRequest) -> None:
         name = host.settings.name
         self.checker.request_admitted(request.tenant, self.clock.now)
-        if request.marked:
+        if request.leaves_record:
             key = f"s/{request.session}"
             self.checker.attempt_recorded(name, self.clock.now, key, request.key, attempt_ids(node, key))
 
@@ -173,7 +173,7 @@
         allowed = all(_is_allowed(earlier, zone, cell, node.wall * 1e3) for earlier in earlier_attempts)
         if not allowed or host.is_stopped:
             host.requests.pop(ticket)
-            host.dispatch(node.on_request_ended, ticket, "never")
+            host.dispatch(node.on_request_ended, ticket, RanOutcome.NEVER)
             self.outcomes[intent].append(AdmissionDecision.FAIL.value)
             return
         host.dispatch(node.on_attempt_sent, ticket, zone, cell)
@@ -185,10 +185,10 @@
             return
         pending = host.requests.pop(ticket, None)
         if pending is None:
-            host.dispatch(node.on_request_ended, ticket, "maybe")
+            host.dispatch(node.on_request_ended, ticket, RanOutcome.MAYBE)
             return
         intent = pending.client.intent
-        host.dispatch(node.on_request_ended, ticket, "answered")
+        host.dispatch(node.on_request_ended, ticket, RanOutcome.ANSWERED)
         self.checker.request_answered(intent, self.clock.now, host.settings.name, COMPLETED)
         self.outcomes[intent].append(COMPLETED)
 
