--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -24,7 +24,7 @@
 from cartdeal.fleet.quota import messages as quota_messages
 from cartdeal.fleet.quota.quota_leases import QuotaLeases
 from cartdeal.fleet.replication import messages as replication_messages
-from cartdeal.fleet.replication import schema
+from cartdeal.fleet.replication import migration
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
@@ -150,7 +150,7 @@
         self.membership.tick()
         self._raise_incarnation()
         self.consensus.tick(
-            self.membership.live_peers(), lambda ring, live: schema.agree(ring, live, self.settings)
+            self.membership.live_peers(), lambda ring, live: migration.next_step(ring, live, self.settings)
         )
         self._adopt_ring()
         self.replica.tick()
@@ -256,7 +256,7 @@
         self.log_event(events.RingAdopted(ring.epoch, len(ring.members), ring.written_version, ring.phase))
         self.replica.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
         self.quota.on_ring_changed(ring, self.consensus.previous_ring, self.consensus.ring_learned_at)
-        self.quota.set_schema_version(schema.governs(ring.written_version, ring.phase))
+        self.quota.set_schema_version(migration.governing_version(ring.written_version, ring.phase))
         self._fence(ring)
 
     def _fence(self, ring: Ring) -> None:
@@ -264,11 +264,11 @@
 
         The records that this agent still holds are carried over all the same.
         """
-        unsupported = schema.refused(self.settings.reads, ring)
+        unsupported = migration.unsupported_error(self.settings.reads, ring)
         if unsupported and not self.is_fenced:
             self.log_event(events.Fenced(str(unsupported)))
         self.is_fenced = unsupported is not None
-        downgrade = schema.step_back_refused(ring, self.settings)
+        downgrade = migration.downgrade_error(ring, self.settings)
         if downgrade and not self.is_schema_hold_refused:
             self.log_event(events.SchemaHoldRefused(str(downgrade)))
         self.is_schema_hold_refused = downgrade is not None
