--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from cartdeal.fleet import events
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages as consensus_messages
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.effects import Effect, SendMessage, WriteLog
 from cartdeal.fleet.events import LogEvent
@@ -60,7 +60,7 @@
             message_type: part
             for module, part in (
                 (membership_messages, self.membership),
-                (ring_consensus, self.consensus),
+                (consensus_messages, self.consensus),
                 (replication_messages, self.replica),
                 (quota_messages, self.quota),
             )
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -267,9 +267,7 @@
     seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
     assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME
-    assert (
-        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
-    )
+    assert len(codec.encode_message(Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
 
 
 def called(host):
