--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -22,7 +22,7 @@
 from cartdeal.emulator.world import Unusable
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
-from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, RingSnapshot
+from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, Prepare, RingSnapshot
 from cartdeal.fleet.membership.messages import (
     Ack,
     DigestExchange,
