--- a/tests/fleet/test_mixed_versions.py
+++ b/tests/fleet/test_mixed_versions.py
@@ -15,8 +15,8 @@
 import gevent
 import pytest
 
-from tests.fleet.test_processes import read, settled
-from tests.processes import World, eventually
+from tests.fleet.test_processes import read_as_tenant, wait_until_ready
+from tests.processes import ProcessFleet, eventually
 
 ROOT = Path(__file__).parents[2]
 PREVIOUS_VERSION = "72ee2e1"  # the last commit before the fleet's names were changed
@@ -42,61 +42,61 @@
     agent.signal(signal.SIGTERM)
     eventually(lambda: agent.process.poll() is not None, "it ends")
     assert agent.process.returncode == 0
-    assert agent.said("out of the fleet", "handed_over=true")
+    assert agent.log_lines("out of the fleet", "handed_over=true")
     agent.tree = tree
     agent.start()
     eventually(lambda: agent.port, "it serves")
-    eventually(lambda: agent.said("caught up"), "it has caught up")
+    eventually(lambda: agent.log_lines("caught up"), "it has caught up")
 
 
-def hold_request(world, agent, path, session):
+def hold_request(fleet, agent, path, session):
     """A non-idempotent request that a server has begun and doesn't answer."""
-    held = gevent.spawn(world.ask, agent, path, session)
-    eventually(lambda: world.ran(path) == 1, "it runs")
+    held = gevent.spawn(fleet.request, agent, path, session)
+    eventually(lambda: fleet.executions(path) == 1, "it runs")
     return held
 
 
 def test_two_agents_of_each_version_share_a_ring_attempts_and_a_limit(tmp_path, previous_tree):
-    with World(tmp_path, agents=4, limits=LIMITS) as world:
-        for agent in world.agents[:2]:
+    with ProcessFleet(tmp_path, agents=4, limits=LIMITS) as fleet:
+        for agent in fleet.agents[:2]:
             agent.tree = previous_tree
-        world.start()
-        settled(world)
-        assert world.epoch() or eventually(world.epoch, "one ring")
+        fleet.start()
+        wait_until_ready(fleet)
+        assert fleet.common_epoch() or eventually(fleet.common_epoch, "one ring")
         begun, served = monotonic(), 0
         while monotonic() < begun + 2.0:
-            served += sum(read(world, agent)[0] == 200 for agent in world.agents)
+            served += sum(read_as_tenant(fleet, agent)[0] == 200 for agent in fleet.agents)
         assert 0 < served <= 10 + 20 * (monotonic() - begun)
-        for number, agent in enumerate(world.agents):
+        for number, agent in enumerate(fleet.agents):
             path, session = f"/close/{number}?do=reset", f"session {number}"
-            assert world.ask(agent, path, session)[0] == 502
-            others = [each for each in world.agents if each is not agent]
-            assert [world.ask(each, path, session, retried=True)[0] for each in others] == [502] * 3
-            assert world.ran(path) == 1
+            assert fleet.request(agent, path, session)[0] == 502
+            others = [each for each in fleet.agents if each is not agent]
+            assert [fleet.request(each, path, session, retried=True)[0] for each in others] == [502] * 3
+            assert fleet.executions(path) == 1
 
 
 @pytest.mark.parametrize("direction", ["upgrade", "rollback"])
 def test_rolling_change_of_version_keeps_attempts_and_the_limit(tmp_path, previous_tree, direction):
     before, after = (previous_tree, ROOT) if direction == "upgrade" else (ROOT, previous_tree)
-    with World(tmp_path, limits=LIMITS, longest_mark_s=25.0) as world:
-        for agent in world.agents:
+    with ProcessFleet(tmp_path, limits=LIMITS, longest_mark_s=25.0) as fleet:
+        for agent in fleet.agents:
             agent.tree = before
-        world.start()
-        settled(world)
-        held = hold_request(world, world.agents[2], "/close/5?do=wait", "hal")
+        fleet.start()
+        wait_until_ready(fleet)
+        held = hold_request(fleet, fleet.agents[2], "/close/5?do=wait", "hal")
         begun, served = monotonic(), 0
-        for agent in world.agents[:2]:
+        for agent in fleet.agents[:2]:
             restart(agent, after)
-            served += sum(read(world, each)[0] == 200 for each in world.agents for _ in range(20))
+            served += sum(read_as_tenant(fleet, each)[0] == 200 for each in fleet.agents for _ in range(20))
         assert served <= 10 + 20 * (monotonic() - begun)
-        for agent in world.agents[:2]:
-            assert world.ask(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
-        world.agents[2].kill()
+        for agent in fleet.agents[:2]:
+            assert fleet.request(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
+        fleet.agents[2].kill()
         held.get(timeout=5)
-        world.agents[2].tree = after
-        world.agents[2].start()
-        eventually(lambda: world.agents[2].port, "it serves")
-        settled(world)
-        for agent in world.agents:
-            assert world.ask(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
-        assert world.ran("/close/5?do=wait") == 1
+        fleet.agents[2].tree = after
+        fleet.agents[2].start()
+        eventually(lambda: fleet.agents[2].port, "it serves")
+        wait_until_ready(fleet)
+        for agent in fleet.agents:
+            assert fleet.request(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
+        assert fleet.executions("/close/5?do=wait") == 1
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,6 +1,6 @@
 """Several processes of the program in a fleet, with a relay of our own between them.
 
-Owns the processes, which it ends by id, and the relay. Verdicts wait for a condition, with a bound that is
+Owns the processes, which it ends by id, and the relay. Tests wait for a condition, with a timeout that is
 far off; no sleep decides one.
 """
 
@@ -24,10 +24,10 @@
 from cartdeal.fleet import codec
 from examples.toy import DiscoveryService, Server
 
-PORT = re.compile(rb"msg=serving .*port=(\d+)")
-LIMIT = 30.0  # seconds until what has to happen counts as never happening
+PORT_PATTERN = re.compile(rb"msg=serving .*port=(\d+)")
+TIMEOUT_S = 30.0  # after which what has to happen counts as never happening
 IDS = count(1)
-QUICK = dict(
+FAST_SETTINGS = dict(
     lease_s=0.6,
     probe_s=0.1,
     suspect_s=0.5,
@@ -37,7 +37,7 @@
     longest_mark_s=6.0,
     clock_ahead_s=0.25,
 )
-KINDS = [
+REQUEST_CLASSES = [
     {"name": "read", "idempotency": "safe", "goalTimeUs": 600000, "timeLimitUs": 2000000},
     {
         "name": "submit",
@@ -51,103 +51,117 @@
 ]
 
 
-def eventually(found, why, limit=LIMIT):
-    until = monotonic() + limit
-    while not (seen := found()):
-        assert monotonic() < until, f"not within {limit} s: {why}"
+def eventually(condition, reason, timeout_s=TIMEOUT_S):
+    """Waits until the condition holds and returns its value; fails the test after `timeout_s`."""
+    deadline = monotonic() + timeout_s
+    while not (value := condition()):
+        assert monotonic() < deadline, f"not within {timeout_s} s: {reason}"
         gevent.sleep(0.02)
-    return seen
+    return value
 
 
 class Relay:
     """Stands before one agent: peers reach it here. Knows each message's sender from its envelope."""
 
-    def __init__(self, world, name):
-        self.world, self.name, self.to = world, name, None
+    def __init__(self, fleet, name):
+        self.fleet = fleet
+        self.name = name
+        self.target = None  # the agent's own address
+        self.listener, self.datagrams, self.port = self.bind()
+        self.listener.listen(64)
+        self.forwarder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self.open_sockets = []
+        self.tasks = [gevent.spawn(self.forward_datagrams), gevent.spawn(self.accept)]
+
+    @staticmethod
+    def bind():
+        """A socket for streams and one for datagrams, and the port that they share."""
         while True:
-            self.listener = socket.socket()
-            self.listener.bind(("127.0.0.1", 0))
-            self.port = self.listener.getsockname()[1]
-            self.words = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            listener = socket.socket()
+            listener.bind(("127.0.0.1", 0))
+            port = listener.getsockname()[1]
+            datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             try:
-                self.words.bind(("127.0.0.1", self.port))
-                break
+                datagrams.bind(("127.0.0.1", port))
+                return listener, datagrams, port
             except OSError:
-                self.listener.close()
-                self.words.close()
-        self.listener.listen(64)
-        self.out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.works = [gevent.spawn(self.hear), gevent.spawn(self.accept)]
-        self.open = []
-
-    def fate(self, text) -> list[float]:
-        """After which delays the message goes on, once for each: none where it is lost."""
-        world, random = self.world, self.world.random
-        sender = msgspec.msgpack.decode(text[1 + codec.MAC_BYTES :])[1]
-        if (sender, self.name) in world.cuts or random.random() < world.lose:
+                listener.close()
+                datagrams.close()
+
+    def draw_delays(self, sealed) -> list[float]:
+        """After which delays the message is forwarded, once for each: none where it is lost."""
+        fleet, random = self.fleet, self.fleet.random
+        sender = msgspec.msgpack.decode(sealed[1 + codec.MAC_BYTES :])[1]
+        if (sender, self.name) in fleet.blocked_links or random.random() < fleet.loss_probability:
             return []
-        return [random.random() * world.delay for _ in range(1 + (random.random() < world.double))]
+        copies = 1 + (random.random() < fleet.duplicate_probability)
+        return [random.random() * fleet.max_delay_s for _ in range(copies)]
 
-    def hear(self):
+    def forward_datagrams(self):
         while True:
-            text = self.words.recv(65536)
-            for delay in self.fate(text) if self.to else ():
-                gevent.spawn_later(delay, self.out.sendto, text, self.to)
+            sealed = self.datagrams.recv(65536)
+            for delay in self.draw_delays(sealed) if self.target else ():
+                gevent.spawn_later(delay, self.forwarder.sendto, sealed, self.target)
 
     def accept(self):
         while True:
             sock, _ = self.listener.accept()
-            self.open.append(sock)
-            gevent.spawn(self.carry, sock)
+            self.open_sockets.append(sock)
+            gevent.spawn(self.forward_stream, sock)
 
-    def carry(self, sock):
-        frames, there = codec.FrameReader(), None
+    def forward_stream(self, sock):
+        frames, upstream = codec.FrameReader(), None
         try:
-            there = socket.create_connection(self.to)
-            self.open.append(there)
-            while more := sock.recv(65536):
-                for text in frames.feed(more):
-                    for delay in self.fate(text):
+            upstream = socket.create_connection(self.target)
+            self.open_sockets.append(upstream)
+            while received := sock.recv(65536):
+                for sealed in frames.feed(received):
+                    for delay in self.draw_delays(sealed):
                         gevent.sleep(delay)
-                        there.sendall(codec.frame_message(text))
+                        upstream.sendall(codec.frame_message(sealed))
         except (OSError, TypeError):
             pass
         finally:
             sock.close()
-            if there:
-                there.close()
+            if upstream:
+                upstream.close()
 
     def stop(self):
-        gevent.killall(self.works)
-        for sock in [self.listener, self.words, self.out, *self.open]:
+        gevent.killall(self.tasks)
+        for sock in [self.listener, self.datagrams, self.forwarder, *self.open_sockets]:
             sock.close()
 
 
 class Agent:
-    def __init__(self, world, name, zone):
-        self.world, self.name, self.zone = world, name, zone
-        self.relay, self.process, self.lines, self.port = Relay(world, name), None, [], 0
+    """One process of the program, and the relay before it."""
+
+    def __init__(self, fleet, name, zone):
+        self.fleet = fleet
+        self.name = name
+        self.zone = zone
+        self.relay = Relay(fleet, name)
+        self.process = None
+        self.log = []  # the lines that the process has logged
+        self.port = 0  # where it serves clients; 0 while it doesn't
         self.tree = Path(__file__).parents[1]  # of the sources that it is started from
 
     def start(self, **changes):
-        world = self.world
-        ports = world.free_port()
-        folder = world.folder
-        file = folder / f"{self.name}.json"
-        file.write_text(
+        fleet_port = self.fleet.free_port()
+        configuration_file = self.fleet.folder / f"{self.name}.json"
+        configuration_file.write_text(
             json.dumps(
                 {
                     "name": self.name,
                     "listen": "127.0.0.1:0",
-                    "discovery": world.list.address,
+                    "discovery": self.fleet.discovery.address,
                     "seed": f"{next(IDS):x}",
-                    "known": {"rev": 1, "all": True, "targets": list(world.list.lines.values())},
+                    "known": {"rev": 1, "all": True, "targets": list(self.fleet.discovery.lines.values())},
                     "settings": {
                         "areas": ["a", "b", "c"],
                         "az": "abc".index(self.zone),
                         "discovery": "on_request",
                         "groupSize": 3,
-                        "workloads": KINDS,
+                        "workloads": REQUEST_CLASSES,
                         "tenants": [{"name": "shop", "quotaPerS": 20}],
                         "caps": {"maxShots": 3, "retryAfter": True, "maxRetryAfterUs": 2000000},
                         "rules": {"askEveryUs": 10000000},
@@ -155,30 +169,35 @@
                 }
             )
         )
-        fleet = folder / f"{self.name}.toml"
-        fleet.write_text(world.operator_file(self, ports, **changes))
-        self.relay.to = ("127.0.0.1", ports)
-        self.lines, self.port = [], 0
-        message = [sys.executable, "-B", "-m", "cartdeal", "serve"]
+        operator_file = self.fleet.folder / f"{self.name}.toml"
+        operator_file.write_text(self.fleet.operator_file(self, fleet_port, **changes))
+        self.relay.target = ("127.0.0.1", fleet_port)
+        self.log = []
+        self.port = 0
+        command = [sys.executable, "-B", "-m", "cartdeal", "serve"]
         self.process = subprocess.Popen(
-            message,
+            command,
             cwd=self.tree,
             stderr=subprocess.PIPE,
             start_new_session=True,
-            env={"PROXY_CONFIG": str(file), "PROXY_FLEET": str(fleet), "PATH": os.environ["PATH"]},
+            env={
+                "PROXY_CONFIG": str(configuration_file),
+                "PROXY_FLEET": str(operator_file),
+                "PATH": os.environ["PATH"],
+            },
         )
-        gevent.spawn(self.read, self.process)
+        gevent.spawn(self.read_log, self.process)
         return self
 
-    def read(self, process):
-        log = FileObject(process.stderr, "rb")
-        for line in log:
-            self.lines.append(line.decode(errors="replace").rstrip())
-            if found := PORT.search(line):
+    def read_log(self, process):
+        for line in FileObject(process.stderr, "rb"):
+            self.log.append(line.decode(errors="replace").rstrip())
+            if found := PORT_PATTERN.search(line):
                 self.port = int(found[1])
 
-    def said(self, *words) -> list[str]:
-        return [line for line in self.lines if all(word in line for word in words)]
+    def log_lines(self, *parts) -> list[str]:
+        """The lines of its log that contain all of these."""
+        return [line for line in self.log if all(part in line for part in parts)]
 
     def signal(self, number):
         os.kill(self.process.pid, number)
@@ -194,28 +213,37 @@
         self.relay.stop()
 
 
-class World:
-    """Agents of one fleet, one in each zone, with toy servers behind them."""
+class ProcessFleet:
+    """Agents of one fleet, one in each zone, with toy servers behind them.
+
+    `blocked_links`: pairs of a sender and a receiver that no message passes.
+    """
 
-    def __init__(self, folder, agents=3, limits="", **terms):
-        self.folder, self.random, self.terms, self.limits = folder, Random(7), QUICK | terms, limits
-        self.cuts, self.lose, self.double, self.delay = set(), 0.0, 0.0, 0.0
-        self.list = DiscoveryService()
+    def __init__(self, folder, agents=3, limits="", **settings):
+        self.folder = folder
+        self.random = Random(7)
+        self.settings = FAST_SETTINGS | settings
+        self.limits = limits
+        self.blocked_links = set()
+        self.loss_probability = 0.0
+        self.duplicate_probability = 0.0
+        self.max_delay_s = 0.0
+        self.discovery = DiscoveryService()
         self.servers = [Server(f"s{zone}") for zone in "abc"]
         for server, zone in zip(self.servers, "abc", strict=True):
-            self.list.lines[server.name] = server.line(az=zone)
-        self.agents = [Agent(self, f"n{place}", "abc"[place % 3]) for place in range(agents)]
+            self.discovery.lines[server.name] = server.line(az=zone)
+        self.agents = [Agent(self, f"n{number}", "abc"[number % 3]) for number in range(agents)]
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        for each in self.agents:
-            print(f"--- {each.name}", *each.lines[-40:], sep="\n")  # pytest shows it where a test fails
-        for each in self.agents:
-            each.stop()
-        for each in [self.list, *self.servers]:
-            each.stop()
+        for agent in self.agents:
+            print(f"--- {agent.name}", *agent.log[-40:], sep="\n")  # pytest shows it where a test fails
+        for agent in self.agents:
+            agent.stop()
+        for service in [self.discovery, *self.servers]:
+            service.stop()
 
     def free_port(self) -> int:
         with socket.socket() as sock:
@@ -223,7 +251,7 @@
             return sock.getsockname()[1]
 
     def operator_file(self, agent, port, **changes) -> str:
-        terms = (
+        settings = (
             dict(
                 fleet="tests",
                 name=agent.name,
@@ -231,14 +259,14 @@
                 key="k" * 32,
                 address=f"127.0.0.1:{agent.relay.port}",
                 zone=agent.zone,
-                **self.terms,
+                **self.settings,
             )
             | changes
         )
-        seeds = {each.name: f"127.0.0.1:{each.relay.port}" for each in self.agents[:3]}
+        seeds = {seed.name: f"127.0.0.1:{seed.relay.port}" for seed in self.agents[:3]}
         return "\n".join(
             [
-                *(f"{key} = {json.dumps(value)}" for key, value in terms.items()),
+                *(f"{key} = {json.dumps(value)}" for key, value in settings.items()),
                 "[seeds]",
                 *(f'{name} = "{address}"' for name, address in seeds.items()),
                 self.limits,
@@ -246,21 +274,23 @@
         )
 
     def start(self):
-        for each in self.agents:
-            each.start()
-        eventually(lambda: all(each.port for each in self.agents), "agents serve")
-        eventually(lambda: self.epoch() > 0, "one ring")
+        for agent in self.agents:
+            agent.start()
+        eventually(lambda: all(agent.port for agent in self.agents), "agents serve")
+        eventually(lambda: self.common_epoch() > 0, "one ring")
         return self
 
-    def epoch(self, agents=None) -> int:
+    def common_epoch(self, agents=None) -> int:
         """The epoch that all have; 0 while they differ."""
-        found = set()
-        for each in agents or self.agents:
-            rings = each.said("ring", "epoch=")
-            found.add(int(re.search(r"epoch=(\d+)", rings[-1])[1]) if rings else 0)
-        return found.pop() if len(found) == 1 else 0
-
-    def ask(self, agent, path, session="one", key="", tenant="", method="POST", retried=False, wait=3.0):
+        epochs = set()
+        for agent in agents or self.agents:
+            rings = agent.log_lines("ring", "epoch=")
+            epochs.add(int(re.search(r"epoch=(\d+)", rings[-1])[1]) if rings else 0)
+        return epochs.pop() if len(epochs) == 1 else 0
+
+    def request(
+        self, agent, path, session="one", key="", tenant="", method="POST", retried=False, timeout_s=3.0
+    ):
         """One request; its status, body and headers, or 0 where the connection broke off."""
         sock = socket.create_connection(("127.0.0.1", agent.port))
         connection = Connection(sock, answers=True)
@@ -275,8 +305,8 @@
         head += ["X-Retried: 1"] * retried + ["Content-Length: 0"] * (method == "POST")
         try:
             connection.push("\r\n".join([*head, "", ""]).encode())
-            until = monotonic() + wait
-            while not connection.messages and connection.receive(max(0.01, until - monotonic())):
+            deadline = monotonic() + timeout_s
+            while not connection.messages and connection.receive(max(0.01, deadline - monotonic())):
                 pass
             message = connection.messages[0] if connection.messages else None
             return (message.status, message.body, message.headers) if message else (0, b"", {})
@@ -285,5 +315,6 @@
         finally:
             connection.close()
 
-    def ran(self, path) -> int:
+    def executions(self, path) -> int:
+        """How often a server has received a request for this path."""
         return sum(message.path.decode() == path for server in self.servers for message in server.seen)
