--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -3,9 +3,9 @@
 Owns the sizes and the order of the checks. It must never let a message through whose MAC is not right, nor
 keep anything of what it refused; every refusal is an error of errors.py.
 
-A sealed message is one byte of envelope version, `MAC_BYTES` of HMAC-SHA256 over the version and the body,
+A signed message is one byte of envelope version, `MAC_BYTES` of HMAC-SHA256 over the version and the body,
 and the body: an `Envelope` in MessagePack. A frame of a stream is its length in `FRAME_HEADER_BYTES`, big
-endian, and a sealed message.
+endian, and a signed message.
 """
 
 import hmac
@@ -87,8 +87,8 @@
 def encode(
     settings: FleetSettings, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct
 ) -> bytes:
-    """Encodes and seals one message. Raises MessageTooLargeError."""
-    return seal_message(settings, sender, incarnation, address, wall_ms, encode_message(message))
+    """Encodes and signs one message. Raises MessageTooLargeError."""
+    return sign_message(settings, sender, incarnation, address, wall_ms, encode_message(message))
 
 
 def encode_message(message: Struct) -> bytes:
@@ -102,7 +102,7 @@
     return encoded
 
 
-def seal_message(
+def sign_message(
     settings: FleetSettings, sender: str, incarnation: int, address: str, wall_ms: int, encoded: bytes
 ) -> bytes:
     """Puts an encoded message into its envelope and signs it.
@@ -112,30 +112,30 @@
     """
     envelope = Envelope(settings.fleet, sender, incarnation, address, wall_ms, msgspec.Raw(encoded))
     body = msgspec.msgpack.encode(envelope)
-    return bytes([ENVELOPE_VERSION]) + sign(settings.key, body) + body
+    return bytes([ENVELOPE_VERSION]) + compute_mac(settings.key, body) + body
 
 
-def decode(settings: FleetSettings, sealed: bytes, max_bytes: int = MAX_FRAME_BYTES) -> ReceivedMessage:
-    """Checks and decodes a sealed message of at most `max_bytes`.
+def decode(settings: FleetSettings, signed: bytes, max_bytes: int = MAX_FRAME_BYTES) -> ReceivedMessage:
+    """Checks and decodes a signed message of at most `max_bytes`.
 
     Raises MessageTooLargeError, MalformedMessageError, UnsupportedEnvelopeError, WrongFleetError,
     AuthenticationFailedError or UnknownMessageError. The errors about the version and the fleet's name are
     hints to an operator and no more: they are raised before the MAC shows that nothing was forged.
     """
-    if len(sealed) > max_bytes:
-        raise MessageTooLargeError("a message", f"{len(sealed)} bytes, {max_bytes} at most")
-    if len(sealed) <= 1 + MAC_BYTES:
-        raise MalformedMessageError("a message", f"{len(sealed)} bytes")
-    if sealed[0] != ENVELOPE_VERSION:
-        raise UnsupportedEnvelopeError("a message's envelope", sealed[0])
-    body = sealed[1 + MAC_BYTES :]
+    if len(signed) > max_bytes:
+        raise MessageTooLargeError("a message", f"{len(signed)} bytes, {max_bytes} at most")
+    if len(signed) <= 1 + MAC_BYTES:
+        raise MalformedMessageError("a message", f"{len(signed)} bytes")
+    if signed[0] != ENVELOPE_VERSION:
+        raise UnsupportedEnvelopeError("a message's envelope", signed[0])
+    body = signed[1 + MAC_BYTES :]
     try:
         envelope = ENVELOPE_DECODER.decode(body)
     except DECODING_ERRORS as error:
         raise MalformedMessageError("a message's envelope", error) from None
     if envelope.fleet != settings.fleet:
         raise WrongFleetError("a message's fleet", envelope.fleet)
-    if not hmac.compare_digest(sign(settings.key, body), sealed[1 : 1 + MAC_BYTES]):
+    if not hmac.compare_digest(compute_mac(settings.key, body), signed[1 : 1 + MAC_BYTES]):
         raise AuthenticationFailedError(f"a message under the name {envelope.sender!r}", "another digest")
     try:
         message = message_decoder().decode(envelope.message)
@@ -144,14 +144,14 @@
     return ReceivedMessage(envelope.sender, envelope.incarnation, envelope.address, envelope.wall_ms, message)
 
 
-def sign(key: bytes, body: bytes) -> bytes:
+def compute_mac(key: bytes, body: bytes) -> bytes:
     """The MAC of an encoded envelope under the fleet's key."""
     return hmac.digest(key, bytes([ENVELOPE_VERSION]) + body, "sha256")[:MAC_BYTES]
 
 
-def frame_message(sealed: bytes) -> bytes:
-    """A sealed message as a frame of a stream."""
-    return len(sealed).to_bytes(FRAME_HEADER_BYTES, "big") + sealed
+def frame_message(signed: bytes) -> bytes:
+    """A signed message as a frame of a stream."""
+    return len(signed).to_bytes(FRAME_HEADER_BYTES, "big") + signed
 
 
 class FrameReader:
@@ -166,7 +166,7 @@
         self.has_failed = False
 
     def feed(self, received: bytes) -> list[bytes]:
-        """Takes the next bytes of the stream and returns the sealed messages that they complete.
+        """Takes the next bytes of the stream and returns the signed messages that they complete.
 
         Raises MessageTooLargeError or MalformedMessageError; messages that were complete before the fault
         are lost with it.
--- a/cartdeal/fleet/transport/incoming.py
+++ b/cartdeal/fleet/transport/incoming.py
@@ -41,10 +41,10 @@
         self.reporter = reporter
         self.deliver = deliver
 
-    def receive_message(self, sealed: bytes, peer: PeerAddress, max_bytes: int) -> bool:
-        """Handles one sealed message; False where its sender's stream is to be closed."""
+    def receive_message(self, signed: bytes, peer: PeerAddress, max_bytes: int) -> bool:
+        """Handles one signed message; False where its sender's stream is to be closed."""
         try:
-            received = codec.decode(self.settings, sealed, max_bytes)
+            received = codec.decode(self.settings, signed, max_bytes)
         except UnknownMessageError as error:
             # A newer program's message, correctly signed: its other messages may be known.
             self.reporter.report_refusal(error, peer)
@@ -53,7 +53,7 @@
             self.reporter.report_refusal(error, peer)
             return False
         self.reporter.increment(Metric.RECEIVED_MESSAGES)
-        self.reporter.increment(Metric.RECEIVED_BYTES, len(sealed))
+        self.reporter.increment(Metric.RECEIVED_BYTES, len(signed))
         self.deliver(received)
         return True
 
@@ -73,11 +73,11 @@
             if attempts % DATAGRAMS_PER_YIELD == 0:
                 gevent.sleep(0)  # a peer that sends without pause must not keep other greenlets from running
             try:
-                sealed, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
+                signed, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 socket.wait_read(self.datagrams.fileno())
                 continue
-            self.receiver.receive_message(sealed, peer, codec.MAX_DATAGRAM_BYTES)
+            self.receiver.receive_message(signed, peer, codec.MAX_DATAGRAM_BYTES)
 
 
 class IncomingConnection:
@@ -180,8 +180,8 @@
             self.connections.pop(gevent.getcurrent(), None)
 
     def _receive_messages(self, connection: IncomingConnection, messages: list[bytes]) -> bool:
-        for sealed in messages:
-            if not self.receiver.receive_message(sealed, connection.peer, codec.MAX_FRAME_BYTES):
+        for signed in messages:
+            if not self.receiver.receive_message(signed, connection.peer, codec.MAX_FRAME_BYTES):
                 return False
             connection.is_identified = True
             connection.last_message_at = monotonic()
--- a/cartdeal/fleet/transport/outgoing.py
+++ b/cartdeal/fleet/transport/outgoing.py
@@ -33,7 +33,7 @@
 
 
 class QueuedMessage(NamedTuple):
-    """An encoded message that waits to be sealed and sent."""
+    """An encoded message that waits to be signed and sent."""
 
     queued_at: float  # monotonic seconds
     encoded: bytes
@@ -60,18 +60,18 @@
     """The streams to all peers.
 
     `connections`: by the peer's address, the least recently used first. `queued_bytes`: the size of all
-    queues together. `seal` puts an encoded message into its envelope when it is sent.
+    queues together. `sign` puts an encoded message into its envelope when it is sent.
     """
 
     def __init__(
         self,
         limits: TransportLimits,
-        seal: Callable[[bytes], bytes],
+        sign: Callable[[bytes], bytes],
         reporter: TransportReporter,
         random: Random,
     ):
         self.limits = limits
-        self.seal = seal
+        self.sign = sign
         self.reporter = reporter
         self.random = random
         self.connections: OrderedDict[PeerAddress, OutgoingConnection] = OrderedDict()
@@ -177,7 +177,7 @@
         frames: list[bytes] = []
         size = 0
         while connection.queue and size < WRITE_BATCH_BYTES:
-            frames.append(codec.frame_message(self.seal(self.pop_message(connection))))
+            frames.append(codec.frame_message(self.sign(self.pop_message(connection))))
             size += len(frames[-1])
         return b"".join(frames)
 
--- a/cartdeal/fleet/transport/peer_transport.py
+++ b/cartdeal/fleet/transport/peer_transport.py
@@ -81,7 +81,7 @@
         self.events: deque[QueuedEvent] = deque()
         self.is_handling_event = False
         self.tasks: list[gevent.Greenlet] = []
-        self.outgoing = OutgoingConnections(limits, self.seal, self.reporter, self.random)
+        self.outgoing = OutgoingConnections(limits, self.sign, self.reporter, self.random)
         receiver = MessageReceiver(settings, self.reporter, self.deliver)
         self.datagram_receiver = DatagramReceiver(self.datagrams, receiver)
         self.incoming = IncomingConnections(self.listener, limits, receiver, self.reporter)
@@ -182,20 +182,20 @@
             self.outgoing.enqueue(address, encoded)
             return
         try:
-            self.datagrams.sendto(self.seal(encoded), address)
+            self.datagrams.sendto(self.sign(encoded), address)
         except OSError:  # among others where the buffer is full; a datagram may be lost
             self.reporter.increment(Metric.DROPPED_DATAGRAMS)
 
-    def seal(self, encoded: bytes) -> bytes:
-        """Seals a message with the time of now: that of its event may be long past where it was queued."""
+    def sign(self, encoded: bytes) -> bytes:
+        """Signs a message with the time of now: that of its event may be long past where it was queued."""
         node = self.node
         wall = node.wall + monotonic() - node.now
-        sealed = codec.seal_message(
+        signed = codec.sign_message(
             self.settings, node.name, node.incarnation, node.address, int(wall * 1e3), encoded
         )
         self.reporter.increment(Metric.SENT_MESSAGES)
-        self.reporter.increment(Metric.SENT_BYTES, len(sealed))
-        return sealed
+        self.reporter.increment(Metric.SENT_BYTES, len(signed))
+        return signed
 
     def write_log(self, effect: WriteLog) -> None:
         """Writes an event of the node to the log."""
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -46,8 +46,8 @@
     monkeypatch.setattr(codec, "message_decoder", lambda: message)
 
 
-def sealed(body, settings=SETTINGS, version=codec.ENVELOPE_VERSION):
-    return bytes([version]) + codec.sign(settings.key, body) + body
+def signed(body, settings=SETTINGS, version=codec.ENVELOPE_VERSION):
+    return bytes([version]) + codec.compute_mac(settings.key, body) + body
 
 
 def test_a_message_is_decoded_with_its_senders_envelope():
@@ -74,22 +74,22 @@
         ),
         (codec.encode(SETTINGS, "a", 1, "", 9, DatagramMessage("x"))[:-1], errors.MalformedMessageError),
         (bytes(codec.MAX_FRAME_BYTES + 1), errors.MessageTooLargeError),
-        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.MalformedMessageError),
-        (sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.MalformedMessageError),
-        (sealed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.MalformedMessageError),
+        (signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.MalformedMessageError),
+        (signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.MalformedMessageError),
+        (signed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.MalformedMessageError),
         (
-            sealed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])),
+            signed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])),
             errors.MalformedMessageError,
         ),
         (
-            sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"),
+            signed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"),
             errors.MalformedMessageError,
         ),  # too deep
         (
-            sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"),
+            signed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"),
             errors.MalformedMessageError,
         ),
-        (sealed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.MalformedMessageError),
+        (signed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.MalformedMessageError),
     ],
     ids=range(12),
 )
@@ -131,7 +131,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
 def test_no_bytes_even_under_the_right_key_raise_an_untyped_error(body):
-    for text in (body, sealed(body), sealed(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
+    for text in (body, signed(body), signed(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
         try:
             codec.decode(SETTINGS, text)
         except REFUSAL_ERRORS:
@@ -300,7 +300,7 @@
 
 def test_unknown_message_is_skipped_and_its_stream_stays_open(make_transport):
     b = make_transport("b")
-    text = sealed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
+    text = signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
     with socket.create_connection(("127.0.0.1", b.port)) as peer:
         peer.sendall(
             codec.frame_message(text)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -88,10 +88,10 @@
                 listener.close()
                 datagrams.close()
 
-    def draw_delays(self, sealed) -> list[float]:
+    def draw_delays(self, signed) -> list[float]:
         """After which delays the message is forwarded, once for each: none where it is lost."""
         fleet, random = self.fleet, self.fleet.random
-        sender = msgspec.msgpack.decode(sealed[1 + codec.MAC_BYTES :])[1]
+        sender = msgspec.msgpack.decode(signed[1 + codec.MAC_BYTES :])[1]
         if (sender, self.name) in fleet.blocked_links or random.random() < fleet.loss_probability:
             return []
         copies = 1 + (random.random() < fleet.duplicate_probability)
@@ -99,9 +99,9 @@
 
     def forward_datagrams(self):
         while True:
-            sealed = self.datagrams.recv(65536)
-            for delay in self.draw_delays(sealed) if self.target else ():
-                gevent.spawn_later(delay, self.forwarder.sendto, sealed, self.target)
+            signed = self.datagrams.recv(65536)
+            for delay in self.draw_delays(signed) if self.target else ():
+                gevent.spawn_later(delay, self.forwarder.sendto, signed, self.target)
 
     def accept(self):
         while True:
@@ -115,10 +115,10 @@
             upstream = socket.create_connection(self.target)
             self.open_sockets.append(upstream)
             while received := sock.recv(65536):
-                for sealed in frames.feed(received):
-                    for delay in self.draw_delays(sealed):
+                for signed in frames.feed(received):
+                    for delay in self.draw_delays(signed):
                         gevent.sleep(delay)
-                        upstream.sendall(codec.frame_message(sealed))
+                        upstream.sendall(codec.frame_message(signed))
         except (OSError, TypeError):
             pass
         finally:
