--- /dev/null
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -0,0 +1,381 @@
+"""Anti-entropy: two owners compare digests by range, then keys, and fetch the records that differ.
+
+It owns the sessions with peers. It must never let a message grow with what is stored where it could with
+what differs, or count a session as catch-up whose records weren't all taken in.
+"""
+
+from cartdeal.fleet.metrics import Metric
+from cartdeal.fleet.replication.catch_up import ALL, FIRST, GAINING, RANGES, RESTARTED, range_of
+from cartdeal.fleet.replication.epoch_guard import EpochGuard
+from cartdeal.fleet.replication.hinted_handoff import MAX_DELIVERY_BYTES, MAX_SENT_RECORDS
+from cartdeal.fleet.replication.messages import (
+    DigestRequest,
+    DigestResponse,
+    FetchRequest,
+    FetchResponse,
+    HintDelivery,
+    KeyListRequest,
+    KeyListResponse,
+    ReplicationMessage,
+)
+from cartdeal.fleet.replication.record_store import RANGE_DIGEST_BYTES, RecordStore
+from cartdeal.fleet.replication.ring_view import RingView
+
+MAX_KEYS_IN_MESSAGE = 400
+RETRY_PAUSE_S = 0.25
+MAX_RETRY_PAUSE_S = 5.0  # between two sessions with one source; longer in a large ring
+COMPARISON_INTERVAL_S = 1.0
+MAX_ATTEMPTS = 4  # of one request in a session
+MAX_SESSIONS = 8
+NO_RANGE = -1
+
+
+class AntiEntropySession:
+    """A comparison with one peer, one request at a time."""
+
+    __slots__ = (
+        "attempts",
+        "counts_as_catch_up",
+        "current_ranges",
+        "former_ranges",
+        "keys_to_fetch",
+        "last_key",
+        "peer_digests",
+        "range_index",
+        "range_is_complete",
+        "ranges_to_compare",
+        "request",
+        "sent_at",
+    )
+
+    def __init__(self, counts_as_catch_up: bool) -> None:
+        self.counts_as_catch_up = counts_as_catch_up
+        self.request: ReplicationMessage | None = None
+        self.sent_at = 0.0
+        self.attempts = 0
+        self.former_ranges = 0  # masks of the ranges for which the peer counts as a source
+        self.current_ranges = 0
+        self.ranges_to_compare: list[int] = []
+        self.range_index = 0
+        self.last_key = ""  # of the pages compared so far
+        self.range_is_complete = False
+        self.keys_to_fetch: list[str] = []
+        self.peer_digests: dict[str, bytes] = {}  # of the keys to fetch
+
+
+class AntiEntropy:
+    """Sessions with co-owners, with sources of catch-up, and with all before a shutdown."""
+
+    def __init__(self, view: RingView, store: RecordStore, guard: EpochGuard) -> None:
+        self.view = view
+        self.context = view.context
+        self.store = store
+        self.guard = guard
+        self.sessions: dict[str, AntiEntropySession] = {}
+        self.next_catch_up: dict[str, tuple[float, float]] = {}  # source -> when to ask again, and the pause
+        self.next_comparison_at = view.started_at + COMPARISON_INTERVAL_S * self.context.random.random()
+        self.shutdown_peers: dict[str, None] | None = None  # to compare with before the end
+
+    # When sessions begin and end
+
+    def tick(self, now: float) -> None:
+        """Retries, and begins sessions that are due."""
+        self._retry(now)
+        self._request_catch_up(now)
+        for peer in list(self.shutdown_peers or ()):
+            self.begin_session(peer)
+        if now >= self.next_comparison_at:
+            self.next_comparison_at = now + COMPARISON_INTERVAL_S * self.view.jitter()
+            self._compare_with_random_peer()
+
+    def start_shutdown(self) -> None:
+        """Compares with all co-owners once, so that they get what they lack."""
+        self.shutdown_peers = dict.fromkeys(sorted(self.store.peer_digests))
+
+    def begin_session(self, peer: str) -> None:
+        """Compares with a peer, unless a session with it is open or there are too many."""
+        if peer in self.sessions or len(self.sessions) >= MAX_SESSIONS or self.store.unplaced_ranges:
+            return
+        catch_up = self.view.catch_up
+        assert catch_up is not None
+        counts = catch_up.way != RESTARTED or self.view.now >= catch_up.ready_at
+        session = self.sessions[peer] = AntiEntropySession(counts)
+        request_id = self.view.next_request_id()
+        digest = self.store.combined_digest(peer)
+        request = DigestRequest(request_id, self.view.incarnation, self.view.epoch, digest)
+        self._send_request(peer, session, request)
+
+    def _end_session(self, peer: str) -> None:
+        del self.sessions[peer]
+        if self.shutdown_peers is not None:
+            self.shutdown_peers.pop(peer, None)
+
+    def _compare_with_random_peer(self) -> None:
+        ring = self.view.ring
+        assert ring is not None
+        peers = sorted(self.store.peer_digests) or [name for name in ring.names if name != self.view.name]
+        if peers and self.view.is_member:
+            self.begin_session(self.context.random.choice(peers))
+
+    def _retry(self, now: float) -> None:
+        for peer, session in list(self.sessions.items()):
+            if now < session.sent_at + RETRY_PAUSE_S * session.attempts:
+                continue
+            if session.attempts >= MAX_ATTEMPTS:
+                self._end_session(peer)
+            else:
+                assert session.request is not None
+                session.attempts += 1
+                session.sent_at = now
+                self.context.send(peer, session.request)
+
+    def _request_catch_up(self, now: float) -> None:
+        catch_up = self.view.catch_up
+        assert catch_up is not None
+        if self.store.unplaced_ranges or catch_up.done(now) or not self.view.is_member:
+            return
+        if self.view.hands_off_by_key:
+            return
+        for source in catch_up.sources:
+            if source in self.sessions or len(self.sessions) >= MAX_SESSIONS:
+                continue
+            retry_at, pause = self.next_catch_up.get(source, (0.0, RETRY_PAUSE_S))
+            if self._has_caught_up_with(source) or now < retry_at:
+                continue
+            pause = min(2 * pause, MAX_RETRY_PAUSE_S * max(1.0, len(catch_up.sources) / 32))
+            if catch_up.way == RESTARTED and now < catch_up.ready_at:
+                retry_at = max(catch_up.ready_at, now + RETRY_PAUSE_S)  # its records now, its word then
+            else:
+                retry_at = now + pause * self.view.jitter()
+            self.next_catch_up[source] = (retry_at, pause)
+            self.begin_session(source)
+
+    def _has_caught_up_with(self, source: str) -> bool:
+        catch_up = self.view.catch_up
+        assert catch_up is not None
+        if catch_up.way == FIRST:
+            return source in catch_up.clean
+        if self.view.has_many_sources:
+            return source in catch_up.now  # the records; who counts as a source is asked key by key
+        ranges = catch_up.was if catch_up.way == GAINING else catch_up.now
+        return ranges.get(source, 0) == ALL
+
+    # The requester's part
+
+    def _send_request(self, peer: str, session: AntiEntropySession, request: ReplicationMessage) -> None:
+        session.request = request
+        session.sent_at = self.view.now
+        session.attempts = 1
+        self.context.send(peer, request)
+
+    def _session_of(
+        self, sender: str, message: ReplicationMessage, request_type: type[ReplicationMessage]
+    ) -> AntiEntropySession | None:
+        """The session whose open request a response is to; None, and counted, where there is none."""
+        session = self.sessions.get(sender)
+        if (
+            session is None
+            or session.request is None
+            or message.request_id != session.request.request_id
+            or message.incarnation != self.view.incarnation
+            or type(session.request) is not request_type
+            or message.epoch != self.view.epoch
+        ):
+            self.context.increment(Metric.DROPPED_LATE_ANSWER)
+            return None
+        return session
+
+    def on_digest_response(self, sender: str, message: DigestResponse) -> None:
+        """Compares the digests by range."""
+        session = self._session_of(sender, message, DigestRequest)
+        if session is None or len(message.range_digests) not in (0, RANGE_DIGEST_BYTES * RANGES):
+            return
+        catch_up = self.view.catch_up
+        assert catch_up is not None
+        if message.knows_other_incarnation and catch_up.way == FIRST:
+            catch_up.restarted()
+            for each in self.sessions.values():
+                each.counts_as_catch_up = False  # begun before a lease was over
+        elif catch_up.way == FIRST and sender in catch_up.others:
+            catch_up.clean[sender] = None
+        is_same_former = catch_up.former is not None and message.former_epoch == catch_up.former.epoch
+        session.former_ranges = message.former_ranges if is_same_former else 0
+        session.current_ranges = message.current_ranges
+        session.ranges_to_compare = self._differing_ranges(sender, session, message)
+        self.context.random.shuffle(session.ranges_to_compare)
+        session.range_is_complete = True
+        session.range_index = NO_RANGE
+        self._continue(sender, session)
+
+    def _differing_ranges(self, peer: str, session: AntiEntropySession, message: DigestResponse) -> list[int]:
+        catch_up = self.view.catch_up
+        assert catch_up is not None
+        own_digests = self.store.range_digests(peer)
+        differing = []
+        for index in range(RANGES):
+            part = slice(RANGE_DIGEST_BYTES * index, RANGE_DIGEST_BYTES * (index + 1))
+            known = catch_up.was.get(peer, 0) | catch_up.now.get(peer, 0)
+            has_unowned = message.unowned_ranges & ~known & 1 << index
+            if has_unowned or (message.range_digests and message.range_digests[part] != own_digests[part]):
+                differing.append(index)
+            else:
+                self._count_as_caught_up(peer, session, 1 << index)
+        return differing
+
+    def _count_as_caught_up(self, peer: str, session: AntiEntropySession, ranges: int) -> None:
+        if session.counts_as_catch_up:
+            assert self.view.catch_up is not None
+            self.view.catch_up.told(peer, session.former_ranges & ranges, session.current_ranges & ranges)
+
+    def _continue(self, peer: str, session: AntiEntropySession) -> None:
+        """The next request: the records that differ, the next page of keys, the next range."""
+        incarnation, epoch = self.view.incarnation, self.view.epoch
+        if session.keys_to_fetch:
+            keys = tuple(session.keys_to_fetch[:MAX_KEYS_IN_MESSAGE])
+            fetch = FetchRequest(self.view.next_request_id(), incarnation, epoch, keys)
+            self._send_request(peer, session, fetch)
+            return
+        if session.range_is_complete:
+            if session.range_index != NO_RANGE:
+                self._count_as_caught_up(peer, session, 1 << session.range_index)
+            if not session.ranges_to_compare:
+                self._end_session(peer)
+                return
+            session.range_index = session.ranges_to_compare.pop()
+            session.last_key = ""
+            session.range_is_complete = False
+        request_id = self.view.next_request_id()
+        key_list = KeyListRequest(request_id, incarnation, epoch, session.range_index, session.last_key)
+        self._send_request(peer, session, key_list)
+
+    def on_key_list_response(self, sender: str, message: KeyListResponse) -> None:
+        """Compares a page of keys: fetches what differs here, gives what the peer lacks."""
+        session = self._session_of(sender, message, KeyListRequest)
+        is_empty = not message.entries and not message.is_last_page
+        if session is None or len(message.entries) > MAX_KEYS_IN_MESSAGE or is_empty:
+            return
+        peer_digests = {
+            key: digest
+            for key, digest in message.entries
+            if key > session.last_key and range_of(key) == session.range_index and self.view.owns(key)
+        }
+        last_key = message.entries[-1][0] if message.entries else ""
+        if not message.is_last_page and last_key <= session.last_key:
+            self.sessions.pop(sender, None)
+            return
+        session.keys_to_fetch = [
+            key
+            for key, digest in peer_digests.items()
+            if key not in self.store.records or self.store.key_digest(key) != digest
+        ]
+        session.peer_digests = {key: peer_digests[key] for key in session.keys_to_fetch}
+        missing = [
+            key
+            for key in self.store.keys_owned_with(sender, session.range_index, session.last_key)
+            if key not in peer_digests and (message.is_last_page or key <= last_key)
+        ]
+        self._give(sender, missing)
+        session.last_key = last_key
+        session.range_is_complete = message.is_last_page
+        self._continue(sender, session)
+
+    def on_fetch_response(self, sender: str, message: FetchResponse) -> None:
+        """Merges fetched records, and gives back those that differ from the peer's afterwards."""
+        session = self._session_of(sender, message, FetchRequest)
+        if session is None or not 0 < message.count <= len(session.keys_to_fetch):
+            return
+        keys = session.keys_to_fetch[: message.count]
+        session.keys_to_fetch = session.keys_to_fetch[message.count :]
+        fetched = dict(message.records[:MAX_KEYS_IN_MESSAGE])
+        newer_here = []
+        for key in keys:
+            if key not in fetched:
+                continue
+            record = self.store.decode_received(key, fetched[key])
+            if record is None or not self.store.merge(key, record):
+                session.former_ranges = session.current_ranges = 0  # it can't count as caught up with
+                continue
+            stored = self.store.records.get(key)
+            if stored is None or self.store.key_digest(key) == session.peer_digests[key]:
+                continue
+            if {sender, self.view.name} <= set(stored.owners):
+                newer_here.append(key)
+        self._give(sender, newer_here)
+        self._continue(sender, session)
+
+    def _give(self, peer: str, keys: list[str]) -> None:
+        """Records that a co-owner lacks; if they get lost, the next comparison finds them again."""
+        batch: list[tuple[str, bytes]] = []
+        size = 0
+        for key in keys:
+            record = self.store.get(key)
+            data = self.store.encode_to_send(key, record) if record is not None else None
+            if data is None:
+                continue
+            if batch and (size + len(data) > MAX_DELIVERY_BYTES or len(batch) >= MAX_SENT_RECORDS):
+                self._send_unacknowledged(peer, batch)
+                batch, size = [], 0
+            batch.append((key, data))
+            size += len(data) + len(key)
+        if batch:
+            self._send_unacknowledged(peer, batch)
+
+    def _send_unacknowledged(self, peer: str, batch: list[tuple[str, bytes]]) -> None:
+        delivery = HintDelivery(0, self.view.incarnation, self.view.epoch, tuple(batch))
+        self.context.send(peer, delivery)
+
+    # The responder's part
+
+    def on_digest_request(self, sender: str, message: DigestRequest) -> None:
+        """Tells a peer the digests by range, and for which ranges this agent counts as a source."""
+        if self.store.unplaced_ranges:
+            self.context.increment(Metric.NOT_PLACED_YET)
+            return
+        catch_up, now = self.view.catch_up, self.view.now
+        assert catch_up is not None
+        is_equal = self.store.combined_digest(sender) == message.combined_digest
+        response = DigestResponse(
+            message.request_id,
+            message.incarnation,
+            message.epoch,
+            former_epoch=catch_up.former.epoch if catch_up.former else 0,
+            former_ranges=catch_up.was_whole(now),
+            current_ranges=catch_up.ranges(now) if self.view.is_member else 0,
+            unowned_ranges=self.store.unowned_ranges(sender),
+            knows_other_incarnation=self.guard.knows_other_incarnation(sender),
+            range_digests=b"" if is_equal else self.store.range_digests(sender),
+        )
+        self.context.send(sender, response)
+
+    def on_key_list_request(self, sender: str, message: KeyListRequest) -> None:
+        """Tells a peer a page of the keys that it owns."""
+        if self.store.unplaced_ranges or not 0 <= message.range_index < RANGES:
+            return
+        keys = self.store.keys_owned_by(sender, message.range_index, message.after)
+        entries = tuple((key, self.store.key_digest(key)) for key in keys[:MAX_KEYS_IN_MESSAGE])
+        is_last_page = len(keys) <= MAX_KEYS_IN_MESSAGE
+        response = KeyListResponse(
+            message.request_id, message.incarnation, message.epoch, entries, is_last_page
+        )
+        self.context.send(sender, response)
+
+    def on_fetch_request(self, sender: str, message: FetchRequest) -> None:
+        """Sends a peer the records of keys that it owns, as many as one message takes."""
+        batch: list[tuple[str, bytes]] = []
+        size = count = 0
+        for key in message.keys[:MAX_KEYS_IN_MESSAGE]:
+            data: bytes | None = b""
+            record = self.store.get(key)
+            if record is not None and sender in self.view.owners(key):
+                data = self.store.encode_to_send(key, record)
+            if data is None or (batch and size + len(data) > MAX_DELIVERY_BYTES):
+                break
+            count += 1
+            if data:
+                batch.append((key, data))
+                size += len(data) + len(key)
+        if count:  # else it can't have that record: it must not take it for an expired one
+            response = FetchResponse(
+                message.request_id, message.incarnation, message.epoch, count, tuple(batch)
+            )
+            self.context.send(sender, response)
--- a/cartdeal/fleet/replication/messages.py
+++ b/cartdeal/fleet/replication/messages.py
@@ -24,7 +24,7 @@
     """Of the ring by which the requester chose the recipient."""
 
 
-class WriteRequest(ReplicationMessage, tag="r.claim"):
+class WriteRequest(ReplicationMessage, frozen=True, tag="r.claim"):
     """Writes an attempt record at an owner, or only reads, and asks what the owner had before."""
 
     key: str
@@ -34,7 +34,7 @@
     """What the owner merges; b"" for a read."""
 
 
-class WriteResponse(ReplicationMessage, tag="r.told"):
+class WriteResponse(ReplicationMessage, frozen=True, tag="r.told"):
     """What the owner had; the record counts as known whatever the flags say."""
 
     written: bool
@@ -47,28 +47,28 @@
     """Without the attempt record that was written; b"" for none."""
 
 
-class HintDelivery(ReplicationMessage, tag="r.give"):
+class HintDelivery(ReplicationMessage, frozen=True, tag="r.give"):
     """Records for the recipient to merge."""
 
     records: tuple[tuple[str, bytes], ...]
     """Key and record."""
 
 
-class HintAck(ReplicationMessage, tag="r.took"):
+class HintAck(ReplicationMessage, frozen=True, tag="r.took"):
     """All records of a delivery were taken in, but for some."""
 
     rejected: tuple[str, ...]
     """Keys whose records weren't taken in."""
 
 
-class DigestRequest(ReplicationMessage, tag="r.look"):
+class DigestRequest(ReplicationMessage, frozen=True, tag="r.look"):
     """Begins an anti-entropy session."""
 
     combined_digest: bytes
     """Over the requester's digests, by range, of the records that both own."""
 
 
-class DigestResponse(ReplicationMessage, tag="r.seen"):
+class DigestResponse(ReplicationMessage, frozen=True, tag="r.seen"):
     """The recipient's digests, and for which ranges it counts as a source of catch-up."""
 
     former_epoch: int
@@ -85,7 +85,7 @@
     """Digests by range, 8 bytes each; b"" where the combined digests are equal."""
 
 
-class KeyListRequest(ReplicationMessage, tag="r.list"):
+class KeyListRequest(ReplicationMessage, frozen=True, tag="r.list"):
     """Asks for a page of the keys of one range that the requester owns."""
 
     range_index: int
@@ -93,7 +93,7 @@
     """The last key of the page before; "" for the first page."""
 
 
-class KeyListResponse(ReplicationMessage, tag="r.listed"):
+class KeyListResponse(ReplicationMessage, frozen=True, tag="r.listed"):
     """A page of keys, in order."""
 
     entries: tuple[tuple[str, bytes], ...]
@@ -101,13 +101,13 @@
     is_last_page: bool
 
 
-class FetchRequest(ReplicationMessage, tag="r.fetch"):
+class FetchRequest(ReplicationMessage, frozen=True, tag="r.fetch"):
     """Asks for the records of these keys."""
 
     keys: tuple[str, ...]
 
 
-class FetchResponse(ReplicationMessage, tag="r.brought"):
+class FetchResponse(ReplicationMessage, frozen=True, tag="r.brought"):
     """The records of the first of the keys asked for; keys without a record have expired."""
 
     count: int
@@ -116,13 +116,13 @@
     """Key and record."""
 
 
-class ReadRepairRequest(ReplicationMessage, tag="r.know"):
+class ReadRepairRequest(ReplicationMessage, frozen=True, tag="r.know"):
     """An owner that hasn't caught up with a key asks its former owners, and the others."""
 
     key: str
 
 
-class ReadRepairResponse(ReplicationMessage, tag="r.known"):
+class ReadRepairResponse(ReplicationMessage, frozen=True, tag="r.known"):
     """What the recipient has under the key, and by which rings it counts as a source for it."""
 
     former_epoch: int
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -381,13 +381,15 @@
         return float("inf")
 
     def marks_at(self, node: Node, key: str) -> tuple[str, ...]:
-        record = node.replica.record(key) if key in node.replica.store else None
+        record = node.replica.store.get(key) if key in node.replica.store.records else None
         return tuple(record.attempts) if record else ()
 
     def copies(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the marks in each session that it keeps."""
         return {
-            name: {key: self.marks_at(node, key) for key in sorted(node.replica.store) if key[:2] == "s/"}
+            name: {
+                key: self.marks_at(node, key) for key in sorted(node.replica.store.records) if key[:2] == "s/"
+            }
             for name, node in self.nodes().items()
         }
 
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -163,9 +163,9 @@
     wanted = {}
     for name, node in fleet.nodes().items():
         replica = node.replica
-        for key in replica.store:
-            owners = replica.owners(key)
-            record = records.without_expired(replica.record(key), replica.wall_ms, replica.slack_ms)
+        for key in replica.store.records:
+            owners = replica.view.owners(key)
+            record = replica.store.without_expired(replica.store.get(key))
             if name in owners and not records.is_empty(record):
                 copies.setdefault(key, []).append(records.digest(record))
                 wanted[key] = len(owners)
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -11,7 +11,7 @@
 from cartdeal.fleet.quota import quota_leases
 from cartdeal.fleet.quota.ledger import OwnershipHistory
 from cartdeal.fleet.quota.quota_leases import HeldLease, QuotaLeases
-from cartdeal.fleet.replication import records, replica, schema
+from cartdeal.fleet.replication import quorum, records, schema
 from cartdeal.fleet.replication.catch_up import ALL, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
@@ -147,14 +147,14 @@
     """A newer program writes a field, dies, and gets its record back from older ones."""
     memory.submit(sheet(0), ["a0"])
     memory.run(1.0)
-    store = memory.nodes()["a0"].replica
-    store.merge("s/s0", Session(store.record("s/s0").attempts, {"new": [7]}))
-    before = store.store["s/s0"].digest
+    store = memory.nodes()["a0"].replica.store
+    store.merge("s/s0", Session(store.get("s/s0").attempts, {"new": [7]}))
+    before = store.records["s/s0"].digest
     memory.run(5.0)
     memory.kill("a0")
     memory.start("a0")
     memory.run(8.0)
-    after = memory.nodes()["a0"].replica.store["s/s0"].digest
+    after = memory.nodes()["a0"].replica.store.records["s/s0"].digest
     memory.checker.check_equal({"before": before, "after": after}, "a session with a newer field")
 
 
@@ -286,10 +286,10 @@
 
 
 def written_by_one(plant):
-    class Eager(replica.PendingOperation):
-        need = property(lambda self: (1, 1), lambda self, need: None)
+    class Eager(quorum.PendingOperation):
+        required = property(lambda self: quorum.Quorum(1, 1), lambda self, required: None)
 
-    plant(replica, "PendingOperation", Eager)
+    plant(quorum, "PendingOperation", Eager)
 
 
 def come_again(plant):
--- a/tests/fleet/test_replica.py
+++ b/tests/fleet/test_replica.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from cartdeal.fleet.replication import messages, replica
+from cartdeal.fleet.replication import messages, ring_view
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty, Session, advance, digest, merge
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.ring.hash_ring import Ring, RingMember, owners
@@ -381,7 +381,7 @@
     net.run(0.3)
     net.unplaced = [net[name].replica for name in "d"]
     for each in net.unplaced:
-        each.begin_talk = lambda peer: None
+        each.anti_entropy.begin_session = lambda peer: None
     net.change(ring(2, *"bcd"))
     net.run(0.005)
     net["c"].kill()
@@ -405,7 +405,7 @@
 
 
 def test_in_a_larger_fleet_former_owners_hand_over_unasked(monkeypatch):
-    monkeypatch.setattr(replica, "MOST_ASKED", 32)
+    monkeypatch.setattr(ring_view, "MAX_CATCH_UP_SOURCES", 32)
     names = [f"n{number:02}" for number in range(40)]
     net = Net(names)
     for sid in range(60):
@@ -447,10 +447,10 @@
         for sid in range(kept):
             mark = net["a"].mark(lasts=55.0)
             for name in "abc":
-                net[name].replica.merge(f"s/{sid}", Session({mark.attempt_id: mark}))
+                net[name].replica.store.merge(f"s/{sid}", Session({mark.attempt_id: mark}))
         for sid in range(differ):
             mark = net["a"].mark(lasts=55.0)
-            net["a"].replica.merge(f"s/{sid}x", Session({mark.attempt_id: mark}))
+            net["a"].replica.store.merge(f"s/{sid}x", Session({mark.attempt_id: mark}))
         net.run(1)
         net.bytes = 0
         net.run(10)
@@ -480,7 +480,8 @@
     net.change(ring(3, *"abc", written=1, phase="narrow"))
     net.run(1)
     assert net["b"].replica.migrated_version == 2 and net["c"].asked("7", wait=0.1)[1]
-    assert before != b"" and merge(net["b"].replica.record("s/3"), net["c"].replica.record("s/3")).attempts
+    copies = [net[name].replica.store.get("s/3") for name in "bc"]
+    assert before != b"" and merge(*copies).attempts
 
 
 def test_a_mark_goes_when_it_is_over_by_the_slowest_clock():
@@ -499,7 +500,7 @@
 def test_one_that_leaves_hands_over_what_others_lack():
     net = Net()
     mark = net["a"].mark(lasts=9.0)
-    net["a"].replica.merge("s/x", Session({mark.attempt_id: mark}))
+    net["a"].replica.store.merge("s/x", Session({mark.attempt_id: mark}))
     net["a"].replica.start_shutdown()
     assert not net["a"].replica.is_drained
     net.run(0.3)
@@ -522,8 +523,8 @@
 
     def vouch(self):
         for name, agent in self.agents.items():
-            agent.replica.has_valid_lease = lambda name=name: self.clock.now <= self.vouched[name]
-            agent.replica.compare_at = 1e9
+            agent.replica.view.has_valid_lease = lambda name=name: self.clock.now <= self.vouched[name]
+            agent.replica.anti_entropy.next_comparison_at = 1e9
             near = not agent.stopped and sum(self.reach(name, other) for other in self.ring.names)
             if self.knows[name] == self.ring.epoch and 2 * near > len(self.ring.members):
                 self.vouched[name] = self.clock.now + 0.6
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -95,7 +95,7 @@
         """Of each owner that runs, what it knows of the request."""
         nodes = self.memory.nodes()
         records = {
-            name: nodes[name].replica.record(self.key(client))
+            name: nodes[name].replica.store.get(self.key(client))
             for name in self.owners(client)
             if name in nodes
         }
@@ -278,7 +278,8 @@
 @when("a newer program adds a field to the session at a0")
 def _(story):
     key, node = story.key(), story.memory.nodes()["a0"]
-    node.replica.merge(key, Session(node.replica.record(key).attempts, {"new": {"by": "a0", "n": [7]}}))
+    store = node.replica.store
+    store.merge(key, Session(store.get(key).attempts, {"new": {"by": "a0", "n": [7]}}))
 
 
 # Clients
@@ -466,7 +467,7 @@
 
 @steps(then, r"a0 has the newer field back")
 def _(story):
-    assert story.memory.nodes()["a0"].replica.record(story.key()).unknown_fields["new"] == {
+    assert story.memory.nodes()["a0"].replica.store.get(story.key()).unknown_fields["new"] == {
         "by": "a0",
         "n": [7],
     }
