--- a/cartdeal/fleet/replication/anti_entropy.py
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -5,7 +5,7 @@
 """
 
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.replication.catch_up import ALL, FIRST, GAINING, RANGES, RESTARTED, range_of
+from cartdeal.fleet.replication.catch_up import ALL_RANGES, RANGE_COUNT, CatchUpReason, range_of
 from cartdeal.fleet.replication.epoch_guard import EpochGuard
 from cartdeal.fleet.replication.hinted_handoff import MAX_DELIVERY_BYTES, MAX_SENT_RECORDS
 from cartdeal.fleet.replication.messages import (
@@ -98,7 +98,7 @@
             return
         catch_up = self.view.catch_up
         assert catch_up is not None
-        counts = catch_up.way != RESTARTED or self.view.now >= catch_up.ready_at
+        counts = catch_up.reason != CatchUpReason.RESTARTED or self.view.now >= catch_up.reports_valid_at
         session = self.sessions[peer] = AntiEntropySession(counts)
         request_id = self.view.next_request_id()
         digest = self.store.combined_digest(peer)
@@ -132,7 +132,7 @@
     def _request_catch_up(self, now: float) -> None:
         catch_up = self.view.catch_up
         assert catch_up is not None
-        if self.store.unplaced_ranges or catch_up.done(now) or not self.view.is_member:
+        if self.store.unplaced_ranges or catch_up.is_complete(now) or not self.view.is_member:
             return
         if self.view.hands_off_by_key:
             return
@@ -143,8 +143,10 @@
             if self._has_caught_up_with(source) or now < retry_at:
                 continue
             pause = min(2 * pause, MAX_RETRY_PAUSE_S * max(1.0, len(catch_up.sources) / 32))
-            if catch_up.way == RESTARTED and now < catch_up.ready_at:
-                retry_at = max(catch_up.ready_at, now + RETRY_PAUSE_S)  # its records now, its word then
+            if catch_up.reason == CatchUpReason.RESTARTED and now < catch_up.reports_valid_at:
+                retry_at = max(
+                    catch_up.reports_valid_at, now + RETRY_PAUSE_S
+                )  # its records now, its word then
             else:
                 retry_at = now + pause * self.view.jitter()
             self.next_catch_up[source] = (retry_at, pause)
@@ -153,12 +155,15 @@
     def _has_caught_up_with(self, source: str) -> bool:
         catch_up = self.view.catch_up
         assert catch_up is not None
-        if catch_up.way == FIRST:
-            return source in catch_up.clean
+        if catch_up.reason == CatchUpReason.FIRST_RING:
+            return source in catch_up.fresh_start_confirmations
         if self.view.has_many_sources:
-            return source in catch_up.now  # the records; who counts as a source is asked key by key
-        ranges = catch_up.was if catch_up.way == GAINING else catch_up.now
-        return ranges.get(source, 0) == ALL
+            return (
+                source in catch_up.current_ring_reports
+            )  # the records; who counts as a source is asked key by key
+        if catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED:
+            return catch_up.former_ring_reports.get(source, 0) == ALL_RANGES
+        return catch_up.current_ring_reports.get(source, 0) == ALL_RANGES
 
     # The requester's part
 
@@ -188,17 +193,19 @@
     def on_digest_response(self, sender: str, message: DigestResponse) -> None:
         """Compares the digests by range."""
         session = self._session_of(sender, message, DigestRequest)
-        if session is None or len(message.range_digests) not in (0, RANGE_DIGEST_BYTES * RANGES):
+        if session is None or len(message.range_digests) not in (0, RANGE_DIGEST_BYTES * RANGE_COUNT):
             return
         catch_up = self.view.catch_up
         assert catch_up is not None
-        if message.knows_other_incarnation and catch_up.way == FIRST:
-            catch_up.restarted()
+        if message.knows_other_incarnation and catch_up.reason == CatchUpReason.FIRST_RING:
+            catch_up.mark_restarted()
             for each in self.sessions.values():
                 each.counts_as_catch_up = False  # begun before a lease was over
-        elif catch_up.way == FIRST and sender in catch_up.others:
-            catch_up.clean[sender] = None
-        is_same_former = catch_up.former is not None and message.former_epoch == catch_up.former.epoch
+        elif catch_up.reason == CatchUpReason.FIRST_RING and sender in catch_up.other_members:
+            catch_up.fresh_start_confirmations[sender] = None
+        is_same_former = (
+            catch_up.former_ring is not None and message.former_epoch == catch_up.former_ring.epoch
+        )
         session.former_ranges = message.former_ranges if is_same_former else 0
         session.current_ranges = message.current_ranges
         session.ranges_to_compare = self._differing_ranges(sender, session, message)
@@ -212,9 +219,9 @@
         assert catch_up is not None
         own_digests = self.store.range_digests(peer)
         differing = []
-        for index in range(RANGES):
+        for index in range(RANGE_COUNT):
             part = slice(RANGE_DIGEST_BYTES * index, RANGE_DIGEST_BYTES * (index + 1))
-            known = catch_up.was.get(peer, 0) | catch_up.now.get(peer, 0)
+            known = catch_up.former_ring_reports.get(peer, 0) | catch_up.current_ring_reports.get(peer, 0)
             has_unowned = message.unowned_ranges & ~known & 1 << index
             if has_unowned or (message.range_digests and message.range_digests[part] != own_digests[part]):
                 differing.append(index)
@@ -225,7 +232,9 @@
     def _count_as_caught_up(self, peer: str, session: AntiEntropySession, ranges: int) -> None:
         if session.counts_as_catch_up:
             assert self.view.catch_up is not None
-            self.view.catch_up.told(peer, session.former_ranges & ranges, session.current_ranges & ranges)
+            self.view.catch_up.record_report(
+                peer, session.former_ranges & ranges, session.current_ranges & ranges
+            )
 
     def _continue(self, peer: str, session: AntiEntropySession) -> None:
         """The next request: the records that differ, the next page of keys, the next range."""
@@ -338,9 +347,9 @@
             message.request_id,
             message.incarnation,
             message.epoch,
-            former_epoch=catch_up.former.epoch if catch_up.former else 0,
-            former_ranges=catch_up.was_whole(now),
-            current_ranges=catch_up.ranges(now) if self.view.is_member else 0,
+            former_epoch=catch_up.former_ring.epoch if catch_up.former_ring else 0,
+            former_ranges=catch_up.former_complete_ranges(now),
+            current_ranges=catch_up.complete_ranges(now) if self.view.is_member else 0,
             unowned_ranges=self.store.unowned_ranges(sender),
             knows_other_incarnation=self.guard.knows_other_incarnation(sender),
             range_digests=b"" if is_equal else self.store.range_digests(sender),
@@ -349,7 +358,7 @@
 
     def on_key_list_request(self, sender: str, message: KeyListRequest) -> None:
         """Tells a peer a page of the keys that it owns."""
-        if self.store.unplaced_ranges or not 0 <= message.range_index < RANGES:
+        if self.store.unplaced_ranges or not 0 <= message.range_index < RANGE_COUNT:
             return
         keys = self.store.keys_owned_by(sender, message.range_index, message.after)
         entries = tuple((key, self.store.key_digest(key)) for key in keys[:MAX_KEYS_IN_MESSAGE])
--- a/cartdeal/fleet/replication/hinted_handoff.py
+++ b/cartdeal/fleet/replication/hinted_handoff.py
@@ -16,7 +16,7 @@
 from cartdeal.fleet.replication.records import Record
 from cartdeal.fleet.replication.ring_view import RingView
 from cartdeal.fleet.replication.usage_counters import UsageCounters
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 
 MAX_DELIVERY_BYTES = 32 * 1024  # of records in one message; a single record may have more
 MAX_RECEIVED_RECORDS = 2_000  # in one delivery
@@ -312,6 +312,6 @@
         assert self.view.catch_up is not None
         for key, hint in self.hints.items():
             others = sum(owner != self.view.name for owner in self.view.owners(key))
-            if others - len(hint.missing) < min(self.view.catch_up.w, others):
+            if others - len(hint.missing) < min(self.view.catch_up.quorum.writes, others):
                 return False
         return True
--- a/cartdeal/fleet/replication/quorum.py
+++ b/cartdeal/fleet/replication/quorum.py
@@ -23,7 +23,7 @@
 """Called with the ticket, the earlier attempts known, and whether the answer is certain."""
 
 
-class Quorum(NamedTuple):
+class RequiredResponses(NamedTuple):
     """How many owners have to write, and how many that have caught up have to answer."""
 
     writes: int
@@ -58,7 +58,7 @@
         self.is_decided = False
         self.owners: tuple[str, ...] = ()
         self.epoch = 0
-        self.required = Quorum(0, 0)
+        self.required = RequiredResponses(0, 0)
         self.written_by: dict[str, None] = {}
         self.answered_by: dict[str, None] = {}
         self.sent_at = 0.0
@@ -226,8 +226,8 @@
             return
         operation.owners = self.view.owners(operation.key)
         operation.epoch = self.view.epoch
-        writes = self.view.catch_up.w if operation.attempt else 0
-        operation.required = Quorum(writes, self.view.catch_up.r)
+        writes = self.view.catch_up.quorum.writes if operation.attempt else 0
+        operation.required = RequiredResponses(writes, self.view.catch_up.quorum.reads)
         self._send(request_id, operation.owners)
 
     def _send(self, request_id: int, owners: Iterable[str]) -> None:
--- a/cartdeal/fleet/replication/read_repair.py
+++ b/cartdeal/fleet/replication/read_repair.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.replication.catch_up import FIRST, GAINING, RESTARTED
+from cartdeal.fleet.replication.catch_up import CatchUpReason
 from cartdeal.fleet.replication.messages import ReadRepairRequest, ReadRepairResponse
 from cartdeal.fleet.replication.record_store import RecordStore
 from cartdeal.fleet.replication.ring_view import RingView
@@ -65,7 +65,9 @@
             return
         catch_up, now = self.view.catch_up, self.view.now
         assert catch_up is not None
-        if catch_up.way == FIRST or (catch_up.way == RESTARTED and now < catch_up.ready_at):
+        if catch_up.reason == CatchUpReason.FIRST_RING:
+            return
+        if catch_up.reason == CatchUpReason.RESTARTED and now < catch_up.reports_valid_at:
             return
         if len(self.pending) >= self.view.settings.most_waiting:
             self.context.increment(Metric.PENDING_REPAIRS_FULL)
@@ -91,8 +93,8 @@
         assert catch_up is not None
         repair.sent_at = view.now
         sources = dict.fromkeys(view.owners(key))
-        if catch_up.way == GAINING:
-            sources |= dict.fromkeys(view.owners_by(catch_up.former, key))
+        if catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED:
+            sources |= dict.fromkeys(view.owners_by(catch_up.former_ring, key))
         message = ReadRepairRequest(repair.request_id, view.incarnation, view.epoch, key)
         for source in sources:
             has_answered = source in repair.former_sources or source in repair.current_sources
@@ -115,9 +117,9 @@
             message.request_id,
             message.incarnation,
             message.epoch,
-            former_epoch=catch_up.former.epoch if catch_up.former else 0,
-            caught_up_by_former=catch_up.was_caught_up(key, now),
-            caught_up_by_current=self.view.owns(key) and catch_up.caught_up(key, now),
+            former_epoch=catch_up.former_ring.epoch if catch_up.former_ring else 0,
+            caught_up_by_former=catch_up.had_caught_up(key, now),
+            caught_up_by_current=self.view.owns(key) and catch_up.has_caught_up(key, now),
             record=data,
         )
         self.context.send(sender, response)
@@ -134,14 +136,16 @@
                 return
         repair, catch_up = self.pending[key], self.view.catch_up
         assert catch_up is not None
-        is_same_former = catch_up.former is not None and message.former_epoch == catch_up.former.epoch
+        is_same_former = (
+            catch_up.former_ring is not None and message.former_epoch == catch_up.former_ring.epoch
+        )
         if message.caught_up_by_former and is_same_former:
             repair.former_sources[sender] = None
         if message.caught_up_by_current:
             repair.current_sources[sender] = None
-        if catch_up.enough(key, repair.former_sources, repair.current_sources, self.view.now):
+        if catch_up.has_enough_sources(key, repair.former_sources, repair.current_sources, self.view.now):
             del self.pending[key]
-            catch_up.keep(key)
+            catch_up.add_key(key)
             self.on_repaired(key, repair.waiting)
 
     def _key_of(self, message: ReadRepairResponse) -> str | None:
--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -12,10 +12,10 @@
 from cartdeal.fleet.errors import InvalidRecordError, RecordTooLargeError
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.replication import records, schema
-from cartdeal.fleet.replication.catch_up import RANGES, CatchUp, key_bytes, range_of
+from cartdeal.fleet.replication.catch_up import RANGE_COUNT, CatchUp, key_bytes, range_of
 from cartdeal.fleet.replication.records import Record, Session
 from cartdeal.fleet.replication.ring_view import RingView
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 
 MAX_SENT_RECORD_BYTES = 200 * 1024
 MAX_KEY_CHARACTERS = 600
@@ -66,7 +66,7 @@
         self.on_owners_gained = on_owners_gained
         self.on_dropped = on_dropped
         self.records: dict[str, StoredRecord] = {}
-        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGES)]
+        self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGE_COUNT)]
         self.cache: dict[str, Record] = {}  # never changed in place
         self.peer_digests: dict[str, list[int]] = {}  # peer -> digest by range of what both own
         self.unowned_counts: dict[str, list[int]] = {}  # peer -> by range, records it owns and we only store
@@ -241,7 +241,7 @@
         if form != self.form:
             self.form = form
             self.old_form_count = len(self.records)
-            self.ranges_to_migrate = list(range(RANGES))
+            self.ranges_to_migrate = list(range(RANGE_COUNT))
 
     def migrate(self) -> None:
         """Writes some of the records that are in an older form in the present one."""
@@ -271,7 +271,7 @@
         """The members of the ring changed: the owners of all records are found anew."""
         self.peer_digests = {}
         self.unowned_counts = {}
-        self.unplaced_ranges = list(range(RANGES))
+        self.unplaced_ranges = list(range(RANGE_COUNT))
         self.place()
 
     def place(self) -> None:
@@ -295,7 +295,7 @@
             return
         assert view.catch_up is not None
         assert view.ring is not None
-        former = view.owners_by(view.catch_up.former, key)
+        former = view.owners_by(view.catch_up.former_ring, key)
         remaining = [owner for owner in former if owner in view.ring.member_by_name]
         if remaining[:1] == [view.name]:
             gained = [owner for owner in stored.owners if owner not in remaining]
@@ -316,7 +316,7 @@
                 continue
             values = by_peer.get(peer)
             if values is None:
-                values = by_peer[peer] = [0] * RANGES
+                values = by_peer[peer] = [0] * RANGE_COUNT
             if is_owner:
                 values[index] ^= stored.range_term
             else:
@@ -332,7 +332,7 @@
 
     def range_digests(self, peer: str) -> bytes:
         """Digests by range of what a peer and this agent own, 8 bytes each."""
-        values = self.peer_digests.get(peer, [0] * RANGES)
+        values = self.peer_digests.get(peer, [0] * RANGE_COUNT)
         return b"".join(value.to_bytes(RANGE_DIGEST_BYTES) for value in values)
 
     def combined_digest(self, peer: str) -> bytes:
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -14,7 +14,7 @@
 from cartdeal.fleet.context import NodeContext
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.replication.anti_entropy import AntiEntropy
-from cartdeal.fleet.replication.catch_up import ALL, FIRST, GAINING, RESTARTED, CatchUp
+from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp, CatchUpReason
 from cartdeal.fleet.replication.epoch_guard import EpochGuard
 from cartdeal.fleet.replication.hinted_handoff import HintedHandoff
 from cartdeal.fleet.replication.messages import (
@@ -38,7 +38,7 @@
 from cartdeal.fleet.replication.records import AttemptRecord, Record, Session
 from cartdeal.fleet.replication.ring_view import RingView
 from cartdeal.fleet.replication.usage_counters import UsageCounters
-from cartdeal.fleet.ring.hash_ring import Ring
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 EXPIRY_INTERVAL_S = 1.0
@@ -153,20 +153,22 @@
         started_at = view.started_at
         follows = former is not None and former.epoch == ring.epoch - 1
         if previous is None:
-            reason = FIRST if ring.epoch == 1 and former is None else RESTARTED
+            is_first = ring.epoch == 1 and former is None
+            reason = CatchUpReason.FIRST_RING if is_first else CatchUpReason.RESTARTED
         elif ring.epoch <= previous.epoch:
             # The same epoch twice: what was caught up by the other ring is worth nothing by this one.
-            reason, started_at = RESTARTED, view.now
+            reason, started_at = CatchUpReason.RESTARTED, view.now
         else:
-            reason = GAINING if view.had_valid_lease and follows else RESTARTED
+            can_follow = view.had_valid_lease and follows
+            reason = CatchUpReason.OWNERSHIP_CHANGED if can_follow else CatchUpReason.RESTARTED
         before = None
-        if reason == GAINING and previous is not None and ring.epoch == previous.epoch + 1:
-            before = view.catch_up if former == previous else None
+        if reason == CatchUpReason.OWNERSHIP_CHANGED and former == previous:
+            before = view.catch_up
         return CatchUp(
             view.name,
             view.settings,
             ring,
-            former if reason == GAINING else None,
+            former if reason == CatchUpReason.OWNERSHIP_CHANGED else None,
             reason,
             since,
             started_at,
@@ -235,8 +237,8 @@
         catch_up = self.view.catch_up
         assert catch_up is not None
         self.hints.drop_expired()
-        if now >= catch_up.over_at:
-            catch_up.before = None
+        if now >= catch_up.expires_at:
+            catch_up.previous = None
             if self.store.unowned_counts and not self.store.unplaced_ranges:
                 self.store.drop_unowned()
                 self.hints.cancel_all_handoffs()
@@ -271,7 +273,7 @@
     def is_caught_up(self) -> bool:
         """Whether this agent may answer for all keys that it owns."""
         catch_up = self.view.catch_up
-        return catch_up is not None and catch_up.ranges(self.context.now) == ALL
+        return catch_up is not None and catch_up.complete_ranges(self.context.now) == ALL_RANGES
 
     @property
     def migrated_version(self) -> int:
@@ -296,7 +298,7 @@
             "hints_for": len(self.hints.queues),
             "claims": sum(not operation.is_decided for operation in pending),
             "learning": len(self.owner.read_repair.pending),
-            "caught_up": catch_up.ranges(self.context.now).bit_count() if catch_up else 0,
+            "caught_up": catch_up.complete_ranges(self.context.now).bit_count() if catch_up else 0,
             "comparing": len(self.anti_entropy.sessions),
             "old_form": self.store.old_form_count,
             "moved": self.migrated_version,
--- a/cartdeal/fleet/replication/ring_view.py
+++ b/cartdeal/fleet/replication/ring_view.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 
 from cartdeal.fleet.context import NodeContext
-from cartdeal.fleet.replication.catch_up import GAINING, CatchUp, key_bytes
-from cartdeal.fleet.ring.hash_ring import Ring, owners
+from cartdeal.fleet.replication.catch_up import CatchUp, CatchUpReason, key_bytes
+from cartdeal.fleet.ring.placement import owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
 MAX_CATCH_UP_SOURCES = 128
@@ -61,7 +62,8 @@
     @property
     def hands_off_by_key(self) -> bool:
         """Whether former owners hand off single keys, unasked."""
-        return self.catch_up is not None and self.catch_up.way == GAINING and self.has_many_sources
+        gains = self.catch_up is not None and self.catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED
+        return gains and self.has_many_sources
 
     def next_request_id(self) -> int:
         """Ids and versions share one sequence in an incarnation."""
@@ -82,7 +84,7 @@
 
     def has_caught_up(self, key: str) -> bool:
         """Whether this agent may answer for a key."""
-        return self.catch_up is not None and self.catch_up.caught_up(key, self.now)
+        return self.catch_up is not None and self.catch_up.has_caught_up(key, self.now)
 
     def jitter(self) -> float:
         """A random factor of a pause, 0.75 to 1.25."""
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -8,15 +8,18 @@
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.node import Node
-from cartdeal.fleet.quota import quota_leases
-from cartdeal.fleet.quota.ledger import OwnershipHistory
-from cartdeal.fleet.quota.quota_leases import HeldLease, QuotaLeases
+from cartdeal.fleet.quota import owner as lease_owner
+from cartdeal.fleet.quota.holder import LeaseHolder
+from cartdeal.fleet.quota.ownership import OwnershipHistory
+from cartdeal.fleet.quota.tenant_quota import HeldLease
 from cartdeal.fleet.replication import quorum, records, schema
-from cartdeal.fleet.replication.catch_up import ALL, CatchUp
+from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp
 from cartdeal.fleet.replication.records import Session
-from cartdeal.fleet.ring.hash_ring import RendezvousHash, Ring, hash_number, owners
+from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
+from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
 
@@ -61,7 +64,7 @@
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
-            memory.submit(sheet(f"{memory.hosts['a0'].starts}/{turn}"), ["a0"])
+            memory.submit(sheet(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
             memory.run(0.2)
         memory.kill("a0")
         memory.start("a0")
@@ -209,15 +212,17 @@
     plant(
         HeldLease,
         "__init__",
-        lambda self, incarnation, answer, asked, until: before(self, incarnation, answer, asked, 1e9),
+        lambda self, incarnation, response, requested_at, expires_at: before(
+            self, incarnation, response, requested_at, 1e9
+        ),
     )
 
 
 def no_fence(plant):
     plant(
-        quota_leases,
+        lease_owner,
         "OwnershipHistory",
-        lambda start, fence, share_in: OwnershipHistory(start, 0.0, share_in),
+        lambda start, fence_s, share_in: OwnershipHistory(start, 0.0, share_in),
     )
 
 
@@ -240,8 +245,8 @@
 
 
 def answers_too_early(plant):
-    plant(CatchUp, "caught_up", lambda *_: True)
-    plant(CatchUp, "ranges", lambda *_: ALL)
+    plant(CatchUp, "has_caught_up", lambda *_: True)
+    plant(CatchUp, "complete_ranges", lambda *_: ALL_RANGES)
 
 
 def forgets_early(plant):
@@ -250,17 +255,18 @@
 
 
 def taken_twice(plant):
-    def answered(self, sender, incarnation, answer, now):
-        line = self.wards[answer.tenant].lines[sender] if answer.tenant in self.wards else None
-        if line is None or line.sequence == answer.sequence:
-            return before(self, sender, incarnation, answer, now)
-        waits, line.sequence = line.sequence, answer.sequence
-        ward = before(self, sender, incarnation, answer, now)
-        line.sequence = waits
-        return ward
+    def on_response(self, sender, incarnation, response, now):
+        quota = self.quotas.get(response.tenant)
+        exchange = quota.exchanges[sender] if quota is not None else None
+        if exchange is None or exchange.pending_sequence == response.sequence:
+            return before(self, sender, incarnation, response, now)
+        pending_sequence, exchange.pending_sequence = exchange.pending_sequence, response.sequence
+        quota = before(self, sender, incarnation, response, now)
+        exchange.pending_sequence = pending_sequence
+        return quota
 
-    before = QuotaLeases.answered
-    plant(QuotaLeases, "answered", answered)
+    before = LeaseHolder.on_response
+    plant(LeaseHolder, "on_response", on_response)
 
 
 def all_are_able(plant):
@@ -287,7 +293,7 @@
 
 def written_by_one(plant):
     class Eager(quorum.PendingOperation):
-        required = property(lambda self: quorum.Quorum(1, 1), lambda self, required: None)
+        required = property(lambda self: quorum.RequiredResponses(1, 1), lambda self, required: None)
 
     plant(quorum, "PendingOperation", Eager)
 
