--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -11,7 +11,7 @@
 from cartdeal.fleet import events
 from cartdeal.fleet.errors import InvalidRecordError, RecordTooLargeError
 from cartdeal.fleet.metrics import Metric
-from cartdeal.fleet.replication import records, schema
+from cartdeal.fleet.replication import migration, record_codec, records
 from cartdeal.fleet.replication.catch_up import RANGE_COUNT, CatchUp, key_bytes, range_of
 from cartdeal.fleet.replication.records import Record, Session
 from cartdeal.fleet.replication.ring_view import RingView
@@ -82,7 +82,7 @@
         """The record under a key, or None."""
         record = self.cache.get(key)
         if record is None and key in self.records:
-            record = schema.decode(key[0], self.records[key].data, self.view.settings.reads[1])
+            record = record_codec.decode(key[0], self.records[key].data, self.view.settings.reads[1])
             self._cache(key, record)
         return record
 
@@ -98,7 +98,7 @@
 
     def encode(self, key: str, record: Record) -> bytes:
         """The record in the form written now. Raises RecordTooLargeError."""
-        return schema.encode(key[0], record, *self.form, knows=self.view.settings.reads[1])
+        return record_codec.encode(key[0], record, *self.form, supported_version=self.view.settings.reads[1])
 
     def encode_to_send(self, key: str, record: Record) -> bytes | None:
         """The record in the form written now; None, and counted, where it is too large for a message."""
@@ -118,7 +118,7 @@
             self.context.increment(Metric.DROPPED_BAD_KEY)
             return None
         try:
-            record = schema.decode(key[0], data, settings.reads[1])
+            record = record_codec.decode(key[0], data, settings.reads[1])
         except InvalidRecordError:
             self.context.increment(Metric.DROPPED_BAD_RECORD)
             return None
@@ -263,7 +263,7 @@
         """The schema version that all stored records are written in."""
         if self.view.ring is None:
             return self.view.settings.reads[0]
-        return schema.moved(self.view.ring, self.old_form_count)
+        return migration.migrated_version(self.view.ring, self.old_form_count)
 
     # Placement by range
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -211,7 +211,7 @@
     del hub.context.send
     joiner = net.start(f"n{MANY}")
     net.run(15.0)
-    assert set(joiner.peers) == set(hub.peers) and len(joiner.peers) == MANY
+    assert set(joiner.table) == set(hub.table) and len(joiner.table) == MANY
 
 
 def test_all_of_1024_may_compare_ask_and_be_warned_at_once():
@@ -243,12 +243,12 @@
         FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds={"a0": "10.0.0.1:1"}), "1", 1000.0, 1.7e9
     )
     node.ring = Ring(1, tuple(RingMember(f"a{n}", "z", 1.0) for n in range(MANY)))
-    before = node.offset
+    before = node.fleet_clock.offset_s
     for seat in node.ring.members[1:]:
-        node.timely(seat.name, int((node.wall + 7) * 1e3), True)
-    assert len(node.clocks) == MANY - 1
-    node.look_at_clock()
-    assert node.offset == pytest.approx(before + 7, abs=0.01)
+        node.fleet_clock.observe(seat.name, int((node.wall + 7) * 1e3), True, True)
+    assert len(node.fleet_clock.peer_clocks) == MANY - 1
+    node.fleet_clock.check(node.ring)
+    assert node.fleet_clock.offset_s == pytest.approx(before + 7, abs=0.01)
 
 
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
@@ -258,7 +258,7 @@
         lambda to, message: answered.append(to) if isinstance(message, LeaseRenewalAck) else None
     )
     empty, ring = Ring(0, ()), Ring(1, tuple(RingMember(f"b{n:04}", "z", 1.0) for n in range(MANY)))
-    for seat in ring.members:
+    for seat in ring.seats:
         agent.on_message(seat.name, LeaseRenewal(ring.epoch, ring.digest, 1))
     agent.learn(empty, step_between(empty, ring), ring)
     assert sorted(answered) == list(ring.names)
@@ -267,10 +267,9 @@
 def test_a_ring_of_1024_with_the_longest_names_fits_one_message():
     seats = tuple(RingMember(f"{n:064}", "z" * 64, 0.1) for n in range(MANY))
     former, ring = Ring(1, seats), Ring(2, tuple(replace(seat, capacity=0.2) for seat in seats))
-    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME_BYTES
+    assert len(codec.encode_message(RingSnapshot(former, step_between(former, ring)))) < codec.MAX_FRAME
     assert (
-        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names)))
-        < codec.MAX_FRAME_BYTES
+        len(codec.encode_message(ring_consensus.Prepare(1, former.digest, 1, former.names))) < codec.MAX_FRAME
     )
 
 
