--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -1,7 +1,8 @@
-"""Where the agent asks its fleet: turns a request into the fleet's question, and its word into an event.
+"""Admission control: asks the fleet about each request and turns its decision into an event of the reducer.
 
-Owns the fleet's host and the requests that wait for a word. It must never decide what the fleet is to say:
-where no word comes at all it answers by the fleet's own rule for doubt. Without a fleet nobody imports it.
+Owns the transport to the fleet's peers and the requests that wait for a decision. It must never decide in the
+fleet's place: where no decision comes at all it applies the fleet's own rule for what is unknown. Without a
+fleet nobody imports it.
 """
 
 import hashlib
@@ -15,48 +16,57 @@
 from cartdeal.fleet import idempotency
 from cartdeal.fleet.effects import DeliverDecision
 from cartdeal.fleet.errors import InvalidConfigurationError
-from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, RanOutcome
+from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, Idempotency, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.transport import PeerTransport, TransportLimits
 from cartdeal.settings import REPEATS, seconds
 from cartdeal.supervision import supervise
 from cartdeal.terms import Group, Repeat
 
-LETTERS = {Repeat.IDEMPOTENT: "i", Repeat.DEDUPLICATED: "d", Repeat.NON_IDEMPOTENT: "u"}
+IDEMPOTENCY = {
+    Repeat.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
+    Repeat.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
+    Repeat.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
+}
 STATUSES = {
     AdmissionDecision.RATE_LIMITED: 429,
     AdmissionDecision.REJECT: 503,
     AdmissionDecision.FAIL: 502,
 }
-LATE = 0.3  # beyond the fleet's own bound, when a request without a word is in doubt
-LOOK = 0.1  # seconds between looks for such
-LAST_WORDS = 0.15  # how long the last ones may take to be written
-STREAMS = 8  # one in so many descriptors is for streams to peers, and as many for those from them
-MEMORY = 0.1  # share of the memory for what waits for peers, and as much for what came of them by half
+DECISION_GRACE_S = 0.3  # beyond the fleet's own bound, until a request is decided as unknown
+OVERDUE_CHECK_INTERVAL_S = 0.1
+HANDOVER_CHECK_INTERVAL_S = 0.02
+FINAL_FLUSH_S = 0.15  # how long the last messages may take to be written
+DESCRIPTORS_PER_STREAM = 8  # one in so many is for streams to peers, and as many for those from them
+MEMORY_SHARE = 0.1  # of the limit, for messages that wait for peers, and as much for partial ones from them
 
 log = logging.getLogger("cartdeal.fleet")
 
 
 class AdmissionControl:
+    """The agent's side of the fleet: one method for each effect of the reducer, and one for its decision."""
+
     def __init__(self, config, fleet, after):
         """`after(event, *args)` brings an event to the reducer. Raises BindError."""
         self.config, self.after, self.listen = config, after, fleet.listen
-        streams, share = config.limits.descriptors // STREAMS, MEMORY * config.limits.memory
+        streams, share = (
+            config.limits.descriptors // DESCRIPTORS_PER_STREAM,
+            MEMORY_SHARE * config.limits.memory,
+        )
         self.descriptors, self.memory = 2 * streams + 2, 2 * share
         self.host = PeerTransport(
             fleet.settings,
             fleet.listen,
             Node,
-            self.decided,
+            self.on_decision,
             TransportLimits(streams, int(share * 1e6), int(share * 1e6)),
         )
-        self.open: dict[
-            int, tuple[float, AdmissionRequest]
-        ] = {}  # until when a word has to come, in that order
+        # By ticket, until when (monotonic seconds) a decision has to come; in that order.
+        self.open: dict[int, tuple[float, AdmissionRequest]] = {}
         settings = config.settings
         self.kinds = [
             (
-                LETTERS[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
+                IDEMPOTENCY[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
                 kind.group or Group.CELL.value,
                 seconds(kind.window),
                 kind.name,
@@ -67,9 +77,14 @@
         self.longest = tuple(
             {"i": inf, "d": longest - window, "u": longest}[repeat] for repeat, _, window, _ in self.kinds
         )
-        self.verbs = {"admit": self.admit, "went": self.went, "settled": self.settled}
+        self.verbs = {
+            "admit": self.admit,
+            "went": self.on_attempt_sent,
+            "settled": self.on_request_ended,
+        }
 
     def start(self):
+        """Listen for peers; returns the background tasks."""
         self.host.start()
         log.info(
             "in a fleet",
@@ -84,26 +99,30 @@
     # Effects
 
     def admit(self, number: int, request, deadline: float):
+        """Ask the fleet about a request; `deadline` in monotonic seconds."""
         now = monotonic()
-        question = self.question(request, deadline - now)
-        self.open[number] = now + self.host.settings.wait_s + LATE, question
-        self.host.dispatch("request_admission", number, question)
+        admission_request = self.admission_request(request, deadline - now)
+        self.open[number] = now + self.host.settings.wait_s + DECISION_GRACE_S, admission_request
+        self.host.dispatch("request_admission", number, admission_request)
 
-    def went(self, number: int, zone: str, cell: int):
+    def on_attempt_sent(self, number: int, zone: str, cell: int):
+        """An attempt of an admitted request is being sent to a server of `zone` and `cell`."""
         self.host.dispatch("on_attempt_sent", number, zone, cell)
 
-    def settled(self, number: int, ran: str):
+    def on_request_ended(self, number: int, ran: str):
+        """A request is over; `ran` is a value of RanOutcome."""
         self.open.pop(number, None)
         self.host.dispatch("on_request_ended", number, RanOutcome(ran))
 
-    def question(self, request, left: float) -> AdmissionRequest:
+    def admission_request(self, request, remaining_s: float) -> AdmissionRequest:
+        """What the fleet has to know of a request that has `remaining_s` until its deadline."""
         repeat, group, window, request_class = self.kinds[request.request_class]
         if request.non_idempotent:
-            repeat, window = "u", 0.0
-        if request.idempotency_key and repeat == "d":
+            repeat, window = Idempotency.NON_IDEMPOTENT.value, 0.0
+        if request.idempotency_key and repeat == Idempotency.DEDUPLICATED:
             key = request.idempotency_key.decode()
         else:
-            key = "" if repeat == "i" else digest(request)
+            key = "" if repeat == Idempotency.IDEMPOTENT else digest(request)
         return AdmissionRequest(
             # By name: who names none, or one that is not known, must not use up the first one's limit.
             tenant=request.tenant_name.decode("latin-1"),
@@ -112,17 +131,18 @@
             repeat=repeat,
             group=group,
             window_s=window,
-            limit_s=max(0.0, left),
+            limit_s=max(0.0, remaining_s),
             workload=request_class,
             retried=request.repeat,
         )
 
-    # The fleet's word
+    # The fleet's decision
 
-    def decided(self, effect: DeliverDecision):
+    def on_decision(self, effect: DeliverDecision):
+        """Pass a decision on to the reducer."""
         ticket = effect.ticket
         if self.open.pop(ticket, None) is None:
-            return  # answered, or its client has gone, while the fleet thought about it
+            return  # answered, or its client has disconnected, before the decision
         if effect.decision is AdmissionDecision.ADMIT:
             node = self.host.node
             shift = node.now - node.wall  # from the fleet's time to the agent's own
@@ -138,56 +158,62 @@
             self.after("declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
 
     def watch(self):
-        """The fleet answers in time, if need be in doubt; should a fault have kept it from it, this does."""
+        """Decide what is overdue: a fault kept the fleet from deciding in time."""
         while True:
-            gevent.sleep(LOOK)
+            gevent.sleep(OVERDUE_CHECK_INTERVAL_S)
             now, fleet_settings = monotonic(), self.host.settings
-            for number, question in [(each, asked) for each, (by, asked) in self.open.items() if by < now]:
-                log.warning("no word of the fleet", extra={"request_class": question.workload})
-                word = (
-                    idempotency.decide_unknown(question, fleet_settings.on_doubt, fleet_settings.clients_mark)
-                    if question.leaves_record
+            overdue = [
+                (number, request) for number, (deadline, request) in self.open.items() if deadline < now
+            ]
+            for number, request in overdue:
+                log.warning("fleet decision overdue", extra={"request_class": request.workload})
+                decision = (
+                    idempotency.decide_unknown(request, fleet_settings.on_doubt, fleet_settings.clients_mark)
+                    if request.leaves_record
                     else AdmissionDecision.REJECT
                 )
-                self.decided(DeliverDecision(number, word))
+                self.on_decision(DeliverDecision(number, decision))
 
     # The agent's incarnation
 
     def reread(self):
-        """Takes over what the fleet's file changes; one that can't be used changes nothing."""
+        """Adopt what the fleet's file changes; one that can't be used changes nothing."""
         try:
             found = fleet_configuration.read(self.config)
-        except InvalidConfigurationError as trouble:
-            return log.error("fleet file refused", extra={"reason": str(trouble)})
+        except InvalidConfigurationError as error:
+            log.error("fleet file refused", extra={"reason": str(error)})
+            return
         host, new = self.host, found.settings
-        kept, restart = fleet_configuration.merge_reloadable(host.settings, new)
+        settings, restart = fleet_configuration.merge_reloadable(host.settings, new)
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
-        host.settings = kept
-        host.dispatch("apply_settings", kept)
+        host.settings = settings
+        host.dispatch("apply_settings", settings)
         log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
 
     def leave(self):
+        """Begin to hand over what this agent holds."""
         self.host.dispatch("begin_shutdown")
 
     def part(self, until: float):
-        """Waits until what this agent holds is with others, but not beyond `until`; says its last words."""
+        """Wait for the handover, but not beyond `until` (monotonic seconds), and leave the fleet."""
         while not self.host.node.is_handed_over and monotonic() < until:
-            gevent.sleep(LOOK / 5)
+            gevent.sleep(HANDOVER_CHECK_INTERVAL_S)
         self.host.dispatch("finish_shutdown")
-        self.host.flush(monotonic() + LAST_WORDS)
+        self.host.flush(monotonic() + FINAL_FLUSH_S)
         log.info(
             "out of the fleet",
             extra={"handed_over": self.host.node.is_handed_over, "unsent": self.host.queued_bytes},
         )
 
     def stop(self):
+        """Close all sockets."""
         self.host.stop()
 
 
 def digest(request) -> str:
-    """What a non-idempotent request is known by: its id differs with every try."""
-    words = hashlib.blake2b(digest_size=16)
+    """The key of a non-idempotent request, in hex: its id differs with every try."""
+    hasher = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.path, request.body):
-        words.update(len(part).to_bytes(4, "big") + part)
-    return words.hexdigest()
+        hasher.update(len(part).to_bytes(4, "big") + part)
+    return hasher.hexdigest()
--- a/cartdeal/fleet/effects.py
+++ b/cartdeal/fleet/effects.py
@@ -17,14 +17,12 @@
 class DeliverDecision(Struct, frozen=True):
     """Tell the agent what the fleet decided on the request `ticket`.
 
-    `retry_after_s`: when its client may come again, 0 where it is not told. `earlier_attempts`: what an
-    attempt
-    of an admitted request has to heed.
+    An attempt of an admitted request has to respect the `earlier_attempts`.
     """
 
     ticket: int
     decision: AdmissionDecision
-    retry_after_s: float = 0.0
+    retry_after_s: float = 0.0  # 0 where the client is not told to come again
     earlier_attempts: tuple[EarlierAttempt, ...] = ()
 
 
--- a/cartdeal/fleet/metrics.py
+++ b/cartdeal/fleet/metrics.py
@@ -1,5 +1,4 @@
-"""The names under which the fleet's parts count what happens; they are the fields of the line
-`msg=metrics`."""
+"""The names under which the fleet's parts count what happens: fields of the log line `msg=metrics`."""
 
 from enum import StrEnum
 
@@ -7,74 +6,89 @@
 class Metric(StrEnum):
     """A counter since the start of the agent."""
 
+    # The node and its pending admissions
+    ADMISSION_REQUESTS = "admission requests"  # requests that the fleet was asked about
+    DECIDED_UNKNOWN = "decided unknown"  # requests decided without an answer of the owners
+    DROPPED_OWN_NAME = "dropped own name"  # messages under this agent's own name, or of no part
+    NO_ADDRESS = "no address"  # messages not sent: the peer's address is not known
+    OVERDUE_DECISIONS = "overdue decisions"  # no part had answered a tick after the deadline: a fault
+    PENDING_ADMISSIONS_FULL = (
+        "pending admissions full"  # requests decided as unknown: `most_waiting` were undecided
+    )
+
+    # Membership
     ACCUSATIONS = "accusations"
-    ADMISSION_QUEUE_FULL = "admission queue full"
-    ADMISSION_REQUESTS = "admission requests"
-    ATTEMPTS_FULL = "attempts full"
+    DROPPED_DIGEST_EXCHANGES = "dropped digest exchanges"
+    DROPPED_NO_ROOM = "dropped no room"
+    DROPPED_OUT_OF_RANGE = "dropped out of range"
+    DROPPED_UNVERIFIED_PEERS = "dropped unverified peers"
+    DROPPED_WRONG_SENDER = "dropped wrong sender"
+    LATE_ACKS = "late acks"
+    PAUSES = "pauses"
+    REFUTATIONS = "refutations"
+    SUSPICIONS = "suspicions"
+
+    # Consensus on the ring
     BALLOTS = "ballots"
     BALLOTS_REJECTED = "ballots rejected"
-    CLOSED_IDLE = "closed idle"
-    CLOSED_NO_ROOM = "closed no room"
-    CLOSED_PARTIAL_MESSAGES = "closed partial messages"
-    DECIDED_UNKNOWN = "decided unknown"
     DIFFERENT_SEEDS = "different seeds"
-    DROPPED_BAD_KEY = "dropped bad key"
-    DROPPED_BAD_RECORD = "dropped bad record"
     DROPPED_BALLOT = "dropped ballot"
-    DROPPED_CLOCK_AHEAD = "dropped clock ahead"
-    DROPPED_DATAGRAMS = "dropped datagrams"
-    DROPPED_DIGEST_EXCHANGES = "dropped digest exchanges"
     DROPPED_DISTANT_EPOCH = "dropped distant epoch"
-    DROPPED_LATE_ANSWER = "dropped late answer"
-    DROPPED_LATE_LEASE = "dropped late lease"
     DROPPED_LEASE_RENEWAL = "dropped lease renewal"
-    DROPPED_LEASE_REQUEST = "dropped lease request"
     DROPPED_MALFORMED_RING = "dropped malformed ring"
+    DROPPED_OLDER_EPOCH = "dropped older epoch"
+    DROPPED_UNKNOWN_BALLOT = "dropped unknown ballot"
+    RING_FULL = "ring full"
+
+    # Replicated records
+    ATTEMPTS_FULL = "attempts full"
+    DROPPED_BAD_KEY = "dropped bad key"
+    DROPPED_BAD_RECORD = "dropped bad record"
+    DROPPED_LATE_ANSWER = "dropped late answer"
     DROPPED_NEWER_EPOCH = "dropped newer epoch"
-    DROPPED_NO_ADDRESS = "dropped no address"
-    DROPPED_NO_MEMORY = "dropped no memory"
-    DROPPED_NO_ROOM = "dropped no room"
-    DROPPED_NO_STREAM = "dropped no stream"
     DROPPED_NOT_OWNER = "dropped not owner"
     DROPPED_OLD_EPOCH = "dropped old epoch"
-    DROPPED_OLD_INCARNATION = "dropped old incarnation"
+    HINTS_DROPPED = "hints dropped"
+    HINTS_REJECTED = "hints rejected"
+    NEWER_RING_ANNOUNCED = "newer ring announced"
+    NOT_PLACED_YET = "not placed yet"
+    NO_VALID_LEASE = "no valid lease"
+    OWNED_LIMITS_FULL = "owned limits full"
+    PENDING_OPERATIONS_FULL = "pending operations full"
+    PENDING_REPAIRS_FULL = "pending repairs full"
+    RECORDS_FULL = "records full"
+    RECORDS_TOO_LARGE = "records too large"
+    WRITES_CERTAIN = "writes certain"
+    WRITES_UNCERTAIN = "writes uncertain"
+
+    # Rate limits
+    ADMISSION_QUEUE_FULL = "admission queue full"
+    DROPPED_LATE_LEASE = "dropped late lease"
+    DROPPED_LEASE_REQUEST = "dropped lease request"
     DROPPED_OLD_INCARNATIONS_LEASE = "dropped old incarnation's lease"
     DROPPED_OLD_LEASE_REQUEST = "dropped old lease request"
     DROPPED_OLD_LEASE_RETURN = "dropped old lease return"
-    DROPPED_OLDER_EPOCH = "dropped older epoch"
+    OWN_REQUESTS_DEFERRED = "own requests deferred"
+
+    # Transport
+    CLOSED_IDLE = "closed idle"
+    CLOSED_NO_ROOM = "closed no room"
+    CLOSED_PARTIAL_MESSAGES = "closed partial messages"
+    DROPPED_DATAGRAMS = "dropped datagrams"
+    DROPPED_NO_ADDRESS = "dropped no address"
+    DROPPED_NO_MEMORY = "dropped no memory"
+    DROPPED_NO_STREAM = "dropped no stream"
     DROPPED_OLDEST = "dropped oldest"
-    DROPPED_OUT_OF_RANGE = "dropped out of range"
-    DROPPED_OWN_NAME = "dropped own name"
     DROPPED_STALE = "dropped stale"
     DROPPED_TOO_LARGE = "dropped too large"
-    DROPPED_UNKNOWN_BALLOT = "dropped unknown ballot"
-    DROPPED_UNVERIFIED_PEERS = "dropped unverified peers"
-    DROPPED_WRONG_SENDER = "dropped wrong sender"
     EFFECTS_FAILED = "effects failed"
     EVENTS_FAILED = "events failed"
-    HINTS_DROPPED = "hints dropped"
-    HINTS_REJECTED = "hints rejected"
-    LATE_ACKS = "late acks"
-    NEWER_RING_ANNOUNCED = "newer ring announced"
-    NO_ADDRESS = "no address"
-    NO_VALID_LEASE = "no valid lease"
-    NOT_PLACED_YET = "not placed yet"
-    OVERDUE_DECISIONS = "overdue decisions"
-    OWN_REQUESTS_DEFERRED = "own requests deferred"
-    OWNED_LIMITS_FULL = "owned limits full"
-    PAUSES = "pauses"
-    PENDING_ADMISSIONS_FULL = "pending admissions full"
-    PENDING_OPERATIONS_FULL = "pending operations full"
-    PENDING_REPAIRS_FULL = "pending repairs full"
     RECEIVED_BYTES = "received bytes"
     RECEIVED_MESSAGES = "received messages"
-    RECORDS_FULL = "records full"
-    RECORDS_TOO_LARGE = "records too large"
-    REFUTATIONS = "refutations"
-    RING_FULL = "ring full"
     SENT_BYTES = "sent bytes"
     SENT_MESSAGES = "sent messages"
     STREAMS_FAILED = "streams failed"
-    SUSPICIONS = "suspicions"
-    WRITES_CERTAIN = "writes certain"
-    WRITES_UNCERTAIN = "writes uncertain"
+
+    # Counted by more than one part
+    DROPPED_CLOCK_AHEAD = "dropped clock ahead"  # what a clock too far ahead has stamped
+    DROPPED_OLD_INCARNATION = "dropped old incarnation"  # messages of a peer's earlier start
--- a/cartdeal/fleet/pending_admissions.py
+++ b/cartdeal/fleet/pending_admissions.py
@@ -17,6 +17,7 @@
     AdmissionDecision,
     AdmissionRequest,
     EarlierAttempt,
+    Idempotency,
     RanOutcome,
     decide,
     decide_unknown,
@@ -247,7 +248,7 @@
         self.record_count += 1
         now_ms = int(self.context.wall * 1e3)
         longest_s = self.settings.longest_mark_s
-        is_deduplicated = request.repeat == "d"
+        is_deduplicated = request.repeat == Idempotency.DEDUPLICATED
         lifetime_s = request.window_s + request.limit_s if is_deduplicated else longest_s
         return AttemptRecord(
             attempt_id=f"{self.context.name}/{self.context.incarnation}/{self.record_count}",
