--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -8,10 +8,10 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages as consensus_messages
 from cartdeal.fleet.errors import InvalidRecordError
 from cartdeal.fleet.idempotency import AdmissionDecision
-from cartdeal.fleet.replication import messages, schema
+from cartdeal.fleet.replication import messages, migration, record_codec
 from cartdeal.fleet.replication.catch_up import quorum
 from cartdeal.fleet.ring.movement import minimal_movement
 from cartdeal.fleet.ring.placement import owners
@@ -90,11 +90,11 @@
 
     # What the network sees
 
-    def intended(self, intent: str, repeat: str, group: str, window: float):
+    def client_came(self, intent: str, repeat: str, group: str, window: float):
         """A client wants one effect, however often it comes."""
         self.intents[intent] = (repeat, group, window)
 
-    def attempt(self, intent: str, at: float, zone: str, cell: int, agent: str):
+    def attempt_executed(self, intent: str, at: float, zone: str, cell: int, agent: str):
         repeat, group, window = self.intents[intent]
         before = self.executions[intent]
         for past in before:
@@ -113,7 +113,7 @@
                 )
         before.append(Execution(at, zone, cell, agent))
 
-    def answered(self, intent: str, at: float, agent: str, verdict: str):
+    def request_answered(self, intent: str, at: float, agent: str, verdict: str):
         repeat, group, window = self.intents[intent]
         if verdict in (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value):
             for past in self.executions[intent]:
@@ -121,28 +121,28 @@
                     self.violated(f"{intent}: rejected at {agent}, {at - past.at:.3f} s after it ran")
         self.told[intent].append((at, agent, verdict))
 
-    def waited(self, agent: str, seconds: float):
+    def decision_waited(self, agent: str, seconds: float):
         """For the fleet's word. A tick more than is allowed, as that's when an agent looks at its clock."""
         if seconds > self.settings.wait_s + 1.2 * self.settings.tick_s:
             self.violated(f"{agent}: a request waited for {seconds:.3f} s")
 
-    def went_on(self, tenant: str, at: float):
+    def request_admitted(self, tenant: str, at: float):
         if tenant in self.limits:
             self.admission_times[tenant].append(at)
 
     # What is said on the wire
 
-    def started(self, agent: str, at: float, reads: tuple[int, int]):
+    def agent_started(self, agent: str, at: float, reads: tuple[int, int]):
         self.starts[agent].append(at)
         self.programs[agent] = reads
 
-    def died(self, agent: str, at: float):
+    def agent_died(self, agent: str, at: float):
         self.deaths.append((at, agent))
 
-    def out_of_reach(self, at: float):
+    def recipient_unreachable(self, at: float):
         self.unreached = at
 
-    def said(self, at: float, sender: str, incarnation: int, to: str, message):
+    def message_sent(self, at: float, sender: str, incarnation: int, to: str, message):
         start = len(self.starts[sender])
         if self.incarnations.setdefault((sender, incarnation), start) != start:
             self.violated(f"{sender}: incarnation {incarnation} given out twice")
@@ -153,23 +153,23 @@
         elif kind is messages.WriteResponse:
             if message.written and (to, message.incarnation, message.request_id) in self.claims:
                 self.writers[self.claims[to, message.incarnation, message.request_id][2]][sender] = None
-        elif kind.__module__ == ring_consensus.__name__:
+        elif kind.__module__ == consensus_messages.__name__:
             self.of_rings(at, sender, to, message)
 
     def of_rings(self, at, sender, to, message):
         kind = type(message)
-        if kind is ring_consensus.RingSnapshot:
+        if kind is consensus_messages.RingSnapshot:
             self.rings.setdefault(message.previous_ring.digest, message.previous_ring)
             self.learn(message.previous_ring.digest, message.step)
-        elif kind is ring_consensus.RingUpdate:
+        elif kind is consensus_messages.RingUpdate:
             self.learn(message.step.previous_digest, message.step)
         else:
-            if kind is ring_consensus.Accept:
+            if kind is consensus_messages.Accept:
                 ring = self.learn(message.ring_digest, message.step)
                 if ring:
                     self.ballots[message.ring_digest, message.number, sender] = ring.digest
                     self.votes[ring.digest][sender] = None
-            elif kind is ring_consensus.Accepted:
+            elif kind is consensus_messages.Accepted:
                 self.votes[self.ballots.get((message.ring_digest, message.number, to), b"")][sender] = None
             if message.epoch:
                 self.ring_of[sender] = message.ring_digest
@@ -258,7 +258,7 @@
         if not message.attempt_id:
             return
         try:
-            mark = schema.decode("s", message.record).attempts.get(message.attempt_id)
+            mark = record_codec.decode("s", message.record).attempts.get(message.attempt_id)
         except InvalidRecordError:
             mark = None
         if mark is None:
@@ -275,7 +275,7 @@
         )
         self.latest[agent, message.key, mark.key] = message.attempt_id
 
-    def marked(self, agent: str, at: float, record: str, key: str, own_copy):
+    def attempt_recorded(self, agent: str, at: float, record: str, key: str, own_copy):
         """A request that leaves a mark goes on: its mark has to be on enough owners. `own_copy`: the marks of
         the record at the agent itself, as it may be an owner."""
         by = self.latest.get((agent, record, key))
@@ -323,7 +323,7 @@
         for mark, at in self.shown.items():
             ring = self.rings.get(mark)
             if ring and ring.epoch > newest:
-                newest, version = ring.epoch, schema.governs(ring.written_version, ring.phase)
+                newest, version = ring.epoch, migration.governing_version(ring.written_version, ring.phase)
                 if version != found[-1][1]:
                     found.append((at, version))
         return found
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from cartdeal.fleet import node
+from cartdeal.fleet import pending_admissions
 from cartdeal.fleet.consensus.ring_consensus import RingConsensus
 from cartdeal.fleet.hybrid_clock import HybridClock
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
@@ -12,13 +12,14 @@
 from cartdeal.fleet.quota.holder import LeaseHolder
 from cartdeal.fleet.quota.ownership import OwnershipHistory
 from cartdeal.fleet.quota.tenant_quota import HeldLease
-from cartdeal.fleet.replication import records, replica, schema
+from cartdeal.fleet.replication import migration, quorum, record_codec, records
 from cartdeal.fleet.replication.catch_up import ALL_RANGES, CatchUp
 from cartdeal.fleet.replication.records import Session
 from cartdeal.fleet.ring.placement import RendezvousHash, hash_number, owners
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet, NetworkConditions
+from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
+from cartdeal.fleet.simulation.network import NetworkConditions
 
 SHOP = AdmissionRequest(tenant="shop", workload="read")
 
@@ -63,7 +64,7 @@
 def restarts(memory):
     for _ in range(2):
         for turn in range(5):
-            memory.submit(sheet(f"{memory.hosts['a0'].starts}/{turn}"), ["a0"])
+            memory.submit(sheet(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
             memory.run(0.2)
         memory.kill("a0")
         memory.start("a0")
@@ -149,14 +150,14 @@
     """A newer program writes a field, dies, and gets its record back from older ones."""
     memory.submit(sheet(0), ["a0"])
     memory.run(1.0)
-    store = memory.nodes()["a0"].replica
-    store.merge("s/s0", Session(store.record("s/s0").attempts, {"new": [7]}))
-    before = store.store["s/s0"].digest
+    store = memory.nodes()["a0"].replica.store
+    store.merge("s/s0", Session(store.get("s/s0").attempts, {"new": [7]}))
+    before = store.records["s/s0"].digest
     memory.run(5.0)
     memory.kill("a0")
     memory.start("a0")
     memory.run(8.0)
-    after = memory.nodes()["a0"].replica.store["s/s0"].digest
+    after = memory.nodes()["a0"].replica.store.records["s/s0"].digest
     memory.checker.check_equal({"before": before, "after": after}, "a session with a newer field")
 
 
@@ -177,7 +178,7 @@
 
     def stubborn(*args):
         made = Node(*args)
-        made.timely = lambda *_: True
+        made.fleet_clock.observe = lambda *_: True
         return made
 
     memory.node_factories["a9"] = stubborn
@@ -200,7 +201,7 @@
 def number_again(plant):
     def init(self, fleet_settings, seed, now, wall):
         before(self, fleet_settings, "the same", now, 1_700_000_000.0)
-        self.offset = wall - now
+        self.fleet_clock.offset_s = wall - now
 
     before = Node.__init__
     plant(Node, "__init__", init)
@@ -239,8 +240,8 @@
         record.unknown_fields = {}
         return record
 
-    before = schema.decode
-    plant(schema, "decode", decode)
+    before = record_codec.decode
+    plant(record_codec, "decode", decode)
 
 
 def answers_too_early(plant):
@@ -286,24 +287,24 @@
             9,
         )
 
-    before = schema.agree
-    plant(schema, "agree", agree)
+    before = migration.next_step
+    plant(migration, "next_step", agree)
 
 
 def written_by_one(plant):
-    class Eager(replica.PendingOperation):
-        need = property(lambda self: (1, 1), lambda self, need: None)
+    class Eager(quorum.PendingOperation):
+        required = property(lambda self: quorum.RequiredResponses(1, 1), lambda self, required: None)
 
-    plant(replica, "PendingOperation", Eager)
+    plant(quorum, "PendingOperation", Eager)
 
 
 def come_again(plant):
-    plant(node, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
+    plant(pending_admissions, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
 
 
 def places_forgotten(plant):
-    before = node.decide
-    plant(node, "decide", lambda *args: (before(*args)[0], ()))
+    before = pending_admissions.decide
+    plant(pending_admissions, "decide", lambda *args: (before(*args)[0], ()))
 
 
 def by_remainder(plant):
