--- a/cartdeal/fleet/metrics.py
+++ b/cartdeal/fleet/metrics.py
@@ -12,9 +12,7 @@
     DROPPED_OWN_NAME = "dropped own name"  # messages under this agent's own name, or of no part
     NO_ADDRESS = "no address"  # messages not sent: the peer's address is not known
     OVERDUE_DECISIONS = "overdue decisions"  # no part had answered a tick after the deadline: a fault
-    PENDING_ADMISSIONS_FULL = (
-        "pending admissions full"  # requests decided as unknown: `most_waiting` were undecided
-    )
+    PENDING_ADMISSIONS_FULL = "pending admissions full"  # decided as unknown: `most_waiting` were undecided
 
     # Membership
     ACCUSATIONS = "accusations"
