--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -41,13 +41,14 @@
         PROXY_FLEET_LISTEN="0.0.0.0:7009",
         PROXY_FLEET_ADDRESS="10.0.0.9:7009",
     )
-    assert other.listen == ("0.0.0.0", 7009) and other.settings.address == "10.0.0.9:7009"
+    assert other.listen == ("0.0.0.0", 7009)
+    assert other.settings.address == "10.0.0.9:7009"
     (tmp_path / "key").write_text(KEY + "\n")
     assert read(tmp_path, 'fleet = "f"\nkey_file = "key"\n' + SEEDS).settings.key == KEY.encode()
 
 
 @pytest.mark.parametrize(
-    "text, key, observed, expected",
+    ("text", "key", "observed", "expected"),
     [
         (f'key = "{KEY}"\n', "fleet", "nothing", "a name of 1 to 64"),
         (REQUIRED_KEYS + "lease = 3\n", "lease", "3", "no such key; there are fleet"),
@@ -123,14 +124,15 @@
         read(tmp_path, text if "[" in text else text + SEEDS)
     assert raised.value.subject == f"{tmp_path / 'fleet.toml'}: {key}"
     assert (raised.value.observed, expected in raised.value.remedy) == (observed, True), raised.value
-    assert "secret" not in str(raised.value) and KEY not in str(raised.value)
+    assert "secret" not in str(raised.value)
+    assert KEY not in str(raised.value)
 
 
 @pytest.mark.parametrize("text", ["fleet = ", "fleet = 'f'\nfleet = 'g'", "\udcff", "x = " + "[" * 5000])
 def test_file_that_is_no_toml_or_is_missing_is_refused(tmp_path, text):
     (tmp_path / "bad.toml").write_bytes(text.encode(errors="surrogateescape"))
     for file in ("bad.toml", "none.toml"):
-        with pytest.raises(InvalidConfigurationError, match="TOML|readable"):
+        with pytest.raises(InvalidConfigurationError, match=r"TOML|readable"):
             configuration.read(agent_config(tmp_path), {"PROXY_FLEET": str(tmp_path / file)})
     with pytest.raises(InvalidConfigurationError, match="PROXY_FLEET_LISTEN: found 'x'"):
         read(tmp_path, REQUIRED_KEYS + SEEDS, PROXY_FLEET_LISTEN="x")
@@ -150,7 +152,8 @@
     text = Path("deploy/fleet.toml").read_text()
     (tmp_path / "fleet.key").write_text(KEY)
     found = read(tmp_path, text, PROXY_FLEET_NAME="orders-1")
-    assert found.settings.fleet == "orders" and found.listen == ("10.0.0.5", 7946)
+    assert found.settings.fleet == "orders"
+    assert found.listen == ("10.0.0.5", 7946)
     shown = tomllib.loads(
         "\n".join(
             line.removeprefix("# ")
--- a/tests/fleet/test_disabled.py
+++ b/tests/fleet/test_disabled.py
@@ -97,14 +97,16 @@
     without_fleet, with_fleet = (
         [kind for kind in open_descriptors(agent) if kind != "connecting"] for agent in (off, on)
     )
-    assert without_fleet.count("tcp") == 1 and "udp" not in without_fleet
-    assert with_fleet.count("udp") == 1 and with_fleet.count("tcp") >= 2
+    assert without_fleet.count("tcp") == 1
+    assert "udp" not in without_fleet
+    assert with_fleet.count("udp") == 1
+    assert with_fleet.count("tcp") >= 2
     for agent in (off, on):
         terminate(agent)
 
 
 @pytest.mark.parametrize(
-    "text, message",
+    ("text", "message"),
     [
         ("", b"fleet: found 'nothing'; wanted a name"),
         ("fleet = 3", b"fleet: found '3'; wanted a name"),
@@ -115,18 +117,22 @@
     operator_file.unlink() if text is None else operator_file.write_text(text)
     agent = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file))
     errors = agent.stderr.read()
-    assert agent.wait() == 2 and message in errors and errors.count(b"\n") == 1
+    assert agent.wait() == 2
+    assert message in errors
+    assert errors.count(b"\n") == 1
     checked = run(
         tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(operator_file)
     )
-    assert checked.wait() == 2 and message in checked.stderr.read()
+    assert checked.wait() == 2
+    assert message in checked.stderr.read()
 
 
 def test_check_names_the_fleet(tmp_path, operator_file):
     checked = run(
         tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(operator_file)
     )
-    assert checked.wait() == 0 and checked.stdout.read().endswith(b", fleet f\n")
+    assert checked.wait() == 0
+    assert checked.stdout.read().endswith(b", fleet f\n")
 
 
 def test_port_in_use_ends_the_start_with_status_1(tmp_path, operator_file):
@@ -135,5 +141,6 @@
     second = run(
         tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file), PROXY_FLEET_LISTEN=f"127.0.0.1:{port}"
     )
-    assert second.wait() == 1 and b"can't listen on" in second.stderr.read()
+    assert second.wait() == 1
+    assert b"can't listen on" in second.stderr.read()
     terminate(first)
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -16,15 +16,19 @@
 
 @pytest.mark.parametrize("error_type", ERROR_TYPES, ids=lambda error_type: error_type.__name__)
 def test_each_error_says_what_an_operator_can_do(error_type):
-    assert error_type.remedy and error_type.__doc__ and "\n" not in error_type.__doc__.strip()
+    assert error_type.remedy
+    assert error_type.__doc__
+    assert "\n" not in error_type.__doc__.strip()
     error = error_type("the clock of b", "x" * 1000)
     assert (error.subject, len(error.observed), error.remedy) == ("the clock of b", 200, error_type.remedy)
-    assert error_type("a file", remedy="mend it").remedy == "mend it" and "the clock of b" in str(error)
+    assert error_type("a file", remedy="mend it").remedy == "mend it"
+    assert "the clock of b" in str(error)
 
 
 def test_the_table_has_every_type_in_the_order_of_the_page():
     named = re.findall(r"^class (\w+)\((?!Exception)", Path(errors.__file__).read_text(), re.MULTILINE)
-    assert [error_type.__name__ for error_type in ERROR_TYPES] == named and len(set(named)) == len(named) >= 5
+    assert [error_type.__name__ for error_type in ERROR_TYPES] == named
+    assert len(set(named)) == len(named) >= 5
 
 
 @pytest.mark.skipif(not PAGE.exists(), reason="no page for operators yet")
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -89,7 +89,8 @@
     eventually(lambda: fleet.executions("/close/9?do=wait") == 1, "it runs")
     one.signal(signal.SIGTERM)
     eventually(lambda: one.process.poll() is not None, "it ends")
-    assert one.process.returncode == 0 and one.log_lines("out of the fleet", "handed_over=true")
+    assert one.process.returncode == 0
+    assert one.log_lines("out of the fleet", "handed_over=true")
     two.kill()
     held.get(timeout=5)
     # One owner of three is left: it can't be sure, and says so rather than guess.
@@ -115,7 +116,6 @@
 
 
 def test_attempts_hold_where_messages_are_lost_duplicated_delayed_or_one_way(fleet):
-    one, two, three = fleet.agents
     wait_until_ready(fleet)
     fleet.loss_probability = 0.1
     fleet.duplicate_probability = 0.2
@@ -128,7 +128,8 @@
         statuses += [
             fleet.request(agent, path, f"gus {number}", retried=True)[0] for agent in (second, first)
         ]
-        assert fleet.executions(path) <= 1 and 200 not in statuses
+        assert fleet.executions(path) <= 1
+        assert 200 not in statuses
         assert statuses[1:] == [502, 502]
     fleet.blocked_links = set()
     fleet.loss_probability = fleet.duplicate_probability = fleet.max_delay_s = 0.0
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, kind",
+    ("text", "kind"),
     [
         (
             codec.encode(msgspec.structs.replace(SETTINGS, fleet="g"), "a", 1, "", 9, DatagramMessage("x")),
@@ -96,7 +96,8 @@
 def test_each_refusal_has_its_own_error_type(text, kind):
     with pytest.raises(kind) as raised:
         codec.decode(SETTINGS, text)
-    assert raised.value.remedy and len(str(raised.value)) < 600
+    assert raised.value.remedy
+    assert len(str(raised.value)) < 600
 
 
 def test_message_over_the_maximum_size_is_not_encoded():
@@ -149,11 +150,12 @@
             break
         received += frames.feed(stream[:size])
         stream = stream[size:]
-    assert received == messages and not frames.buffer
+    assert received == messages
+    assert not frames.buffer
 
 
 @pytest.mark.parametrize(
-    "head, kind",
+    ("head", "kind"),
     [(bytes(4), errors.MalformedMessageError), (b"\xff\xff\xff\xff", errors.MessageTooLargeError)],
 )
 def test_invalid_frame_is_refused_and_nothing_of_it_is_buffered(head, kind):
@@ -237,9 +239,9 @@
         StreamMessage(bytes(400_000)),
         StreamMessage(b"y"),
     ]
-    assert (
-        len(a.outgoing.connections) == 1 and len(b.incoming.connections) == 1 and not b.incoming.partial_bytes
-    )
+    assert len(a.outgoing.connections) == 1
+    assert len(b.incoming.connections) == 1
+    assert not b.incoming.partial_bytes
     send(a, b, DatagramMessage("x" * 2000))
     a.dispatch("send_messages", "b", "nowhere", DatagramMessage("x"))
     assert a.counters["dropped too large"] == a.counters["dropped no address"] == 1
@@ -250,8 +252,9 @@
     a = make_transport(
         "a",
         on_decision=lambda effect: decisions.append(effect.ticket)
-        or effect.ticket < 3
-        and (a.dispatch("decide", effect.ticket + 2), decisions.append(-effect.ticket)),
+        or (
+            effect.ticket < 3 and (a.dispatch("decide", effect.ticket + 2), decisions.append(-effect.ticket))
+        ),
     )
     a.dispatch("decide", 1)
     assert decisions == [1, -1, 3]
@@ -261,11 +264,12 @@
     a, b = make_transport("a"), make_transport("b")
     send(a, b, StreamMessage(b"x"), DatagramMessage("die"), DatagramMessage("on"))
     wait_until(lambda: len(b.node.received) == 3)
-    assert "event failed" in caplog.text and len(b.incoming.connections) == 1
+    assert "event failed" in caplog.text
+    assert len(b.incoming.connections) == 1
 
 
 @pytest.mark.parametrize(
-    "text, kind",
+    ("text", "kind"),
     [
         (bytes(4), "MalformedMessageError"),
         (b"\xff" * 8, "MessageTooLargeError"),
@@ -290,11 +294,9 @@
         assert bad.recv(1) == b""
     send(a, b, StreamMessage(b"y"))
     wait_until(lambda: len(b.node.received) == 2)
-    assert (
-        b.counters[f"refused {kind}"] == 3
-        and len(b.incoming.connections) == 1
-        and not b.incoming.partial_bytes
-    )
+    assert b.counters[f"refused {kind}"] == 3
+    assert len(b.incoming.connections) == 1
+    assert not b.incoming.partial_bytes
     assert len([message for message in caplog.messages if message == "refused"]) == 1
 
 
@@ -307,7 +309,8 @@
             + codec.frame_message(codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"x")))
         )
         wait_until(lambda: b.node.received)
-    assert b.counters["refused UnknownMessageError"] == 1 and len(b.node.received) == 1
+    assert b.counters["refused UnknownMessageError"] == 1
+    assert len(b.node.received) == 1
 
 
 def test_unidentified_clients_are_bounded_and_an_identified_peer_keeps_its_stream(
@@ -328,7 +331,8 @@
         raise ConnectionResetError
     send(a, b, StreamMessage(b"y"))
     wait_until(lambda: len(b.node.received) == 2 and len(b.incoming.connections) == 1)
-    assert b.counters["closed partial messages"] == 1 and not b.incoming.partial_bytes
+    assert b.counters["closed partial messages"] == 1
+    assert not b.incoming.partial_bytes
 
 
 def test_queue_for_a_peer_that_does_not_read_is_bounded_and_drops_the_oldest(make_transport, monkeypatch):
@@ -340,7 +344,8 @@
     for number in range(100):
         send(a, b, StreamMessage(bytes(500_000) + b"%d" % number))
         gevent.sleep(0)
-    assert a.counters["dropped oldest"] > 50 and a.queued_bytes < 9 * 500_100
+    assert a.counters["dropped oldest"] > 50
+    assert a.queued_bytes < 9 * 500_100
     a.outgoing.limits = TransportLimits(max_queued_bytes=1_000_000)
     send(a, b, StreamMessage(bytes(500_000)))
     assert a.queued_bytes < 1_000_000
@@ -407,4 +412,5 @@
     time.sleep(0.01)
     gevent.spawn(lambda: refused_before.append(b.counters["refused MalformedMessageError"]))
     wait_until(lambda: b.counters["refused MalformedMessageError"] == 200)
-    assert refused_before and refused_before[0] < 200
+    assert refused_before
+    assert refused_before[0] < 200
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -27,16 +27,16 @@
 PORT_PATTERN = re.compile(rb"msg=serving .*port=(\d+)")
 TIMEOUT_S = 30.0  # after which what has to happen counts as never happening
 IDS = count(1)
-FAST_SETTINGS = dict(
-    lease_s=0.6,
-    probe_s=0.1,
-    suspect_s=0.5,
-    damp_s=0.5,
-    tick_s=0.05,
-    wait_s=0.25,
-    longest_mark_s=6.0,
-    clock_ahead_s=0.25,
-)
+FAST_SETTINGS = {
+    "lease_s": 0.6,
+    "probe_s": 0.1,
+    "suspect_s": 0.5,
+    "damp_s": 0.5,
+    "tick_s": 0.05,
+    "wait_s": 0.25,
+    "longest_mark_s": 6.0,
+    "clock_ahead_s": 0.25,
+}
 REQUEST_CLASSES = [
     {"name": "read", "idempotency": "safe", "goalTimeUs": 600000, "timeLimitUs": 2000000},
     {
