--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -186,7 +186,11 @@
     def attempt_ids_by_agent(self) -> dict[str, dict[str, tuple[str, ...]]]:
         """Of each agent that runs, the attempt records in each session that it stores."""
         return {
-            name: {key: attempt_ids(node, key) for key in sorted(node.replica.store) if key.startswith("s/")}
+            name: {
+                key: attempt_ids(node, key)
+                for key in sorted(node.replica.store.records)
+                if key.startswith("s/")
+            }
             for name, node in self.nodes().items()
         }
 
