--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -94,6 +94,7 @@
 
     @settings.setter
     def settings(self, settings: FleetSettings) -> None:
+        """Takes over what the operator asks now."""
         self.view.settings = settings
 
     @property
