--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -34,8 +34,8 @@
     "rig.soak": {"agent", "emulator", "rig", "rig.soak"},
     "lab": None,  # experiments may use everything
 }
-# Directly in fleet/, these stand above the protocols' packages, and no protocol imports them: the node ties the
-# protocols together, admissions go by what several of them know, the fleet's clock by the ring.
+# Directly in fleet/, these stand above the protocols, which import none of them: the node ties the protocols
+# together, admissions go by what several of them know, the fleet's clock by the ring.
 ABOVE_PROTOCOLS = {"node", "pending_admissions", "idempotency", "effects", "fleet_clock"}
 # Modules directly in cartdeal that everything may import; they import nothing of the packages.
 LIBRARY = {"atomic_write", "settings", "simulated_time", "sockets", "supervision", "terms"}
