--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -53,7 +53,7 @@
         if not has_ring:
             return True  # this agent's own clock proves nothing yet
         try:
-            self.hybrid_clock.hear(Timestamp(wall_ms, 0, sender), self.context.wall)
+            self.hybrid_clock.observe(Timestamp(wall_ms, 0, sender), self.context.wall)
         except ClockAheadError as error:
             self.context.increment(Metric.DROPPED_CLOCK_AHEAD)
             self.context.log_event(events.PeerClockAhead(sender, str(error)))
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -316,7 +316,11 @@
 
 
 def believes_clocks(plant):
-    plant(HybridClock, "hear", lambda self, stamp, wall: self.after(int(wall * 1e3), max(self.last, stamp)))
+    plant(
+        HybridClock,
+        "observe",
+        lambda self, stamp, wall: self._advance(int(wall * 1e3), max(self.latest, stamp)),
+    )
     plant(records, "check_clock", lambda *_: None)
 
 
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -269,16 +269,16 @@
     clock = HybridClock("a", 2.0)
     first = clock.tick(100.0)
     assert clock.tick(90.0) == Timestamp(100_000, 1, "a") > first  # back by ten seconds
-    assert clock.hear(Timestamp(99_000, 0, "c"), 90.0) == Timestamp(
+    assert clock.observe(Timestamp(99_000, 0, "c"), 90.0) == Timestamp(
         100_000, 2, "a"
     )  # no harm: it isn't newer
     with pytest.raises(errors.ClockAheadError, match="clock of b"):
-        clock.hear(Timestamp(103_001, 0, "b"), 101.0)
-    assert clock.last.wall_ms == 100_000 and clock.tick(101.0) == Timestamp(101_000, 0, "a")
-    assert clock.hear(Timestamp(102_000, 7, "c"), 101.0) == Timestamp(102_000, 8, "a")
-    clock.last = Timestamp(102_000, (1 << 31) - 1, "a")
-    assert clock.tick(101.0) == Timestamp(102_001, 0, "a") and not clock.behind()
+        clock.observe(Timestamp(103_001, 0, "b"), 101.0)
+    assert clock.latest.wall_ms == 100_000 and clock.tick(101.0) == Timestamp(101_000, 0, "a")
+    assert clock.observe(Timestamp(102_000, 7, "c"), 101.0) == Timestamp(102_000, 8, "a")
+    clock.latest = Timestamp(102_000, (1 << 31) - 1, "a")
+    assert clock.tick(101.0) == Timestamp(102_001, 0, "a") and not clock.is_behind()
     for name in "bcd":
         with pytest.raises(errors.ClockAheadError):
-            clock.hear(Timestamp(120_000, 0, name), 101.0)
-    assert clock.behind()  # all others are ahead: it is ours
+            clock.observe(Timestamp(120_000, 0, name), 101.0)
+    assert clock.is_behind()  # all others are ahead: it is ours
