--- a/cartdeal/fleet/simulation/ring_agreement.py
+++ b/cartdeal/fleet/simulation/ring_agreement.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from cartdeal.fleet.consensus import ring_consensus
-from cartdeal.fleet.replication import schema
+from cartdeal.fleet.replication import migration
 from cartdeal.fleet.ring.movement import minimal_movement
 from cartdeal.fleet.ring.placement import owners
 from cartdeal.fleet.ring.ring import Ring, RingMember
@@ -164,7 +164,7 @@
             ring = self.rings.get(digest)
             if ring and ring.epoch > newest_epoch:
                 newest_epoch = ring.epoch
-                version = schema.governs(ring.written_version, ring.phase)
+                version = migration.governing_version(ring.written_version, ring.phase)
                 if version != versions[-1][1]:
                     versions.append((at, version))
         return versions
--- a/cartdeal/fleet/simulation/write_quorum.py
+++ b/cartdeal/fleet/simulation/write_quorum.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from cartdeal.fleet.errors import InvalidRecordError
-from cartdeal.fleet.replication import messages, schema
+from cartdeal.fleet.replication import messages, record_codec
 from cartdeal.fleet.replication.catch_up import quorum
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
@@ -72,7 +72,7 @@
 
     def _decode_attempt(self, message: messages.WriteRequest) -> Any:
         try:
-            record: Any = schema.decode("s", message.record)
+            record: Any = record_codec.decode("s", message.record)
         except InvalidRecordError:
             return None
         return record.attempts.get(message.attempt_id)
