--- a/cartdeal/fleet/simulation/clients.py
+++ b/cartdeal/fleet/simulation/clients.py
@@ -196,7 +196,7 @@
 
 def attempt_ids(node: Node, key: str) -> tuple[str, ...]:
     """The attempt records that the node has of a session, by their identifiers."""
-    record = node.replica.record(key) if key in node.replica.store else None
+    record = node.replica.store.get(key)
     return tuple(record.attempts) if isinstance(record, Session) else ()
 
 
