--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -254,9 +254,9 @@
 
 
 def days(terms: Days, seed: int) -> dict:
-    from cartdeal.fleet.simulation.fault_schedule import run_day
+    from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule
 
-    row = run_day(
+    result = run_fault_schedule(
         seed,
         terms.agents,
         terms.seconds,
@@ -266,7 +266,8 @@
         upgrade=terms.upgrade,
         apart=terms.apart,
     )
-    return {key: value for key, value in row.items() if key not in ("seed", "found", "notes")}
+    row = msgspec.structs.asdict(result)
+    return {key: value for key, value in row.items() if key not in ("seed", "found")}
 
 
 # A rolling upgrade
--- a/tests/fleet/test_fault_schedule.py
+++ b/tests/fleet/test_fault_schedule.py
@@ -6,23 +6,26 @@
 
 import pytest
 
-from cartdeal.fleet.simulation.fault_schedule import run_day
+from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule
 
-DAY = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
-SAY = f"from cartdeal.fleet.simulation.fault_schedule import run_day; print(run_day(3, **{DAY}))"
+TERMS = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
+PRINT_RESULT = (
+    "from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule; "
+    f"print(run_fault_schedule(3, **{TERMS}))"
+)
 
 
 @pytest.mark.parametrize("seed, upgrade", [(3, False), (7, True)])
-def test_no_rule_is_broken_and_the_fleet_is_whole_again_soon(seed, upgrade):
-    figures = run_day(seed, upgrade=upgrade, **DAY)
-    assert figures["found"] == []
-    assert figures["one_ring_s"] < 30.0 and figures["equal_s"] < 30.0 and figures["served_after"] > 0.5
+def test_no_invariant_is_violated_and_the_fleet_recovers_soon(seed, upgrade):
+    result = run_fault_schedule(seed, upgrade=upgrade, **TERMS)
+    assert result.found == []
+    assert result.one_ring_s < 30.0 and result.equal_s < 30.0 and result.served_after > 0.5
 
 
-def test_the_same_seed_gives_the_same_day_in_every_process():
-    said = [
+def test_the_same_seed_gives_the_same_result_in_every_process():
+    outputs = [
         subprocess.run(
-            [sys.executable, "-c", SAY],
+            [sys.executable, "-c", PRINT_RESULT],
             capture_output=True,
             text=True,
             check=True,
@@ -30,4 +33,4 @@
         ).stdout
         for number in (1, 2)
     ]
-    assert said[0] == said[1] and "one_ring_s" in said[0]
+    assert outputs[0] == outputs[1] and "one_ring_s" in outputs[0]
