--- a/cartdeal/fleet/simulation/ring_agreement.py
+++ b/cartdeal/fleet/simulation/ring_agreement.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cartdeal.fleet.consensus import ring_consensus
+from cartdeal.fleet.consensus import messages
 from cartdeal.fleet.replication import migration
 from cartdeal.fleet.ring.movement import minimal_movement
 from cartdeal.fleet.ring.placement import owners
@@ -52,19 +52,19 @@
 
     def message_sent(self, at: float, sender: str, recipient: str, message: Any) -> None:
         """Takes in a consensus message: rings, votes, and the ring that its sender goes by."""
-        if isinstance(message, ring_consensus.RingSnapshot):
+        if isinstance(message, messages.RingSnapshot):
             self.rings.setdefault(message.previous_ring.digest, message.previous_ring)
             self._add_ring(message.previous_ring.digest, message.step)
             return
-        if isinstance(message, ring_consensus.RingUpdate):
+        if isinstance(message, messages.RingUpdate):
             self._add_ring(message.step.previous_digest, message.step)
             return
-        if isinstance(message, ring_consensus.Accept):
+        if isinstance(message, messages.Accept):
             ring = self._add_ring(message.ring_digest, message.step)
             if ring:
                 self.ballots[message.ring_digest, message.number, sender] = ring.digest
                 self.voters[ring.digest][sender] = None
-        elif isinstance(message, ring_consensus.Accepted):
+        elif isinstance(message, messages.Accepted):
             ballot = (message.ring_digest, message.number, recipient)
             self.voters[self.ballots.get(ballot, b"")][sender] = None
         if message.epoch:
