--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -254,9 +254,9 @@
 
 
 def days(terms: Days, seed: int) -> dict:
-    from cartdeal.fleet.simulation.fault_schedule import run_day
+    from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule
 
-    row = run_day(
+    result = run_fault_schedule(
         seed,
         terms.agents,
         terms.seconds,
@@ -266,7 +266,8 @@
         upgrade=terms.upgrade,
         apart=terms.apart,
     )
-    return {key: value for key, value in row.items() if key not in ("seed", "found", "notes")}
+    row = msgspec.structs.asdict(result)
+    return {key: value for key, value in row.items() if key not in ("seed", "found")}
 
 
 # A rolling upgrade
@@ -361,7 +362,7 @@
         "budget before": budget(calm, begun),
         "budget": budget(begun, end),
         "budget after": budget(end, end + 20.0),
-        "over limit": round(max(0.0, checker.over("shop")), 3),
+        "over limit": round(max(0.0, checker.excess("shop")), 3),
         "marks": len(checker.attempt_records),
         "marks lost": len(lost),
         "longest restart s": round(waited, 1),
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -321,7 +321,7 @@
         "observe",
         lambda self, stamp, wall: self._advance(int(wall * 1e3), max(self.latest, stamp)),
     )
-    plant(records, "check_clock", lambda *_: None)
+    plant(records, "clock_error", lambda *_: None)
 
 
 BREAKAGES = {
