--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -35,7 +35,7 @@
 )
 
 
-def drawn(found):
+def ring_of(found):
     return Ring(1, tuple(found[name] for name in sorted(found)))
 
 
@@ -56,7 +56,7 @@
 @settings(deadline=None, derandomize=True)
 @given(seats, st.integers(1, 5), st.integers(0, 50))
 def test_next_owners_prefer_zones_not_used_yet(found, n, key):
-    known = drawn(found)
+    known = ring_of(found)
     names = owners(known, KEYS[key], n)
     zones = [known.member_by_name[name].zone for name in names]
     many = len({seat.zone for seat in known.members})
@@ -69,32 +69,32 @@
     "agents, zones, capacity", [(10, 3, 64), (10, 3, 1), (100, 3, 64), (10, 1, 8), (7, 7, 64)]
 )
 def test_one_joins_and_no_key_moves_between_two_old_agents(agents, zones, capacity):
-    dice = Random(agents)
-    old = ring([dice.choice((1, 8, 64)) for _ in range(agents)], zones)
+    random = Random(agents)
+    old = ring([random.choice((1, 8, 64)) for _ in range(agents)], zones)
     new = joined(old, RingMember("new", "z0", float(capacity)))
     share, first = capacity / new.capacity, 0
     for key in KEYS:
-        was, now = owners(old, key, 3), owners(new, key, 3)
-        first += was[0] != now[0]
-        assert was[0] == now[0] or now[0] == "new"
-        assert set(now) - set(was) <= {"new"} and len(set(was) - set(now)) <= 1  # so do copies
+        before, after = owners(old, key, 3), owners(new, key, 3)
+        first += before[0] != after[0]
+        assert before[0] == after[0] or after[0] == "new"
+        assert set(after) - set(before) <= {"new"} and len(set(before) - set(after)) <= 1  # so do copies
     assert first / len(KEYS) <= share + 4 * (share / len(KEYS)) ** 0.5
 
 
 @settings(deadline=None, derandomize=True)
 @given(seats, seats)
 def test_what_moves_is_counted_exactly_and_at_most_twice_the_least(one, other):
-    old, new = drawn(one), drawn(other)
+    old, new = ring_of(one), ring_of(other)
     share, floor = moved_share(old, new), minimal_movement(old, new)
-    seen = sum(owners(old, key, 1) != owners(new, key, 1) for key in KEYS[:400]) / 400
-    assert abs(seen - share) < 4.5 * (share * (1 - share) / 400) ** 0.5 + 0.01
+    observed = sum(owners(old, key, 1) != owners(new, key, 1) for key in KEYS[:400]) / 400
+    assert abs(observed - share) < 4.5 * (share * (1 - share) / 400) ** 0.5 + 0.01
     assert floor - 1e-9 <= share <= 2 * floor / (1 + floor) + 1e-9
 
 
 @settings(deadline=None, derandomize=True)
 @given(seats, seats, st.floats(0.05, 0.5))
 def test_steps_are_bounded_and_reach_what_is_wanted(one, wanted, share):
-    at = drawn(one)
+    at = ring_of(one)
     for _ in range(int(3 + 4 / share)):
         new = plan_next_ring(at, wanted, share)
         if new is at:
@@ -136,7 +136,7 @@
 @settings(deadline=None, derandomize=True)
 @given(seats, seats)
 def test_a_step_leads_to_the_same_ring(one, other):
-    old, new = drawn(one), Ring(2, drawn(other).members, 2, "move")
+    old, new = ring_of(one), Ring(2, ring_of(other).members, 2, "move")
     assert (
         apply_step(old, step_between(old, new)) == new
         and apply_step(old, step_between(old, new)).digest == new.digest
@@ -148,7 +148,7 @@
 # Damping
 
 
-class Watch:
+class WatchedFleet:
     def __init__(self, capacities):
         self.ring = ring(capacities)
         self.live = {seat.name: self.peer(seat.name, seat.capacity) for seat in self.ring.members}
@@ -169,7 +169,7 @@
 
 
 def test_capacity_that_wobbles_by_a_tenth_every_second_moves_nothing():
-    watch = Watch([10] * 5)
+    watch = WatchedFleet([10] * 5)
 
     def wobble(now):
         for n, peer in enumerate(watch.live.values()):
@@ -179,7 +179,7 @@
 
 
 def test_a_slow_creep_is_followed_once_it_is_over_the_share():
-    watch = Watch([10] * 5)
+    watch = WatchedFleet([10] * 5)
 
     def creep(now):
         watch.live["a0000"].capacity = 10 + now / 30 + (0.5 if int(now) % 2 else -0.5)
@@ -191,24 +191,24 @@
 
 
 def test_an_agent_that_flaps_30_times_a_minute_moves_nothing():
-    watch = Watch([10] * 5)
-    seat, stranger = watch.live["a0001"], watch.peer("a9999", 64.0)
+    watch = WatchedFleet([10] * 5)
+    seat, newcomer = watch.live["a0001"], watch.peer("a9999", 64.0)
 
-    def flap(now):
-        for peer, there in ((seat, int(now) % 2), (stranger, 1 - int(now) % 2)):
+    def alternate(now):
+        for peer, there in ((seat, int(now) % 2), (newcomer, 1 - int(now) % 2)):
             watch.live.pop(peer.name, None)
             if there:
                 watch.live[peer.name] = peer
 
-    assert watch.run(120, flap).changes == 0
+    assert watch.run(120, alternate).changes == 0
 
 
-def test_a_restart_faster_than_its_absence_shows_keeps_the_seat_and_brings_no_unidentified_client_in():
-    watch = Watch([10] * 5)
-    stranger = watch.live["a9999"] = watch.peer("a9999", 64.0)
+def test_a_restart_faster_than_its_absence_shows_keeps_the_member_and_brings_no_unidentified_client_in():
+    watch = WatchedFleet([10] * 5)
+    newcomer = watch.live["a9999"] = watch.peer("a9999", 64.0)
 
     def restart(now):
-        watch.live["a0001"].incarnation = stranger.incarnation = int(now / 2)
+        watch.live["a0001"].incarnation = newcomer.incarnation = int(now / 2)
 
     assert watch.run(60, restart).changes == 0
     watch.run(6)
@@ -216,7 +216,7 @@
 
 
 def test_a_dead_agent_leaves_after_damp_s_at_once_and_a_stopped_watcher_counts_no_time():
-    watch = Watch([10] * 5)
+    watch = WatchedFleet([10] * 5)
     watch.run(1)
     del watch.live["a0001"]
     watch.run(1)
@@ -228,7 +228,7 @@
 
 
 def test_settings_taken_over_apply_to_what_was_observed_before():
-    watch = Watch([10] * 5)
+    watch = WatchedFleet([10] * 5)
     watch.run(1)
     del watch.live["a0001"]
     watch.run(2)
@@ -251,10 +251,10 @@
     points = {}
     old, new = (rings.Circle(ring(capacities), points) for capacities in ([1, 64, 8, 8], [1, 64, 8, 8, 32]))
     spots = rings.key_spots(3, 20_000)
-    was, now = old.owner(spots), new.owner(spots)
-    assert abs(old.moved(new) - (was != now).mean()) < 0.02 and set(now[was != now]) == {4}
+    before, after = old.owner(spots), new.owner(spots)
+    assert abs(old.moved(new) - (before != after).mean()) < 0.02 and set(after[before != after]) == {4}
     assert abs(sum(new.shares().values()) - 1) < 1e-9
-    assert abs(new.shares()["a0004"] - (now == 4).mean()) < 0.02
+    assert abs(new.shares()["a0004"] - (after == 4).mean()) < 0.02
 
 
 @pytest.mark.parametrize("event, ours, plain", [("join", 1, 1), ("turnover", 1.6, 1.4), ("flapping", 0, 60)])
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -251,7 +251,7 @@
 
 
 def test_vouches_asked_by_1024_are_answered_once_the_epoch_is_learnt():
-    net = test_ring_consensus.Net([f"a{n}" for n in range(3)])
+    net = test_ring_consensus.SimulatedNetwork([f"a{n}" for n in range(3)])
     agent, answered = net.agents["a0"], []
     agent.context.send = (
         lambda to, message: answered.append(to) if isinstance(message, LeaseRenewalAck) else None
