--- a/cartdeal/fleet/replication/quorum.py
+++ b/cartdeal/fleet/replication/quorum.py
@@ -169,9 +169,13 @@
     """The requester's part; `on_done` is called once for each write and read."""
 
     def __init__(
-        self, view: RingView, store: RecordStore, hints: HintedHandoff, owner: QuorumOwner,
+        self,
+        view: RingView,
+        store: RecordStore,
+        hints: HintedHandoff,
+        owner: QuorumOwner,
         on_done: OperationCallback,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.view = view
         self.context = view.context
         self.store = store
