--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -31,8 +31,8 @@
 LONGEST = (float("inf"), 26.0, 30.0, 26.0, 26.0)
 
 
-class GateDesk(Desk):
-    """The reducer's context with a gate whose word the test gives."""
+class AdmissionHarness(Desk):
+    """The reducer's context, with a fleet whose decisions the test gives."""
 
     def __init__(self, folder, servers=SERVERS):
         known = {
@@ -44,7 +44,7 @@
             ],
         }
         at = agent_config(folder, known=known, settings=SETTINGS | {"workloads": WORKLOADS})
-        self.lines, self.at, self.told = [], {}, []
+        self.lines, self.at, self.effects_log = [], {}, []
         self.reducer = Reducer(at, 100.0, 1100.0, LONGEST)
         self.say("start")
 
@@ -54,14 +54,14 @@
             if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
             if verb in ("admit", "went", "settled", "withhold", "answer", "send_attempt"):
-                self.told.append((verb, *args))
+                self.effects_log.append((verb, *args))
         withheld = [args for verb, *args in self.reducer.effects if verb == "withhold"]
         self.reducer.effects.clear()
         for args in withheld:
             self.play(0.0, "attempt_ended", *args)
 
     def of(self, verb):
-        return [args for each, *args in self.told if each == verb]
+        return [args for each, *args in self.effects_log if each == verb]
 
     def statuses(self):
         return [args[1] for args in self.of("answer")]
@@ -72,10 +72,10 @@
 
 @pytest.fixture
 def context(tmp_path):
-    return GateDesk(tmp_path)
+    return AdmissionHarness(tmp_path)
 
 
-def test_no_attempt_before_the_fleets_word_and_each_one_is_told(context):
+def test_no_attempt_is_sent_before_the_decision_and_each_one_is_reported(context):
     context.take(ONCE)
     assert (
         not context.of("send_attempt")
@@ -83,7 +83,7 @@
         and context.of("admit")[0][0] == 1
     )
     context.play(0.01, "admitted", 1, ())
-    kinds = [verb for verb, *_ in context.told]
+    kinds = [verb for verb, *_ in context.effects_log]
     assert kinds == ["admit", "went", "send_attempt"] and context.of("went") == [
         [1, "a", context.of("went")[0][2]]
     ]
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 502, 503])
-def test_declined_request_is_answered_and_never_attempt(context, status):
+def test_declined_request_is_answered_and_never_attempted(context, status):
     context.take(ONCE)
     context.play(0.01, "declined", 1, status, 0.7)
     assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("settled") == [
@@ -105,7 +105,7 @@
     assert len(context.statuses()) == 1 and not context.of("send_attempt") and not context.reducer.requests
 
 
-def test_word_that_comes_after_the_client_has_gone_meets_nobody(context):
+def test_decision_after_the_client_has_disconnected_is_dropped(context):
     context.take(MARK)
     context.play(0.01, "client_disconnected", 1)
     context.play(0.01, "admitted", 1, ())
@@ -117,7 +117,9 @@
 
 
 @pytest.mark.parametrize("request_class, status", [(READ, 503), (ONCE, 502), (MARK, 502)])
-def test_without_a_word_by_its_deadline_only_a_harmless_one_may_come_again(context, request_class, status):
+def test_without_a_decision_by_the_deadline_only_a_harmless_one_may_be_retried(
+    context, request_class, status
+):
     context.take(request_class)
     context.play(2.1, "overdue", 1)
     assert context.statuses() == [status] and context.of("settled") == [[1, "never"]]
@@ -144,7 +146,7 @@
         ),
     ],
 )
-def test_what_the_fleet_is_told_when_all_is_over(context, endings, ran):
+def test_outcome_that_is_reported_when_a_request_has_ended(context, endings, ran):
     context.take(ONCE)
     context.play(0.01, "admitted", 1, ())
     for attempt, (reason, progress, status) in enumerate(endings):
@@ -180,7 +182,7 @@
 ):
     went = set()
     for key in range(8):
-        context = GateDesk(tmp_path)
+        context = AdmissionHarness(tmp_path)
         context.take(request_class)
         context.reducer.requests[1].request = context.reducer.requests[1].request._replace(key=key + 1)
         context.play(0.01, "admitted", 1, context.earlier_attempts(*places, group=group))
@@ -198,7 +200,7 @@
 
 @pytest.mark.parametrize("lasts, group, status", [(4.0, "all", 503), (0.5, "all", 502), (4.0, "zone", 502)])
 def test_rejected_only_where_a_repeat_is_harmless_by_the_earlier_one_too(tmp_path, lasts, group, status):
-    context = GateDesk(tmp_path, servers=[])
+    context = AdmissionHarness(tmp_path, servers=[])
     context.take(MARK)
     context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
     context.play(1.0, "woken", 0)
@@ -247,11 +249,11 @@
     assert len(context.of("settled")) == 200
 
 
-# The gate itself, over a scripted node
+# Admission control itself, over a fake node
 
 
-class Scripted:
-    """Gives the words that a test lays down, by request class; with none, it is silent."""
+class FakeNode:
+    """Gives the decisions that a test lays down, by request class; with none, it is silent."""
 
     def __init__(self, fleet_settings, seed, now, wall):
         self.name, self.address, self.incarnation, self.is_handed_over = (
@@ -260,15 +262,15 @@
             1,
             True,
         )
-        self.effects, self.now, self.wall, self.words, self.got = [], now, wall, {}, []
+        self.effects, self.now, self.wall, self.decisions, self.calls = [], now, wall, {}, []
 
-    def request_admission(self, ticket, question):
-        self.got.append(("request_admission", ticket, question))
-        if word := self.words.get(question.workload):
-            self.word(ticket, *word)
+    def request_admission(self, ticket, request):
+        self.calls.append(("request_admission", ticket, request))
+        if decision := self.decisions.get(request.workload):
+            self.deliver(ticket, *decision)
 
-    def word(self, ticket, verdict, wait=0.0, earlier_attempts=()):
-        self.effects.append(DeliverDecision(ticket, AdmissionDecision(verdict), wait, earlier_attempts))
+    def deliver(self, ticket, decision, wait=0.0, earlier_attempts=()):
+        self.effects.append(DeliverDecision(ticket, AdmissionDecision(decision), wait, earlier_attempts))
 
     def __getattr__(self, event):
         if event not in (
@@ -280,7 +282,7 @@
             "on_message",
         ):
             raise AttributeError(event)
-        return lambda *args: self.got.append((event, *args))
+        return lambda *args: self.calls.append((event, *args))
 
     def tick(self):
         pass
@@ -295,14 +297,14 @@
 
 @pytest.fixture
 def deploy(tmp_path, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.admission.Node", Scripted)
+    monkeypatch.setattr("cartdeal.agent.admission.Node", FakeNode)
     made = []
 
     def make(fleet_settings=FLEET_SETTINGS, **more):
         fleet = configuration.FleetConfiguration(fleet_settings, ("127.0.0.1", 0))
         made.append(Deployment(tmp_path, fleet=fleet, settings=SETTINGS, **more))
         node = made[-1].agent.admission.host.node
-        node.words |= {kind["name"]: ("admit",) for kind in WORKLOADS}
+        node.decisions |= {kind["name"]: ("admit",) for kind in WORKLOADS}
         return made[-1], node
 
     with gevent.Timeout(20):
@@ -311,8 +313,8 @@
         deployment.stop()
 
 
-def asked(deployment, *args, **headers):
-    """Status, and the pause that is asked for."""
+def send_and_receive(deployment, *args, **headers):
+    """Status and Retry-After."""
     connection = deployment.connect()
     connection.sock.sendall(worded(*args, **headers))
     while not connection.messages:
@@ -320,7 +322,7 @@
     return connection.messages[0].status, connection.messages[0].headers.get(b"retry-after")
 
 
-def test_what_the_fleet_is_asked_of_a_request(deploy):
+def test_admission_request_that_the_fleet_gets(deploy):
     deployment, node = deploy()
     body = b"sheet"
     deployment.ask(
@@ -337,7 +339,7 @@
         deployment.ask("/once/1", "POST", body, Cookie="sid=7f")
     deployment.ask("/mark/1", "POST", body)  # without its key it promises nothing
     deployment.ask("/read/1")
-    mark, once, again, bare, read = [each[2] for each in node.got if each[0] == "request_admission"]
+    mark, once, again, bare, read = [each[2] for each in node.calls if each[0] == "request_admission"]
     assert mark == AdmissionRequest(
         tenant="y",
         session=f"{hashed(b'7f'):016x}",
@@ -353,20 +355,20 @@
     assert (once.repeat, once.tenant, once.key, once.session) == ("u", "", again.key, mark.session)
     assert (bare.repeat, bare.window_s, len(bare.key)) == ("u", 0.0, 32) and bare.key != once.key
     assert (read.repeat, read.key, read.session) == ("i", "", "")
-    ended = [each[1:] for each in node.got if each[0] == "on_request_ended"]
+    ended = [each[1:] for each in node.calls if each[0] == "on_request_ended"]
     assert ended == [(number, "answered") for number in range(1, 6)]
-    assert [each[1:] for each in node.got if each[0] == "on_attempt_sent"][0] == (1, "a", 0)
+    assert [each[1:] for each in node.calls if each[0] == "on_attempt_sent"][0] == (1, "a", 0)
 
 
 @pytest.mark.parametrize(
-    "word, status, pause",
+    "decision, status, pause",
     [(("rate limited", 0.7), 429, b"0.700"), (("reject", 0.5), 503, b"0.500"), (("fail",), 502, None)],
 )
-def test_the_fleets_no_reaches_the_client_and_no_server(deploy, word, status, pause):
+def test_declined_request_reaches_no_server(deploy, decision, status, pause):
     deployment, node = deploy()
-    node.words["once"] = word
-    assert asked(deployment, "/once/1", "POST") == (status, pause) and not deployment.seen()
-    assert asked(deployment, "/read/1") == (200, None)
+    node.decisions["once"] = decision
+    assert send_and_receive(deployment, "/once/1", "POST") == (status, pause) and not deployment.seen()
+    assert send_and_receive(deployment, "/read/1") == (200, None)
 
 
 @pytest.mark.parametrize(
@@ -385,45 +387,45 @@
     ],
 )
 @pytest.mark.parametrize("broken", [False, True])
-def test_a_fleet_without_a_word_costs_a_request_a_bounded_wait(
+def test_fleet_without_a_decision_costs_a_request_a_bounded_wait(
     deploy, fleet_settings, path, headers, status, broken
 ):
     deployment, node = deploy(fleet_settings)
-    node.words.clear()
+    node.decisions.clear()
     if broken:
         node.request_admission = None  # an error in the middle of the event
-    assert asked(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
+    assert send_and_receive(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
     assert not deployment.seen() and not deployment.agent.admission.open and deployment.agent.reducer.now
-    deployment.agent.admission.host.dispatch("word", 1, "admit")
+    deployment.agent.admission.host.dispatch("deliver", 1, "admit")
     gevent.sleep(0)
     assert not deployment.seen()
 
 
-def test_word_that_comes_by_a_message_lets_the_request_go_on(deploy):
+def test_decision_that_comes_by_a_message_lets_the_request_go_on(deploy):
     deployment, node = deploy(servers=2)
-    node.words.clear()
+    node.decisions.clear()
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
-    until(lambda: node.got)
+    until(lambda: node.calls)
     deployment.agent.admission.host.dispatch(
-        "word", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
+        "deliver", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
     assert answered(waiting) == (200, b"s0 ")
-    until(lambda: node.got[-1] == ("on_request_ended", 1, "answered"))
+    until(lambda: node.calls[-1] == ("on_request_ended", 1, "answered"))
 
 
-def test_client_that_leaves_while_the_fleet_thinks(deploy):
+def test_client_that_disconnects_before_the_decision(deploy):
     deployment, node = deploy()
-    node.words.clear()
+    node.decisions.clear()
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/once/1", "POST"))
-    until(lambda: node.got)
+    until(lambda: node.calls)
     waiting.close()
-    until(lambda: node.got[-1] == ("on_request_ended", 1, "never"))
+    until(lambda: node.calls[-1] == ("on_request_ended", 1, "never"))
     assert not deployment.agent.admission.open
-    deployment.agent.admission.host.dispatch("word", 1, "admit")
+    deployment.agent.admission.host.dispatch("deliver", 1, "admit")
     assert not deployment.agent.reducer.requests and not deployment.seen()
 
 
@@ -437,9 +439,9 @@
 
 def test_a_withheld_attempt_ends_by_an_event_and_the_request_is_failed(deploy):
     deployment, node = deploy(servers=2)
-    node.words["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
-    assert asked(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
-    assert not deployment.seen() and ("on_request_ended", 1, "never") in node.got
+    node.decisions["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
+    assert send_and_receive(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
+    assert not deployment.seen() and ("on_request_ended", 1, "never") in node.calls
 
 
 def test_file_that_is_read_again(deploy, tmp_path, monkeypatch, caplog):
@@ -452,10 +454,12 @@
     for text, said in (("[", "fleet file refused"), (good % "wait_s = 9.0\n", "fleet file refused")):
         file.write_text(text)
         deployment.agent.reread()
-        assert caplog.messages[-2] == said and not [each for each in node.got if each[0] == "apply_settings"]
+        assert caplog.messages[-2] == said and not [
+            each for each in node.calls if each[0] == "apply_settings"
+        ]
     file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
     deployment.agent.reread()
-    ((_, fleet_settings),) = [each for each in node.got if each[0] == "apply_settings"]
+    ((_, fleet_settings),) = [each for each in node.calls if each[0] == "apply_settings"]
     assert (fleet_settings.wait_s, fleet_settings.copies, fleet_settings.seeds) == (
         0.2,
         3,
@@ -467,16 +471,16 @@
     )
 
 
-def test_an_agent_that_ends_hands_over_and_says_its_last_words(deploy):
+def test_agent_that_shuts_down_hands_over_and_leaves_the_fleet(deploy):
     deployment, node = deploy()
     node.is_handed_over = False
     deployment.agent.drain()
     gone = gevent.spawn_later(0.05, setattr, node, "gone", True)
     deployment.agent.leave_fleet(time.monotonic() + 10)
-    assert gone.ready() and [each[0] for each in node.got] == ["begin_shutdown", "finish_shutdown"]
+    assert gone.ready() and [each[0] for each in node.calls] == ["begin_shutdown", "finish_shutdown"]
     node.is_handed_over = False
     deployment.agent.leave_fleet(time.monotonic() + 0.05)  # others do not take it over: it ends
-    assert node.got[-1] == ("finish_shutdown",)
+    assert node.calls[-1] == ("finish_shutdown",)
 
 
 def test_digest_tells_apart_where_one_part_ends_and_the_next_begins():
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -25,7 +25,7 @@
     return memory
 
 
-def unrepeatable(session="s1"):
+def non_idempotent_request(session="s1"):
     return AdmissionRequest(
         tenant="", session=session, key="close", repeat="u", limit_s=2.0, workload="close"
     )
@@ -33,7 +33,7 @@
 
 def test_request_that_may_have_run_at_an_agent_that_died_does_not_run_again():
     memory = fleet()
-    intent = memory.submit(unrepeatable(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
+    intent = memory.submit(non_idempotent_request(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
     memory.run(0.1)
     assert len(memory.checker.executions[intent]) == 1
     memory.kill("a0")
@@ -54,7 +54,7 @@
 def test_copies_of_all_owners_are_equal_in_the_end():
     memory = fleet()
     for turn in range(30):
-        memory.submit(unrepeatable(f"s{turn}"), [f"a{turn % 3}"])
+        memory.submit(non_idempotent_request(f"s{turn}"), [f"a{turn % 3}"])
         memory.run(0.05)
     memory.run(5.0)
     memory.checker.check_equal(
@@ -95,7 +95,7 @@
     assert memory.checker.close() == []
 
 
-def test_starts_that_learn_of_the_same_later_life_never_take_the_same_one():
+def test_starts_that_learn_of_the_same_later_incarnation_never_take_the_same_one():
     incarnations = set()
     for seed in range(20):
         node = Node(FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -76,7 +76,7 @@
         intent = self.memory.submit(question, agents, len(agents), take, patience or take + 1.0)
         self.clients.append((intent, question))
 
-    def told(self, client=-1):
+    def outcomes(self, client=-1):
         return self.memory.outcomes[self.clients[client][0]]
 
     def ran(self, client=-1):
@@ -358,7 +358,7 @@
 
 @steps(then, r"the client was told: (?P<message>.*)")
 def _(story, message):
-    assert story.told() == message.split(", ")
+    assert story.outcomes() == message.split(", ")
 
 
 @steps(then, r"its sheet ran (?P<times>once|never)")
@@ -391,10 +391,10 @@
 @steps(then, rf"all agents have one ring of (?P<seats>\d+) within {SECONDS}")
 def _(story, seats, seconds):
     memory = story.memory
-    took = memory.run_until(
+    duration_s = memory.run_until(
         lambda: memory.has_one_ring() and len(story.ring.members) == int(seats), float(seconds)
     )
-    assert took < float(seconds), [(name, node.ring) for name, node in memory.nodes().items()]
+    assert duration_s < float(seconds), [(name, node.ring) for name, node in memory.nodes().items()]
 
 
 @steps(then, rf"the fleet writes version (?P<version>\d) within {SECONDS}")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -9,8 +9,8 @@
 
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
-from tests.fleet.test_admission import MARK as GATED_MARK
-from tests.fleet.test_admission import GateDesk
+from tests.fleet.test_admission import MARK as ADMISSION_MARK
+from tests.fleet.test_admission import AdmissionHarness
 from tests.scene import SETTINGS, Deployment, answered, until, worded
 from tests.test_reducer import Desk
 
@@ -233,8 +233,8 @@
 
 
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
-    context = GateDesk(tmp_path)
-    context.take(GATED_MARK)
+    context = AdmissionHarness(tmp_path)
+    context.take(ADMISSION_MARK)
     context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
     server = context.at[1, 0]
     assert context.reducer.may_begin(1, 0, server)
