--- a/cartdeal/lab/rings.py
+++ b/cartdeal/lab/rings.py
@@ -26,55 +26,62 @@
 
 def fleet(seed: int, agents: int) -> dict[str, RingMember]:
     """Capacities of 1 to 64, as many between 1 and 2 as between 32 and 64; three zones."""
-    dice = Random(f"{seed} {agents}")
+    random = Random(f"{seed} {agents}")
     return {
-        name: RingMember(name, f"z{place % 3}", float(round(2 ** dice.uniform(0, 6))))
+        name: RingMember(name, f"z{place % 3}", float(round(2 ** random.uniform(0, 6))))
         for place, name in enumerate(f"agent-{place:04}" for place in range(agents))
     }
 
 
-def story(event: str, seats: dict[str, RingMember], seed: int) -> list[tuple[float, dict[str, RingMember]]]:
+def build_timeline(
+    event: str, members: dict[str, RingMember], seed: int
+) -> list[tuple[float, dict[str, RingMember]]]:
     """Who is live from when on (seconds), the same for all variants; the first is in force before."""
-    name = max(seats, key=lambda each: (seats[each].capacity, each))
-    largest, rest = seats[name], {each: seat for each, seat in seats.items() if each != name}
+    name = max(members, key=lambda each: (members[each].capacity, each))
+    largest, rest = members[name], {each: member for each, member in members.items() if each != name}
     if event == "join":
-        return [(0.0, rest), (10.0, seats)]
+        return [(0.0, rest), (10.0, members)]
     if event == "leave":
-        return [(0.0, seats), (10.0, rest)]
+        return [(0.0, members), (10.0, rest)]
     if event == "capacity":  # of the largest, to a half
-        return [(0.0, seats), (10.0, seats | {name: RingMember(name, largest.zone, largest.capacity / 2)})]
+        return [
+            (0.0, members),
+            (10.0, members | {name: RingMember(name, largest.zone, largest.capacity / 2)}),
+        ]
     if event == "turnover":  # three join in one step while the largest fails
         names = sorted(rest)[:3]
-        return [(0.0, {each: seat for each, seat in seats.items() if each not in names}), (10.0, rest)]
+        return [(0.0, {each: member for each, member in members.items() if each not in names}), (10.0, rest)]
     if event == "flapping":  # the largest, 30 times in a minute
-        return [(0.0, seats)] + [(10.0 + turn, seats if turn % 2 else rest) for turn in range(60)]
-    dice = Random(seed)  # each a tenth up or down, every second for ten seconds
+        return [(0.0, members)] + [(10.0 + turn, members if turn % 2 else rest) for turn in range(60)]
+    random = Random(seed)  # each a tenth up or down, every second for ten seconds
 
     def wobbling():
         return {
-            each: RingMember(each, seat.zone, seat.capacity * dice.choice((0.9, 1.1)))
-            for each, seat in seats.items()
+            each: RingMember(each, member.zone, member.capacity * random.choice((0.9, 1.1)))
+            for each, member in members.items()
         }
 
-    return [(0.0, seats), *((10.0 + turn, wobbling()) for turn in range(10)), (20.0, seats)]
+    return [(0.0, members), *((10.0 + turn, wobbling()) for turn in range(10)), (20.0, members)]
 
 
-def drawn(seats: dict[str, RingMember], epoch=1) -> Ring:
-    return Ring(epoch, tuple(seats[name] for name in sorted(seats)))
+def ring_of(members: dict[str, RingMember], epoch=1) -> Ring:
+    """A ring of these members."""
+    return Ring(epoch, tuple(members[name] for name in sorted(members)))
 
 
 # Three ways to follow a story: rings in force, one after the other
 
 
-def damped(told):
+def damped(timeline):
+    """The rings that the damper and the plan lead through."""
     fleet_settings = FleetSettings(fleet="lab", name="lab")
-    damper, ring, now, last = Damper(fleet_settings), drawn(told[0][1]), 0.0, told[-1][0]
-    rings, quiet, left = [ring], 0, list(told)
+    damper, ring, now, last = Damper(fleet_settings), ring_of(timeline[0][1]), 0.0, timeline[-1][0]
+    rings, quiet, left = [ring], 0, list(timeline)
     while now <= last or quiet < 8 * fleet_settings.damp_s:
         if left and left[0][0] <= now:
             live = {
-                name: SimpleNamespace(name=name, zone=seat.zone, capacity=seat.capacity, incarnation=1)
-                for name, seat in left.pop(0)[1].items()
+                name: SimpleNamespace(name=name, zone=member.zone, capacity=member.capacity, incarnation=1)
+                for name, member in left.pop(0)[1].items()
             }
         new = plan_next_ring(ring, damper.target_members(live, ring, now), fleet_settings.step_share)
         if new is not ring:
@@ -83,8 +90,9 @@
     return rings
 
 
-def at_once(told):
-    return [drawn(seats, turn + 1) for turn, (_, seats) in enumerate(told)]
+def at_once(timeline):
+    """The rings of one that follows each change at once."""
+    return [ring_of(members, turn + 1) for turn, (_, members) in enumerate(timeline)]
 
 
 class Circle:
@@ -93,10 +101,10 @@
     def __init__(self, ring: Ring, known: dict):
         self.names = ring.names
         spots = []
-        for seat in ring.members:
-            many = max(1, round(POINTS * seat.capacity))
-            had = known.setdefault(seat.name, [])
-            had += [hash_number(b"%s/%d" % (seat.name.encode(), n)) for n in range(len(had), many)]
+        for member in ring.members:
+            many = max(1, round(POINTS * member.capacity))
+            had = known.setdefault(member.name, [])
+            had += [hash_number(b"%s/%d" % (member.name.encode(), n)) for n in range(len(had), many)]
             spots.append(np.array(had[:many], dtype=np.uint64))
         spot = np.concatenate(spots)
         order = np.argsort(spot, kind="stable")
@@ -104,6 +112,7 @@
         self.whose = np.repeat(np.arange(len(spots)), [len(each) for each in spots])[order]
 
     def owner(self, spots):
+        """Indexes of the owners of points on the circle."""
         return self.whose[np.searchsorted(self.spot, spots) % len(self.spot)]
 
     def shares(self) -> dict[str, float]:
@@ -112,6 +121,7 @@
         return dict(zip(self.names, np.bincount(self.whose, arcs, len(self.names)), strict=True))
 
     def moved(self, new: "Circle") -> float:
+        """The share of the circle whose owner differs in `new`."""
         ends = np.unique(np.concatenate([self.spot, new.spot]))
         arcs = np.diff(ends, prepend=ends[-1]).astype(float) / 2.0**64
         place = {name: n for n, name in enumerate(new.names)}
@@ -120,13 +130,14 @@
 
 
 def key_spots(seed: int, many: int) -> np.ndarray:
+    """The hashes of the seed's first keys."""
     return np.array([hash_number(b"%d/%d" % (seed, n)) for n in range(many)], dtype=np.uint64)
 
 
 def first_owners(ring: Ring, spots: np.ndarray) -> np.ndarray:
-    """Places in the ring's seats: what ring.owners says, for many keys at once."""
-    salts = np.array([hash_number(seat.name.encode()) for seat in ring.members], dtype=np.uint64)
-    turns = np.array([-1 / seat.capacity for seat in ring.members])
+    """Places in the ring's members: what ring.owners says, for many keys at once."""
+    salts = np.array([hash_number(member.name.encode()) for member in ring.members], dtype=np.uint64)
+    turns = np.array([-1 / member.capacity for member in ring.members])
     found = []
     for part in np.array_split(spots, max(1, len(spots) * len(salts) // 2_000_000)):
         x = part[:, None] ^ salts[None, :]
@@ -137,8 +148,9 @@
 
 
 def fullest(shares: dict[str, float], fair: dict[str, RingMember]) -> float:
-    whole = sum(seat.capacity for seat in fair.values())
-    return max(share * whole / fair[name].capacity for name, share in shares.items())
+    """The largest share of an agent, over what its capacity asks for."""
+    total = sum(member.capacity for member in fair.values())
+    return max(share * total / fair[name].capacity for name, share in shares.items())
 
 
 def copies_moved(rings: list[Ring], n=3) -> float:
@@ -160,20 +172,20 @@
     `copies_over_least`: copies (3 a key) moved, over the same least ("" where rings are many or have no zones
     to spread them over). `epochs`: changes of the ring.
     """
-    told = story(event, fleet(seed, agents), seed)
-    begin, end = told[0][1], told[-1][1]
-    floor = minimal_movement(drawn(begin), drawn(told[1][1]))
-    rings = damped(told) if variant == "cartdeal" else at_once(told)
+    timeline = build_timeline(event, fleet(seed, agents), seed)
+    begin, end = timeline[0][1], timeline[-1][1]
+    floor = minimal_movement(ring_of(begin), ring_of(timeline[1][1]))
+    rings = damped(timeline) if variant == "cartdeal" else at_once(timeline)
     spots, copies = key_spots(seed, KEYS), ""
     if variant == "circle":
         known, seen = {}, {ring.members: ring for ring in rings}
-        circle = cache(lambda seats: Circle(seen[seats], known))
+        circle = cache(lambda members: Circle(seen[members], known))
         between = cache(lambda old, new: circle(old).moved(circle(new)))
         went = sum(between(old.members, new.members) for old, new in pairwise(rings))
         shares, held = circle(rings[-1].members).shares(), circle(rings[-1].members).owner(spots)
     else:
         went = sum(moved_share(old, new) for old, new in pairwise(rings))
-        shares = {seat.name: seat.capacity / rings[-1].capacity for seat in rings[-1].members}
+        shares = {member.name: member.capacity / rings[-1].capacity for member in rings[-1].members}
         held = first_owners(rings[-1], spots)
         if len(rings) <= 10:
             copies = round(copies_moved(rings) / floor, 3)
