--- a/cartdeal/fleet/replication/migration.py
+++ b/cartdeal/fleet/replication/migration.py
@@ -31,22 +31,19 @@
 
 
 class PeerSchema(Protocol):
-    """What has to be known of a peer; membership's Peer has it.
-
-    Attributes:
-        state: The failure detector's state, MAX_LIVE_STATE at most where the peer counts as live.
-        reads: The lowest and the highest schema version that its program reads.
-        migrated_version: The version that all records in its store are in.
-    """
+    """What has to be known of a peer; membership's Peer has it."""
 
     @property
-    def state(self) -> int: ...  # noqa: D102
+    def state(self) -> int:
+        """The failure detector's state, MAX_LIVE_STATE at most where the peer counts as live."""
 
     @property
-    def reads(self) -> tuple[int, int]: ...  # noqa: D102
+    def reads(self) -> tuple[int, int]:
+        """The lowest and the highest schema version that its program reads."""
 
     @property
-    def migrated_version(self) -> int: ...  # noqa: D102
+    def migrated_version(self) -> int:
+        """The version that all records in its store are in."""
 
 
 def written_versions(written_version: int, phase: str) -> tuple[int, ...]:
--- a/tests/fleet/test_migration.py
+++ b/tests/fleet/test_migration.py
@@ -20,7 +20,7 @@
 from cartdeal.fleet.settings import FleetSettings
 
 NEW, OLD = (1, 2), (1, 1)
-MARK = AttemptRecord("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
+ATTEMPT = AttemptRecord("a/1/1", "k", "u", "zone", 5, (("z", 1),), Certainty.SENT, 1, 9, "w")
 
 
 def fleet_settings(hold=0):
@@ -44,7 +44,7 @@
 
 
 def test_a_rolling_upgrade_goes_on_whoever_proposes():
-    seen, here = [], ring()
+    steps, here = [], ring()
     for live in (
         peers(OLD),
         peers(OLD, b=peer()),
@@ -59,8 +59,8 @@
         here = ring(
             *next_step(here, live, fleet_settings())
         )  # a new ring each time: nothing else is remembered
-        seen.append((here.written_version, here.phase))
-    assert seen == [
+        steps.append((here.written_version, here.phase))
+    assert steps == [
         (1, "steady"),
         (1, "steady"),
         (1, "widen"),
@@ -113,8 +113,8 @@
 
 def test_a_step_back_after_narrowing_is_refused_with_what_to_do():
     for here in (ring(1, "narrow"), ring(2)):
-        trouble = migration.downgrade_error(here, fleet_settings(hold=1))
-        assert isinstance(trouble, errors.SchemaDowngradeError) and "hold_version" in trouble.remedy
+        error = migration.downgrade_error(here, fleet_settings(hold=1))
+        assert isinstance(error, errors.SchemaDowngradeError) and "hold_version" in error.remedy
         assert (
             migration.downgrade_error(here, fleet_settings())
             is migration.downgrade_error(here, fleet_settings(hold=2))
@@ -132,26 +132,26 @@
         )
     assert migration.unsupported_error((2, 3), ring(1, "move"))  # what hasn't moved yet it couldn't read
     for here in (ring(1, "narrow"), ring(2)):
-        trouble = migration.unsupported_error(OLD, here)
-        assert isinstance(trouble, errors.UnsupportedSchemaError) and "program" in trouble.remedy
+        error = migration.unsupported_error(OLD, here)
+        assert isinstance(error, errors.UnsupportedSchemaError) and "program" in error.remedy
         assert migration.unsupported_error(NEW, here) is None
     later = AttemptRecord("b/1/1", "k", "u", "cell", 7, expires_ms=9)
-    fleets = decode("s", encode("s", Session({MARK.attempt_id: MARK}), 2, "steady"))
-    kept = encode(
+    fleets = decode("s", encode("s", Session({ATTEMPT.attempt_id: ATTEMPT}), 2, "steady"))
+    stored = encode(
         "s",
-        Session({later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}),
+        Session({later.attempt_id: later, ATTEMPT.attempt_id: advance(ATTEMPT, certainty=3)}),
         1,
         "move",
         supported_version=1,
     )
-    both = merge(fleets, decode("s", kept))
-    assert both.attempts == {later.attempt_id: later, MARK.attempt_id: advance(MARK, certainty=3)}
+    both = merge(fleets, decode("s", stored))
+    assert both.attempts == {later.attempt_id: later, ATTEMPT.attempt_id: advance(ATTEMPT, certainty=3)}
     # Read by the old agent, it says that there is more than that program can see.
     assert decode("s", encode("s", both, 2, "steady"), supported_version=1).required_version == 2
 
 
 def test_old_agents_read_all_until_narrowed_and_both_forms_say_the_same():
-    record = Session({MARK.attempt_id: MARK})
+    record = Session({ATTEMPT.attempt_id: ATTEMPT})
     for phase in ("steady", "widen", "move"):
         by_old = decode("s", encode("s", record, 1, phase), supported_version=1)
         assert by_old.attempts == record.attempts and not by_old.required_version
@@ -166,7 +166,7 @@
 
 
 def test_what_there_is_to_move_by_phase():
-    record = Session({MARK.attempt_id: MARK})
+    record = Session({ATTEMPT.attempt_id: ATTEMPT})
     raw = {step: encode("s", record, *step) for step in ((1, "steady"), (1, "move"), (2, "steady"))}
     for step, each in raw.items():
         assert [needs_rewrite(each, *other) for other in raw] == [other != step for other in raw]
@@ -192,13 +192,13 @@
     assert [migration.governing_version(1, phase) for phase in PHASES] == [1, 1, 1, 2]
 
 
-whole = some.integers(0, 2)
-some_peers = some.builds(peer, some.sampled_from([OLD, NEW, (2, 2)]), whole, some.integers(0, 3))
+small_integers = some.integers(0, 2)
+some_peers = some.builds(peer, some.sampled_from([OLD, NEW, (2, 2)]), small_integers, some.integers(0, 3))
 
 
 @settings(derandomize=True, deadline=None)
-@given(some.lists(some.dictionaries(some.sampled_from("abcdef"), some_peers), max_size=8), whole)
-def test_whatever_is_seen_a_step_is_one_step_and_none_leads_back_from_narrow(views, hold):
+@given(some.lists(some.dictionaries(some.sampled_from("abcdef"), some_peers), max_size=8), small_integers)
+def test_any_views_of_peers_give_single_steps_and_none_back_from_narrow(views, hold):
     line = [(1, "steady"), (1, "widen"), (1, "move"), (1, "narrow"), (2, "steady")]
     here = line[0]
     for live in views:
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -70,10 +70,10 @@
 @given(alike)
 def test_order_grouping_and_doubling_of_arrivals_never_matter(three):
     a, b, c = three
-    whole = raw_of(merge(merge(a, b), c))
+    merged = raw_of(merge(merge(a, b), c))
     for one, two, last in permutations(three):
-        assert raw_of(merge(one, merge(two, last))) == whole
-        assert raw_of(reduce(merge, [one, two, last, two, one])) == whole
+        assert raw_of(merge(one, merge(two, last))) == merged
+        assert raw_of(reduce(merge, [one, two, last, two, one])) == merged
     assert raw_of(merge(a, a)) == raw_of(merge(a, type(a)())) == raw_of(reduce(merge, [a], type(a)()))
     assert digest(merge(a, merge(b, c))) == digest(merge(c, merge(a, b)))
     assert raw_of(merge(b, delta(a, b))) == raw_of(merge(a, b))
@@ -183,12 +183,12 @@
     ],
     ids=lambda raw: repr(raw)[:20],
 )
-def test_garbage_is_named_without_its_words(raw):
+def test_error_for_garbage_does_not_quote_it(raw):
     if isinstance(raw, dict):
         raw = msgspec.msgpack.encode({"kind": "s", "v": 1, "needs": 1} | raw)
-    with pytest.raises(errors.InvalidRecordError) as trouble:
+    with pytest.raises(errors.InvalidRecordError) as raised:
         record_codec.decode("s", raw)
-    assert len(str(trouble.value)) < 300
+    assert len(str(raised.value)) < 300
 
 
 def test_too_much_is_refused_not_cut():
@@ -229,12 +229,13 @@
         )
         for start in (0, 60, 130)
     ]
-    whole = [reduce(merge, order) for order in permutations(copies)]
-    assert len({digest(each) for each in whole}) == 1
+    merged = [reduce(merge, order) for order in permutations(copies)]
+    assert len({digest(each) for each in merged}) == 1
     assert (
-        len(whole[0].served_counts) == records.MAX_USAGE_COUNTS and len(whole[0].leases) == records.MAX_LEASES
+        len(merged[0].served_counts) == records.MAX_USAGE_COUNTS
+        and len(merged[0].leases) == records.MAX_LEASES
     )
-    assert min(period for _, _, period in whole[0].served_counts) > 149 - records.RETAINED_PERIODS
+    assert min(period for _, _, period in merged[0].served_counts) > 149 - records.RETAINED_PERIODS
     late = merge(
         UsageCounter({("a", 1, 125): 2, ("b", 1, 125): 3, ("a", 1, 110): 1}), UsageCounter({("a", 1, 109): 1})
     )
@@ -247,19 +248,19 @@
         ("a/1/2", Certainty.SENT, 3000),
         ("b/1/1", Certainty.NEVER_RAN, 3000),
     )
-    held = Session(
+    session = Session(
         {
             by: AttemptRecord(by, "k", "u", "all", 5, certainty=sure, expires_ms=until)
             for by, sure, until in three
         }
     )
-    assert [mark.attempt_id for mark in held.open_attempts("k", 2999, slack_ms=500)] == ["a/1/2"]
-    assert [mark.attempt_id for mark in held.open_attempts("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
-    assert held.open_attempts("l", 0) == () and records.without_expired(held, 1400, 500) is held
-    assert sorted(records.without_expired(held, 1500, 500).attempts) == ["a/1/2", "b/1/1"]
-    assert records.is_empty(records.without_expired(held, 3500, 500))
-    assert records.clock_error(held, 0, 2500, 500) is None
-    assert "a/1/2" in records.clock_error(held, 0, 2000, 500).subject
+    assert [mark.attempt_id for mark in session.open_attempts("k", 2999, slack_ms=500)] == ["a/1/2"]
+    assert [mark.attempt_id for mark in session.open_attempts("k", 1400, slack_ms=500)] == ["a/1/1", "a/1/2"]
+    assert session.open_attempts("l", 0) == () and records.without_expired(session, 1400, 500) is session
+    assert sorted(records.without_expired(session, 1500, 500).attempts) == ["a/1/2", "b/1/1"]
+    assert records.is_empty(records.without_expired(session, 3500, 500))
+    assert records.clock_error(session, 0, 2500, 500) is None
+    assert "a/1/2" in records.clock_error(session, 0, 2000, 500).subject
     use = records.UsageCounter({("a", 1, 12): 3})
     assert records.clock_error(use, 11_000, 2000, 500) is None
     assert "a/1" in records.clock_error(use, 9_000, 2000, 500).subject
