--- a/cartdeal/fleet/consensus/state.py
+++ b/cartdeal/fleet/consensus/state.py
@@ -19,12 +19,27 @@
 
 
 class Peer(LivePeer, Protocol):
-    """What the consensus reads of a live agent."""
+    """What the consensus reads of a live agent, and the schema's migration through it."""
 
-    name: str
-    state: int  # 0: alive
-    reads: tuple[int, int]  # schema versions
-    caught_up_epoch: int
+    @property
+    def name(self) -> str:
+        """Its name in the ring."""
+
+    @property
+    def state(self) -> int:
+        """The failure detector's state; 0: alive."""
+
+    @property
+    def reads(self) -> tuple[int, int]:
+        """The lowest and the highest schema version that its program reads."""
+
+    @property
+    def migrated_version(self) -> int:
+        """The schema version that all its records are in."""
+
+    @property
+    def caught_up_epoch(self) -> int:
+        """The last epoch for which it has caught up on all its records."""
 
 
 class EpochState:
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -7,6 +7,7 @@
 
 from collections import Counter
 from random import Random
+from typing import Any, Protocol
 
 from msgspec import Struct
 
@@ -34,6 +35,13 @@
 DAY_MS = 86_400_000
 
 
+class MessageHandler(Protocol):
+    """A part of the node, as messages are routed to it: each gets those of its own types alone."""
+
+    def on_message(self, sender: str, message: Any) -> None:
+        """Takes in a message of this part's types."""
+
+
 class Node:
     """Ties the parts of one agent together: routes messages and events to them, and follows the ring.
 
@@ -56,7 +64,7 @@
         self.admissions = PendingAdmissions(self, settings)
         self.replica = Replica(self, settings, self.admissions.on_attempt_records, self.has_valid_lease)
         self.quota = QuotaLeases(self, settings, self.admissions.on_token_decision, self.has_valid_lease)
-        self.handlers = {
+        self.handlers: dict[type[Struct], MessageHandler] = {
             message_type: part
             for module, part in (
                 (membership_messages, self.membership),
