--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -316,7 +316,11 @@
 
 
 def any_clock_believed(patch):
-    patch(HybridClock, "hear", lambda self, stamp, wall: self.after(int(wall * 1e3), max(self.last, stamp)))
+    patch(
+        HybridClock,
+        "observe",
+        lambda self, stamp, wall: self._advance(int(wall * 1e3), max(self.latest, stamp)),
+    )
     patch(records, "clock_error", lambda *_: None)
 
 
