--- a/cartdeal/fleet/consensus/reconfiguration.py
+++ b/cartdeal/fleet/consensus/reconfiguration.py
@@ -99,5 +99,5 @@
         if self._lost_for_s >= limit_s and not self._is_logged and base.members:
             self._is_logged = True
             kind = errors.RingMajorityLostError if self._state.ring else errors.BootstrapIncompleteError
-            error = kind(f"epoch {base.epoch}", f"{present} of {len(base.members)} seats there")
+            error = kind(f"epoch {base.epoch}", f"{present} of {len(base.members)} members present")
             self._context.log_event(events.RingMajorityLost.of(error))
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -118,6 +118,7 @@
 
     @conditions.setter
     def conditions(self, conditions: NetworkConditions) -> None:
+        """Replaces them from the present moment on."""
         self.network.conditions = conditions
 
     def cut(self, *sides: Collection[str]) -> None:
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -32,7 +32,7 @@
     ok: bool
     wait_s: float
     certain: bool
-    took_s: float
+    elapsed_s: float
 
 
 class WaitingRequest(NamedTuple):
@@ -419,7 +419,7 @@
     network.run(21)
     outcomes = [(decision.ok, decision.certain) for decision in network.decisions]
     assert outcomes == [(False, False), (False, False), (True, True)]
-    assert network.decisions[-1].took_s <= 0.004
+    assert network.decisions[-1].elapsed_s <= 0.004
     network.run(27)
     sent_messages = network.sent_messages.copy()
     network.run(60)  # its lease was returned, so nothing is renewed
@@ -452,7 +452,7 @@
     assert len(isolated) > 100
     assert not any(decision.ok or decision.certain for decision in isolated)
     longest_s = network.settings.wait_s + 2 * network.settings.tick_s
-    assert max(decision.took_s for decision in isolated) <= longest_s
+    assert max(decision.elapsed_s for decision in isolated) <= longest_s
     holder = network.agents["d"].quota.holder
     holder.settings = replace(holder.settings, most_waiting=0)  # full: denied at once, counted
     network.request("d")
