--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -48,8 +48,16 @@
         Returns whether what the sender stamped can be believed.
         """
         offset_s = wall_ms / 1e3 - self.context.now
-        if sender in self.peer_clocks or len(self.peer_clocks) < MAX_PEER_CLOCKS:
-            self._record(sender, offset_s, sender_has_ring)
+        known = self.peer_clocks.get(sender)
+        if known is not None:
+            # The greatest offset counts: a message that was long on its way says less than the next one. What
+            # a peer said before it had a ring says nothing.
+            if sender_has_ring and not known.has_ring:
+                self.peer_clocks[sender] = PeerClock(True, offset_s)
+            elif offset_s > known.offset_s:
+                self.peer_clocks[sender] = PeerClock(known.has_ring, offset_s)
+        elif len(self.peer_clocks) < MAX_PEER_CLOCKS:
+            self.peer_clocks[sender] = PeerClock(sender_has_ring, offset_s)
         if not has_ring:
             return True  # this agent's own clock proves nothing yet
         try:
@@ -61,16 +69,6 @@
         self.offset_s = max(self.offset_s, offset_s)
         return True
 
-    def _record(self, sender: str, offset_s: float, sender_has_ring: bool) -> None:
-        # The greatest offset counts: a message that was long on its way says less than the next one. What a
-        # peer said before it had a ring says nothing.
-        known = self.peer_clocks.get(sender, PeerClock(False, offset_s))
-        is_first_with_ring = sender_has_ring and not known.has_ring
-        self.peer_clocks[sender] = PeerClock(
-            known.has_ring or sender_has_ring,
-            offset_s if is_first_with_ring else max(known.offset_s, offset_s),
-        )
-
     def synchronize_on_joining(self) -> None:
         """Take over the members' time as this agent adopts its first ring.
 
--- a/cartdeal/fleet/hybrid_clock.py
+++ b/cartdeal/fleet/hybrid_clock.py
@@ -54,7 +54,11 @@
         wall_ms = max(int(wall_s * 1000), 0)
         offset_ms = timestamp.wall_ms - wall_ms
         if timestamp.name != self.name:
-            self._record_offset(timestamp.name, offset_ms)
+            # Taken out first, so that the least recently observed peer stands first.
+            self.peer_offsets_ms.pop(timestamp.name, None)
+            self.peer_offsets_ms[timestamp.name] = offset_ms
+            if len(self.peer_offsets_ms) > MAX_PEERS:
+                del self.peer_offsets_ms[next(iter(self.peer_offsets_ms))]
         if offset_ms > self.max_ahead_ms and timestamp.wall_ms > self.latest.wall_ms:
             raise ClockAheadError(
                 f"the clock of {timestamp.name[:MAX_NAME_IN_ERROR]}",
@@ -70,12 +74,6 @@
         ahead = sum(offset_ms > self.max_ahead_ms for offset_ms in self.peer_offsets_ms.values())
         return 2 * ahead > len(self.peer_offsets_ms)
 
-    def _record_offset(self, peer: str, offset_ms: int) -> None:
-        self.peer_offsets_ms.pop(peer, None)
-        self.peer_offsets_ms[peer] = offset_ms
-        if len(self.peer_offsets_ms) > MAX_PEERS:
-            del self.peer_offsets_ms[next(iter(self.peer_offsets_ms))]
-
     def _advance(self, wall_ms: int, newest: Timestamp) -> Timestamp:
         if wall_ms > newest.wall_ms:
             self.latest = Timestamp(wall_ms, 0, self.name)
--- a/cartdeal/fleet/membership/membership.py
+++ b/cartdeal/fleet/membership/membership.py
@@ -72,6 +72,8 @@
         numbers = count(context.random.getrandbits(40) + 1)
         self.health = LocalHealth(context.now)
         self.table = PeerTable(context, settings)
+        # All known agents by name, this one and the dead included; not to be written.
+        self.peers = self.table.peers
         self.gossip = Gossip(context, self.table)
         self.suspicion = SuspicionTracker(context, settings, self.table, self.gossip)
         self.detector = FailureDetector(
@@ -117,11 +119,6 @@
         """This agent's description of itself."""
         return self.table.local_peer
 
-    @property
-    def peers(self) -> dict[str, Peer]:
-        """All known agents by name, this one and the dead included; not to be written."""
-        return self.table.peers
-
     @property
     def view_version(self) -> int:
         """A number that is raised where what live_peers() tells has changed."""
