--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 import time
+from pathlib import Path
 
 import pytest
 
@@ -163,17 +164,28 @@
             time.sleep(0.01)
 
 
+def descendants(pid) -> list[str]:
+    """The processes below one; a child that ends while they are listed has none."""
+    try:
+        children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    except (FileNotFoundError, ProcessLookupError):
+        return []
+    return children + [each for child in children for each in descendants(child)]
+
+
+def test_a_process_that_has_ended_has_no_descendants():
+    process = subprocess.Popen([sys.executable, "-c", ""])
+    process.wait()
+    assert descendants(process.pid) == []
+
+
 def test_an_interrupted_run_leaves_no_agent(tmp_path):
     (tmp_path / "f.toml").write_text("play = 'added'\nseeds = [1, 2]\n[[variant]]\nname = 'a'\n")
     process = command(
         "lab", "run", tmp_path / "f.toml", tmp_path / "t.csv", "--workers", 1, start_new_session=True
     )
 
-    def beneath(pid) -> list[str]:
-        found = open(f"/proc/{pid}/task/{pid}/children").read().split()
-        return found + [each for child in found for each in beneath(child)]
-
-    while len(agents := beneath(process.pid)) < 6:  # two of the pool, and four agents
+    while len(agents := descendants(process.pid)) < 6:  # two of the pool, and four agents
         time.sleep(0.01)
     os.kill(process.pid, signal.SIGTERM)
     process.communicate(timeout=30)
