--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -174,7 +174,7 @@
                 )
                 self.on_decision(DeliverDecision(number, decision))
 
-    # The agent's incarnation
+    # The agent's lifecycle
 
     def reread(self):
         """Adopt what the fleet's file changes; one that can't be used changes nothing."""
