--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -267,7 +267,7 @@
         apart=terms.apart,
     )
     row = msgspec.structs.asdict(result)
-    return {key: value for key, value in row.items() if key not in ("seed", "found")}
+    return {key: value for key, value in row.items() if key not in ("seed", "found", "events")}
 
 
 # A rolling upgrade
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -164,6 +164,12 @@
             time.sleep(0.01)
 
 
+def test_days_have_the_columns_of_the_kept_table():
+    columns = Path("docs/lab/fleet-days.csv").read_text().splitlines()[1].split(",")
+    row = fleets.days(fleets.Days(agents=3, seconds=1.0, quiet=1.0, requests=1.0), 1)
+    assert ["variant", "seed", *row] == columns
+
+
 def descendants(pid) -> list[str]:
     """The processes below one; a child that ends while they are listed has none."""
     try:
