--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -13,8 +13,8 @@
 from gevent import socket
 
 from cartdeal.agent.configuration import Fault, ServerList, address
-from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.agent.system_errors import is_silence
+from cartdeal.agent.connection import Connection, MalformedMessageError
+from cartdeal.agent.system_errors import is_wait_timeout
 
 PATH = "/registry/instances"
 LIST_LIMIT = 4 << 20  # bytes of the longest list, or line of one: 3,200 entries with long names, indented
@@ -34,7 +34,8 @@
 
 SILENT = "silent"  # why a watch failed, where nothing came in time
 
-UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)  # what may be wrong with a call
+# what may be wrong with a call
+UNUSABLE = (OSError, MalformedMessageError, Fault, msgspec.MsgspecError, UnicodeError)
 
 log = logging.getLogger("cartdeal.discovery")
 
@@ -92,7 +93,7 @@
             reason = ""
         except UNUSABLE as trouble:
             reason = str(trouble) or repr(trouble)  # no reason would mean that it was let go
-            if isinstance(trouble, OSError) and is_silence(trouble):
+            if isinstance(trouble, OSError) and is_wait_timeout(trouble):
                 reason = SILENT
         except Exception:
             log.exception("watch died")
@@ -112,9 +113,9 @@
             connection = self.call(PATH, CALL_TIMEOUT)
             while not connection.messages:
                 if not receive_until(connection, due):
-                    raise Malformed(400, "ended early")
+                    raise MalformedMessageError(400, "ended early")
             if connection.messages[0].status != 200:
-                raise Malformed(400, f"status {connection.messages[0].status}")
+                raise MalformedMessageError(400, f"status {connection.messages[0].status}")
             found = decode_list(connection.messages[0].body)
             # A watch has told what is newer, or another service has: this list would take it back.
             if called_at == (self.address, self.lists_told):
@@ -151,7 +152,7 @@
                 if stream.ended:
                     return
         except TimeoutError as trouble:
-            if self.current_watch is watch and is_silence(trouble):
+            if self.current_watch is watch and is_wait_timeout(trouble):
                 self.next_call_is_short = has_stood
             raise
         finally:
@@ -179,11 +180,11 @@
 
     def call(self, path: str, timeout: float) -> Connection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = Connection(sock, answers=True, body_limit=LIST_LIMIT)
+        connection = Connection(sock, reads_responses=True, max_body_bytes=LIST_LIMIT)
         try:
             sock.settimeout(timeout)
             sock.connect(self.address)
-            connection.push(b"GET %b HTTP/1.1\r\nHost: registry\r\n\r\n" % path.encode())
+            connection.write(b"GET %b HTTP/1.1\r\nHost: registry\r\n\r\n" % path.encode())
         except BaseException:
             connection.close()
             raise
@@ -213,7 +214,7 @@
             return False
         status = self.connection.message.status
         if status and status != 200:
-            raise Malformed(400, f"status {status}")
+            raise MalformedMessageError(400, f"status {status}")
         if status and not self.has_head:
             self.has_head = True
             self.due = monotonic() + SILENCE_TIMEOUT
@@ -233,7 +234,7 @@
         """Takes the whole lines that came; of an answer that has ended, all that was not taken before."""
         if self.connection.messages:
             return self.connection.messages[0].body.splitlines()
-        return self.connection.lines()
+        return self.connection.take_lines()
 
     def is_whole(self, last_line: bytes) -> bool:
         """Whether the part is a list to its end, or can't become one.
@@ -241,7 +242,7 @@
         Only the last line is looked at as long as it can't be the end: a list may have thousands.
         """
         if len(self.part) > LIST_LIMIT:
-            raise Malformed(413, f"a list of over {LIST_LIMIT} bytes")
+            raise MalformedMessageError(413, f"a list of over {LIST_LIMIT} bytes")
         if not last_line.rstrip().endswith(b"}"):
             return False
         try:
@@ -260,7 +261,7 @@
         try:
             return connection.receive(wait)
         except TimeoutError as trouble:
-            if not is_silence(trouble):
+            if not is_wait_timeout(trouble):
                 raise
             # Else the loop's own clock may lag, and its timers come early then.
     try:
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -120,7 +120,7 @@
         if self.connection is None or self.connection.closed:
             sock = socket.create_connection((HOST, self.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.connection = Connection(sock, answers=True)
+            self.connection = Connection(sock, reads_responses=True)
         begun = monotonic()
         self.connection.sock.sendall(head)
         while not self.connection.messages:
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -20,7 +20,7 @@
 import gevent
 from gevent import socket, subprocess
 
-from cartdeal.agent.connection import Connection, Malformed
+from cartdeal.agent.connection import Connection, MalformedMessageError
 from cartdeal.emulator.judge import Judge
 from cartdeal.emulator.world import Unusable, World, agent_settings
 from cartdeal.rig.stands import HOST, DiscoveryService, Server
@@ -281,7 +281,7 @@
     def kept(self, agent):
         while agent.idle:
             connection = agent.idle.pop()
-            if not connection.unread():
+            if not connection.has_unread_input():
                 return connection
             connection.close()
         return None
@@ -295,14 +295,14 @@
                     connection.close()
                     return None
             return connection.messages.pop()
-        except (OSError, Malformed):
+        except (OSError, MalformedMessageError):
             connection.close()
             return None
 
     def connect(self, agent):
         sock = socket.create_connection((HOST, agent.port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return Connection(sock, answers=True)
+        return Connection(sock, reads_responses=True)
 
     # Faults
 
--- a/cartdeal/rig/soak/clients.py
+++ b/cartdeal/rig/soak/clients.py
@@ -3,7 +3,7 @@
 import gevent
 from gevent import socket
 
-from cartdeal.agent.connection import Connection, Malformed
+from cartdeal.agent.connection import Connection, MalformedMessageError
 from cartdeal.rig.soak.judge import SoakRequest
 from cartdeal.rig.soak.relay import HOST
 
@@ -73,7 +73,7 @@
     def take(self):
         while self.idle:
             connection = self.idle.pop()
-            if not connection.closed and not connection.unread():
+            if not connection.closed and not connection.has_unread_input():
                 return connection, True
             connection.close()
         try:
@@ -81,7 +81,7 @@
         except OSError:
             return None, False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return ClientSide(sock, answers=True), False
+        return ClientSide(sock, reads_responses=True), False
 
     def send(self, connection, requests) -> bool:
         """Writes them, a single one slowly now and then; false where the connection took no more."""
@@ -123,7 +123,7 @@
                     return self.lost(connection, request, used, "closed")
         except TimeoutError:
             return self.lost(connection, request, False, "no answer, and the connection stays")
-        except (OSError, Malformed) as trouble:
+        except (OSError, MalformedMessageError) as trouble:
             return self.lost(connection, request, used, repr(trouble))
         message = connection.messages.pop(0)
         held_up = self.agent.was_paused_since(request.sent_at)
--- a/cartdeal/rig/soak/stand_ins.py
+++ b/cartdeal/rig/soak/stand_ins.py
@@ -32,7 +32,7 @@
     """Knows when the first byte of each request came."""
 
     def __init__(self, sock, now, **more):
-        super().__init__(sock, answers=False, **more)
+        super().__init__(sock, reads_responses=False, **more)
         self.now, self.began_at = now, 0.0
 
     def on_message_begin(self):
@@ -60,12 +60,12 @@
 
     def play(self, connection, message):
         if message.path.startswith(b"/health"):
-            return connection.push(answer(200, b""))
+            return connection.write(answer(200, b""))
         self.seen += 1
         id = message.headers.get(b"x-request-id", b"").decode()
         told = float(message.headers.get(b"x-timeout", b"0m")[:-1]) / 1e3
         if self.mood is Mood.FULL:
-            return connection.push(answer(503, b"", b"X-Not-Processed: 1\r\n"))
+            return connection.write(answer(503, b"", b"X-Not-Processed: 1\r\n"))
         self.judge.reached(
             self.name, self.zone, id, connection.began_at, self.now(), told, self.is_held_back()
         )
@@ -78,10 +78,10 @@
         if self.mood is Mood.RESETS:
             return reset(connection.sock)
         if self.mood is Mood.HALF:
-            return connection.push(good[:-3], True)
+            return connection.write(good[:-3], True)
         if self.mood is Mood.SPOILT:
-            return connection.push(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none")
-        return connection.push(answer(500, b"") if self.mood is Mood.ERRORS else good)
+            return connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none")
+        return connection.write(answer(500, b"") if self.mood is Mood.ERRORS else good)
 
 
 class Discovery(TimingListener):
@@ -92,18 +92,18 @@
 
     def play(self, connection, message):
         if self.down:
-            return connection.push(answer(503, b""), True)
+            return connection.write(answer(503, b""), True)
         text = self.text(list(self.entries.values()), True)
         if b"watch=1" not in message.path:
-            return connection.push(answer(200, text))
-        connection.push(HEAD + chunk(text + b"\n"))
+            return connection.write(answer(200, text))
+        connection.write(HEAD + chunk(text + b"\n"))
         self.watches.add(connection)
         return gevent.spawn(self.beat, connection)
 
     def beat(self, connection):
         while not connection.closed:
             gevent.sleep(EMPTY_LINE_EVERY)
-            connection.push(chunk(b"\n"))
+            connection.write(chunk(b"\n"))
         self.watches.discard(connection)
 
     def text(self, entries, whole):
@@ -117,7 +117,7 @@
                 del self.entries[entry["uid"]]
         line = chunk(self.text(list(entries), False) + b"\n")
         for watch in list(self.watches):
-            watch.push(line)
+            watch.write(line)
 
     def end_watches(self):
         for watch in list(self.watches):
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -12,7 +12,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from cartdeal.agent.connection import Connection, Malformed
+from cartdeal.agent.connection import Connection, MalformedMessageError
 from cartdeal.emulator.servers import warmth
 from cartdeal.simulated_time import seeded_random
 
@@ -55,14 +55,14 @@
             gevent.spawn(self.serve, connection)
 
     def connection(self, sock) -> Connection:
-        return Connection(sock, answers=False, on_close=self.open.discard)
+        return Connection(sock, reads_responses=False, on_close=self.open.discard)
 
     def serve(self, connection):
         try:
             while not connection.closed and connection.receive(None):
                 while connection.messages and not connection.closed:
                     self.play(connection, connection.messages.pop(0))
-        except (OSError, Malformed):
+        except (OSError, MalformedMessageError):
             pass
         connection.close()
 
@@ -190,7 +190,7 @@
 
     def write(self, connection, text):
         if not connection.closed:
-            connection.push(b"%x\r\n%b\r\n" % (len(text), text))
+            connection.write(b"%x\r\n%b\r\n" % (len(text), text))
 
     def beat(self, connection):
         while not connection.closed:
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -15,7 +15,7 @@
 from gevent import socket
 from gevent.event import Event
 
-from cartdeal.agent.connection import Connection, Malformed
+from cartdeal.agent.connection import Connection, MalformedMessageError
 
 
 def answer(status: int, body: bytes = b"", extra: bytes = b"") -> bytes:
@@ -34,7 +34,9 @@
 
     def accept(self):
         while True:
-            connection = Connection(self.socket.accept()[0], answers=False, on_close=self.open.discard)
+            connection = Connection(
+                self.socket.accept()[0], reads_responses=False, on_close=self.open.discard
+            )
             self.open.add(connection)
             gevent.spawn(self.serve, connection)
 
@@ -43,7 +45,7 @@
             while not connection.closed and connection.receive(None):
                 while connection.messages:
                     self.play(connection, connection.messages.pop(0))
-        except (OSError, Malformed):
+        except (OSError, MalformedMessageError):
             pass
         connection.close()
 
@@ -123,7 +125,7 @@
         path, _, query = message.path.partition(b"?")
         does = parse_qs(query.decode()).get("do", ["serve"])[0]
         if path in (b"/health/live", b"/stats"):
-            return connection.push(answer(200, b'{"outstanding": %d, "throughput": 2.5}' % len(self.seen)))
+            return connection.write(answer(200, b'{"outstanding": %d, "throughput": 2.5}' % len(self.seen)))
         self.seen.append(message)
         said = self.DOES.get(does, answer(200, self.name.encode() + b" " + message.body))
         if does == "wait":
@@ -159,19 +161,19 @@
         self.calls.append(path)
         whole = self.server_list(list(self.lines.values()), True)
         if self.down:
-            connection.push(answer(503), last=True)
+            connection.write(answer(503), is_last=True)
         elif "watch=1" in path:
-            connection.push(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches.append(connection)
             if not self.mute:
                 self.write(connection, whole + b"\n")
                 gevent.spawn(self.beat, connection)
         else:
-            connection.push(answer(200, whole))
+            connection.write(answer(200, whole))
 
     def write(self, connection: Connection, text: bytes):
         if text and not connection.closed:
-            connection.push(b"%x\r\n%b\r\n" % (len(text), text))
+            connection.write(b"%x\r\n%b\r\n" % (len(text), text))
 
     def beat(self, connection: Connection):
         while not connection.closed:
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -6,7 +6,7 @@
 
 from cartdeal.agent.admission import digest
 from cartdeal.agent.configuration import ServerEntry, ServerList
-from cartdeal.agent.front import hashed
+from cartdeal.agent.front import hash_key
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.fleet import configuration
 from cartdeal.fleet.effects import DeliverDecision
@@ -342,7 +342,7 @@
     mark, once, again, bare, read = [each[2] for each in node.calls if each[0] == "request_admission"]
     assert mark == AdmissionRequest(
         tenant="y",
-        session=f"{hashed(b'7f'):016x}",
+        session=f"{hash_key(b'7f'):016x}",
         key="k1",
         repeat="d",
         group="all",
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -293,7 +293,7 @@
     ):
         """One request; its status, body and headers, or 0 where the connection broke off."""
         sock = socket.create_connection(("127.0.0.1", agent.port))
-        connection = Connection(sock, answers=True)
+        connection = Connection(sock, reads_responses=True)
         head = [
             f"{method} {path} HTTP/1.1",
             "Host: x",
@@ -304,7 +304,7 @@
         head += [f"Idempotency-Key: {key}"] * bool(key) + [f"X-Tenant-ID: {tenant}"] * bool(tenant)
         head += ["X-Retried: 1"] * retried + ["Content-Length: 0"] * (method == "POST")
         try:
-            connection.push("\r\n".join([*head, "", ""]).encode())
+            connection.write("\r\n".join([*head, "", ""]).encode())
             deadline = monotonic() + timeout_s
             while not connection.messages and connection.receive(max(0.01, deadline - monotonic())):
                 pass
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -205,7 +205,7 @@
         self.agent.start()
 
     def connect(self):
-        return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), answers=True)
+        return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), reads_responses=True)
 
     def ask(self, path="/read/x", method="GET", body=b"", connection=None, **headers):
         """One request from first byte to last; gives the answer's status and body."""
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -81,7 +81,7 @@
     assert deployment.ask() == (200, b"s0 ")
     server, upstream = deployment.servers[0], deployment.agent.upstream
     kept = upstream.idle[0][0]
-    kept.since -= 0.09  # no sweep has come by since; the server may have left it by now
+    kept.last_active_at -= 0.09  # no sweep has come by since; the server may have left it by now
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ") and kept.closed
     assert kept not in upstream.idle.get(0, ()) and len(server.seen) == 2
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -56,7 +56,7 @@
     descriptors = Path(f"/proc/{process.pid}/fd")
     before, idle = len(list(descriptors.iterdir())), []
     for _ in range(2 * LEAST):
-        idle.append(Client(socket.create_connection(("127.0.0.1", front)), answers=True))
+        idle.append(Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True))
         if clients != "silent":
             idle[-1].sock.sendall(worded("/health/ready"))
         if clients == "midway":
@@ -66,7 +66,7 @@
     service.lines = {"s0": server.line()}
     until(lambda: b"1 lines in all" in log.read_bytes())
     if clients != "midway":  # those in the middle of a request are not idle: they keep their time for it
-        asked = Client(socket.create_connection(("127.0.0.1", front)), answers=True)
+        asked = Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True)
         asked.sock.sendall(worded())
         assert answered(asked) == (200, b"s0 ")
     assert b"Too many open files" not in log.read_bytes()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -508,7 +508,7 @@
         moved.move().tell(server("s7", state="active"))
     until(lambda: b"s7" in moved.reducer.indices)
     text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
-    held[0].push(answer(200, text))
+    held[0].write(answer(200, text))
     until(lambda: held[0] not in moved.old.open)
     assert b"s7" in moved.reducer.indices and moved.reducer.version == 2
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -72,8 +72,9 @@
 
 def settled(deployment):
     """All attempts have ended, and no connection to a server is left over."""
-    until(lambda: not deployment.agent.upstream.out)
-    assert deployment.agent.budget.used == len(deployment.agent.front.clients) + 1  # the next client's
+    until(lambda: not deployment.agent.upstream.attempts)
+    # One more is reserved for the next client.
+    assert deployment.agent.budget.connection_count == len(deployment.agent.front.clients) + 1
     until(lambda: not deployment.servers[0].open)
 
 
@@ -142,7 +143,7 @@
 def test_request_held_up_in_the_middle_is_whole_within_its_window_or_never(deployment, narrow, over):
     reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
     client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
-    attempts = deployment.agent.upstream.out
+    attempts = deployment.agent.upstream.attempts
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
     if over:  # an earlier attempt of it that may have run, longer ago than servers remember
         balancer = reducer.balancer
@@ -179,7 +180,7 @@
     unread_end(deployment, len(clients))  # the agent is late: what it sees next is room for all of them
     ready = ServerEntry("s0", deployment.servers[0].address, "a")
     deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
-    assert deployment.agent.upstream.out
+    assert deployment.agent.upstream.attempts
     until(lambda: not deployment.agent.front.clients)
     settled(deployment)
     assert not deployment.seen() and not deployment.agent.reducer.requests
@@ -195,7 +196,7 @@
     deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
-    until(lambda: not deployment.agent.upstream.out)
+    until(lambda: not deployment.agent.upstream.attempts)
     assert deployment.seen() == ["/read/1?do=wait"]
 
 
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -74,7 +74,7 @@
     def play(service, connection, message):
         line = json.dumps({"rev": 9, "targets": [deployment.servers[0].line()]}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
-        connection.push(head + b"%x\r\n%b\r\n" % (len(line), line))
+        connection.write(head + b"%x\r\n%b\r\n" % (len(line), line))
 
     monkeypatch.setattr(DiscoveryService, "play", play)
     there = DiscoveryService()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -159,7 +159,7 @@
     client.sock.sendall(worded()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
     (theirs,) = deployment.agent.front.clients
-    deployment.agent.front.end(theirs, front.EndReason.ROOM, front.NO_ROOM)
+    deployment.agent.front.end_connection(theirs, front.EndReason.CAPACITY, front.NO_CAPACITY_ERROR)
     assert answered(client)[0] == 503 and answered(client) is None
     client.close()
     until(lambda: not deployment.agent.front.lingering)
@@ -175,7 +175,7 @@
     (theirs,) = agent.front.clients
     until(lambda: len(theirs.messages) == 2)
     client.close()
-    assert not agent.may_begin(theirs.request, 0, 0)
+    assert not agent.may_begin(theirs.request_number, 0, 0)
     assert not violations(deployment) and agent.metrics.counts["clients_gone"] == 1
 
 
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -50,7 +50,7 @@
     with gevent.Timeout(LIMIT):
         while True:
             try:
-                return Client(socket.create_connection(("127.0.0.1", port)), answers=True)
+                return Client(socket.create_connection(("127.0.0.1", port)), reads_responses=True)
             except ConnectionRefusedError:
                 gevent.sleep(0.05)
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -7,9 +7,9 @@
 import pytest
 from gevent import socket
 
-from cartdeal.agent.connection import BODY_LIMIT, Connection, Malformed
+from cartdeal.agent.connection import MAX_BODY_BYTES, Connection, MalformedMessageError
 from cartdeal.agent.reducer import FailureReason, Progress, Request
-from cartdeal.agent.upstream import Attempt, milliseconds_left, written
+from cartdeal.agent.upstream import Attempt, encode_request, milliseconds_left
 from examples.toy import Server
 from tests.scene import Deployment, until
 
@@ -29,7 +29,7 @@
     made.stop()
 
 
-def pair(until_close=True):
+def pair(allows_close_delimited=True):
     """An upstream connection and the server's end of it."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
@@ -37,7 +37,7 @@
     ours = socket.create_connection(listener.getsockname())
     theirs, _ = listener.accept()
     listener.close()
-    return Connection(ours, answers=True, until_close=until_close), theirs
+    return Connection(ours, reads_responses=True, allows_close_delimited=allows_close_delimited), theirs
 
 
 def reset(sock):
@@ -59,9 +59,9 @@
     theirs.sendall(text)
     came = 0
     while came < len(text):
-        before = connection.kept
+        before = connection.body_end
         assert connection.receive(5.0)
-        came += connection.came - before
+        came += connection.input_end - before
     end(theirs)
     return connection
 
@@ -82,9 +82,9 @@
     assert read(connection) == text.partition(b"\r\n\r\n")[2] and not connection.messages[0].keep_alive
     with pytest.raises(ConnectionResetError):
         read(cut(text, reset))
-    strict, theirs = pair(until_close=False)
+    strict, theirs = pair(allows_close_delimited=False)
     theirs.sendall(text)
-    with pytest.raises(Malformed):  # who has not asked for such answers gets none
+    with pytest.raises(MalformedMessageError):  # who has not asked for such answers gets none
         read(strict)
 
 
@@ -95,10 +95,10 @@
 
 def test_answer_without_a_length_is_bounded():
     connection, theirs = pair()
-    sending = gevent.spawn(theirs.sendall, HEAD + b"\r\n" + bytes(10 * BODY_LIMIT))
-    with pytest.raises(Malformed):
+    sending = gevent.spawn(theirs.sendall, HEAD + b"\r\n" + bytes(10 * MAX_BODY_BYTES))
+    with pytest.raises(MalformedMessageError):
         read(connection)
-    assert len(connection.buffer) <= 4 * BODY_LIMIT
+    assert len(connection.buffer) <= 4 * MAX_BODY_BYTES
     sending.kill()
 
 
@@ -131,12 +131,12 @@
     request = Request(2, True, 0, 0, 1.0, False, b"POST", b"/once/x", b"late", b"", b"", b"")
     if kept:
         connection = upstream.connect(0, address, monotonic() + 1.0)
-        upstream.pool(0, connection)
-        connection.since -= 1.0
+        upstream.keep_idle(0, connection)
+        connection.last_active_at -= 1.0
     deadline = monotonic() + left
 
     def text():
-        return written(request, milliseconds_left(deadline))
+        return encode_request(request, milliseconds_left(deadline))
 
     result = upstream.exchange(Attempt(), 0, address, deadline, text)
     assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -72,7 +72,7 @@
     rig.kept = lambda agent: crossed.pop() if crossed else kept(agent)
     ours, theirs = socket.socketpair()
     theirs.close()
-    crossed = [Connection(ours, answers=True)]
+    crossed = [Connection(ours, reads_responses=True)]
     rig.play()
     assert rig.count["sent again"] == 1 and not rig.judge.violations
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -27,7 +27,7 @@
     made.stop()
 
 
-unread = ClientConnection.unread
+unread = ClientConnection.has_unread_input
 
 
 def arrive(connection, client, path):
@@ -48,7 +48,7 @@
             arrive(waiting.pop(), client, "/once/crossing")
         return seen
 
-    monkeypatch.setattr(ClientConnection, "unread", looked)
+    monkeypatch.setattr(ClientConnection, "has_unread_input", looked)
     return waiting.append
 
 
@@ -62,7 +62,7 @@
     [
         (True, lambda agent: agent.close_idle()),
         (False, lambda agent: agent.close_unidentified()),
-        (True, lambda agent: agent.close_between()),
+        (True, lambda agent: agent.close_between_requests()),
         (True, lambda agent: None),
     ],
 )
@@ -73,17 +73,17 @@
         assert deployment.ask(connection=connection)[0] == 200
     crosses(connection)
     end(agent)
-    monkeypatch.setattr(front, "IDLE_TIMEOUT", 0.0)  # the sweep, where nobody else did
+    monkeypatch.setattr(front, "IDLE_TIMEOUT_S", 0.0)  # the sweep, where nobody else did
     assert ends_in_order(deployment, connection)
     connection.close()
     until(lambda: not agent.lingering)
 
 
 def test_request_that_crosses_the_last_answer(deployment, crosses, monkeypatch):
-    monkeypatch.setattr(front, "LINGER_TIMEOUT", 60.0)
+    monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     agent, connection = deployment.agent.front, deployment.connect()
     assert deployment.ask(connection=connection)[0] == 200
-    agent.ending = True
+    agent.is_ending = True
     crosses(connection)
     assert deployment.ask(connection=connection) == (200, b"s0 ")
     for _ in "ab":  # a closed connection would break under the second
@@ -92,13 +92,13 @@
 
 
 def test_request_that_crosses_an_answer_its_client_called_the_last(deployment, monkeypatch):
-    connection, push = deployment.connect(), ClientConnection.push
+    connection, push = deployment.connect(), ClientConnection.write
 
     def crossed(client, data, last=False):
         arrive(connection, client, "/once/crossing")
         push(client, data, last)
 
-    monkeypatch.setattr(ClientConnection, "push", crossed)
+    monkeypatch.setattr(ClientConnection, "write", crossed)
     assert deployment.ask(connection=connection, Connection="close") == (200, b"s0 ")
     assert ends_in_order(deployment, connection)
 
@@ -128,7 +128,7 @@
     agent, connection = deployment.agent.front, deployment.connect()
     connection.sock.sendall(b"".join(worded(f"/once/{n}?do=wait", "POST") for n in range(3)))
     until(deployment.seen)
-    agent.ending = agent.closing = True
+    agent.is_ending = agent.is_closing_idle = True
     deployment.servers[0].released.set()
     assert [answered(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
 
@@ -175,7 +175,7 @@
         connection.sock.shutdown(socket.SHUT_RDWR)  # at once; a close waits for the loop
         connection.close()
     until(lambda: not (agent.clients or agent.lingering or deployment.agent.reducer.requests))
-    until(lambda: not deployment.agent.upstream.out)
+    until(lambda: not deployment.agent.upstream.attempts)
     assert deployment.ask() == (200, b"s0 ") and deployment.seen() == ["/read/x"]
 
 
@@ -187,15 +187,16 @@
 
 
 def test_lingering_clients_are_bounded_in_number_and_give_way_when_room_is_needed(deployment, monkeypatch):
-    monkeypatch.setattr(front, "LINGER_TIMEOUT", 60.0)
+    monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     agent, room = deployment.agent.front, deployment.agent.budget
     kept = [refused(deployment) for _ in range(3)]
     assert len(agent.lingering) == 3 and not agent.clients and not agent.unidentified
-    room.most = 3  # they hold all of it
+    room.max_connections = 3  # they hold all of it
     assert deployment.ask("/health/ready") == (200, b"")
-    room.most = 2 * front.LINGERING_DIVISOR
+    room.max_connections = 2 * front.LINGERING_DIVISOR
     kept += [refused(deployment) for _ in range(5)]
-    assert len(agent.lingering) <= 2 and room.used <= 5  # another, one to come, and the one that asked
+    # Besides those: another client, the reservation for the next one, and the client of the request above.
+    assert len(agent.lingering) <= 2 and room.connection_count <= 5
     for each in kept:
         each.close()
     until(lambda: not agent.lingering)
@@ -203,14 +204,14 @@
 
 def test_lingering_clients_are_bounded_in_bytes_and_in_time(deployment, monkeypatch):
     agent, connection = deployment.agent.front, refused(deployment)
-    monkeypatch.setattr(front, "LINGER_TIMEOUT", 60.0)
+    monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     until(lambda: agent.lingering)
     with pytest.raises(OSError):
         for _ in range(1000):
             connection.sock.sendall(bytes(65536))
     assert not agent.lingering
     connection = refused(deployment)
-    monkeypatch.setattr(front, "LINGER_TIMEOUT", 0.0)
+    monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 0.0)
     until(lambda: not agent.lingering)
 
 
@@ -294,7 +295,7 @@
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
     arrive(connection, next(iter(agent.clients)), "/once/crossing")
-    agent.finish()
+    agent.close_all()
     for _ in range(20):
         gevent.sleep(0)  # the loop closes descriptors that a greenlet waits on
     assert connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -40,8 +40,8 @@
     monkeypatch.setattr(front, "ClientConnection", CountingConnection)
     shown = Clock()
     monkeypatch.setattr(front, "monotonic", shown)
-    monkeypatch.setattr(front.StallDetector, "came_since", lambda detector, now: now)
-    monkeypatch.setattr(front, "SWEEP_INTERVAL", 1e6)
+    monkeypatch.setattr(front.StallDetector, "earliest_arrival", lambda detector, now: now)
+    monkeypatch.setattr(front, "SWEEP_INTERVAL_S", 1e6)
     return shown
 
 
@@ -114,7 +114,7 @@
     while not client.is_lingering:
         write(connection, client, b"x")
         pass_time(deployment, clock, 0.4)
-    assert clock.now - begun < front.READING_LIMIT + 1.0
+    assert clock.now - begun < front.REQUEST_READ_TIMEOUT_S + 1.0
     assert answered(connection)[0] == 408 and answered(connection) is None
 
 
@@ -138,7 +138,7 @@
 def test_client_with_half_a_request_at_the_agents_end_has_an_answer(deployment, clock):
     connection, client = connected(deployment, True)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
-    deployment.agent.front.finish()
+    deployment.agent.front.close_all()
     assert answered(connection)[0] == 503 and answered(connection) is None
 
 
@@ -147,7 +147,7 @@
     deployment = Deployment(tmp_path, limits={"memory_mb": 64, "sockets": 96})
     budget, slow = deployment.agent.budget, []
     try:
-        for number in range(2 * budget.most):
+        for number in range(2 * budget.max_connections):
             connection = deployment.connect()
             if number % 2:
                 assert deployment.ask(connection=connection)[0] == 200
@@ -158,8 +158,8 @@
                 each.sock.sendall(b"x")
             gevent.sleep(0)
         assert deployment.ask()[0] == 200
-        assert budget.used <= budget.most
-        pass_time(deployment, clock, front.READING_LIMIT + 1.0)
+        assert budget.connection_count <= budget.max_connections
+        pass_time(deployment, clock, front.REQUEST_READ_TIMEOUT_S + 1.0)
         assert {answered(each)[0] for each in slow} <= {408, 503}
     finally:
         deployment.stop()
@@ -182,9 +182,12 @@
     (client,) = deployment.agent.front.clients
     sent = [worded(f"/read/{n}", X_Fill="x" * 400) for n in range(400)]
     writer = gevent.spawn(connection.sock.sendall, b"".join(sent))
-    until(lambda: len(client.messages) >= front.MOST_PIPELINED)
+    until(lambda: len(client.messages) >= front.MAX_PIPELINED_REQUESTS)
     gevent.sleep(0.3)
-    assert client.unread() and len(client.messages) < front.MOST_PIPELINED + 4096 / len(sent[0]) + 1
+    assert (
+        client.has_unread_input()
+        and len(client.messages) < front.MAX_PIPELINED_REQUESTS + 4096 / len(sent[0]) + 1
+    )
     deployment.servers[0].released.set()
     assert [answered(connection)[0] for _ in range(401)] == [200] * 401
     writer.join()
@@ -226,7 +229,7 @@
 
 def test_time_of_a_request_that_waits_unread_runs_too(deployment, clock):
     connection = deployment.connect()
-    ahead = [worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MOST_PIPELINED + 3)]
+    ahead = [worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MAX_PIPELINED_REQUESTS + 3)]
     connection.sock.sendall(b"".join(ahead) + worded("/read/late", X_Timeout="300m"))
     (client,) = until_some(lambda: deployment.agent.front.clients)
     until(lambda: client.unread_since)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -105,7 +105,12 @@
     soak = SimpleNamespace(random=Random(1), judge=Judge(), now=monotonic)
     agent = SimpleNamespace(number=0, was_killed_since=lambda at: False, was_paused_since=lambda at: False)
     ours, theirs = socket.socketpair()
-    yield clients.UsualClients(soak, agent), clients.ClientSide(ours, answers=True), theirs, soak.judge
+    yield (
+        clients.UsualClients(soak, agent),
+        clients.ClientSide(ours, reads_responses=True),
+        theirs,
+        soak.judge,
+    )
     ours.close()
     theirs.close()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,8 +10,8 @@
 import pytest
 from gevent import socket, subprocess
 
-from cartdeal.agent.connection import BODY_LIMIT, Connection
-from cartdeal.agent.front import hashed
+from cartdeal.agent.connection import MAX_BODY_BYTES, Connection
+from cartdeal.agent.front import hash_key
 from cartdeal.agent.log_output import LINES_PER_SECOND, RateLimitFilter
 from cartdeal.agent.start import ENDS, LONGEST_WAIT, lasts
 from cartdeal.settings import ClassSettings, Settings
@@ -92,12 +92,16 @@
     for does in ("twice", "noisy"):
         assert deployment.ask(f"/read/x?do={does}") == (200, b"one")
         assert deployment.ask() == (200, b"s0 ")
-    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 0.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
     for connection in server.open:
         connection.sock.sendall(late)  # on a kept connection, some time after its answer
-    until(lambda: all(each.unread() for kept in deployment.agent.upstream.idle.values() for each in kept))
+    until(
+        lambda: all(
+            each.has_unread_input() for kept in deployment.agent.upstream.idle.values() for each in kept
+        )
+    )
     assert deployment.ask() == (200, b"s0 ")
-    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 60.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 60.0)
     before = set(server.open)
     assert deployment.ask() == (200, b"s0 ") and server.open - before  # those before it are to rest first
 
@@ -106,9 +110,9 @@
     deployment = deploy()
     assert deployment.ask() == (200, b"s0 ")
     attempts, address = deployment.agent.upstream, deployment.servers[0].address
-    until(lambda: attempts.pooled(0, address) is None and attempts.idle)
-    attempts.idle[0][0].since -= 1.0
-    assert attempts.pooled(1, address) is None and attempts.pooled(0, address)
+    until(lambda: attempts.take_idle(0, address) is None and attempts.idle)
+    attempts.idle[0][0].last_active_at -= 1.0
+    assert attempts.take_idle(1, address) is None and attempts.take_idle(0, address)
 
 
 def test_request_that_a_server_finds_unusable_is_nothing_against_it(deploy):
@@ -134,7 +138,7 @@
     assert (got.method, got.path, got.body) == (b"POST", path.encode(), body[:-3])
     assert got.headers[b"x-request-id"] == b"id-9" and got.headers[b"idempotency-key"] == b"k1"
     assert 0 < int(got.headers[b"x-timeout"][:-1]) <= 1500
-    assert hashed(b"7f") == 17540531883517894515
+    assert hash_key(b"7f") == 17540531883517894515
 
 
 def test_what_a_request_and_a_server_tell_of_themselves(deploy, monkeypatch):
@@ -151,11 +155,14 @@
     (_, _, tenant, _, _, repeat), attempt, probe = told
     assert (tenant, repeat) == (1, True)
     assert attempt[-1] == Load(7.0, None) and probe[1] is Outcome.COMPLETED and probe[-1] == Load(1.0, 2.5)
-    assert [deployment.agent.upstream.load(each) for each in (b"\xff", b'{"throughput": []}')] == [None, None]
+    assert [deployment.agent.upstream.parse_load(each) for each in (b"\xff", b'{"throughput": []}')] == [
+        None,
+        None,
+    ]
 
 
 def test_bytes_dribbled_and_joined_on_one_connection(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER", 0.0)
+    monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
     deployment = deploy()
     connection = deployment.connect()
     for place in worded("/mark/1", "POST", b"one", Idempotency_Key="k"):
@@ -230,7 +237,7 @@
         ("workload", worded("/other/x"), 404),
         ("method", worded("/read/x", "DELETE"), 405),
         ("body of a GET", worded("/read/x", body=b"abc"), 400),
-        ("long", worded("/mark/x", "POST", bytes(BODY_LIMIT + 1)), 413),
+        ("long", worded("/mark/x", "POST", bytes(MAX_BODY_BYTES + 1)), 413),
         ("huge", post(b"Content-Length: 60000000"), 413),
         ("over 64 bits", post(b"Content-Length: 99999999999999999999"), 400),
         ("negative", post(b"Content-Length: -3"), 400),
@@ -324,8 +331,8 @@
 def test_long_bodies_find_no_memory_when_it_is_out(deploy):
     deployment = deploy(limits={"memory_mb": 32, "sockets": 256})
     room, body = deployment.agent.budget, bytes(9000)
-    assert room.most == 224 and room.long_bodies > 20 * 3 * BODY_LIMIT
-    left = room.long_bodies = 30000
+    assert room.max_connections == 224 and room.long_body_bytes > 20 * 3 * MAX_BODY_BYTES
+    left = room.long_body_bytes = 30000
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/mark/x?do=wait", "POST", body, Idempotency_Key="k"))
     until(deployment.seen)
@@ -334,11 +341,11 @@
     deployment.servers[0].released.set()
     assert answered(waiting)[0] == 200 and deployment.ask(connection=waiting)[0] == 200
     waiting.close()
-    until(lambda: room.long_bodies == left)
+    until(lambda: room.long_body_bytes == left)
 
 
 def test_unidentified_clients_have_little_room_and_time_and_the_usual_all_the_rest(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.front.GREETING_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.FIRST_BYTE_TIMEOUT_S", 0.05)
     deployment = deploy(limits={"memory_mb": 64, "sockets": 96})
     front, usual = deployment.agent.front, [deployment.connect() for _ in range(4)]
     for client in usual:
@@ -350,7 +357,7 @@
     )
     half = deployment.connect()
     half.sock.sendall(b"GET /read/x HT")
-    monkeypatch.setattr("cartdeal.agent.front.STALL_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
     assert all(answered(each) is None for each in silent)
     assert answered(half)[0] == 408 and answered(half) is None
     assert len(front.clients) <= 5
@@ -365,7 +372,7 @@
 
 
 def test_half_a_request_and_a_connection_that_stands_idle_are_closed(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.front.STALL_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
     deployment = deploy()
     connection, idle = deployment.connect(), deployment.connect()
     for each in (connection, idle):
@@ -373,13 +380,13 @@
     connection.sock.sendall(b"GET /read/x HT")
     assert answered(connection)[0] == 408 and answered(connection) is None
     assert len(deployment.agent.front.clients) == 1
-    monkeypatch.setattr("cartdeal.agent.front.IDLE_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.IDLE_TIMEOUT_S", 0.05)
     assert answered(idle) is None and not deployment.agent.front.clients
 
 
 def test_bytes_that_came_in_time_beat_the_timer_of_an_agent_that_runs_late():
     ours, theirs = socket.socketpair()
-    connection = Connection(ours, answers=True)
+    connection = Connection(ours, reads_responses=True)
     gevent.spawn(lambda: (theirs.send(answer(200)), time.sleep(0.06)))  # the whole agent runs late
     assert connection.receive(0.03) and connection.messages
     with pytest.raises(TimeoutError):
@@ -422,7 +429,7 @@
     # Given up before its greenlet ran, an attempt still ends with an event.
     deployment.agent.upstream.send_attempt(9, 0, 0, deployment.servers[0].address, None, 0.0)
     deployment.agent.upstream.cancel(9, 0)
-    until(lambda: not deployment.agent.upstream.out)
+    until(lambda: not deployment.agent.upstream.attempts)
 
 
 def test_server_that_is_not_there(deploy):
@@ -464,7 +471,7 @@
     monkeypatch.setattr(
         DiscoveryService,
         "play",
-        lambda service, connection, message: connection.push(
+        lambda service, connection, message: connection.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
         ),
     )
@@ -483,21 +490,21 @@
     deployment = deploy()
     room, idle, busy = deployment.agent.budget, *(deployment.connect() for _ in "ib")
     assert deployment.ask(connection=idle)[0] == 200
-    room.most = room.used + 1  # two clients, a kept connection, the next client's
+    room.max_connections = room.connection_count + 1  # two clients, a kept connection, the next client's
     assert deployment.ask(connection=busy) == (200, b"s0 ")
     busy.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(lambda: "/once/1?do=wait" in deployment.seen())
     another = deployment.connect()
     assert deployment.ask(connection=another) == (200, b"s0 ")  # in place of the one that stood idle
     assert answered(idle) is None
-    room.most = 2  # less than what is in use: nobody else comes in
+    room.max_connections = 2  # less than what is in use: nobody else comes in
     assert deployment.ask("/health/ready", connection=deployment.connect()) == (200, b"")
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/once/2", "POST"))
     for _ in range(20):
         gevent.sleep(0)
     assert "/once/2" not in deployment.seen()
-    room.most = 10
+    room.max_connections = 10
     deployment.servers[0].released.set()
     assert answered(busy) == (200, b"waited")
     assert answered(waiting) == (200, b"s0 ")
@@ -505,7 +512,7 @@
 
 def test_no_room_for_an_attempt_rejects(deploy):
     deployment = deploy()
-    deployment.agent.budget.most = 2
+    deployment.agent.budget.max_connections = 2
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
@@ -569,11 +576,11 @@
     assert deployment.ask("/once/x", "POST") == (503, b"")
     del deployment.agent.upstream.write
     assert "attempt died" in caplog.text and deployment.ask() == (200, b"s0 ")
-    deployment.agent.front.request = None
+    deployment.agent.front.parse_request = None
     connection = deployment.connect()
     connection.sock.sendall(worded() + worded() + worded()[:20])
     assert [answered(connection)[0] for _ in range(2)] == [503] * 2 and answered(connection) is None
-    del deployment.agent.front.request
+    del deployment.agent.front.parse_request
     assert deployment.ask() == (200, b"s0 ")
 
 
@@ -728,7 +735,7 @@
             return play(server, connection, message)
         server.seen.append(message)
         gevent.sleep(0.2)
-        connection.push(refusal)
+        connection.write(refusal)
 
     monkeypatch.setattr(Server, "play", turn_the_first_away)
     assert deployment.ask("/read/x", X_Timeout="1000m")[0] == 200
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -43,7 +43,7 @@
 
 
 def connect(port):
-    return Client(socket.create_connection(("127.0.0.1", port)), answers=True)
+    return Client(socket.create_connection(("127.0.0.1", port)), reads_responses=True)
 
 
 @pytest.mark.parametrize("connections", ["known", "new"])
@@ -72,16 +72,16 @@
     detector = StallDetector()
     detector.listeners.append(told.append)
 
-    def came_since(at):
+    def earliest_arrival(at):
         now[0] = at
-        return detector.came_since(at)
+        return detector.earliest_arrival(at)
 
-    assert came_since(100.14) == 100.14  # the heartbeat is late by less than what is noticed
+    assert earliest_arrival(100.14) == 100.14  # the heartbeat is late by less than what is noticed
     detector.beat()
-    assert came_since(100.2) == 100.2 and not told
-    assert came_since(101.0) == 100.14  # read before the heartbeat that is late
+    assert earliest_arrival(100.2) == 100.2 and not told
+    assert earliest_arrival(101.0) == 100.14  # read before the heartbeat that is late
     detector.beat()
-    assert told == [100.14] and came_since(101.04) == 101.04  # the others were told
+    assert told == [100.14] and earliest_arrival(101.04) == 101.04  # the others were told
 
 
 def test_all_that_lay_unread_counts_from_before_the_agent_was_held_up(tmp_path, bounded):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -10,7 +10,7 @@
 from gevent import socket
 
 from cartdeal.agent import configuration
-from cartdeal.agent.upstream import NoConnection, UpstreamPool
+from cartdeal.agent.upstream import NoConnectionError, UpstreamPool
 from cartdeal.rig.system_faults import OWN_LIMITS, SystemFaults
 from cartdeal.sockets import BindError, bind_socket
 from examples.toy import DiscoveryService
@@ -53,12 +53,12 @@
 def test_descriptor_that_can_not_be_had_is_not_lost(deployment, faults, call, error):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
-    used = deployment.agent.budget.used
+    used = deployment.agent.budget.connection_count
     faults.fail(call, error)
     for _ in range(MANY):
         assert deployment.ask("/once/x", "POST", connection=client)[0] == 503
     faults.heal()
-    assert deployment.agent.budget.used == used
+    assert deployment.agent.budget.connection_count == used
     assert deployment.ask("/once/x", "POST", connection=client)[0] == 200
 
 
@@ -87,12 +87,12 @@
 
     monkeypatch.setattr(socket.socket, "connect", unreachable)
     for _ in range(3):
-        with pytest.raises(NoConnection):
+        with pytest.raises(NoConnectionError):
             pool.connect(0, away, monotonic() + 1.0)
-    pool.heard_at = monotonic()  # as after an answer
+    pool.last_read_at = monotonic()  # as after an answer
     with pytest.raises(OSError, match="unreachable"):
         pool.connect(0, away, monotonic() + 1.0)
-    with pytest.raises(NoConnection):  # counted anew
+    with pytest.raises(NoConnectionError):  # counted anew
         pool.connect(0, away, monotonic() + 1.0)
     cut.clear()
     pool.connect(0, away, monotonic() + 1.0).close()
@@ -168,7 +168,8 @@
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("poll", errno.ENOMEM)
     assert not deployment.agent.front.close_idle()
-    assert deployment.agent.front.somebody_waits()  # and nobody at the door counts as one that came just now
+    # Whoever may be in the listen queue is not taken for a client that has just come.
+    assert deployment.agent.front.has_waiting_clients()
     assert deployment.ask("/once/x", "POST", b"body", connection=client)[0] == 200
 
 
@@ -184,14 +185,14 @@
 
 def test_fault_at_the_door_takes_no_place_from_the_budget(deployment, monkeypatch):
     budget = deployment.agent.budget
-    used = budget.used
+    used = budget.connection_count
     with monkeypatch.context() as broken:
         broken.setattr("cartdeal.agent.front.ClientConnection", None)
         for _ in range(5):
             with pytest.raises(ConnectionError):
                 deployment.ask()
     assert deployment.ask()[0] == 200
-    assert budget.used - used <= 2  # the client's and the server's
+    assert budget.connection_count - used <= 2  # the client's and the server's
 
 
 @pytest.mark.parametrize("error, reads", [(errno.ENFILE, 3), (errno.EIO, 3), (errno.EACCES, 1)])
--- a/tests/test_unbounded.py
+++ b/tests/test_unbounded.py
@@ -9,12 +9,12 @@
 from gevent import socket, subprocess
 
 from cartdeal.agent import discovery, effects, reducer
-from cartdeal.agent.connection import BODY_LIMIT
+from cartdeal.agent.connection import MAX_BODY_BYTES
 from cartdeal.agent.discovery import ListStream
-from cartdeal.agent.front import MOST_PIPELINED
+from cartdeal.agent.front import MAX_PIPELINED_REQUESTS
 from tests.scene import Deployment, until, worded
 
-BODY = b"x" * (BODY_LIMIT - 100)
+BODY = b"x" * (MAX_BODY_BYTES - 100)
 REQUESTS = 100
 
 
@@ -42,7 +42,7 @@
     sender = gevent.spawn(
         client.sock.sendall, b"".join(worded("/once/x", "POST", BODY) for _ in range(REQUESTS))
     )
-    until(lambda: taken_meanwhile or (theirs.writer and len(theirs.messages) >= MOST_PIPELINED))
+    until(lambda: taken_meanwhile or (theirs.writer and len(theirs.messages) >= MAX_PIPELINED_REQUESTS))
     for _ in range(10):
         gevent.sleep(0)
     assert not taken_meanwhile
