--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -1,9 +1,9 @@
-"""One connection: its socket, its one buffer, and the HTTP parser on it; and the room for all connections.
+"""A connection: its socket, its receive buffer and its HTTP parser; and the budget for all connections.
 
-The one place that says whether bytes are a message, for requests and answers alike. The buffer grows as it
-needs, and the bodies in it are moved down over the framing that they came in, so that a body stands whole in
-one place. It must never decide what a message means, read on behind bytes that are none, nor send anything by
-itself.
+Only this module decides whether bytes form a valid message, for requests and responses alike. The buffer
+grows as needed, and the bytes of a body are moved down over their framing, so that the body lies in the
+buffer in one piece. The module must never interpret a message, continue to parse after invalid bytes, or send
+anything on its own.
 """
 
 import os
@@ -18,23 +18,22 @@
 
 from cartdeal.agent.system_errors import RETRY_PAUSE_S, is_transient
 
-MAX_HEAD_BYTES = 16384  # the longest head of a message, with the interim ones ahead of it
-MAX_FRAMING_BYTES_PER_BODY_BYTE = 8  # bytes round one byte of a body that a chunked message may take at most
-MAX_BODY_BYTES = 65536  # the longest body
-MIN_READ_SPACE_BYTES = 4096  # room kept for one read
-MAX_BODY_COPIES = 3  # times that a long body is held at most: in the buffer, by itself, with its head again
-MAX_LINES_PARSED_AT_ONCE = (
-    32  # lines in one read, from which on it may hold many messages and is parsed by pieces ...
-)
-PARSED_PIECE_BYTES = 512  # ... of so many bytes
-MIN_SOCKET_TIMEOUT_S = 0.001  # seconds; none would make the socket not wait at all
-READ_RETRY_TIMEOUT_S = 2.0  # seconds for which a read that finds no memory is tried again
-WRITE_TIMEOUT_S = 10.0  # how long a peer may take to accept what is left of an answer
-MAX_DISCARDED_BYTES = 1 << 20  # bytes that are thrown away behind the end of our sending, at most
+MAX_HEAD_BYTES = 16384  # the head of a message, including interim responses before it
+MAX_FRAMING_BYTES_PER_BODY_BYTE = 8  # allowed overhead of a chunked message
+MAX_BODY_BYTES = 65536
+MIN_READ_SPACE_BYTES = 4096  # free space in the buffer before each read
+MAX_BODY_COPIES = 3  # copies of a long body: in the buffer, on its own, and behind its head
+# A read with more lines than this may hold many requests and is parsed in pieces of PARSED_PIECE_BYTES.
+MAX_LINES_PARSED_AT_ONCE = 32
+PARSED_PIECE_BYTES = 512
+MIN_SOCKET_TIMEOUT_S = 0.001  # a timeout of 0 would make the socket non-blocking
+READ_RETRY_TIMEOUT_S = 2.0  # how long a read that fails for lack of memory is retried
+WRITE_TIMEOUT_S = 10.0  # how long a peer may take to accept the rest of a message
+MAX_DISCARDED_BYTES = 1 << 20  # input that is discarded after a half-close
 
 
 class Message:
-    """A request or an answer, whole."""
+    """A complete request or response."""
 
     __slots__ = ("method", "path", "status", "headers", "body", "keep_alive", "came_at")
 
@@ -45,41 +44,41 @@
         self.headers = {}
         self.body = b""
         self.keep_alive = True
-        self.came_at = 0.0  # monotonic time in seconds at which its last byte came, for its owner
+        self.came_at = 0.0  # monotonic time in seconds of its last byte; set by ClientConnection
 
 
-DISCARD_BUFFER = bytearray(65536)  # where bytes go that nobody is to read
+DISCARD_BUFFER = bytearray(65536)  # receives input that is not parsed
 
 FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
-BODILESS_STATUSES = (*range(100, 200), 204, 304)  # statuses of answers without a body
-CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]+)(?:;.*)?\r\n")  # the line ahead of a chunk
-# A name that some read as one of these and others don't.
+BODILESS_STATUSES = (*range(100, 200), 204, 304)
+CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]+)(?:;.*)?\r\n")
+# Names that some HTTP implementations treat as framing headers and others don't.
 AMBIGUOUS_FRAMING = re.compile(rb"(?:content|transfer)[^a-z]*(?:length|encoding)")
 
 
 class MalformedMessageError(Exception):
-    """What came is no HTTP, can be read two ways, or is too long. `status` is what an application is told."""
+    """The input is not valid HTTP, is ambiguous, or is too long. `status`: the status for the application."""
 
-    def __init__(self, status: int, words: str):
-        super().__init__(words)
+    def __init__(self, status: int, message: str):
+        super().__init__(message)
         self.status = status
 
 
-def is_ready(sock, event: int, unknown: bool) -> bool:
-    """Whether a socket shows one of poll's events, or an error; `unknown` where the system can't tell."""
+def is_ready(sock, event: int, if_unknown: bool) -> bool:
+    """Whether poll reports the event, or an error, for the socket; `if_unknown` if the poll itself fails."""
     try:
-        look = select.poll()
-        look.register(sock, event)
-        return bool(look.poll(0))
+        poller = select.poll()
+        poller.register(sock, event)
+        return bool(poller.poll(0))
     except OSError:
-        return unknown
+        return if_unknown
 
 
 class ConnectionBudget:
-    """How many connections there may be, and how many bytes for long bodies.
+    """Limits the number of connections, and the bytes of long bodies on them.
 
-    Where there is no connection left, idle ones are closed to make some. `freed` is set when one is closed or
-    becomes idle.
+    At the limit, `closers` are called in order to close idle connections. `capacity_freed` is set when a
+    connection is closed or becomes idle.
     """
 
     def __init__(self, max_connections: int, long_body_bytes: int):
@@ -89,9 +88,10 @@
             [],
             Event(),
         )
-        self.long_body_bytes = long_body_bytes  # bytes that are left
+        self.long_body_bytes = long_body_bytes  # not claimed by any connection
 
     def acquire(self, spare_count: int = 0) -> bool:
+        """Reserves a connection and leaves `spare_count` free; false if none can be made available."""
         while self.connection_count + spare_count >= self.max_connections:
             if not any(close() for close in self.closers):
                 return False
@@ -99,12 +99,15 @@
         return True
 
     def release(self):
+        """Returns the reservation of a connection."""
         self.connection_count -= 1
         self.capacity_freed.set()
 
 
 class Connection:
-    """`on_half_close` is called once, when our side has ended and the other is waited for; `on_close` once,
+    """A connection that parses HTTP requests or responses and writes the other kind.
+
+    `on_half_close` is called once, when this side has ended and the peer's end is awaited; `on_close` once,
     when the descriptor is free again.
     """
 
@@ -119,10 +122,10 @@
         on_half_close=lambda connection: None,
         on_written=lambda connection: None,
     ):
-        """`allows_close_delimited`: whether the end of the stream may end a response without a length or
-        chunks.
+        """`reads_responses`: parse responses (true) or requests (false).
 
-        `on_written` is called each time when all that the socket did not take at once has been written.
+        `allows_close_delimited`: accept a response with neither a length nor chunks, whose body ends with an
+        orderly close. `on_written` is called each time the unsent rest of a write has been written.
         """
         self.on_written = on_written
         self.sock, self.reads_responses, self.on_close, self.max_body_bytes = (
@@ -132,60 +135,59 @@
             max_body_bytes,
         )
         self.on_half_close = on_half_close
-        self.budget, self.claimed_bytes = budget, 0  # bytes of the room for long bodies ...
-        self.message_claim_bytes = 0  # ... and those for the message that is coming
+        self.budget, self.claimed_bytes = budget, 0  # bytes claimed from the budget for long bodies
+        self.message_claim_bytes = 0  # the part of claimed_bytes for the current message
         self.parser = (httptools.HttpResponseParser if reads_responses else httptools.HttpRequestParser)(self)
         self.buffer = bytearray(MIN_READ_SPACE_BYTES)
         self.view = memoryview(self.buffer)
-        self.body_end = 0  # bytes of the body so far, at the buffer's start
-        self.framing_bytes = 0  # bytes of the message so far that are no body, about
-        self.body_bytes = 0  # bytes of its body so far
-        self.is_head_complete = False  # whether its head is whole: what comes as a header then is a trailer
-        self.allows_close_delimited, self.is_close_delimited = (
-            allows_close_delimited,
-            False,
-        )  # ... and whether the message is such a one
-        self.input_end = 0  # where in the buffer ends what has come
-        self.input_at_first_chunk = None  # what a read brought, from before the size of its first chunk on
-        self.partial_line = b""  # what has come of a line of framing, over several reads
-        self.chunk_bytes = None  # bytes that a read brought of the chunk that is open
-        self.has_surplus_input = False  # whether more came than the answer that was waited for
-        self.discards_input = False  # whether what comes is thrown away, unread, until the other side ends
-        self.mid_message = False  # whether a message has begun and is not whole
+        self.body_end = 0  # end of the current body, which starts at 0 in the buffer
+        self.framing_bytes = 0  # bytes of the current message outside its body, approximately
+        self.body_bytes = 0  # bytes of the current body that have been parsed
+        self.is_head_complete = False  # headers that follow a complete head are trailers
+        # is_close_delimited: whether the current response ends with the stream.
+        self.allows_close_delimited, self.is_close_delimited = allows_close_delimited, False
+        self.input_end = 0  # end of the received input in the buffer
+        self.input_at_first_chunk = None  # the last read's input when its first chunk header was parsed
+        self.partial_line = b""  # an incomplete line of framing, which may span several reads
+        self.chunk_bytes = None  # bytes of the open chunk in the last read; None if no chunk is open
+        self.has_surplus_input = False  # whether more than the expected response was received
+        self.discards_input = False  # whether input is discarded unparsed until the peer ends
+        self.mid_message = False  # whether a message has begun and is not complete
         self.message = Message()
-        self.messages = []  # messages that have come whole and were not taken yet
-        self.unparsed = b""  # requests that were read and not parsed yet, for their reader may pause
+        self.messages = []  # complete messages that the owner has not taken yet
+        self.unparsed = b""  # requests that were read but not parsed, so that their reader can pause
         self.parse_error = None
-        self.unsent = b""  # what the socket did not take at once
-        self.writer = None  # the greenlet that writes it
-        self.ends_after_write = False  # whether to half-close once all is written
-        self.half_closed = False  # whether our sending has ended
-        self.discarded_bytes = 0  # bytes that came since and were thrown away
+        self.unsent = b""  # written data that the socket has not accepted yet
+        self.writer = None  # the greenlet that writes `unsent`
+        self.ends_after_write = False  # whether to half-close when everything is written
+        self.half_closed = False  # whether this side has ended its stream
+        self.discarded_bytes = 0
         self.closed = False
         self.is_parsing = False
-        self.write_failed = False  # whether the other side took no more of what was written
-        self.last_active_at = 0.0  # when it became idle, for its owner
+        self.write_failed = False  # whether the peer stopped accepting data
+        self.last_active_at = 0.0  # monotonic seconds; maintained by the owner
 
-    def receive(self, wait: float | None) -> bool:
-        """Waits for bytes and parses them; false at the end of the stream. Raises what the socket raises.
+    def receive(self, timeout_s: float | None) -> bool:
+        """Waits for input and parses it; false at the end of the stream, which may complete a message.
 
-        The end may make a message whole.
+        Raises OSError from the socket, and MalformedMessageError.
         """
         if self.closed:
             return False
         if self.discards_input:
-            self.sock.settimeout(wait)
+            self.sock.settimeout(timeout_s)
             count = self.sock.recv_into(DISCARD_BUFFER)
             self.discarded_bytes += count
             if self.discarded_bytes > len(DISCARD_BUFFER):
-                # Who sends without a pause must not hold up everyone else; but one that sent much and went
-                # is read to its end at once, before an attempt of its begins.
+                # A peer that sends without pause must not starve other greenlets. Below this amount there is
+                # no yield: the end of a client that sent much and closed is read before an attempt for it
+                # begins.
                 gevent.sleep(0)
             return bool(count) and not (self.half_closed and self.discarded_bytes > MAX_DISCARDED_BYTES)
         self.resize_buffer()
-        count = self.take_unparsed() or self.read_into(self.view[self.body_end :], wait)
+        count = self.take_unparsed() or self.read_into(self.view[self.body_end :], timeout_s)
         if not count and self.mid_message and self.is_close_delimited:
-            self.on_message_complete()  # an orderly end; a reset has raised, and is none
+            self.on_message_complete()  # only an orderly end gets here: a reset raises
         if not count or self.discards_input:
             return bool(count)
         count = self.defer_input(count)
@@ -195,9 +197,7 @@
         try:
             self.parser.feed_data(self.view[self.body_end : self.input_end])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not (
-                self.reads_responses and self.messages
-            ):  # what follows a whole answer is no fault of its own
+            if not (self.reads_responses and self.messages):  # surplus bytes are no error of a response
                 raise self.parse_error or MalformedMessageError(400, f"no HTTP: {error}") from None
             self.has_surplus_input = True
         finally:
@@ -207,32 +207,35 @@
             self.check_chunk_size()
         self.input_at_first_chunk = None
         if self.framing_bytes > MAX_HEAD_BYTES + MAX_FRAMING_BYTES_PER_BODY_BYTE * self.body_bytes:
-            # Counted to the end of the message: trailers and chunks of nothing come without end, too.
+            # Framing is counted up to the end of the message, since trailers and tiny chunks could go on
+            # forever.
             raise MalformedMessageError(431, f"a head of over {MAX_HEAD_BYTES} bytes")
         return True
 
-    def read_into(self, view, wait: float | None) -> int:
-        """Reads once there are bytes; again after a pause, while the system has no memory for it."""
-        due = monotonic() + (READ_RETRY_TIMEOUT_S if wait is None else min(wait, READ_RETRY_TIMEOUT_S))
+    def read_into(self, view, timeout_s: float | None) -> int:
+        """Reads when there is input; retries after a pause while the system lacks memory for the read."""
+        deadline = monotonic() + (
+            READ_RETRY_TIMEOUT_S if timeout_s is None else min(timeout_s, READ_RETRY_TIMEOUT_S)
+        )
         while True:
-            self.sock.settimeout(wait)  # a greenlet that writes may have set another one meanwhile
+            self.sock.settimeout(timeout_s)  # the greenlet that writes may have changed it
             try:
                 return self.sock.recv_into(view)
             except OSError as error:
-                if not is_transient(error) or monotonic() >= due:
+                if not is_transient(error) or monotonic() >= deadline:
                     raise
             gevent.sleep(RETRY_PAUSE_S)
 
     def take_unparsed(self) -> int:
-        """Moves the next piece of what was read before to where a read would put it; gives its length."""
+        """Copies the next piece of deferred input to where a read would put it; returns its length."""
         piece, self.unparsed = self.unparsed[:PARSED_PIECE_BYTES], self.unparsed[PARSED_PIECE_BYTES:]
         self.view[self.body_end : self.body_end + len(piece)] = piece
         return len(piece)
 
     def defer_input(self, count: int) -> int:
-        """Puts off all but the first piece of a read that may hold many requests; gives how much is left.
+        """Defers all but the first piece of a read that may hold many requests; returns the bytes to parse.
 
-        The parser makes messages of all that it is given, and a message takes many times its bytes.
+        The parser turns all of its input into messages, and a message takes many times its size in memory.
         """
         end = self.body_end + count
         if (
@@ -245,7 +248,7 @@
         return PARSED_PIECE_BYTES
 
     def resize_buffer(self):
-        """Grows the buffer where it is nearly full, and gives up what a long body needed."""
+        """Grows the buffer if it is nearly full; shrinks it again after a long body."""
         size = len(self.buffer)
         if size - self.body_end < MIN_READ_SPACE_BYTES:
             size += max(MIN_READ_SPACE_BYTES, size)
@@ -253,14 +256,15 @@
             size = MIN_READ_SPACE_BYTES
         if size != len(self.buffer):
             self.view.release()
-            kept = self.buffer[: self.body_end]
+            body = self.buffer[: self.body_end]
             self.buffer = bytearray(size)
-            self.buffer[: self.body_end] = kept
+            self.buffer[: self.body_end] = body
             self.view = memoryview(self.buffer)
 
-    # What the parser finds
+    # Callbacks of the parser
 
     def on_message_begin(self):
+        """Resets the state for a new message."""
         if self.reads_responses and self.messages:
             raise self.record_error(502, "more than the answer")
         self.message, self.body_end, self.mid_message, self.is_head_complete = Message(), 0, True, False
@@ -270,23 +274,27 @@
             self.release_body_memory()
 
     def all_messages_handled(self) -> bool:
-        """Whether nothing that came is needed any longer."""
+        """Whether no received message is pending, so that the memory of the last body can be released."""
         return not self.messages
 
     def on_url(self, part: bytes):
+        """Appends a part of the request's path."""
         self.message.path += part
 
     def on_header(self, name: bytes, value: bytes):
+        """Stores a header under its lower-case name; the values of a repeated one are joined by commas."""
         if self.is_head_complete:
-            return  # a trailer must not stand in for a header that has decided already
+            return  # a trailer must not replace a header that has already been acted on
         name, headers = name.lower(), self.message.headers
-        # The parser leaves blanks behind a value. A tab behind a coding stays: the parser doesn't take it for
-        # that coding then, and the message would be framed in two ways.
+        # The parser leaves trailing whitespace in a value. A tab after a transfer coding is kept, because the
+        # parser doesn't recognise that coding, and stripping it would frame the message differently here.
         value = value.rstrip(b" " if name in FRAMING_HEADERS else b" \t")
-        # As a list, a repeated one fits no form that holds one value, and no one takes the first or the last.
+        # The joined values of a repeated header match no single-value format, so that neither the first nor
+        # the last one is used.
         headers[name] = headers[name] + b", " + value if name in headers else value
 
     def on_headers_complete(self):
+        """Checks the head and how it frames the body."""
         message, headers, self.is_head_complete = self.message, self.message.headers, True
         if self.reads_responses:
             message.status = self.parser.get_status_code()
@@ -308,38 +316,41 @@
         self.check_size(int(length or 0))
 
     def on_body(self, part: bytes):
+        """Moves a part of the body behind the parts before it."""
         end = self.body_end + len(part)
         self.body_bytes += len(part)
         self.framing_bytes -= len(part)
         if self.chunk_bytes is not None:
             self.chunk_bytes += len(part)
         self.check_size(end)
-        # Behind the place where the parser reads: what stood there is parsed already.
+        # The target lies before the parser's position: the bytes there have already been parsed.
         self.view[self.body_end : end] = part
         self.body_end = end
 
     def on_chunk_header(self):
+        """Starts a chunk."""
         self.chunk_bytes = 0
         if self.input_at_first_chunk is None:
             self.input_at_first_chunk = bytes(self.view[self.body_end : self.input_end])
 
     def on_chunk_complete(self):
+        """Ends a chunk."""
         self.chunk_bytes = None
 
     def check_chunk_size(self):
-        """Refuses a chunk that says it is too long, like a length that says so: its sender may be waiting.
+        """Rejects a chunk whose stated size is too long before its bytes come: its sender may be waiting.
 
-        The parser keeps the size to itself, but tells when a chunk has begun and which bytes are of it; the
-        size stands in the line ahead of these.
+        The parser doesn't report the size, but it reports the start of a chunk and its bytes; the size is
+        read from the line before them.
         """
         if self.input_at_first_chunk is not None and self.chunk_bytes is not None:
             text = (
                 self.partial_line
                 + self.input_at_first_chunk[: len(self.input_at_first_chunk) - self.chunk_bytes]
             )
-            sized = CHUNK_SIZE_LINE.fullmatch(text, text.rfind(b"\n", 0, -1) + 1)  # no match: a trailer
-            if sized:
-                self.check_size(self.body_end + int(sized[1], 16) - self.chunk_bytes)
+            match = CHUNK_SIZE_LINE.fullmatch(text, text.rfind(b"\n", 0, -1) + 1)  # None for a trailer
+            if match:
+                self.check_size(self.body_end + int(match[1], 16) - self.chunk_bytes)
         if self.chunk_bytes is None:
             text = self.partial_line + bytes(self.view[self.body_end : self.input_end])
             self.partial_line = text[text.rfind(b"\n") + 1 :]
@@ -347,28 +358,31 @@
             self.partial_line, self.chunk_bytes = b"", 0
 
     def check_size(self, size: int):
+        """Checks the body's size against the limit, and claims budget for a long one."""
         if size > self.max_body_bytes:
             raise self.record_error(413, f"a body of over {self.max_body_bytes} bytes")
-        more = MAX_BODY_COPIES * size - self.message_claim_bytes
-        if self.budget and size > MIN_READ_SPACE_BYTES and more > 0:
-            if more > self.budget.long_body_bytes:
+        claim_bytes = MAX_BODY_COPIES * size - self.message_claim_bytes
+        if self.budget and size > MIN_READ_SPACE_BYTES and claim_bytes > 0:
+            if claim_bytes > self.budget.long_body_bytes:
                 raise self.record_error(503, "no memory for so long a body")
-            self.budget.long_body_bytes -= more
-            self.message_claim_bytes += more
-            self.claimed_bytes += more
+            self.budget.long_body_bytes -= claim_bytes
+            self.message_claim_bytes += claim_bytes
+            self.claimed_bytes += claim_bytes
 
     def release_body_memory(self):
+        """Returns the bytes claimed for long bodies to the budget."""
         if self.claimed_bytes:
             self.budget.long_body_bytes += self.claimed_bytes
             self.claimed_bytes = self.message_claim_bytes = 0
 
-    def record_error(self, status: int, words: str) -> MalformedMessageError:
-        self.parse_error = MalformedMessageError(
-            status, words
-        )  # the parser puts an error of its own round it
+    def record_error(self, status: int, message: str) -> MalformedMessageError:
+        """Stores and returns an error to be raised in a callback."""
+        # The parser raises an error of its own when a callback raises: the reason is kept here.
+        self.parse_error = MalformedMessageError(status, message)
         return self.parse_error
 
     def on_message_complete(self):
+        """Adds the message to `messages`, unless it is an interim response."""
         message, self.mid_message = self.message, False
         if not 100 <= message.status < 200:
             self.framing_bytes = self.body_bytes = 0
@@ -379,7 +393,7 @@
             self.messages.append(message)
 
     def take_lines(self) -> list[bytes]:
-        """Takes the whole lines out of a body that is still coming, and moves the rest down."""
+        """Removes and returns the complete lines of a body that is still being received."""
         end = self.buffer.rfind(b"\n", 0, self.body_end) + 1
         text, rest = bytes(self.view[:end]), self.body_end - end
         self.view[:rest] = bytes(self.view[end : self.body_end])
@@ -389,9 +403,9 @@
     # Writing
 
     def write(self, data: bytes, is_last: bool = False):
-        """Writes at once what the socket takes; the rest goes out in a greenlet of its own, in order.
+        """Writes what the socket accepts at once; a greenlet writes the rest, in order.
 
-        After the last of it the connection is half-closed, and from now on nothing more is read or written.
+        `is_last`: half-close when all is written. From this call on, nothing more is parsed or written.
         """
         if self.ends_after_write:
             return
@@ -411,6 +425,7 @@
             self.half_close()
 
     def write_rest(self):
+        """Writes `unsent` as the peer accepts it; runs in a greenlet of its own."""
         try:
             while self.unsent:
                 data, self.unsent = self.unsent, b""
@@ -426,23 +441,23 @@
             self.on_written(self)
 
     def write_all(self, data: bytes):
-        """Writes it as the peer takes it. Raises TimeoutError where that takes over WRITE_TIMEOUT_S."""
-        rest, due = memoryview(data), monotonic() + WRITE_TIMEOUT_S
+        """Writes all of the data as the peer accepts it. Raises TimeoutError after WRITE_TIMEOUT_S."""
+        rest, deadline = memoryview(data), monotonic() + WRITE_TIMEOUT_S
         while rest:
-            self.sock.settimeout(max(MIN_SOCKET_TIMEOUT_S, due - monotonic()))
+            self.sock.settimeout(max(MIN_SOCKET_TIMEOUT_S, deadline - monotonic()))
             try:
                 rest = rest[self.sock.send(rest) :]
             except OSError as error:
-                if not is_transient(error) or monotonic() >= due:
+                if not is_transient(error) or monotonic() >= deadline:
                     raise
                 gevent.sleep(RETRY_PAUSE_S)
 
     def half_close(self):
-        """Ends our sending, the one way to close on a peer that may still send.
+        """Shuts down this side's sending; the only safe way to close while the peer may still send.
 
-        What comes after it is neither parsed nor taken: it is thrown away until the other side ends, or
-        `MAX_DISCARDED_BYTES` bytes have come, or the owner closes. A close over unread bytes would reset the
-        connection and take with it what was written last.
+        Input after this is discarded unparsed until the peer ends, MAX_DISCARDED_BYTES have come, or the
+        owner closes the connection. Closing a socket with unread input would reset the connection, and the
+        peer could lose the last data written to it.
         """
         if self.half_closed or self.closed:
             return
@@ -455,30 +470,30 @@
         self.on_half_close(self)
 
     def has_unread_input(self) -> bool:
-        """Whether bytes, or the other side's end, have come that nobody has read."""
+        """Whether input, or the peer's end, has been received but not read."""
         return bool(self.unparsed) or self.has_event(select.POLLIN)
 
     def peer_ended(self) -> bool:
-        """Whether the other side has closed or reset, though nobody may have read that yet."""
-        return self.has_event(select.POLLRDHUP)  # with bytes unread before it, too
+        """Whether the peer has closed or reset the connection, even with unread input before that."""
+        return self.has_event(select.POLLRDHUP)
 
     def has_event(self, event: int) -> bool:
-        """Whether the socket shows one of poll's events, or an error, now.
+        """Whether poll reports the event, or an error, now; true for a closed connection.
 
-        Where the system can't tell, there may be bytes, and the other side has not ended. A closed connection
-        has ended.
+        If the poll fails, input is assumed to be there, and the peer not to have ended.
         """
-        return self.closed or is_ready(self.sock, event, unknown=event == select.POLLIN)
+        return self.closed or is_ready(self.sock, event, if_unknown=event == select.POLLIN)
 
     def release_parser(self):
-        """Lets a closed connection go at once.
+        """Breaks the reference cycle of a closed connection and its parser.
 
-        It and its parser hold each other, and with its buffer would wait for a collection of all garbage.
+        Otherwise the connection and its buffer would stay in memory until a garbage collection.
         """
         if self.closed and not self.is_parsing:
             self.parser = None
 
     def close(self):
+        """Closes the socket and returns what was claimed from the budget."""
         if not self.closed:
             self.closed = True
             self.release_parser()
@@ -489,7 +504,7 @@
             self.on_close(self)
 
     def discard_unread(self):
-        """Takes what lies unread, without waiting: a close over it would reset the connection."""
+        """Reads pending input without waiting: a close with unread input would reset the connection."""
         self.sock.settimeout(0.0)
         try:
             while self.discarded_bytes <= MAX_DISCARDED_BYTES and (
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -241,7 +241,7 @@
 
     def has_waiting_clients(self) -> bool:
         """Whether there are clients at the door, for all that the system can tell."""
-        return is_ready(self.listener, select.POLLIN, unknown=True)
+        return is_ready(self.listener, select.POLLIN, if_unknown=True)
 
     def accept_client(self):
         """Lets in the next who waits at the door, in a place that was taken from the budget and is given back
--- a/cartdeal/agent/system_errors.py
+++ b/cartdeal/agent/system_errors.py
@@ -1,33 +1,35 @@
-"""Tells whose error an error of a system call is: the agent's own machine's, the network's or the peer's.
+"""Classifies errors of system calls by their cause: the agent's own machine, the network or the peer.
 
-Errors are those that the Linux manual names for sockets.
+The errors are those that the Linux manual documents for sockets.
 """
 
 import errno
 
-# The machine has no descriptor, memory, buffer or local port for the call: nothing is wrong with the peer.
+# The machine lacks a descriptor, memory, a buffer or a local port for the call; the peer is not at fault.
 OWN_LIMIT_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
-# Where these come on a connection, the same call may succeed a moment later.
+# On an open connection, a call that fails with one of these may succeed a moment later.
 TRANSIENT_ERRNOS = frozenset({errno.ENOBUFS, errno.ENOMEM})
-RETRY_PAUSE_S = 0.02  # seconds until such a call is made again
+RETRY_PAUSE_S = 0.02  # pause before such a call is retried
 
 
 def is_own_limit(error: OSError) -> bool:
+    """Whether a limit of the agent's own machine caused the error."""
     return error.errno in OWN_LIMIT_ERRNOS
 
 
 def is_transient(error: OSError) -> bool:
+    """Whether the call may succeed if it is retried after RETRY_PAUSE_S."""
     return error.errno in TRANSIENT_ERRNOS
 
 
 def is_no_route(error: OSError) -> bool:
-    """Whether the machine knows no way to the address: all of its network may be away, or that part alone."""
+    """Whether the machine has no route to the address: its whole network may be down, or only that part."""
     return error.errno == errno.ENETUNREACH
 
 
 def is_wait_timeout(error: OSError) -> bool:
-    """Whether a wait was over, and nothing is known to be wrong with the connection.
+    """Whether a wait timed out while the connection is, as far as known, intact.
 
-    ETIMEDOUT is a TimeoutError, too, but there TCP has given the connection up.
+    ETIMEDOUT is a TimeoutError too, but means that TCP has given up the connection.
     """
     return isinstance(error, TimeoutError | BlockingIOError) and error.errno != errno.ETIMEDOUT
