--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -1,16 +1,17 @@
-"""The application's side: accepts its connections, reads its requests and writes the answers.
+"""The application's side: accepts clients' connections, reads their requests and writes the answers.
 
-Owns the listening socket and the application's connections. It must never let a bad request reach a server or
-disturb another connection, and never words a final answer itself: that is the reducer's.
+Owns the listening socket and the connections of clients. It must never let a bad request reach a server or
+disturb another connection, and never decides the answer to a valid request: the reducer does.
 
-A connection ends when its client ends it, when it is refused, or by the sweep: an unidentified client, which
-has asked nothing good yet, has little time and room; one that has asked may stand idle for a while. A client
-in the middle of a request is read as long as bytes keep coming, and has an answer should it be closed.
-Whatever ends a connection here, it is half-closed first, and what then comes is thrown away for a moment:
-what a client sent just then must neither be taken nor reset the connection under its last answer.
+A connection ends when its client ends it, when a bad request is refused, or when the sweep finds its time up.
+An unidentified client, one without a valid request so far, gets little time and few connections; an
+identified one may stay idle for a while. A client in the middle of a request is read as long as bytes keep
+coming, and gets an answer if it is closed. The agent half-closes a connection before it closes it, and
+discards input for a moment: a request that crosses the end must neither be accepted nor reset the connection
+before the last answer is read.
 
-Requests may be sent ahead of the answers to those before them. All that is read is answered in turn; while
-many wait, no more is read. The time of each runs from when its last byte came.
+Requests may be pipelined. All requests that are read are answered in order; while many are unanswered, no
+more are read. The timeout of each runs from the arrival of its last byte.
 """
 
 import hashlib
@@ -32,25 +33,22 @@
 from cartdeal.sockets import bind_socket
 from cartdeal.terms import Repeat
 
-FIRST_BYTE_TIMEOUT_S = 1.5  # how long an unidentified client may take from connecting to its first byte
-READ_STALL_TIMEOUT_S = 2.0  # how long a client may pause in the middle of a request
-REQUEST_READ_TIMEOUT_S = 6.0  # how long it may take over one, or as long as it says that it waits
-IDLE_TIMEOUT_S = 5.0  # how long a client's connection may stand idle
-LINGER_TIMEOUT_S = 0.5  # how long a client may go on sending, unread, after our side has ended
-LINGERING_DIVISOR = 8  # one in so many connections may be such a client's
+FIRST_BYTE_TIMEOUT_S = 1.5  # for an unidentified client, from connecting to its first byte
+READ_STALL_TIMEOUT_S = 2.0  # a pause in the middle of a request
+REQUEST_READ_TIMEOUT_S = 6.0  # for a whole request, unless its client states a longer X-Timeout
+IDLE_TIMEOUT_S = 5.0  # between requests
+LINGER_TIMEOUT_S = 0.5  # how long input is discarded after a half-close
+LINGERING_DIVISOR = 8  # one in this many connections may be lingering
 MAX_LISTEN_BACKLOG = 512  # connections that wait to be accepted
-FINAL_ACCEPT_TIMEOUT_S = 0.2  # seconds for which those are let in at the end, though accepting them fails
-SWEEP_INTERVAL_S = 0.2  # seconds between looks for connections whose time is up
-UNIDENTIFIED_DIVISOR = 4  # one in so many connections may be an unidentified client's ...
-MAX_CLIENT_SHARE = (
-    0.6  # ... and this share a client's, while there are idle ones to close; servers need the rest
-)
-MAX_STATED_TIMEOUT_S = 60.0  # what a client says it will wait is cut to this
-AGENT_MARGIN_S = 0.01  # kept free of a request's time for the agent's own work
-MAX_PIPELINED_REQUESTS = (
-    16  # requests that wait on one connection for those before, from which on no more is read
-)
-UNREAD_POLL_INTERVAL_S = 0.05  # seconds between looks whether bytes lie unread, while none are read
+FINAL_ACCEPT_TIMEOUT_S = 0.2  # how long failing accepts are retried when the listener closes
+SWEEP_INTERVAL_S = 0.2  # between searches for connections whose time is up
+UNIDENTIFIED_DIVISOR = 4  # one in this many connections may belong to an unidentified client
+# If clients hold more than this share, an idle or slow one is closed for a new one; servers need the rest.
+MAX_CLIENT_SHARE = 0.6
+MAX_STATED_TIMEOUT_S = 60.0  # longer values of X-Timeout are reduced to this
+AGENT_MARGIN_S = 0.01  # part of a request's timeout that is reserved for the agent's own work
+MAX_PIPELINED_REQUESTS = 16  # queued requests of a connection at which reading from it pauses
+UNREAD_POLL_INTERVAL_S = 0.05  # between checks for unread input while reading is paused
 
 REASON_PHRASES = {
     200: b"OK",
@@ -70,16 +68,13 @@
 NO_CAPACITY_ERROR = MalformedMessageError(503, "no room")
 SHUTDOWN_ERROR = MalformedMessageError(503, "the agent ends")
 READ_TIMEOUT_ERROR = MalformedMessageError(408, "the rest of the request did not come in time")
-AGENT_FAULT_ERROR = MalformedMessageError(
-    503, "a fault of the agent"
-)  # in place of an answer to a request that went nowhere ...
-AGENT_FAULT_AFTER_ATTEMPT_ERROR = MalformedMessageError(
-    502, "a fault of the agent"
-)  # ... or to one that may have run
+# Answers after an internal fault: to a request that was sent to no server, and to one that may have run.
+AGENT_FAULT_ERROR = MalformedMessageError(503, "a fault of the agent")
+AGENT_FAULT_AFTER_ATTEMPT_ERROR = MalformedMessageError(502, "a fault of the agent")
 TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)(m|u)")
 TIMEOUT_UNITS_PER_S = {b"m": 1e3, b"u": 1e6}
 SESSION_PATTERN = re.compile(rb"(?:^|[;,])\s*sid=([^;,]*)")
-IDENTIFIER_PATTERN = re.compile(rb"[!-+\--~]{1,200}")  # an id or a idempotency_key: visible, and no list
+IDENTIFIER_PATTERN = re.compile(rb"[!-+\--~]{1,200}")  # visible ASCII without a comma, which separates lists
 
 log = logging.getLogger("cartdeal.front")
 
@@ -87,7 +82,7 @@
 class EndReason(StrEnum):
     """Why a client's connection ended."""
 
-    PEER_CLOSED = "by_peer"  # the client ended it, or asked for it
+    PEER_CLOSED = "by_peer"  # the client closed it, or asked for the close
     REFUSED = "refused"
     TIMED_OUT = "overdue"
     CAPACITY = "for_room"
@@ -96,9 +91,9 @@
 
 
 class ClientConnection(Connection):
-    """A connection of the application; while it `waits`, `request` is the one that it waits for.
+    """A client's connection. While it `awaits_answer`, `request_number` is the request being handled.
 
-    All times are seconds of the monotonic clock.
+    All times are monotonic seconds.
     """
 
     def __init__(self, sock, on_close, budget, on_half_close, on_written, stalls):
@@ -112,67 +107,75 @@
         )
         self.stalls: StallDetector = stalls
         self.request_number, self.awaits_answer, self.keep_alive, self.is_identified = 0, False, True, False
-        self.refusal = None  # what came that ends the connection once all before it is answered
-        self.last_active_at = monotonic()  # when it came, was last asked on or answered, or was half-closed
-        self.last_read_at = self.last_active_at  # when bytes last came
-        self.message_began_at = self.last_active_at  # when the first of the message that is coming did ...
-        self.read_timeout = REQUEST_READ_TIMEOUT_S  # ... and how long the whole of it may take
-        self.unread_since = None  # from when on bytes may have lain unread; None: all was read
-        self.message_dequeued = Event()  # set when one of `messages` was taken
-        self.peer_has_ended = False  # whether the other side closed or broke the connection
+        self.refusal = None  # an error that ends the connection once all requests before it are answered
+        # When it was accepted, last began a request or got an answer, or was half-closed.
+        self.last_active_at = monotonic()
+        self.last_read_at = self.last_active_at
+        self.message_began_at = self.last_active_at  # when the first byte of the current message was read
+        self.read_timeout = REQUEST_READ_TIMEOUT_S  # for the whole current message
+        self.unread_since = None  # time since which input may be unread; None if all was read
+        self.message_dequeued = Event()  # set when a request is taken from `messages`
+        self.peer_has_ended = False  # whether the client closed or reset the connection
         self.end_reason = EndReason.PEER_CLOSED
 
-    def receive(self, wait: float | None) -> bool:
-        more = super().receive(wait)
+    def receive(self, timeout_s: float | None) -> bool:
+        """Also keeps track of when input arrived and whether more is unread."""
+        is_open = super().receive(timeout_s)
         self.last_read_at = monotonic()
         if self.unread_since is None:
             self.unread_since = self.last_read_at if self.unparsed else None
         elif not self.has_unread_input():
             self.unread_since = None
-        return more
+        return is_open
 
     def record_unread_since(self, since: float | None = None):
-        """Remembers from when on bytes may have lain unread, if they do; now, where `since` is left out."""
+        """If there is unread input, records that it may have come at `since` or later; the default is now."""
         if self.unread_since is None and self.has_unread_input():
             self.unread_since = monotonic() if since is None else since
 
     def on_message_begin(self):
+        """Starts the time limit of the request."""
         super().on_message_begin()
         self.message_began_at, self.read_timeout = monotonic(), REQUEST_READ_TIMEOUT_S
-        if self.is_identified:  # an unidentified client's time runs from when it came, whatever it sends
+        if self.is_identified:  # the time of an unidentified client runs from the accept, whatever it sends
             self.last_active_at = self.message_began_at
 
     def on_headers_complete(self):
+        """Extends the time limit to a longer X-Timeout, and confirms `Expect: 100-continue`."""
         super().on_headers_complete()
-        stated = parse_timeout(self.message.headers)
-        self.read_timeout = max(REQUEST_READ_TIMEOUT_S, stated or 0.0)
+        stated_timeout = parse_timeout(self.message.headers)
+        self.read_timeout = max(REQUEST_READ_TIMEOUT_S, stated_timeout or 0.0)
         if self.message.headers.get(b"expect", b"").lower() == b"100-continue" and not self.awaits_answer:
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_message_complete(self):
+        """Sets the time from which the request's timeout runs."""
         super().on_message_complete()
         came_at = self.stalls.earliest_arrival(monotonic())
         self.messages[-1].came_at = came_at if self.unread_since is None else min(came_at, self.unread_since)
 
     def all_messages_handled(self) -> bool:
+        """Whether no request is queued or awaits its answer."""
         return not (self.awaits_answer or self.messages)
 
     @property
     def is_lingering(self) -> bool:
-        """Whether it has been told the end, or would have been if it had read it."""
+        """Whether it is half-closed, or will be when the answer to a bad request is written."""
         return self.half_closed or (self.ends_after_write and self.refusal is not None)
 
     @property
-    def is_writing(self) -> bool:
-        """Whether a part of a request has come, and nothing else is under way on the connection."""
+    def is_sending_request(self) -> bool:
+        """Whether a part of a request has come, and the connection has nothing else to do."""
         return self.mid_message and self.all_messages_handled() and not (self.refusal or self.is_lingering)
 
     def is_between_requests(self) -> bool:
+        """Whether no request is being read, handled or answered."""
         return self.all_messages_handled() and not (
             self.mid_message or self.writer or self.refusal or self.unparsed
         )
 
     def is_overdue(self, now: float) -> bool:
+        """Whether the time limit of the connection's current state has passed."""
         if not self.all_messages_handled() or (self.writer and not self.is_lingering):
             return False
         if self.is_lingering:
@@ -183,43 +186,50 @@
             ends_at = self.last_read_at + READ_STALL_TIMEOUT_S
         else:
             ends_at = self.last_active_at + (IDLE_TIMEOUT_S if self.is_identified else FIRST_BYTE_TIMEOUT_S)
-        # What has come by now and was not read yet came in time.
+        # Input that has come by now but was not read yet came in time.
         return now > ends_at and not self.has_unread_input()
 
 
 class FrontServer:
+    """The server for the application's clients, and the effects that the reducer has on them."""
+
     def __init__(self, config, dispatch, ready, budget: ConnectionBudget, on_closed, stalls: StallDetector):
-        """`on_closed(reason, unanswered, peer_has_ended)` is called for each connection that is closed."""
+        """`dispatch(event, ...)` passes an event to the reducer; `ready()` tells whether it knows a server.
+
+        `on_closed(reason, unanswered, peer_has_ended)` is called for each connection that is closed.
+        """
         self.on_closed, self.stalls = on_closed, stalls
-        self.backlog_since = None  # from when on those at the door may have waited for an agent held up
+        self.backlog_since = None  # time since which clients may wait in the listen queue, after a stall
         stalls.listeners.append(self.on_stall)
         self.settings: Settings = config.settings
         self.dispatch, self.ready, self.budget = dispatch, ready, budget
         self.request_classes = {
-            kind.name.encode(): place for place, kind in enumerate(self.settings.request_classes)
+            request_class.name.encode(): index
+            for index, request_class in enumerate(self.settings.request_classes)
         }
-        self.tenants = {each.name.encode(): place for place, each in enumerate(self.settings.tenants)}
+        self.tenants = {tenant.name.encode(): index for index, tenant in enumerate(self.settings.tenants)}
         self.clients: set[ClientConnection] = set()
-        self.lingering: dict[ClientConnection, None] = {}  # half-closed and not in `clients`, oldest first
-        # the longest here first; those refused come last
+        self.lingering: dict[ClientConnection, None] = {}  # half-closed; not in `clients`; oldest first
+        # Oldest first; refused clients are added at the end.
         self.unidentified: dict[ClientConnection, None] = {}
         self.is_accepting, self.is_ending, self.clients_changed = True, False, Event()
-        self.is_closing_idle = False  # whether a client between requests is closed at once
-        # The first closes what the others have half-closed.
+        self.is_closing_idle = False  # whether clients between requests are closed at once
+        # The first one closes connections that the other two have half-closed.
         budget.closers += self.close_lingering, self.close_unidentified, self.close_idle
         self.listener = bind_socket(socket.SOCK_STREAM, config.listen, MAX_LISTEN_BACKLOG)
         self.port = self.listener.getsockname()[1]
 
     def accept(self):
+        """Accepts clients until `stop_accepting`; runs in a greenlet of its own."""
         while self.is_accepting:
             if len(self.unidentified) * UNIDENTIFIED_DIVISOR > self.budget.max_connections:
                 self.close_unidentified()
             if len(self.clients) > MAX_CLIENT_SHARE * self.budget.max_connections:
                 self.close_idle() or self.close_slowest()
-            # Without a descriptor to spare, clients wait in the listening queue until one is free.
+            # At the connection limit, clients wait in the listen queue.
             while not self.budget.acquire():
                 self.budget.capacity_freed.clear()
-                # With time a client may become one that is closed for room.
+                # With time, a connected client may become one that can be closed for capacity.
                 self.budget.capacity_freed.wait(SWEEP_INTERVAL_S)
             if self.backlog_since is not None and not self.has_waiting_clients():
                 self.backlog_since = None
@@ -230,22 +240,23 @@
                     log.warning("accept failed", extra={"reason": str(error)})
                     gevent.sleep(0.05)
                 continue
-            gevent.sleep(0)  # hundreds that connect at once wait for those that have asked
+            gevent.sleep(0)  # requests that have been read go before hundreds of new clients
 
     def on_stall(self, since: float):
-        """What lies unread, and who waits at the door, may have come at any time since."""
+        """Records that unread input and queued clients may have come at any time since `since`."""
         for client in self.clients:
             client.record_unread_since(since)
         if self.is_accepting and self.backlog_since is None and self.has_waiting_clients():
             self.backlog_since = since
 
     def has_waiting_clients(self) -> bool:
-        """Whether there are clients at the door, for all that the system can tell."""
+        """Whether there may be clients in the listen queue."""
         return is_ready(self.listener, select.POLLIN, if_unknown=True)
 
     def accept_client(self):
-        """Lets in the next who waits at the door, in a place that was taken from the budget and is given back
-        should it fail. Raises what the system raises.
+        """Accepts the next client for a connection that the caller has acquired from the budget.
+
+        On a failure it releases that connection and raises the error, such as the system's OSError.
         """
         sock = None
         try:
@@ -271,12 +282,13 @@
         gevent.spawn(self.serve, client)
 
     def serve(self, client: ClientConnection):
+        """Reads a client's requests until its connection ends; runs in a greenlet of its own."""
         try:
             while self.receive(client):
                 self.start_next_request(client)
                 if not client.awaits_answer:
-                    # What is answered at once may come without a pause: a read of bytes that are there
-                    # does not yield, and nobody else would be served.
+                    # A read of input that is already there does not yield: a client whose requests are
+                    # answered at once and come without a pause would starve the others.
                     gevent.sleep(0)
             client.peer_has_ended = True
         except OSError:
@@ -288,21 +300,22 @@
             self.disconnect(client)
 
     def end_after_fault(self, client: ClientConnection):
-        """A fault of the agent's own on a connection: what was read on it is answered all the same."""
+        """Answers what was read on a connection, and ends it, after an internal fault of the agent."""
         client.end_reason = EndReason.AGENT_FAULT
-        answers = [AGENT_FAULT_AFTER_ATTEMPT_ERROR] * client.awaits_answer
-        answers += [AGENT_FAULT_ERROR] * (len(client.messages) + client.mid_message)
+        errors = [AGENT_FAULT_AFTER_ATTEMPT_ERROR] * client.awaits_answer
+        errors += [AGENT_FAULT_ERROR] * (len(client.messages) + client.mid_message)
         client.messages.clear()
         if client.awaits_answer:
             client.awaits_answer = False
             self.dispatch("client_disconnected", client.request_number)
-        for error in answers[:-1]:
+        for error in errors[:-1]:
             self.write_error(client, error)
-        for error in answers[-1:]:
+        for error in errors[-1:]:
             client.refusal = error
-            self.write_error(client, error, last=True)
+            self.write_error(client, error, is_last=True)
 
     def receive(self, client: ClientConnection) -> bool:
+        """Waits for a client's input, unless many of its requests are queued; false at its end."""
         try:
             return self.wait_for_turn(client) and client.receive(None)
         except MalformedMessageError as error:
@@ -310,7 +323,7 @@
             return True
 
     def wait_for_turn(self, client: ClientConnection) -> bool:
-        """Waits while many requests on the connection do; false where the client has gone meanwhile."""
+        """Waits while MAX_PIPELINED_REQUESTS are queued; false if the client closes meanwhile."""
         while len(client.messages) >= MAX_PIPELINED_REQUESTS and not client.discards_input:
             client.message_dequeued.clear()
             client.message_dequeued.wait(UNREAD_POLL_INTERVAL_S)
@@ -320,32 +333,35 @@
         return True
 
     def disconnect(self, client: ClientConnection):
+        """Cancels the request that awaits an answer, and closes the connection."""
         if client.awaits_answer:
             client.awaits_answer = False
             self.dispatch("client_disconnected", client.request_number)
         client.close()
 
     def refuse(self, client: ClientConnection, error: MalformedMessageError):
-        """From here on nothing that comes is read; what came whole before is still answered."""
+        """Discards further input; complete requests before the error are still answered."""
         log.info("refused", extra={"status": error.status, "reason": str(error)})
         client.refusal, client.discards_input = error, True
         if client.end_reason is EndReason.PEER_CLOSED:
             client.end_reason = EndReason.REFUSED
 
     def end_connection(self, client: ClientConnection, reason: EndReason, error: MalformedMessageError):
-        """The one way in which the agent ends a connection on which it could go on.
+        """Ends a connection that could have gone on; everything that does so goes through here.
 
-        A request that was read in part has `error` for its answer first.
+        A request that was read in part is answered with `error` first.
         """
         client.end_reason = reason
-        if client.is_writing:
+        if client.is_sending_request:
             self.refuse(client, error)
             self.start_next_request(client)
         else:
             client.half_close()
 
     def reject_request(self, client: ClientConnection, error: MalformedMessageError):
-        """A whole request that can't be taken ends its connection; those read behind it are rejected."""
+        """Answers a complete but invalid request, rejects the requests read after it and ends the
+        connection.
+        """
         answers = [error] + [MalformedMessageError(503, "behind a bad request")] * self.discard_requests(
             client
         )
@@ -354,12 +370,12 @@
             self.write_error(client, each)
         self.refuse(client, answers[-1])
 
-    def write_error(self, client: ClientConnection, error: MalformedMessageError, last: bool = False):
-        """Writes the answer that a request has for its fault; behind the last one the connection ends."""
-        client.write(response(error.status, str(error).encode(), CLOSE_HEADER * last), last)
+    def write_error(self, client: ClientConnection, error: MalformedMessageError, is_last: bool = False):
+        """Writes the answer for an error; after the last one the connection is half-closed."""
+        client.write(format_response(error.status, str(error).encode(), CLOSE_HEADER * is_last), is_last)
 
     def discard_requests(self, client: ClientConnection) -> int:
-        """Drops the requests that were read, also one of which only a part was; gives how many there were."""
+        """Drops the requests that were read, including a partial one; returns their number."""
         count = len(client.messages)
         client.messages.clear()
         while client.unparsed:
@@ -372,15 +388,16 @@
         return count + client.mid_message
 
     def start_next_request(self, client: ClientConnection):
-        """Takes the next request that has come whole, once the one before it is answered and its answer is
-        written: those that a client does not read would else fill the memory.
+        """Starts the next complete request, once the answer to the one before it is written.
+
+        Otherwise the answers that a client does not read would fill the memory.
         """
         while client.messages and not (
             client.awaits_answer or client.writer or client.ends_after_write or client.closed
         ):
             if client.peer_ended():
                 client.peer_has_ended = True
-                # Its end would be read behind this request, and an attempt ordered by then still begins.
+                # Its end would be read only after this request, when an attempt may already have started.
                 client.messages.clear()
                 break
             message = client.messages.pop(0)
@@ -402,13 +419,15 @@
         if refused_last and not (client.closed or client.ends_after_write):
             client.last_active_at = monotonic()
             self.unidentified[client] = None
-            self.write_error(client, client.refusal, last=True)
+            self.write_error(client, client.refusal, is_last=True)
 
     def identify(self, client: ClientConnection):
+        """Marks a client as identified: it has sent a valid request."""
         client.is_identified = True
         self.unidentified.pop(client, None)
 
     def parse_request(self, message, path: bytes) -> Request:
+        """The request in a message. Raises MalformedMessageError with the status of the answer."""
         headers, idempotency_key = message.headers, message.headers.get(b"idempotency-key", b"")
         request_class = self.request_classes.get(path[1:].partition(b"/")[0])
         if request_class is None:
@@ -421,24 +440,24 @@
             raise MalformedMessageError(400, "no X-Request-ID that can be used")
         if idempotency_key and not IDENTIFIER_PATTERN.fullmatch(idempotency_key):
             raise MalformedMessageError(400, "no Idempotency-Key that can be used")
-        kind = self.settings.request_classes[request_class]
-        wait = parse_timeout(headers) if b"x-timeout" in headers else kind.timeout
-        if wait is None:
+        class_settings = self.settings.request_classes[request_class]
+        timeout_s = parse_timeout(headers) if b"x-timeout" in headers else class_settings.timeout
+        if timeout_s is None:
             raise MalformedMessageError(400, "X-Timeout is no number with m or u")
-        waited = monotonic() - message.came_at
+        elapsed = monotonic() - message.came_at
         sessions = set(SESSION_PATTERN.findall(headers.get(b"cookie", b"")))
         if len(sessions) > 1:
             raise MalformedMessageError(400, "more than one sid")
-        repeat = REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)
+        repeat = REPEATS.get(class_settings.repeat, Repeat.NON_IDEMPOTENT)
         tenant = headers.get(b"x-tenant-id", b"")
-        # A method promises nothing of a deduplicated class: servers know a repeat by its key alone.
-        promised = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
+        # In a deduplicated class the method does not matter: servers recognise a repeat only by its key.
+        is_repeatable = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
         return Request(
             request_class,
-            not promised,
+            not is_repeatable,
             self.tenants.get(tenant, len(self.tenants) if tenant else 0),
             hash_key(sessions.pop()) if sessions else 0,
-            wait - waited - min(AGENT_MARGIN_S, wait / 10),
+            timeout_s - elapsed - min(AGENT_MARGIN_S, timeout_s / 10),
             headers.get(b"x-retried") == b"1",
             message.method,
             message.path,
@@ -455,29 +474,34 @@
         client.request_number = request
         self.identify(client)
 
-    def refuse_request(self, client: ClientConnection, status: int, words: str):
+    def refuse_request(self, client: ClientConnection, status: int, message: str):
+        """Answers a request that the reducer refuses, and ends the connection."""
         client.awaits_answer = False
-        self.reject_request(client, MalformedMessageError(status, words))
+        self.reject_request(client, MalformedMessageError(status, message))
 
-    def answer(self, client: ClientConnection, status: int, kind: bytes, body: bytes, wait: float):
+    def answer(
+        self, client: ClientConnection, status: int, content_type: bytes, body: bytes, retry_after: float
+    ):
+        """Answers the client's request; `retry_after`: seconds for Retry-After, 0 for none."""
         client.awaits_answer, client.last_active_at = False, monotonic()
-        extra = b"Content-Type: %b\r\n" % kind if kind else b""
-        if wait:
-            extra += b"Retry-After: %.3f\r\n" % wait
-        self.respond(client, status, body, extra)
+        extra_headers = b"Content-Type: %b\r\n" % content_type if content_type else b""
+        if retry_after:
+            extra_headers += b"Retry-After: %.3f\r\n" % retry_after
+        self.respond(client, status, body, extra_headers)
         if client.messages or client.refusal:
             gevent.spawn(self.start_next_request, client)
-        self.budget.capacity_freed.set()  # it may be closed now for one that waits at the door
+        self.budget.capacity_freed.set()  # an idle connection can be closed for a client in the listen queue
         self.clients_changed.set()
 
-    def respond(self, client: ClientConnection, status: int, body: bytes = b"", extra: bytes = b""):
-        # What was read before the end is answered; what has come and was not read yet is read and answered.
-        more = client.messages or client.mid_message or client.refusal
-        last = not client.keep_alive or self.is_ending and not (more or client.has_unread_input())
-        client.write(response(status, body, extra + CLOSE_HEADER * last), last)
+    def respond(self, client: ClientConnection, status: int, body: bytes = b"", extra_headers: bytes = b""):
+        """Writes an answer; the last one of a connection closes it."""
+        # Requests that have come before the shutdown are answered, also those that were not read yet.
+        has_more = client.messages or client.mid_message or client.refusal
+        is_last = not client.keep_alive or self.is_ending and not (has_more or client.has_unread_input())
+        client.write(format_response(status, body, extra_headers + CLOSE_HEADER * is_last), is_last)
 
     def linger(self, client: ClientConnection):
-        """Half-closed: it counts against the budget until it is closed, and no longer as a client."""
+        """Called at a half-close: the connection counts against the budget, but no longer as a client."""
         self.clients.discard(client)
         self.unidentified.pop(client, None)
         client.last_active_at = monotonic()
@@ -487,6 +511,7 @@
         self.clients_changed.set()
 
     def on_connection_closed(self, client: ClientConnection):
+        """Called once for each connection when it is closed."""
         unanswered = client.awaits_answer + len(client.messages) + (client.mid_message and not client.refusal)
         self.on_closed(client.end_reason, unanswered, client.peer_has_ended or client.write_failed)
         self.clients.discard(client)
@@ -496,35 +521,38 @@
         self.clients_changed.set()
 
     def close_lingering(self) -> bool:
+        """Closes the connection that has been lingering for longest; false if there is none."""
         for client in self.lingering:
             client.close()
             return True
         return False
 
     def close_unidentified(self) -> bool:
-        """Half-closes the unidentified client that has been here for longest, one in the middle of a request
-        last of all: one with bytes unread may have asked.
+        """Ends the oldest connection of an unidentified client; false if there is none to end.
+
+        One in the middle of a request is chosen only if there is no other. One with unread input may have
+        sent a request and is not chosen.
         """
-        in_the_middle = None
+        mid_request = None
         for client in self.unidentified:
             if not client.is_lingering and (client.messages or client.has_unread_input()):
                 continue
-            if not client.is_writing:
+            if not client.is_sending_request:
                 self.end_connection(client, EndReason.CAPACITY, NO_CAPACITY_ERROR)
                 return True
-            in_the_middle = in_the_middle or client
-        if in_the_middle is None:
+            mid_request = mid_request or client
+        if mid_request is None:
             return False
-        self.end_connection(in_the_middle, EndReason.CAPACITY, NO_CAPACITY_ERROR)
+        self.end_connection(mid_request, EndReason.CAPACITY, NO_CAPACITY_ERROR)
         return True
 
     def close_slowest(self) -> bool:
-        """Ends the client that has been writing one request for longest, beyond READ_STALL_TIMEOUT_S."""
+        """Ends the client that has been sending one request for longest, if over READ_STALL_TIMEOUT_S."""
         now = monotonic()
         slow = [
             each
             for each in self.clients
-            if each.is_writing and now > each.message_began_at + READ_STALL_TIMEOUT_S
+            if each.is_sending_request and now > each.message_began_at + READ_STALL_TIMEOUT_S
         ]
         slowest = min(slow, key=lambda each: each.message_began_at, default=None)
         if slowest is None:
@@ -533,6 +561,7 @@
         return True
 
     def close_idle(self) -> bool:
+        """Ends the identified client that has been idle for longest; false if there is none."""
         idle = (client for client in self.clients if client.is_identified and client.is_between_requests())
         for client in sorted(idle, key=lambda client: client.last_active_at):
             if not client.has_unread_input():
@@ -541,18 +570,20 @@
         return False
 
     def close_between_requests(self):
+        """Ends all clients that are between requests."""
         for client in [
             each for each in self.clients if each.is_between_requests() and not each.has_unread_input()
         ]:
             self.end_connection(client, EndReason.SHUTDOWN, SHUTDOWN_ERROR)
 
     def sweep(self):
+        """Closes overdue connections at each SWEEP_INTERVAL_S, forever."""
         while True:
             gevent.sleep(SWEEP_INTERVAL_S)
             self.close_overdue()
 
     def close_overdue(self):
-        """Closes the connections whose time is up."""
+        """Closes the connections whose time is up; during a shutdown, idle ones too."""
         now = monotonic()
         for client in [each for each in (*self.clients, *self.lingering) if each.is_overdue(now)]:
             if client.is_lingering:
@@ -563,19 +594,20 @@
             self.close_between_requests()
 
     def stop_accepting(self):
-        """Closes the door. Connections that are open stay so: their clients may have no other way.
+        """Closes the listener. Open connections stay open: their clients may have no other agent.
 
-        Those that wait at the door are let in first, as far as there is room: its close would reset them.
+        Clients in the listen queue are accepted first as far as the budget allows: closing the listener would
+        reset their connections.
         """
         self.is_accepting = False
         self.listener.settimeout(0.0)
-        until = monotonic() + FINAL_ACCEPT_TIMEOUT_S
-        while self.budget.acquire() and self.accept_queued_client(until):
+        deadline = monotonic() + FINAL_ACCEPT_TIMEOUT_S
+        while self.budget.acquire() and self.accept_queued_client(deadline):
             pass
         self.listener.close()
 
-    def accept_queued_client(self, until: float) -> bool:
-        """Lets in one who waits; false where nobody does, or accepting fails and `until` is over."""
+    def accept_queued_client(self, deadline: float) -> bool:
+        """Accepts a queued client; false if there is none, or if accepting fails after the deadline."""
         try:
             self.accept_client()
         except BlockingIOError:
@@ -584,45 +616,51 @@
             log.warning("accept failed", extra={"reason": str(error)})
             if is_own_limit(error):
                 gevent.sleep(RETRY_PAUSE_S)
-            return monotonic() < until
+            return monotonic() < deadline
         return True
 
-    def wait_until_empty(self, until: float):
-        while (self.clients or self.lingering) and monotonic() < until:
+    def wait_until_empty(self, deadline: float):
+        """Waits until all connections are closed, or the deadline has passed."""
+        while (self.clients or self.lingering) and monotonic() < deadline:
             self.clients_changed.clear()
-            self.clients_changed.wait(max(0.0, until - monotonic()))
+            self.clients_changed.wait(max(0.0, deadline - monotonic()))
 
-    def close(self, pause: float):
-        """Who asks again is answered with a close, who does not is closed after a pause."""
+    def close(self, pause_s: float):
+        """Closes each connection with its next answer, and idle ones after a pause."""
         self.is_ending = True
-        gevent.sleep(pause)  # to close at once would cross what busy clients have just sent
+        gevent.sleep(pause_s)  # closing at once would cross requests that busy clients have just sent
         self.is_closing_idle = True
         self.close_between_requests()
 
     def close_all(self):
-        """Closes whoever is left. An exit would do so over unread bytes, and reset the last answers."""
+        """Closes all remaining connections.
+
+        If the process exited instead, sockets with unread input would be reset, and clients could lose the
+        last answers.
+        """
         for client in [*self.clients, *self.lingering]:
             if not client.is_lingering:
                 self.end_connection(client, EndReason.SHUTDOWN, SHUTDOWN_ERROR)
             client.close()
 
 
-def response(status: int, body: bytes, extra: bytes) -> bytes:
+def format_response(status: int, body: bytes, extra_headers: bytes) -> bytes:
+    """The bytes of an answer; `extra_headers`: header lines, each with its line end."""
     return b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASON_PHRASES[status],
         len(body),
-        extra,
+        extra_headers,
         body,
     )
 
 
 def parse_timeout(headers: dict[bytes, bytes]) -> float | None:
     """The request's X-Timeout in seconds, at most MAX_STATED_TIMEOUT_S; None if it is absent or invalid."""
-    found = TIMEOUT_PATTERN.fullmatch(headers.get(b"x-timeout", b"").strip())
-    return min(MAX_STATED_TIMEOUT_S, float(found[1]) / TIMEOUT_UNITS_PER_S[found[2]]) if found else None
+    match = TIMEOUT_PATTERN.fullmatch(headers.get(b"x-timeout", b"").strip())
+    return min(MAX_STATED_TIMEOUT_S, float(match[1]) / TIMEOUT_UNITS_PER_S[match[2]]) if match else None
 
 
 def hash_key(key: bytes) -> int:
-    """The same in every process, unlike hash()."""
+    """A 64-bit hash, never 0, that is the same in every process (unlike hash())."""
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "little") or 1
