--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -1,8 +1,7 @@
-"""The connections to servers, and the attempts and probes that go out on them.
+"""The pool of connections to servers, and the attempts and probes that are sent on them.
 
-Keeps idle connections, newest used first, and closes them well before a server would. Every attempt ends in
-one AttemptResult that tells how far it had come. It must never send anything twice, nor choose where anything
-goes.
+Keeps idle connections, reuses the newest first, and closes them well before a server would. Every attempt
+ends in one AttemptResult that tells its progress. It must never send anything twice, nor choose a server.
 """
 
 import logging
@@ -26,13 +25,13 @@
 from cartdeal.settings import load_of, seconds
 from cartdeal.terms import Load
 
-SPARE_DIVISOR = 8  # one in so many descriptors is left to the application's connections
-# a connection rests so long after an answer: what more belongs to that one shows by then
+SPARE_DIVISOR = 8  # one in this many connections is left for clients
+# A connection is not reused for this long after an answer: surplus bytes of that answer show by then.
 REUSABLE_AFTER_S = 0.005
-MAX_IDLE_SHARE = 0.6  # share of the server's idle time after which a kept connection is closed
-DEFAULT_CONNECT_TIMEOUT_S = 1.0  # bound on connecting where the deployment sets none
-PROBE_TIMEOUT_FACTOR = 2.0  # a probe may take this many times the bound on connecting
-SWEEP_INTERVAL_S = 1.0  # seconds between looks for connections that have been idle too long
+MAX_IDLE_SHARE = 0.6  # share of the server's idle timeout after which an idle connection is closed
+DEFAULT_CONNECT_TIMEOUT_S = 1.0
+PROBE_TIMEOUT_FACTOR = 2.0  # timeout of a probe as a multiple of the connect timeout
+SWEEP_INTERVAL_S = 1.0  # between searches for connections that have been idle too long
 
 ReportedValue = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
@@ -40,15 +39,15 @@
 
 
 class NoConnectionError(Exception):
-    """The limits of the agent, or of its machine, leave no connection for an attempt."""
+    """The limits of the agent, or of its machine, allow no connection for an attempt."""
 
 
 class AttemptNotBegunError(Exception):
-    """What an attempt was decided on no longer holds, and nothing of it has been encode_request."""
+    """The attempt is no longer allowed, and its request has not been written in full."""
 
 
 class Report(msgspec.Struct):
-    """What a server says of its load; numbers it can't mean make the whole of no use."""
+    """A server's report of its load, as JSON; a value out of range makes the whole report invalid."""
 
     outstanding: ReportedValue | None = None
     throughput: ReportedValue | None = None
@@ -57,7 +56,7 @@
 
 
 class Attempt:
-    """One attempt or probe that is out: where it is and how far it has come."""
+    """A running attempt or probe: its connection and progress. Times are monotonic seconds."""
 
     def __init__(self):
         self.started_at = monotonic()
@@ -67,27 +66,33 @@
         self.is_started = self.is_cancelled = False
 
     def make_result(self, reason: FailureReason, detail: str = "") -> AttemptResult:
+        """The result of an attempt without a complete answer; a cancelled one has the reason GIVEN_UP."""
         if self.is_cancelled:
             reason = FailureReason.GIVEN_UP
         return AttemptResult(reason, self.progress, monotonic() - self.started_at, detail=detail)
 
 
 class UpstreamPool:
+    """Sends attempts and probes, each in a greenlet of its own, on connections that it keeps for reuse."""
+
     def __init__(self, config, dispatch, budget: ConnectionBudget, may_begin, begins):
-        """`may_begin(request, attempt, server)`: whether an attempt may still send its first byte;
-        `begins(request, attempt, server, told)` is called as it goes, with the seconds that it tells.
+        """`may_begin(request, attempt, server)`: whether an attempt may still be sent.
+
+        `begins(request, attempt, server, timeout_s)` is called right before its first byte, with the timeout
+        that the server is told.
         """
         self.may_begin, self.begins = may_begin, begins
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
-        self.connect_timeout = seconds(permissions.connect_limit) or DEFAULT_CONNECT_TIMEOUT_S
-        self.max_idle = MAX_IDLE_SHARE * (seconds(permissions.idle_limit) or 10.0)
+        self.connect_timeout_s = seconds(permissions.connect_limit) or DEFAULT_CONNECT_TIMEOUT_S
+        self.max_idle_s = MAX_IDLE_SHARE * (seconds(permissions.idle_limit) or 10.0)
         self.report_settings = config.settings.reports
         self.probe_path = b"/health/live" if self.report_settings.how == "none" else b"/stats"
-        self.idle: dict[int, list[Connection]] = {}  # by server: another at its address inherits nothing
-        self.attempts: dict[tuple[int, int], Attempt] = {}
-        self.last_read_at = -inf  # when bytes last came from a server
-        self.no_route_since: dict[int, float] = {}  # by server: when the machine first knew no way to it
+        # By server, not by address: another server at the same address inherits no connection.
+        self.idle: dict[int, list[Connection]] = {}
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # by the numbers of request and attempt
+        self.last_read_at = -inf  # when input from any server was last read
+        self.no_route_since: dict[int, float] = {}  # by server: when the machine first had no route to it
         budget.closers.append(self.close_oldest)
 
     # Effects
@@ -95,48 +100,55 @@
     def send_attempt(
         self, request_number: int, attempt_number: int, server: int, address: str, request, deadline: float
     ):
+        """Starts an attempt; it ends with an event, whatever happens."""
         attempt = self.attempts[request_number, attempt_number] = Attempt()
         attempt.greenlet = gevent.spawn(
             self.run_attempt, attempt, request_number, attempt_number, server, address, request, deadline
         )
 
     def cancel(self, request_number: int, attempt_number: int):
+        """Cancels a running attempt; it still ends with an event."""
         attempt = self.attempts.get((request_number, attempt_number))
         if attempt:
             attempt.is_cancelled = True
-            if attempt.is_started:  # one that is killed before it began would end without a word
+            if attempt.is_started:  # a greenlet that is killed before it starts would dispatch no event
                 attempt.greenlet.kill(block=False)
 
     def probe(self, server: int, address: str):
+        """Starts a probe; it ends with an event."""
         gevent.spawn(self.run_probe, server, address)
 
     def close_idle(self, server: int):
+        """Closes the idle connections to a server."""
         self.no_route_since.pop(server, None)
         for connection in self.idle.pop(server, ()):
             connection.close()
 
     def close_oldest(self) -> bool:
-        oldest = min(self.idle, key=lambda server: self.idle[server][0].last_active_at, default=None)
-        if oldest is None:
+        """Closes the connection that has been idle for longest; false if there is none."""
+        oldest_server = min(self.idle, key=lambda server: self.idle[server][0].last_active_at, default=None)
+        if oldest_server is None:
             return False
-        self.idle[oldest].pop(0).close()
-        self.remove_if_empty(oldest)
+        self.idle[oldest_server].pop(0).close()
+        self.remove_if_empty(oldest_server)
         return True
 
     # Greenlets
 
     def run_attempt(self, attempt, request_number, attempt_number, server, address, request, deadline):
-        def text():
-            wait = milliseconds_left(deadline)
-            self.begins(request_number, attempt_number, server, wait / 1000)
-            return encode_request(request, wait)
+        """Performs an attempt and dispatches its result; runs in a greenlet of its own."""
+
+        def make_request():
+            timeout_ms = milliseconds_left(deadline)
+            self.begins(request_number, attempt_number, server, timeout_ms / 1000)
+            return encode_request(request, timeout_ms)
 
         result = self.exchange(
             attempt,
             server,
             address,
             deadline,
-            text,
+            make_request,
             lambda: self.may_begin(request_number, attempt_number, server),
         )
         del self.attempts[request_number, attempt_number]
@@ -151,33 +163,45 @@
                 },
             )
         if result.reason is FailureReason.BROKEN:
-            self.close_idle(server)  # they ended with it, or will: an attempt on one may never be repeated
+            # The others have broken too, or will: an attempt on one might be impossible to repeat.
+            self.close_idle(server)
         self.dispatch(
             "attempt_ended", request_number, server, attempt_number, result, self.parse_load(result.report)
         )
 
     def run_probe(self, server, address):
+        """Performs a probe and dispatches its result; runs in a greenlet of its own."""
         attempt = Attempt()
-        deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout
-        text = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
-        result = self.exchange(attempt, server, address, deadline, lambda: text)
+        deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout_s
+        request_bytes = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
+        result = self.exchange(attempt, server, address, deadline, lambda: request_bytes)
         if result.reason in (FailureReason.BROKEN, FailureReason.TIMED_OUT):
-            self.close_idle(server)  # those to a silent machine stay silent, or break
+            self.close_idle(server)  # connections to a machine that does not answer stay silent, or break
         self.dispatch("probe_ended", server, result, self.parse_load(result.body))
 
-    def parse_load(self, report: bytes) -> Load | None:
-        if self.report_settings.how == "none" or not report:
+    def parse_load(self, raw_report: bytes) -> Load | None:
+        """The load that a server reports; None if the deployment has no reports, or this one is unusable."""
+        if self.report_settings.how == "none" or not raw_report:
             return None
         try:
-            said = msgspec.json.decode(report, type=Report)
+            report = msgspec.json.decode(raw_report, type=Report)
         except (msgspec.MsgspecError, UnicodeError):
             return None
-        return load_of(said.outstanding, said.throughput, said.backlog, said.recent_ms)
+        return load_of(report.outstanding, report.throughput, report.backlog, report.recent_ms)
 
     def exchange(
-        self, attempt: Attempt, server: int, address: str, deadline: float, text, may_begin=lambda: True
+        self,
+        attempt: Attempt,
+        server: int,
+        address: str,
+        deadline: float,
+        make_request,
+        may_begin=lambda: True,
     ) -> AttemptResult:
-        """Writes one request and reads its whole answer. Whatever goes wrong comes back in the result."""
+        """Writes one request and reads its whole answer; a failure is returned in the result, not raised.
+
+        `make_request()` returns the bytes to write; it is called right before they are written.
+        """
         answer, attempt.is_started = None, True
         try:
             if attempt.is_cancelled:
@@ -186,10 +210,9 @@
             attempt.connection = self.take_idle(server, address)
             if attempt.connection is None:
                 attempt.connection = self.connect(server, address, deadline)
-                self.check_may_begin(
-                    may_begin
-                )  # it may have taken seconds to come up; nothing yields from here on
-            self.write(attempt, text(), deadline, may_begin)
+                # Connecting may have taken seconds. No other greenlet runs from here to the first byte.
+                self.check_may_begin(may_begin)
+            self.write(attempt, make_request(), deadline, may_begin)
             answer = self.read(attempt, deadline)
             if answer is None:
                 return attempt.make_result(FailureReason.BROKEN, "ended early")
@@ -234,24 +257,27 @@
                 connection.close()
 
     def check_may_begin(self, may_begin):
+        """Raises AttemptNotBegunError if the attempt may no longer be sent."""
         if not may_begin():
             raise AttemptNotBegunError
 
-    def write(self, attempt: Attempt, text: bytes, deadline: float, may_begin):
-        sock, rest = attempt.connection.sock, memoryview(text)
+    def write(self, attempt: Attempt, data: bytes, deadline: float, may_begin):
+        """Writes a request and records the attempt's progress. Raises what the socket raises."""
+        sock, rest = attempt.connection.sock, memoryview(data)
         sock.settimeout(0.0)
         while rest:
             try:
                 rest = rest[sock.send(rest) :]
             except OSError as error:
                 self.wait_to_write(sock, error, deadline)
-                # The server begins with the last byte: one held up beyond a window must not come to it.
+                # A server starts with the last byte of a request: after a delay beyond the repeat window it
+                # must not be sent.
                 self.check_may_begin(may_begin)
                 continue
             attempt.progress = Progress.PARTLY_WRITTEN if rest else Progress.WRITTEN
 
     def wait_to_write(self, sock, error: OSError, deadline: float):
-        """Waits until a write that failed may succeed; raises what is no reason to wait."""
+        """Waits until a failed write may succeed; raises the error if waiting does not help."""
         if isinstance(error, BlockingIOError):
             socket.wait_write(sock.fileno(), time_left(deadline))
         elif is_transient(error) and time_left(deadline):
@@ -260,6 +286,7 @@
             raise error
 
     def read(self, attempt: Attempt, deadline: float):
+        """Reads an answer and records the attempt's progress; None if the connection ends before it does."""
         connection = attempt.connection
         while not connection.messages:
             if not connection.receive(time_left(deadline)) and not connection.messages:
@@ -272,17 +299,20 @@
     # Connections
 
     def take_idle(self, server: int, address: str) -> Connection | None:
-        """The newest that has rested; one that has ended, that the server may have left by now, or that holds
-        bytes that nobody asked for, is closed."""
+        """Takes the newest reusable connection to a server; None if there is none.
+
+        Connections found closed, idle for so long that the server may close them, or with unread input are
+        closed.
+        """
         now = monotonic()
-        idle, reusable_from, too_old = self.idle.get(server, []), now - REUSABLE_AFTER_S, now - self.max_idle
-        for connection in [each for each in reversed(idle) if each.last_active_at <= reusable_from]:
+        idle, newest, oldest = self.idle.get(server, []), now - REUSABLE_AFTER_S, now - self.max_idle_s
+        for connection in [each for each in reversed(idle) if each.last_active_at <= newest]:
             idle.remove(connection)
             self.remove_if_empty(server)
-            # Between two sweeps one may stand for longer than a server with a short idle time keeps it.
+            # Between two sweeps it may have been idle for longer than a server with a short timeout allows.
             if (
                 connection.address == address
-                and connection.last_active_at > too_old
+                and connection.last_active_at > oldest
                 and not connection.has_unread_input()
             ):
                 return connection
@@ -290,19 +320,22 @@
         return None
 
     def remove_if_empty(self, server: int):
+        """Removes a server without idle connections from `idle`."""
         if not self.idle[server]:
             del self.idle[server]
 
     def connect(self, server: int, address: str, deadline: float) -> Connection:
-        # No room is no crash: such an attempt never ran, and the balancer finds it another way or turns it
-        # back.
+        """Opens a connection; raises NoConnectionError, or OSError for a failure of the server or network.
+
+        An attempt without a connection never ran: the balancer selects another server or rejects the request.
+        """
         if not self.budget.acquire(self.budget.max_connections // SPARE_DIVISOR):
             raise NoConnectionError("no descriptor to spare")
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.settimeout(min(self.connect_timeout, time_left(deadline)))
+            sock.settimeout(min(self.connect_timeout_s, time_left(deadline)))
             host, _, port = address.rpartition(":")
             sock.connect((host, int(port)))
         except BaseException as error:
@@ -324,10 +357,10 @@
         return connection
 
     def is_own_failure(self, server: int, error: OSError) -> bool:
-        """Whether it says nothing of the server.
+        """Whether an error says nothing about the server.
 
-        Where the machine knows no way there, its own network may be away. Once another server is heard since,
-        it is not: the failure is then like that of a server that can't be reached.
+        Without a route to the server, the machine's own network may be down. If input from another server has
+        been read since then, it is not: the server counts as unreachable.
         """
         if not is_no_route(error):
             return is_own_limit(error)
@@ -337,40 +370,46 @@
         return True
 
     def keep_idle(self, server: int, connection: Connection):
+        """Keeps a connection for reuse."""
         connection.last_active_at = monotonic()
         connection.release_body_memory()
         self.idle.setdefault(server, []).append(connection)
         self.budget.capacity_freed.set()
 
     def sweep(self):
+        """Closes connections that have been idle too long, at each SWEEP_INTERVAL_S, forever."""
         while True:
             gevent.sleep(SWEEP_INTERVAL_S)
-            before = monotonic() - self.max_idle
+            oldest = monotonic() - self.max_idle_s
             for server, idle in list(self.idle.items()):
-                while idle and idle[0].last_active_at < before:
+                while idle and idle[0].last_active_at < oldest:
                     idle.pop(0).close()
                 self.remove_if_empty(server)
 
 
 def time_left(deadline: float) -> float:
+    """Seconds until the deadline; 0 after it."""
     return max(0.0, deadline - monotonic())
 
 
 def milliseconds_left(deadline: float) -> int:
-    """Raises TimeoutError where there is none: a server that was told 0 might take it for no bound."""
-    wait = int(time_left(deadline) * 1000)
-    if not wait:
+    """Whole milliseconds until the deadline. Raises TimeoutError instead of returning 0.
+
+    A server might take a timeout of 0 as unlimited.
+    """
+    timeout_ms = int(time_left(deadline) * 1000)
+    if not timeout_ms:
         raise TimeoutError
-    return wait
+    return timeout_ms
 
 
-def encode_request(request, wait: int) -> bytes:
-    """A request as a server is sent it; `wait`: the milliseconds for which the agent waits."""
+def encode_request(request, timeout_ms: int) -> bytes:
+    """The bytes of a request to a server; `timeout_ms`: how long the agent waits for the answer."""
     head = b"%b %b HTTP/1.1\r\nHost: backend\r\nX-Request-ID: %b\r\nX-Timeout: %dm\r\n" % (
         request.method,
         request.path,
         request.id,
-        wait,
+        timeout_ms,
     )
     if request.idempotency_key:
         head += b"Idempotency-Key: %b\r\n" % request.idempotency_key
