--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -51,7 +51,7 @@
 
 # How many of the 32 connections they hold at once at the least.
 @pytest.mark.parametrize("clients, held", [("asked", 15), ("silent", 6), ("midway", 28)])
-def test_idle_clients_leave_discovery_servers_and_a_client_that_works_their_descriptors(agent, clients, held):
+def test_idle_clients_leave_descriptors_for_discovery_and_servers(agent, clients, held):
     process, front, port, log = agent
     descriptors = Path(f"/proc/{process.pid}/fd")
     before, idle = len(list(descriptors.iterdir())), []
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,7 +88,7 @@
     "more", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
 )
 @pytest.mark.parametrize("path", ["/once/x", "/read/x"])
-def test_connection_that_comes_up_after_its_server_changed_carries_nothing(deployment, late, more, path):
+def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, more, path):
     client = deployment.connect()
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
     until(lambda: late.came)
@@ -100,7 +100,7 @@
     settled(deployment)
 
 
-def test_connection_that_comes_up_after_a_whole_list_left_its_server_out_carries_nothing(deployment, late):
+def test_nothing_is_sent_if_the_server_left_the_list_while_connecting(deployment, late):
     client, service = deployment.connect(), deployment.service
     client.sock.sendall(worded("/read/x"))
     until(lambda: late.came)
@@ -113,7 +113,7 @@
     settled(deployment)
 
 
-def test_connection_that_comes_up_after_its_client_has_gone_carries_nothing(deployment, late):
+def test_nothing_is_sent_if_the_client_closed_while_connecting(deployment, late):
     client = deployment.connect()
     client.sock.sendall(worded("/once/x", "POST"))
     until(lambda: late.came)
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("ends", ["cancel", "overdue"])
-def test_connection_that_comes_up_after_its_attempt_was_given_up_is_closed_unused(deployment, late, ends):
+def test_nothing_is_sent_if_the_attempt_was_cancelled_while_connecting(deployment, late, ends):
     client = deployment.connect()
     client.sock.sendall(worded("/once/x", "POST"))
     until(lambda: late.came)
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("over", [True, False])
-def test_request_held_up_in_the_middle_is_whole_within_its_window_or_never(deployment, narrow, over):
+def test_delayed_write_is_completed_only_within_the_repeat_window(deployment, narrow, over):
     reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
     client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
     attempts = deployment.agent.upstream.attempts
@@ -155,7 +155,7 @@
     until(lambda: not attempts)
 
 
-def test_request_held_up_until_its_deadline_never_ran(deployment, narrow):
+def test_request_not_written_by_its_deadline_never_ran(deployment, narrow):
     body = bytes(60000)
     assert deployment.ask("/once/x", "POST", body, X_Timeout="300m") == (503, b"")
     narrow()
@@ -166,7 +166,7 @@
 @pytest.mark.parametrize(
     "how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)], ids=["closes", "ends its side"]
 )
-def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
+def test_no_attempt_starts_for_clients_with_an_unread_close(deployment, how):
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
     draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
     deployment.agent.dispatch("listed", ServerList(2, False, (draining,)))
@@ -186,7 +186,7 @@
     assert not deployment.seen() and not deployment.agent.reducer.requests
 
 
-def test_request_behind_another_ends_with_its_client(deployment):
+def test_pipelined_request_is_dropped_when_its_client_disconnects(deployment):
     client = deployment.connect()
     client.sock.sendall(worded("/read/1?do=wait") + worded("/once/2", "POST"))
     until(deployment.seen)
@@ -200,7 +200,7 @@
     assert deployment.seen() == ["/read/1?do=wait"]
 
 
-def test_client_is_heard_to_leave_though_its_connection_is_deaf(deployment):
+def test_disconnect_is_noticed_after_input_is_discarded(deployment):
     client = deployment.connect()
     client.sock.sendall(worded("/read/1?do=wait") + b"no request\r\n\r\n")
     until(lambda: deployment.seen() and any(each.discards_input for each in deployment.agent.front.clients))
@@ -208,7 +208,7 @@
     until(lambda: not deployment.agent.reducer.pending_count)
 
 
-def test_repeat_reaches_its_server_within_the_window_or_not_at_all(tmp_path):
+def test_repeat_is_sent_only_within_the_repeat_window(tmp_path):
     for kind, within in ((READ, True), (MARK, False)):
         context = Desk(tmp_path)
         context.take(kind, wait=6.0)
@@ -224,7 +224,7 @@
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
 
-def test_non_idempotent_request_may_begin_once_its_earlier_attempt_never_ran(tmp_path):
+def test_non_idempotent_request_is_sent_again_if_it_never_ran(tmp_path):
     context = Desk(tmp_path)
     context.take(ONCE)
     assert context.reducer.may_begin(1, 0, context.at[1, 0])
@@ -233,7 +233,7 @@
     assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that one has ended
 
 
-def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
+def test_earlier_attempt_at_another_agent_is_checked_before_sending(tmp_path):
     context = AdmissionHarness(tmp_path)
     context.take(ADMISSION_MARK)
     context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
-def test_server_that_moves_to_another_group_leaves_its_attempts_in_the_one_before(tmp_path, place):
+def test_attempts_keep_the_scope_of_a_server_that_moves(tmp_path, place):
     context = Desk(tmp_path)
     context.take(MARK)
     balancer, server = context.reducer.balancer, context.at[1, 0]
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -32,7 +32,7 @@
 
 
 @BLANKS
-def test_request_with_blanks_behind_its_values_is_served(deployment, blank):
+def test_request_with_whitespace_after_header_values_is_served(deployment, blank):
     values = {"X-Request-ID": "id-1", "Idempotency-Key": "key-1", "X-Timeout": "900m", "X-Retried": "1"}
     headers = {name: value + blank for name, value in values.items()}
     assert deployment.ask("/mark/x", "POST", b"body", **headers)[0] == 200
@@ -42,19 +42,19 @@
 
 
 @CODING_BLANKS
-def test_chunked_request_with_blanks_behind_its_coding_is_served(deployment, blank):
+def test_chunked_request_with_blanks_after_its_coding_is_served(deployment, blank):
     assert ask_in_chunks(deployment, "Chunked" + blank) == 200
     assert [message.body for message in seen(deployment)] == [b"abc"]
 
 
-def test_tab_behind_a_transfer_coding_is_refused_as_the_parser_knows_no_such_coding(deployment):
+def test_tab_after_a_transfer_coding_is_refused(deployment):
     assert ask_in_chunks(deployment, "chunked\t") == 400
     assert not seen(deployment)
 
 
 @BLANKS
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_mark_of_a_request_that_never_ran_counts_with_blanks(deployment, monkeypatch, blank, method):
+def test_not_processed_header_with_whitespace_is_recognised(deployment, monkeypatch, blank, method):
     marked = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1%b\r\nContent-Length: 0\r\n\r\n" % blank.encode()
     monkeypatch.setitem(Server.DOES, "full", marked)
     path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
@@ -63,14 +63,14 @@
 
 
 @CODING_BLANKS
-def test_chunked_answer_with_blanks_behind_its_coding_is_whole(deployment, monkeypatch, blank):
+def test_chunked_answer_with_blanks_after_its_coding_is_complete(deployment, monkeypatch, blank):
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
     monkeypatch.setitem(Server.DOES, "chunked", head + b"3\r\none\r\n0\r\n\r\n")
     assert deployment.ask("/read/x?do=chunked") == (200, b"one")
 
 
 @CODING_BLANKS
-def test_watch_with_blanks_behind_its_coding_is_heard(deployment, monkeypatch, blank):
+def test_watch_with_blanks_after_its_coding_is_read(deployment, monkeypatch, blank):
     def play(service, connection, message):
         line = json.dumps({"rev": 9, "targets": [deployment.servers[0].line()]}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -66,7 +66,9 @@
         (True, lambda agent: None),
     ],
 )
-def test_request_that_crosses_the_end_of_a_resting_connection(deployment, crosses, monkeypatch, asked, end):
+def test_request_crossing_the_close_of_an_idle_connection_is_not_reset(
+    deployment, crosses, monkeypatch, asked, end
+):
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
     if asked:
@@ -79,7 +81,7 @@
     until(lambda: not agent.lingering)
 
 
-def test_request_that_crosses_the_last_answer(deployment, crosses, monkeypatch):
+def test_request_crossing_the_last_answer_does_not_reset_it(deployment, crosses, monkeypatch):
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     agent, connection = deployment.agent.front, deployment.connect()
     assert deployment.ask(connection=connection)[0] == 200
@@ -91,7 +93,7 @@
     assert ends_in_order(deployment, connection)
 
 
-def test_request_that_crosses_an_answer_its_client_called_the_last(deployment, monkeypatch):
+def test_request_crossing_an_answer_with_connection_close_is_ignored(deployment, monkeypatch):
     connection, push = deployment.connect(), ClientConnection.write
 
     def crossed(client, data, last=False):
@@ -103,7 +105,7 @@
     assert ends_in_order(deployment, connection)
 
 
-def test_request_unread_as_the_agent_closes_is_answered(deployment, crosses, monkeypatch):
+def test_unread_request_at_shutdown_is_answered(deployment, crosses, monkeypatch):
     agent, connection, between = (
         deployment.agent.front,
         deployment.connect(),
@@ -124,7 +126,7 @@
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
 
-def test_requests_read_before_the_end_are_all_answered(deployment):
+def test_requests_read_before_shutdown_are_all_answered(deployment):
     agent, connection = deployment.agent.front, deployment.connect()
     connection.sock.sendall(b"".join(worded(f"/once/{n}?do=wait", "POST") for n in range(3)))
     until(deployment.seen)
@@ -133,7 +135,7 @@
     assert [answered(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
 
 
-def test_request_of_which_half_has_come_at_the_end_is_answered_when_it_is_whole(deployment):
+def test_partial_request_at_shutdown_is_answered_when_complete(deployment):
     agent, connection, text = deployment.agent.front, deployment.connect(), worded()
     assert deployment.ask(connection=connection)[0] == 200
     connection.sock.sendall(text[:9])
@@ -144,7 +146,7 @@
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
 
-def test_answer_of_which_half_is_through_at_the_end_comes_whole(deployment):
+def test_partly_written_answer_at_shutdown_is_completed(deployment):
     agent, connection, body = deployment.agent.front, deployment.connect(), bytes(65000)
     until(lambda: agent.clients)
     client = next(iter(agent.clients))
@@ -159,7 +161,7 @@
     assert answered(connection) is None
 
 
-def test_nothing_behind_a_request_called_the_last_is_taken(deployment):
+def test_requests_after_connection_close_are_ignored(deployment):
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x", Connection="close") + worded("/once/behind", "POST"))
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
@@ -167,7 +169,7 @@
 
 
 @pytest.mark.parametrize("requests", [1, 16, 40, 400])
-def test_of_clients_that_send_much_and_go_at_once_nothing_goes_on(deployment, requests):
+def test_requests_of_clients_that_disconnect_at_once_are_not_sent(deployment, requests):
     agent = deployment.agent.front
     for _ in range(20):
         connection = deployment.connect()
@@ -186,7 +188,7 @@
     return connection
 
 
-def test_lingering_clients_are_bounded_in_number_and_give_way_when_room_is_needed(deployment, monkeypatch):
+def test_lingering_clients_are_limited_in_number_and_closed_for_capacity(deployment, monkeypatch):
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     agent, room = deployment.agent.front, deployment.agent.budget
     kept = [refused(deployment) for _ in range(3)]
@@ -202,7 +204,7 @@
     until(lambda: not agent.lingering)
 
 
-def test_lingering_clients_are_bounded_in_bytes_and_in_time(deployment, monkeypatch):
+def test_lingering_clients_are_limited_in_bytes_and_time(deployment, monkeypatch):
     agent, connection = deployment.agent.front, refused(deployment)
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     until(lambda: agent.lingering)
@@ -215,7 +217,7 @@
     until(lambda: not agent.lingering)
 
 
-def test_clients_that_wait_at_the_door_when_it_closes_come_in(deployment):
+def test_queued_clients_are_accepted_when_the_listener_closes(deployment):
     agent = deployment.agent.front
     deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
     waiting = [deployment.connect() for _ in range(20)]
@@ -265,20 +267,20 @@
     )
 
 
-def test_agent_told_to_end_between_its_port_and_its_first_wait_answers_and_ends_in_order(tmp_path):
+def test_sigterm_right_after_the_port_opens_ends_the_agent_in_order(tmp_path):
     done = run(tmp_path, ["-c", SIGNALLED])
     assert done.returncode == 0, done
     assert done.stdout.split() in ([b"0", b"200"], [b"0", b"503"])
 
 
-def test_new_configuration_told_while_the_agent_starts_is_read(tmp_path):
+def test_sighup_during_the_start_rereads_the_configuration(tmp_path):
     once = SIGNALLED.replace("os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread")
     once = once.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
     done = run(tmp_path, ["-c", once + "assert here['reread']"])
     assert done.returncode == 0, done
 
 
-def test_agent_told_to_end_while_it_imports_ends_in_order(tmp_path):
+def test_sigterm_during_imports_ends_the_agent_in_order(tmp_path):
     (tmp_path / "logfmter.py").write_text(
         "import logging, os, signal\n"
         "os.kill(os.getpid(), signal.SIGTERM)\n"
@@ -290,7 +292,7 @@
     assert done.returncode == 0 and b"ended" in done.stderr, done
 
 
-def test_agent_that_ends_leaves_no_reset_behind(deployment, crosses):
+def test_agent_exit_resets_no_connection(deployment, crosses):
     """Its last look is taken for an exit, too: what lies unread then would reset the last answer."""
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
@@ -302,7 +304,7 @@
     assert ends_in_order(deployment, connection) and not agent.clients and not agent.lingering
 
 
-def test_every_accepted_connection_writes_without_delay(deployment):
+def test_accepted_connections_have_tcp_nodelay(deployment):
     connection = deployment.connect()
     assert deployment.ask(connection=connection)[0] == 200
     client = next(iter(deployment.agent.front.clients))
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     "known, seconds", [(known, seconds) for known in (False, True) for seconds in (1.9, 2.4, 2.8, 4.5)]
 )
-def test_request_that_is_written_slowly_is_answered(deployment, clock, known, seconds):
+def test_slowly_written_request_is_answered(deployment, clock, known, seconds):
     connection, client = connected(deployment, known)
     text = worded("/once/x", "POST", b"b" * 40)
     write_slowly(deployment, clock, connection, client, text, seconds)
@@ -97,9 +97,7 @@
 
 @pytest.mark.parametrize("known", [False, True])
 @pytest.mark.parametrize("size", [1, 9, -1])
-def test_client_that_stops_in_the_middle_of_a_request_has_its_error_within_3_s(
-    deployment, clock, known, size
-):
+def test_partial_request_is_answered_with_an_error_within_3_s(deployment, clock, known, size):
     connection, client = connected(deployment, known)
     write(connection, client, worded("/once/x", "POST", b"body")[:size])
     pass_time(deployment, clock, 3.0)
@@ -107,7 +105,7 @@
     assert not deployment.seen()[known:]
 
 
-def test_client_whose_request_never_ends_has_its_error_in_time(deployment, clock):
+def test_endless_request_is_answered_with_an_error_in_time(deployment, clock):
     connection, client = connected(deployment, False)
     begun = clock.now
     connection.sock.sendall(b"GET /read/x HTTP/1.1\r\nX: ")
@@ -119,7 +117,7 @@
 
 
 @pytest.mark.parametrize("known", [False, True])
-def test_time_that_a_client_states_is_left_to_it_to_write_its_request(deployment, clock, known):
+def test_stated_timeout_is_available_for_writing_the_request(deployment, clock, known):
     connection, client = connected(deployment, known)
     text = worded("/once/x", "POST", b"b" * 40, X_Timeout="20000m")
     head = text.index(b"\r\n\r\n") + 4
@@ -128,21 +126,21 @@
     assert answered(connection)[0] == 200
 
 
-def test_client_that_is_closed_for_room_has_its_answer_if_it_has_begun_a_request(deployment, clock):
+def test_partial_request_closed_for_capacity_is_answered(deployment, clock):
     connection, client = connected(deployment, False)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     assert deployment.agent.front.close_unidentified()
     assert answered(connection)[0] == 503 and answered(connection) is None
 
 
-def test_client_with_half_a_request_at_the_agents_end_has_an_answer(deployment, clock):
+def test_partial_request_at_shutdown_is_answered(deployment, clock):
     connection, client = connected(deployment, True)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     deployment.agent.front.close_all()
     assert answered(connection)[0] == 503 and answered(connection) is None
 
 
-def test_slow_clients_leave_room_for_those_that_ask_at_once(tmp_path, clock, bounded):
+def test_slow_clients_do_not_block_prompt_clients(tmp_path, clock, bounded):
     """Many that write without an end, known and not: each has an answer, and a good client is served."""
     deployment = Deployment(tmp_path, limits={"memory_mb": 64, "sockets": 96})
     budget, slow = deployment.agent.budget, []
@@ -168,14 +166,14 @@
 # Requests sent ahead
 
 
-def test_every_request_sent_ahead_has_its_answer(deployment):
+def test_every_pipelined_request_is_answered(deployment):
     connection = deployment.connect()
     connection.sock.sendall(b"".join(worded(f"/read/{n}") for n in range(200)))
     assert [answered(connection)[0] for _ in range(200)] == [200] * 200
     assert deployment.ask(connection=connection)[0] == 200
 
 
-def test_of_requests_sent_ahead_few_are_read_and_the_others_wait_in_the_system(deployment):
+def test_few_pipelined_requests_are_read_ahead(deployment):
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/first?do=wait"))
     until(deployment.seen)
@@ -196,7 +194,7 @@
 @pytest.mark.parametrize("bad, status", [({"path": "/none/x"}, 404), ({"X_Request_ID": "first"}, 409)])
 @pytest.mark.parametrize("behind", [0, 3, 100])
 @pytest.mark.parametrize("part", [0, 30])
-def test_requests_read_behind_a_bad_one_are_answered_and_go_nowhere(deployment, bad, status, behind, part):
+def test_requests_read_after_a_bad_one_are_rejected_and_not_sent(deployment, bad, status, behind, part):
     connection = deployment.connect()
     texts = [worded("/read/first", X_Request_ID="first"), worded(**bad)]
     texts += [worded("/read/behind") for _ in range(behind)]
@@ -210,7 +208,7 @@
     assert deployment.seen() == ["/read/first"]
 
 
-def test_time_of_a_request_runs_while_those_ahead_of_it_are_served(deployment, clock):
+def test_timeout_runs_while_earlier_pipelined_requests_are_served(deployment, clock):
     """The second has 300 ms and waits for 200 of them; the third's time is over when its turn comes."""
     connection = deployment.connect()
     texts = [
@@ -227,7 +225,7 @@
     assert int(told.removesuffix(b"m")) <= 100
 
 
-def test_time_of_a_request_that_waits_unread_runs_too(deployment, clock):
+def test_timeout_runs_while_a_request_is_unread(deployment, clock):
     connection = deployment.connect()
     ahead = [worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MAX_PIPELINED_REQUESTS + 3)]
     connection.sock.sendall(b"".join(ahead) + worded("/read/late", X_Timeout="300m"))
@@ -245,7 +243,7 @@
 
 
 @pytest.mark.parametrize("ends", ["close", "reset"])
-def test_client_that_goes_while_its_requests_wait_unread_is_heard_to_go(deployment, ends):
+def test_disconnect_with_unread_requests_is_noticed(deployment, ends):
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/0?do=wait") + b"".join(worded() for _ in range(400)))
     until(deployment.seen)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -52,7 +52,7 @@
         ("unusable", 400, b"", 1),
     ],
 )
-def test_outcomes_of_an_non_idempotent_request(deploy, does, status, body, attempts):
+def test_non_idempotent_request_has_the_outcome_of_its_attempt(deploy, does, status, body, attempts):
     deployment = deploy(servers=2)
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == (status, body)
     assert len(deployment.seen()) == attempts
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("does", SPOILT)
-def test_spoilt_answer_ends_its_attempt_at_once_as_one_that_may_have_run(deploy, does):
+def test_malformed_answer_ends_its_attempt_at_once_as_possibly_run(deploy, does):
     deployment = deploy(servers=2)
     # Had it taken its deadline to notice, the test would be over.
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="60000m") == (502, b"")
@@ -86,7 +86,7 @@
     until(lambda: not any(server.open for server in deployment.servers))
 
 
-def test_what_comes_behind_an_answer_is_never_the_next_requests(deploy, monkeypatch):
+def test_surplus_bytes_after_an_answer_never_answer_the_next_request(deploy, monkeypatch):
     deployment = deploy()
     server, late = deployment.servers[0], answer(200, b"stray")
     for does in ("twice", "noisy"):
@@ -106,7 +106,7 @@
     assert deployment.ask() == (200, b"s0 ") and server.open - before  # those before it are to rest first
 
 
-def test_server_under_a_new_name_at_the_same_address_inherits_no_connection(deploy):
+def test_new_server_at_a_known_address_does_not_reuse_its_connections(deploy):
     deployment = deploy()
     assert deployment.ask() == (200, b"s0 ")
     attempts, address = deployment.agent.upstream, deployment.servers[0].address
@@ -115,14 +115,14 @@
     assert attempts.take_idle(1, address) is None and attempts.take_idle(0, address)
 
 
-def test_request_that_a_server_finds_unusable_is_nothing_against_it(deploy):
+def test_client_error_status_does_not_count_against_the_server(deploy):
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
     assert deployment.agent.reducer.balancer.servers[0].circuit_closed and len(deployment.seen()) == 4
 
 
-def test_request_goes_on_and_its_answer_comes_back_unchanged(deploy):
+def test_request_and_answer_are_forwarded_unchanged(deploy):
     deployment, body = deploy(), bytes(range(256)) * 256
     path = "/mark/a%20b;c?x=1&do=serve"
     assert deployment.ask(
@@ -141,7 +141,7 @@
     assert hash_key(b"7f") == 17540531883517894515
 
 
-def test_what_a_request_and_a_server_tell_of_themselves(deploy, monkeypatch):
+def test_request_headers_and_load_reports_reach_the_balancer(deploy, monkeypatch):
     more = {"tenants": [{"name": "x"}, {"name": "y"}], "feedback": {"how": "answers"}}
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
     deployment, told = deploy(settings=SETTINGS | more), []
@@ -161,7 +161,7 @@
     ]
 
 
-def test_bytes_dribbled_and_joined_on_one_connection(deploy, monkeypatch):
+def test_requests_split_and_joined_on_one_connection_are_served(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
     deployment = deploy()
     connection = deployment.connect()
@@ -179,7 +179,7 @@
     assert len(deployment.servers[0].open) == 1  # one connection to the server carried them all
 
 
-def test_answers_that_the_client_is_slow_to_read_stay_whole_and_in_order(deploy):
+def test_answers_to_a_slow_reader_stay_complete_and_in_order(deploy):
     deployment, body = deploy(), bytes(65000)
     connection = deployment.connect()
     for place in range(12):
@@ -190,7 +190,7 @@
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
 
-def test_kept_connection_that_the_server_closed_is_not_used(deploy):
+def test_idle_connection_closed_by_the_server_is_not_reused(deploy):
     deployment = deploy()
     assert deployment.ask()[0] == 200
     for connection in list(deployment.servers[0].open):
@@ -283,7 +283,7 @@
     assert answered(waiting) == (200, b"waited") and len(deployment.seen()) == 1
 
 
-def test_size_of_a_chunk_is_found_however_its_bytes_come(deploy):
+def test_chunk_size_is_parsed_across_any_split_of_the_input(deploy):
     deployment, sizes = deploy(), b"1;FFFFFFFF\r\n\n\r\n00008\r\n\r\nFFFFF\r\r\n"
     fine, bad = deployment.connect(), deployment.connect()
     for connection, body in ((fine, sizes + b"0\r\nFFFFF: x\r\n\r\n"), (bad, sizes + b"10001;x\r\n")):
@@ -295,7 +295,7 @@
     assert len(deployment.seen()) == 1
 
 
-def test_trailers_change_nothing_of_a_request(deploy):
+def test_trailers_do_not_change_the_headers_of_a_request(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(
@@ -311,7 +311,7 @@
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
 
 
-def test_id_of_a_request_that_is_open_or_was_just_now_is_refused(deploy):
+def test_request_id_in_use_or_recently_used_is_refused(deploy):
     deployment = deploy()
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/read/x?do=wait", X_Request_ID="same"))
@@ -328,7 +328,7 @@
     assert len(reducer.ids) + len(reducer.previous_ids) < 4
 
 
-def test_long_bodies_find_no_memory_when_it_is_out(deploy):
+def test_long_body_is_refused_when_the_memory_budget_is_used_up(deploy):
     deployment = deploy(limits={"memory_mb": 32, "sockets": 256})
     room, body = deployment.agent.budget, bytes(9000)
     assert room.max_connections == 224 and room.long_body_bytes > 20 * 3 * MAX_BODY_BYTES
@@ -344,7 +344,7 @@
     until(lambda: room.long_body_bytes == left)
 
 
-def test_unidentified_clients_have_little_room_and_time_and_the_usual_all_the_rest(deploy, monkeypatch):
+def test_unidentified_clients_get_few_connections_and_little_time(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.front.FIRST_BYTE_TIMEOUT_S", 0.05)
     deployment = deploy(limits={"memory_mb": 64, "sockets": 96})
     front, usual = deployment.agent.front, [deployment.connect() for _ in range(4)]
@@ -363,7 +363,7 @@
     assert len(front.clients) <= 5
 
 
-def test_garbage_behind_a_request_still_leaves_it_its_answer(deploy):
+def test_request_followed_by_garbage_is_answered(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x") + b"no request\r\n\r\n")
@@ -371,7 +371,7 @@
     assert answered(connection) is None
 
 
-def test_half_a_request_and_a_connection_that_stands_idle_are_closed(deploy, monkeypatch):
+def test_partial_request_and_idle_connection_time_out(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
     deployment = deploy()
     connection, idle = deployment.connect(), deployment.connect()
@@ -384,7 +384,7 @@
     assert answered(idle) is None and not deployment.agent.front.clients
 
 
-def test_bytes_that_came_in_time_beat_the_timer_of_an_agent_that_runs_late():
+def test_input_in_time_is_read_although_the_agent_is_late():
     ours, theirs = socket.socketpair()
     connection = Connection(ours, reads_responses=True)
     gevent.spawn(lambda: (theirs.send(answer(200)), time.sleep(0.06)))  # the whole agent runs late
@@ -407,7 +407,7 @@
     assert woken[3:] == [(3, True)]
 
 
-def test_client_that_goes_away_is_noticed_at_once(deploy):
+def test_client_disconnect_is_noticed_at_once(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(worded("/read/x?do=silent"))
@@ -418,7 +418,7 @@
     assert not deployment.agent.reducer.balancer.requests and not deployment.agent.front.clients
 
 
-def test_attempt_given_up_closes_its_connection(deploy):
+def test_cancelled_attempt_closes_its_connection(deploy):
     deployment = deploy()
     connection = deployment.connect()
     connection.sock.sendall(worded("/once/x?do=silent", "POST"))
@@ -432,13 +432,13 @@
     until(lambda: not deployment.agent.upstream.attempts)
 
 
-def test_server_that_is_not_there(deploy):
+def test_request_to_an_unreachable_server_is_rejected(deploy):
     deployment = deploy()
     deployment.servers[0].stop()
     assert deployment.ask("/once/x", "POST", X_Timeout="500m") == (503, b"")
 
 
-def test_watch_split_silent_unreadable_and_refused(deploy, monkeypatch):
+def test_watch_survives_split_lines_and_fails_on_bad_lines_and_silence(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT", 0.05)
     monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
@@ -467,7 +467,7 @@
     extra.stop()
 
 
-def test_watch_with_nothing_new_stands(deploy, monkeypatch):
+def test_watch_without_changes_is_established(deploy, monkeypatch):
     monkeypatch.setattr(
         DiscoveryService,
         "play",
@@ -479,14 +479,14 @@
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
 
 
-def test_whole_list_is_fetched(deploy):
+def test_complete_server_list_is_fetched(deploy):
     deployment = deploy()
     deployment.agent.reducer.fetch_servers()
     deployment.agent.carry_out()
     until(lambda: "/registry/instances" in deployment.service.calls)
 
 
-def test_no_descriptors_left(deploy):
+def test_clients_wait_and_idle_connections_close_at_the_limit(deploy):
     deployment = deploy()
     room, idle, busy = deployment.agent.budget, *(deployment.connect() for _ in "ib")
     assert deployment.ask(connection=idle)[0] == 200
@@ -510,7 +510,7 @@
     assert answered(waiting) == (200, b"s0 ")
 
 
-def test_no_room_for_an_attempt_rejects(deploy):
+def test_request_without_a_free_connection_for_its_attempt_is_rejected(deploy):
     deployment = deploy()
     deployment.agent.budget.max_connections = 2
     for _ in range(4):
@@ -519,7 +519,7 @@
     assert deployment.agent.reducer.balancer.servers[0].circuit_closed  # the lack of room is not its doing
 
 
-def test_words_between_agents(deploy):
+def test_messages_between_agents_are_checked_and_sent(deploy):
     neighbour, unidentified = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in "ns")
     for each in (neighbour, unidentified):
         each.bind(("127.0.0.1", 0))
@@ -570,7 +570,7 @@
     assert switches(deployment.ask) > 0
 
 
-def test_greenlet_that_dies_costs_no_more_than_its_attempt(deploy, caplog):
+def test_internal_fault_fails_only_its_own_requests(deploy, caplog):
     deployment = deploy()
     deployment.agent.upstream.write = None
     assert deployment.ask("/once/x", "POST") == (503, b"")
@@ -584,7 +584,7 @@
     assert deployment.ask() == (200, b"s0 ")
 
 
-def test_door_outlives_a_fault(deploy, caplog):
+def test_accepting_continues_after_an_internal_fault(deploy, caplog):
     deployment = deploy()
     with pytest.MonkeyPatch.context() as broken:
         broken.setattr("cartdeal.agent.front.ClientConnection", None)
@@ -634,7 +634,7 @@
         (b'X-Server-Load: {"backlog": 0, "moods": []}\r\n', 5),
     ],
 )
-def test_agent_of_a_pool_hears_of_its_servers_unasked_and_acts_on_their_reports(
+def test_pool_agent_watches_servers_and_uses_their_load_reports(
     deploy, tmp_path, monkeypatch, report, served
 ):
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", report))
@@ -656,7 +656,7 @@
     assert agent.wait(timeout=10) == 0
 
 
-def test_ending_answers_what_is_owed(deploy, tmp_path):
+def test_shutdown_answers_pending_requests(deploy, tmp_path):
     deployment = deploy()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
@@ -678,7 +678,7 @@
     assert agent.wait() == 0
 
 
-def test_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing(deploy, tmp_path):
+def test_new_configuration_moves_the_watch_and_a_bad_one_is_ignored(deploy, tmp_path):
     deployment, there = deploy(), DiscoveryService()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
@@ -714,7 +714,7 @@
     there.stop()
 
 
-def test_no_pause_of_the_address_before_applies_to_the_new_one(deploy):
+def test_backoff_is_not_carried_over_to_a_new_discovery_address(deploy):
     deployment, there = deploy(), DiscoveryService()
     deployment.service.stop()
     until(lambda: deployment.agent.reducer.balancer.watch.call_pause > 0.5)
@@ -725,7 +725,7 @@
     there.stop()
 
 
-def test_further_attempt_tells_its_server_only_the_time_that_is_left(deploy, monkeypatch):
+def test_further_attempt_sends_only_the_remaining_timeout(deploy, monkeypatch):
     """The first attempt is held until a fifth of the time is over, and then turned away."""
     deployment, play = deploy(servers=2), Server.play
     refusal = answer(503, extra=Server.NOT_RUN)
@@ -746,7 +746,7 @@
     assert first <= 1000 and 0 < second <= first - 190
 
 
-def test_client_that_asks_for_readiness_without_a_pause_holds_nobody_up(deploy):
+def test_pipelined_readiness_checks_do_not_starve_others(deploy):
     front, turns, asked_in = deploy().agent.front, [0], []
     front.ready = lambda: asked_in.append(turns[0]) or True
     client = socket.create_connection(("127.0.0.1", front.port))
@@ -764,7 +764,7 @@
     assert max(asked_in.count(turn) for turn in set(asked_in)) <= 16
 
 
-def test_lines_of_one_kind_are_bounded_and_those_left_out_are_counted(monkeypatch):
+def test_repeated_log_lines_are_limited_and_counted(monkeypatch):
     sparing, passed, now = RateLimitFilter(), [], [0.0]
     monkeypatch.setattr("cartdeal.agent.log_output.monotonic", lambda: now[0])
     for place in range(1000):
@@ -783,13 +783,13 @@
         ({"listen": "192.0.2.1:80"}, 1, b"can't listen on"),
     ],
 )
-def test_agent_that_cannot_start_says_why_in_one_line(deploy, tmp_path, more, status, words):
+def test_agent_that_cannot_start_logs_the_reason_in_one_line(deploy, tmp_path, more, status, words):
     agent = start(tmp_path, deploy(), **more)
     said = agent.stderr.read()
     assert agent.wait() == status and words in said and said.count(b"\n") == 1
 
 
-def test_what_is_still_out_at_the_end_is_failed_before_a_kill_can_come(deploy, tmp_path):
+def test_pending_attempt_fails_before_the_shutdown_deadline(deploy, tmp_path):
     deployment = deploy()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
@@ -802,7 +802,7 @@
 
 
 @pytest.mark.parametrize("limit, wanted", [(2.0, 2.0 + ENDS), (6.0, LONGEST_WAIT + ENDS)])
-def test_a_long_deadline_does_not_put_off_the_end_beyond_the_kill(limit, wanted):
+def test_shutdown_time_is_limited_despite_long_timeouts(limit, wanted):
     kinds = ClassSettings(timeout_us=limit * 1e6), ClassSettings(timeout_us=1e6)
     assert lasts(Settings(request_classes=kinds)) == pytest.approx(wanted)
     assert wanted < min(limit, 3.0) + 0.7
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("connections", ["known", "new"])
-def test_time_of_a_request_runs_while_the_agent_is_held_up(agent, bounded, connections):
+def test_timeout_runs_while_the_agent_is_stalled(agent, bounded, connections):
     process, port, server = agent
     client = connect(port)
     if connections == "known":
@@ -66,7 +66,7 @@
     assert int(told[:-1]) / 1e3 <= 2.0 - HELD_UP + SLACK
 
 
-def test_detector_tells_a_late_heartbeat_from_an_agent_at_work(monkeypatch):
+def test_detector_distinguishes_a_stall_from_normal_load(monkeypatch):
     now, told = [100.0], []
     monkeypatch.setattr(stalls, "monotonic", lambda: now[0])
     detector = StallDetector()
@@ -84,7 +84,7 @@
     assert told == [100.14] and earliest_arrival(101.04) == 101.04  # the others were told
 
 
-def test_all_that_lay_unread_counts_from_before_the_agent_was_held_up(tmp_path, bounded):
+def test_unread_input_is_dated_before_a_stall(tmp_path, bounded):
     """However long it takes to read it: clients that are here, and those that wait at the door."""
     deployment = Deployment(tmp_path)
     try:
@@ -116,7 +116,7 @@
         deployment.stop()
 
 
-def test_drain_that_was_told_while_the_agent_was_held_up_is_heard_before_anything_goes_out(tmp_path, bounded):
+def test_drain_during_a_stall_is_read_before_requests_are_sent(tmp_path, bounded):
     """The list and the requests lie unread side by side; no server that drains has one of them."""
     servers = [Server(f"s{number}") for number in range(2)]
     service = DiscoveryService()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("error", OWN_LIMITS, ids=errno.errorcode.get)
 @pytest.mark.parametrize("call", ["socket", "connect"])
-def test_descriptor_that_can_not_be_had_is_not_lost(deployment, faults, call, error):
+def test_failed_socket_calls_leak_no_connection_of_the_budget(deployment, faults, call, error):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     used = deployment.agent.budget.connection_count
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("error", OWN_TROUBLE, ids=errno.errorcode.get)
-def test_trouble_of_the_agents_own_machine_is_no_servers_failure(deployment, faults, error):
+def test_local_errors_do_not_count_as_server_failures(deployment, faults, error):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("connect", error)
@@ -73,7 +73,7 @@
     assert all(each.circuit_closed and not each.failures.amount for each in servers)
 
 
-def test_server_without_a_route_fails_once_another_one_was_heard(deployment, monkeypatch):
+def test_missing_route_counts_as_failure_once_another_server_answers(deployment, monkeypatch):
     """A part of the network is away: the machine's own is not."""
     pool: UpstreamPool = deployment.agent.upstream
     away, near = deployment.servers[0].address, deployment.servers[1].address
@@ -101,14 +101,14 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
-def test_request_that_finds_no_buffer_is_written_when_there_is_one(deployment, faults, error):
+def test_request_write_is_retried_when_buffers_run_out(deployment, faults, error):
     faults.fail("send", error, times=5, only=to_servers(deployment))
     status, body = deployment.ask("/once/x", "POST", b"body")
     assert status == 200 and body.endswith(b" body") and len(deployment.seen()) == 1
     assert faults.counts["send"] == 5
 
 
-def test_connection_that_the_system_gave_up_is_broken_and_not_slow(deployment, faults):
+def test_tcp_timeout_counts_as_a_reset_connection(deployment, faults):
     """ETIMEDOUT is a TimeoutError in Python: TCP gave up, and other connections there have ended or will."""
     ended = []
     pool: UpstreamPool = deployment.agent.upstream
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, *OWN_LIMITS], ids=errno.errorcode.get)
-def test_clients_that_wait_at_the_door_come_in_though_accept_fails_between(deployment, faults, error):
+def test_queued_clients_are_accepted_at_shutdown_despite_accept_errors(deployment, faults, error):
     """One of them is gone, or there is no descriptor for a moment: the others are not to be reset."""
     agent = deployment.agent.front
     deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
-def test_answer_that_finds_no_buffer_is_written_when_there_is_one(deployment, faults, error):
+def test_answer_write_is_retried_when_buffers_run_out(deployment, faults, error):
     client, front = deployment.connect(), deployment.agent.front
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("write", error, times=2, only=lambda number: number in descriptors(front.clients))
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
-def test_read_that_finds_no_memory_is_made_again(deployment, faults, error):
+def test_read_is_retried_when_memory_runs_out(deployment, faults, error):
     client, front = deployment.connect(), deployment.agent.front
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("recv_into", error, times=3, only=lambda sock: sock.fileno() in descriptors(front.clients))
@@ -163,7 +163,7 @@
     assert faults.counts["recv_into"] == 6
 
 
-def test_client_is_not_closed_where_the_system_can_not_tell_whether_it_has_asked(deployment, faults):
+def test_client_is_not_closed_if_poll_fails(deployment, faults):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("poll", errno.ENOMEM)
@@ -175,7 +175,7 @@
 
 @pytest.mark.parametrize("call", ["socket", "bind", "listen"])
 @pytest.mark.parametrize("kind", [socket.SOCK_STREAM, socket.SOCK_DGRAM])
-def test_address_that_can_not_be_had_is_told_with_its_reason(faults, call, kind):
+def test_bind_error_names_the_address_and_the_reason(faults, call, kind):
     faults.fail(call, errno.ENOBUFS)
     if call == "listen" and kind == socket.SOCK_DGRAM:
         return bind_socket(kind, ("127.0.0.1", 0)).close()
@@ -183,7 +183,7 @@
         bind_socket(kind, ("127.0.0.1", 0), backlog=5 * (kind == socket.SOCK_STREAM))
 
 
-def test_fault_at_the_door_takes_no_place_from_the_budget(deployment, monkeypatch):
+def test_fault_while_accepting_leaks_no_connection_of_the_budget(deployment, monkeypatch):
     budget = deployment.agent.budget
     used = budget.connection_count
     with monkeypatch.context() as broken:
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("error, reads", [(errno.ENFILE, 3), (errno.EIO, 3), (errno.EACCES, 1)])
-def test_new_configuration_is_read_again_where_the_machine_could_not(
+def test_reading_a_new_configuration_is_retried_after_local_errors(
     deployment, monkeypatch, tmp_path, error, reads
 ):
     """What the new discovery service has to tell counts 4 s after the signal, whatever the machine lacked."""
