--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -1,4 +1,4 @@
-"""Blanks and tabs behind a header's value are no part of it, in requests, answers and watches alike."""
+"""Trailing spaces and tabs are not part of a header's value, in requests, answers and watches alike."""
 
 import json
 
@@ -14,13 +14,13 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    made = Deployment(tmp_path, servers=2)
+    deployment = Deployment(tmp_path, servers=2)
     with gevent.Timeout(20):
-        yield made
-    made.stop()
+        yield deployment
+    deployment.stop()
 
 
-def seen(deployment):
+def received_requests(deployment):
     return [message for server in deployment.servers for message in server.seen]
 
 
@@ -36,7 +36,7 @@
     values = {"X-Request-ID": "id-1", "Idempotency-Key": "key-1", "X-Timeout": "900m", "X-Retried": "1"}
     headers = {name: value + blank for name, value in values.items()}
     assert deployment.ask("/mark/x", "POST", b"body", **headers)[0] == 200
-    (message,) = seen(deployment)
+    (message,) = received_requests(deployment)
     assert message.body == b"body"
     assert message.headers[b"x-request-id"] == b"id-1" and message.headers[b"idempotency-key"] == b"key-1"
 
@@ -44,22 +44,25 @@
 @CODING_BLANKS
 def test_chunked_request_with_blanks_after_its_coding_is_served(deployment, blank):
     assert ask_in_chunks(deployment, "Chunked" + blank) == 200
-    assert [message.body for message in seen(deployment)] == [b"abc"]
+    assert [message.body for message in received_requests(deployment)] == [b"abc"]
 
 
 def test_tab_after_a_transfer_coding_is_refused(deployment):
+    """The parser does not recognise a transfer coding with a tab after it."""
     assert ask_in_chunks(deployment, "chunked\t") == 400
-    assert not seen(deployment)
+    assert not received_requests(deployment)
 
 
 @BLANKS
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_not_processed_header_with_whitespace_is_recognised(deployment, monkeypatch, blank, method):
-    marked = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1%b\r\nContent-Length: 0\r\n\r\n" % blank.encode()
-    monkeypatch.setitem(Server.DOES, "full", marked)
+    rejection = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1%b\r\nContent-Length: 0\r\n\r\n" % blank.encode()
+    monkeypatch.setitem(Server.DOES, "full", rejection)
     path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
     assert deployment.ask(path, method)[0] == 503
-    assert len(seen(deployment)) == 2  # one that never ran is sent again, also where it may run but once
+    assert (
+        len(received_requests(deployment)) == 2
+    )  # a request that never ran is sent again, even if it may run only once
 
 
 @CODING_BLANKS
@@ -77,8 +80,8 @@
         connection.write(head + b"%x\r\n%b\r\n" % (len(line), line))
 
     monkeypatch.setattr(DiscoveryService, "play", play)
-    there = DiscoveryService()
-    deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
+    service = DiscoveryService()
+    deployment.agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
     deployment.agent.dispatch("discovery_moved")
     until(lambda: deployment.agent.reducer.version == 9)
-    there.stop()
+    service.stop()
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -1,6 +1,6 @@
-"""Clients that write slowly, stop in the middle of a request, or send requests ahead of their answers.
+"""Clients that write slowly, stop in the middle of a request, or pipeline requests.
 
-The front's clock is the test's own, and looks for clients whose time is up are made by the test.
+The tests replace the front's clock, and run its search for overdue connections themselves.
 """
 
 import gevent
@@ -10,12 +10,12 @@
 from cartdeal.agent import front
 from tests.scene import Deployment, answered, until, worded
 
-PIECES = 8
-LOOK = 0.2  # seconds between two looks for clients whose time is up
+PIECE_COUNT = 8
+SWEEP_STEP_S = 0.2  # between two searches for overdue connections
 
 
 class Clock:
-    """Seconds since some moment, moved on by the test alone."""
+    """A clock in seconds that only the test advances."""
 
     def __init__(self):
         self.now = 1000.0
@@ -25,44 +25,45 @@
 
 
 class CountingConnection(front.ClientConnection):
-    """Counts its reads that brought something."""
+    """Counts its reads."""
 
     reads = 0
 
-    def receive(self, wait):
-        more = super().receive(wait)
+    def receive(self, timeout_s):
+        is_open = super().receive(timeout_s)
         self.reads += 1
-        return more
+        return is_open
 
 
 @pytest.fixture
 def clock(monkeypatch):
     monkeypatch.setattr(front, "ClientConnection", CountingConnection)
-    shown = Clock()
-    monkeypatch.setattr(front, "monotonic", shown)
+    clock = Clock()
+    monkeypatch.setattr(front, "monotonic", clock)
     monkeypatch.setattr(front.StallDetector, "earliest_arrival", lambda detector, now: now)
     monkeypatch.setattr(front, "SWEEP_INTERVAL_S", 1e6)
-    return shown
+    return clock
 
 
 @pytest.fixture
 def deployment(tmp_path, bounded):
-    made = Deployment(tmp_path)
-    yield made
-    made.stop()
+    deployment = Deployment(tmp_path)
+    yield deployment
+    deployment.stop()
 
 
-def pass_time(deployment, clock, seconds):
-    """Time goes by in steps, and after each the front looks for clients whose time is up."""
-    end = clock.now + seconds
+def pass_time(deployment, clock, duration_s):
+    """Advances the clock in steps, and closes overdue connections after each."""
+    end = clock.now + duration_s
     while clock.now < end:
-        clock.now = min(end, clock.now + LOOK)
+        clock.now = min(end, clock.now + SWEEP_STEP_S)
         deployment.agent.front.close_overdue()
 
 
-def connected(deployment, known):
+def connect_client(deployment, known):
+    """A connection, identified if `known`, and the agent's end of it."""
     connection = deployment.connect()
-    connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each piece goes by itself
+    connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # each piece is sent on its own
     if known:
         assert deployment.ask(connection=connection)[0] == 200
     until(lambda: deployment.agent.front.clients)
@@ -71,25 +72,25 @@
 
 
 def write(connection, client, text):
-    """Returns once the front has read it."""
+    """Sends some bytes and waits until the front has read them."""
     reads = client.reads
     connection.sock.sendall(text)
     until(lambda: client.reads > reads)
 
 
-def write_slowly(deployment, clock, connection, client, text, seconds):
-    step = -(-len(text) // PIECES)
-    for place in range(0, len(text), step):
-        write(connection, client, text[place : place + step])
-        if place + step < len(text):
-            pass_time(deployment, clock, seconds / (PIECES - 1))
+def write_slowly(deployment, clock, connection, client, text, duration_s):
+    step = -(-len(text) // PIECE_COUNT)
+    for start in range(0, len(text), step):
+        write(connection, client, text[start : start + step])
+        if start + step < len(text):
+            pass_time(deployment, clock, duration_s / (PIECE_COUNT - 1))
 
 
 @pytest.mark.parametrize(
     "known, seconds", [(known, seconds) for known in (False, True) for seconds in (1.9, 2.4, 2.8, 4.5)]
 )
 def test_slowly_written_request_is_answered(deployment, clock, known, seconds):
-    connection, client = connected(deployment, known)
+    connection, client = connect_client(deployment, known)
     text = worded("/once/x", "POST", b"b" * 40)
     write_slowly(deployment, clock, connection, client, text, seconds)
     assert answered(connection) == (200, b"s0 " + b"b" * 40)
@@ -98,7 +99,7 @@
 @pytest.mark.parametrize("known", [False, True])
 @pytest.mark.parametrize("size", [1, 9, -1])
 def test_partial_request_is_answered_with_an_error_within_3_s(deployment, clock, known, size):
-    connection, client = connected(deployment, known)
+    connection, client = connect_client(deployment, known)
     write(connection, client, worded("/once/x", "POST", b"body")[:size])
     pass_time(deployment, clock, 3.0)
     assert answered(connection)[0] == 408 and answered(connection) is None
@@ -106,19 +107,19 @@
 
 
 def test_endless_request_is_answered_with_an_error_in_time(deployment, clock):
-    connection, client = connected(deployment, False)
-    begun = clock.now
+    connection, client = connect_client(deployment, False)
+    started_at = clock.now
     connection.sock.sendall(b"GET /read/x HTTP/1.1\r\nX: ")
     while not client.is_lingering:
         write(connection, client, b"x")
         pass_time(deployment, clock, 0.4)
-    assert clock.now - begun < front.REQUEST_READ_TIMEOUT_S + 1.0
+    assert clock.now - started_at < front.REQUEST_READ_TIMEOUT_S + 1.0
     assert answered(connection)[0] == 408 and answered(connection) is None
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_stated_timeout_is_available_for_writing_the_request(deployment, clock, known):
-    connection, client = connected(deployment, known)
+    connection, client = connect_client(deployment, known)
     text = worded("/once/x", "POST", b"b" * 40, X_Timeout="20000m")
     head = text.index(b"\r\n\r\n") + 4
     write(connection, client, text[:head])
@@ -127,21 +128,25 @@
 
 
 def test_partial_request_closed_for_capacity_is_answered(deployment, clock):
-    connection, client = connected(deployment, False)
+    connection, client = connect_client(deployment, False)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     assert deployment.agent.front.close_unidentified()
     assert answered(connection)[0] == 503 and answered(connection) is None
 
 
 def test_partial_request_at_shutdown_is_answered(deployment, clock):
-    connection, client = connected(deployment, True)
+    connection, client = connect_client(deployment, True)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     deployment.agent.front.close_all()
     assert answered(connection)[0] == 503 and answered(connection) is None
 
 
 def test_slow_clients_do_not_block_prompt_clients(tmp_path, clock, bounded):
-    """Many that write without an end, known and not: each has an answer, and a good client is served."""
+    """Many clients, identified and not, never end their requests: all are answered, and a prompt one is
+    served.
+
+    The connections of slow clients must not use up the budget.
+    """
     deployment = Deployment(tmp_path, limits={"memory_mb": 64, "sockets": 96})
     budget, slow = deployment.agent.budget, []
     try:
@@ -152,7 +157,7 @@
             connection.sock.sendall(b"GET /read/x HTTP/1.1\r\nX: ")
             slow.append(connection)
             pass_time(deployment, clock, 0.1)
-            for each in slow[-10:]:  # these still write
+            for each in slow[-10:]:  # these go on writing
                 each.sock.sendall(b"x")
             gevent.sleep(0)
         assert deployment.ask()[0] == 200
@@ -163,7 +168,7 @@
         deployment.stop()
 
 
-# Requests sent ahead
+# Pipelined requests
 
 
 def test_every_pipelined_request_is_answered(deployment):
@@ -178,68 +183,72 @@
     connection.sock.sendall(worded("/read/first?do=wait"))
     until(deployment.seen)
     (client,) = deployment.agent.front.clients
-    sent = [worded(f"/read/{n}", X_Fill="x" * 400) for n in range(400)]
-    writer = gevent.spawn(connection.sock.sendall, b"".join(sent))
+    requests = [worded(f"/read/{n}", X_Fill="x" * 400) for n in range(400)]
+    sender = gevent.spawn(connection.sock.sendall, b"".join(requests))
     until(lambda: len(client.messages) >= front.MAX_PIPELINED_REQUESTS)
     gevent.sleep(0.3)
     assert (
         client.has_unread_input()
-        and len(client.messages) < front.MAX_PIPELINED_REQUESTS + 4096 / len(sent[0]) + 1
+        and len(client.messages) < front.MAX_PIPELINED_REQUESTS + 4096 / len(requests[0]) + 1
     )
     deployment.servers[0].released.set()
     assert [answered(connection)[0] for _ in range(401)] == [200] * 401
-    writer.join()
+    sender.join()
 
 
 @pytest.mark.parametrize("bad, status", [({"path": "/none/x"}, 404), ({"X_Request_ID": "first"}, 409)])
 @pytest.mark.parametrize("behind", [0, 3, 100])
 @pytest.mark.parametrize("part", [0, 30])
 def test_requests_read_after_a_bad_one_are_rejected_and_not_sent(deployment, bad, status, behind, part):
+    """Only after 100 requests some may be left unread, without an answer."""
     connection = deployment.connect()
-    texts = [worded("/read/first", X_Request_ID="first"), worded(**bad)]
-    texts += [worded("/read/behind") for _ in range(behind)]
-    connection.sock.sendall(b"".join(texts) + worded("/read/part")[:part])
-    statuses = [found[0] for found in iter(lambda: answered(connection), None)]
+    requests = [worded("/read/first", X_Request_ID="first"), worded(**bad)]
+    requests += [worded("/read/behind") for _ in range(behind)]
+    connection.sock.sendall(b"".join(requests) + worded("/read/part")[:part])
+    statuses = [status_and_body[0] for status_and_body in iter(lambda: answered(connection), None)]
     rejected = statuses[2:]
     assert statuses[:2] == [200, status] and set(rejected) <= {503}
-    assert (
-        len(rejected) == behind + bool(part) or behind == 100 and len(rejected) > 20
-    )  # the others lay unread
+    assert len(rejected) == behind + bool(part) or behind == 100 and len(rejected) > 20
     assert deployment.seen() == ["/read/first"]
 
 
 def test_timeout_runs_while_earlier_pipelined_requests_are_served(deployment, clock):
-    """The second has 300 ms and waits for 200 of them; the third's time is over when its turn comes."""
+    """The second request waits 200 of its 300 ms; the third one times out before its turn."""
     connection = deployment.connect()
-    texts = [
+    requests = [
         worded("/read/0?do=wait"),
         worded("/read/1", X_Timeout="300m"),
         worded("/read/2", X_Timeout="150m"),
     ]
-    connection.sock.sendall(b"".join(texts))
+    connection.sock.sendall(b"".join(requests))
     until(deployment.seen)
     clock.now += 0.2
     deployment.servers[0].released.set()
-    assert [answered(connection)[0] for _ in texts] == [200, 200, 503]
-    (told,) = [each.headers[b"x-timeout"] for each in deployment.servers[0].seen if each.path == b"/read/1"]
-    assert int(told.removesuffix(b"m")) <= 100
+    assert [answered(connection)[0] for _ in requests] == [200, 200, 503]
+    (sent_timeout,) = [
+        each.headers[b"x-timeout"] for each in deployment.servers[0].seen if each.path == b"/read/1"
+    ]
+    assert int(sent_timeout.removesuffix(b"m")) <= 100
 
 
 def test_timeout_runs_while_a_request_is_unread(deployment, clock):
     connection = deployment.connect()
-    ahead = [worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MAX_PIPELINED_REQUESTS + 3)]
-    connection.sock.sendall(b"".join(ahead) + worded("/read/late", X_Timeout="300m"))
+    earlier = [
+        worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MAX_PIPELINED_REQUESTS + 3)
+    ]
+    connection.sock.sendall(b"".join(earlier) + worded("/read/late", X_Timeout="300m"))
     (client,) = until_some(lambda: deployment.agent.front.clients)
     until(lambda: client.unread_since)
     clock.now += 0.4
     deployment.servers[0].released.set()
-    assert [answered(connection)[0] for _ in ahead] == [200] * len(ahead)
+    assert [answered(connection)[0] for _ in earlier] == [200] * len(earlier)
     assert answered(connection)[0] == 503
 
 
-def until_some(found):
-    until(found)
-    return found()
+def until_some(condition):
+    """Waits until the condition has a true value, and returns it."""
+    until(condition)
+    return condition()
 
 
 @pytest.mark.parametrize("ends", ["close", "reset"])
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -1,4 +1,4 @@
-"""An agent that is held up: its process is stopped, or the machine gives it no time."""
+"""An agent that stalls: its process is stopped, or the machine gives it no CPU time."""
 
 import json
 import os
@@ -16,14 +16,14 @@
 from examples.toy import DiscoveryService, Server
 from tests.scene import SETTINGS, Client, Deployment, answered, config_file, until, worded
 
-HELD_UP = 1.0  # seconds
-SLACK = 0.15  # seconds by which the time told to a server may exceed what its client has left
-PORT = re.compile(rb"msg=serving .*port=(\d+)")
+STALL_S = 1.0
+TOLERANCE_S = 0.15  # by which the timeout sent to a server may exceed what its client has left
+PORT_PATTERN = re.compile(rb"msg=serving .*port=(\d+)")
 
 
 @pytest.fixture
 def agent(tmp_path):
-    """A process, the port where it takes clients, and its one server."""
+    """An agent's process, its port for clients, and its only server."""
     server = Server("s0")
     file = tmp_path / "agent.json"
     known = {"rev": 1, "all": True, "targets": [server.line()]}
@@ -33,9 +33,9 @@
         stderr=subprocess.PIPE,
         env={**os.environ, "PROXY_CONFIG": str(file)},
     )
-    while not (found := PORT.search(process.stderr.readline())):
+    while not (match := PORT_PATTERN.search(process.stderr.readline())):
         assert process.poll() is None
-    yield process, int(found[1]), server
+    yield process, int(match[1]), server
     process.send_signal(signal.SIGCONT)
     process.kill()
     process.wait()
@@ -55,69 +55,73 @@
         assert answered(client)[0] == 200
     os.kill(process.pid, signal.SIGSTOP)
     client.sock.sendall(worded("/once/long", "POST", X_Timeout="2000m"))
-    hurried = connect(port)
-    hurried.sock.sendall(worded("/once/short", "POST", X_Timeout="500m"))
+    short_client = connect(port)
+    short_client.sock.sendall(worded("/once/short", "POST", X_Timeout="500m"))
     sent_at = monotonic()
-    until(lambda: monotonic() >= sent_at + HELD_UP)
+    until(lambda: monotonic() >= sent_at + STALL_S)
     os.kill(process.pid, signal.SIGCONT)
     assert answered(client)[0] == 200
-    assert answered(hurried)[0] == 503
-    (told,) = [each.headers[b"x-timeout"] for each in server.seen if each.path == b"/once/long"]
-    assert int(told[:-1]) / 1e3 <= 2.0 - HELD_UP + SLACK
+    assert answered(short_client)[0] == 503
+    (sent_timeout,) = [each.headers[b"x-timeout"] for each in server.seen if each.path == b"/once/long"]
+    assert int(sent_timeout[:-1]) / 1e3 <= 2.0 - STALL_S + TOLERANCE_S
 
 
 def test_detector_distinguishes_a_stall_from_normal_load(monkeypatch):
-    now, told = [100.0], []
+    now, stalls_since = [100.0], []
     monkeypatch.setattr(stalls, "monotonic", lambda: now[0])
     detector = StallDetector()
-    detector.listeners.append(told.append)
+    detector.listeners.append(stalls_since.append)
 
     def earliest_arrival(at):
         now[0] = at
         return detector.earliest_arrival(at)
 
-    assert earliest_arrival(100.14) == 100.14  # the heartbeat is late by less than what is noticed
+    assert earliest_arrival(100.14) == 100.14  # the heartbeat is late by less than MIN_STALL_S
     detector.beat()
-    assert earliest_arrival(100.2) == 100.2 and not told
-    assert earliest_arrival(101.0) == 100.14  # read before the heartbeat that is late
+    assert earliest_arrival(100.2) == 100.2 and not stalls_since
+    assert earliest_arrival(101.0) == 100.14  # read before the late heartbeat
     detector.beat()
-    assert told == [100.14] and earliest_arrival(101.04) == 101.04  # the others were told
+    # The listeners have been called, so the stall is over.
+    assert stalls_since == [100.14] and earliest_arrival(101.04) == 101.04
 
 
 def test_unread_input_is_dated_before_a_stall(tmp_path, bounded):
-    """However long it takes to read it: clients that are here, and those that wait at the door."""
+    """Input of connected clients, and of those in the listen queue, counts from before the stall.
+
+    The timeouts of their requests run from then, however late the input is read.
+    """
     deployment = Deployment(tmp_path)
     try:
         agent = deployment.agent
-        front, taken, dispatch = agent.front, {}, agent.front.dispatch
+        front, timeouts, dispatch = agent.front, {}, agent.front.dispatch
 
-        def watched(event, client, request=None, *about):
+        def record_timeout(event, client, request=None, *arguments):
             if event == "taken":
-                taken[request.path] = request.wait
-            dispatch(event, client, *([] if request is None else [request]), *about)
+                timeouts[request.path] = request.wait
+            dispatch(event, client, *([] if request is None else [request]), *arguments)
 
-        front.dispatch = watched
-        here = deployment.connect()
-        assert deployment.ask(connection=here)[0] == 200
-        agent.works[3].kill()  # the door: its clients stay in the queue
+        front.dispatch = record_timeout
+        connected = deployment.connect()
+        assert deployment.ask(connection=connected)[0] == 200
+        agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
         waiting = [deployment.connect() for _ in range(3)]
-        for number, client in enumerate((here, *waiting)):
+        for number, client in enumerate((connected, *waiting)):
             client.sock.sendall(worded(f"/read/{number}", X_Timeout="10000m"))
         agent.stalls.listeners[0](monotonic() - 4.0)
-        door = gevent.spawn(front.accept)
-        assert [answered(client)[0] for client in (here, *waiting)] == [200] * 4
-        assert all(taken[b"/read/%d" % number] < 6.0 for number in range(4)), taken
+        accepting = gevent.spawn(front.accept)
+        assert [answered(client)[0] for client in (connected, *waiting)] == [200] * 4
+        assert all(timeouts[b"/read/%d" % number] < 6.0 for number in range(4)), timeouts
         late = deployment.connect()
         assert deployment.ask("/read/late", connection=late, X_Timeout="10000m")[0] == 200
-        assert deployment.ask("/read/next", connection=here, X_Timeout="10000m")[0] == 200
-        assert taken[b"/read/late"] > 9.0 and taken[b"/read/next"] > 9.0
-        door.kill()
+        assert deployment.ask("/read/next", connection=connected, X_Timeout="10000m")[0] == 200
+        assert timeouts[b"/read/late"] > 9.0 and timeouts[b"/read/next"] > 9.0
+        accepting.kill()
     finally:
         deployment.stop()
 
 
 def test_drain_during_a_stall_is_read_before_requests_are_sent(tmp_path, bounded):
-    """The list and the requests lie unread side by side; no server that drains has one of them."""
+    """The list update and the requests are unread at the same time; a draining server gets no request."""
     servers = [Server(f"s{number}") for number in range(2)]
     service = DiscoveryService()
     service.lines = {each.name: each.line() for each in servers}
@@ -131,22 +135,22 @@
         env={**os.environ, "PROXY_CONFIG": str(file)},
     )
     try:
-        while not (found := PORT.search(process.stderr.readline())):
+        while not (match := PORT_PATTERN.search(process.stderr.readline())):
             assert process.poll() is None
         until(lambda: service.watches)
-        clients = [connect(int(found[1])) for _ in range(20)]
+        clients = [connect(int(match[1])) for _ in range(20)]
         for client in clients:
             client.sock.sendall(worded())
             assert answered(client)[0] == 200
         drained = max(servers, key=lambda server: len(server.seen))
         os.kill(process.pid, signal.SIGSTOP)
-        before = len(drained.seen)
+        served_before = len(drained.seen)
         for client in clients:
             client.sock.sendall(worded())
         service.tell(drained.line(state="leaving"))
         os.kill(process.pid, signal.SIGCONT)
         assert {answered(client)[0] for client in clients} == {200}
-        assert len(drained.seen) == before
+        assert len(drained.seen) == served_before
     finally:
         process.kill()
         process.wait()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""What an agent does when a system call fails as Linux documents; docs/crossings.md has the table."""
+"""How an agent handles the errors of system calls that Linux documents; docs/crossings.md has the table."""
 
 import errno
 import json
@@ -16,36 +16,36 @@
 from examples.toy import DiscoveryService
 from tests.scene import Deployment, answered, until, worded
 
-MANY = 200  # more failures than there are connections
-OWN_TROUBLE = (*OWN_LIMITS, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
+FAILURE_COUNT = 200  # more than the budget has connections
+LOCAL_ERRNOS = (*OWN_LIMITS, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 
 
 @pytest.fixture
 def faults(monkeypatch):
-    made = SystemFaults()
-    made.install(monkeypatch.setattr)
-    return made
+    faults = SystemFaults()
+    faults.install(monkeypatch.setattr)
+    return faults
 
 
 @pytest.fixture
 def deployment(tmp_path, bounded):
-    made = Deployment(tmp_path, servers=3, limits={"memory_mb": 64, "sockets": 96})
-    until(lambda: made.service.watches)
-    yield made
-    made.stop()
+    deployment = Deployment(tmp_path, servers=3, limits={"memory_mb": 64, "sockets": 96})
+    until(lambda: deployment.service.watches)
+    yield deployment
+    deployment.stop()
 
 
 def to_servers(deployment):
-    """Whether a socket is one to a server: those of the agent's clients and of the test are none."""
-    places = {tuple(server.socket.getsockname()) for server in deployment.servers}
+    """A function that tells whether a socket is connected to a server."""
+    addresses = {tuple(server.socket.getsockname()) for server in deployment.servers}
 
-    def found(sock):
+    def is_to_server(sock):
         try:
-            return sock.getpeername() in places
+            return sock.getpeername() in addresses
         except OSError:
             return False
 
-    return found
+    return is_to_server
 
 
 @pytest.mark.parametrize("error", OWN_LIMITS, ids=errno.errorcode.get)
@@ -53,16 +53,16 @@
 def test_failed_socket_calls_leak_no_connection_of_the_budget(deployment, faults, call, error):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
-    used = deployment.agent.budget.connection_count
+    count_before = deployment.agent.budget.connection_count
     faults.fail(call, error)
-    for _ in range(MANY):
+    for _ in range(FAILURE_COUNT):
         assert deployment.ask("/once/x", "POST", connection=client)[0] == 503
     faults.heal()
-    assert deployment.agent.budget.connection_count == used
+    assert deployment.agent.budget.connection_count == count_before
     assert deployment.ask("/once/x", "POST", connection=client)[0] == 200
 
 
-@pytest.mark.parametrize("error", OWN_TROUBLE, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", LOCAL_ERRNOS, ids=errno.errorcode.get)
 def test_local_errors_do_not_count_as_server_failures(deployment, faults, error):
     client = deployment.connect()
     assert deployment.ask("/health/ready", connection=client)[0] == 200
@@ -74,29 +74,29 @@
 
 
 def test_missing_route_counts_as_failure_once_another_server_answers(deployment, monkeypatch):
-    """A part of the network is away: the machine's own is not."""
+    """Only a part of the network is down: the error no longer says that the machine's own network is."""
     pool: UpstreamPool = deployment.agent.upstream
-    away, near = deployment.servers[0].address, deployment.servers[1].address
-    cut = {tuple(deployment.servers[0].socket.getsockname())}
+    unreachable_address, reachable_address = deployment.servers[0].address, deployment.servers[1].address
+    unreachable_addresses = {tuple(deployment.servers[0].socket.getsockname())}
     connect = socket.socket.connect
 
-    def unreachable(sock, address):
-        if tuple(address) in cut:
+    def connect_if_reachable(sock, address):
+        if tuple(address) in unreachable_addresses:
             raise OSError(errno.ENETUNREACH, "Network is unreachable")
         return connect(sock, address)
 
-    monkeypatch.setattr(socket.socket, "connect", unreachable)
+    monkeypatch.setattr(socket.socket, "connect", connect_if_reachable)
     for _ in range(3):
         with pytest.raises(NoConnectionError):
-            pool.connect(0, away, monotonic() + 1.0)
-    pool.last_read_at = monotonic()  # as after an answer
+            pool.connect(0, unreachable_address, monotonic() + 1.0)
+    pool.last_read_at = monotonic()  # as if another server had answered
     with pytest.raises(OSError, match="unreachable"):
-        pool.connect(0, away, monotonic() + 1.0)
-    with pytest.raises(NoConnectionError):  # counted anew
-        pool.connect(0, away, monotonic() + 1.0)
-    cut.clear()
-    pool.connect(0, away, monotonic() + 1.0).close()
-    pool.connect(1, near, monotonic() + 1.0).close()
+        pool.connect(0, unreachable_address, monotonic() + 1.0)
+    with pytest.raises(NoConnectionError):  # the first failure since then
+        pool.connect(0, unreachable_address, monotonic() + 1.0)
+    unreachable_addresses.clear()
+    pool.connect(0, unreachable_address, monotonic() + 1.0).close()
+    pool.connect(1, reachable_address, monotonic() + 1.0).close()
     assert not pool.no_route_since
 
 
@@ -109,14 +109,19 @@
 
 
 def test_tcp_timeout_counts_as_a_reset_connection(deployment, faults):
-    """ETIMEDOUT is a TimeoutError in Python: TCP gave up, and other connections there have ended or will."""
-    ended = []
+    """ETIMEDOUT is a TimeoutError in Python, but TCP has given up this connection, and perhaps others
+    there.
+    """
+    results = []
     pool: UpstreamPool = deployment.agent.upstream
     dispatch = pool.dispatch
-    pool.dispatch = lambda event, *about: (ended.append(about[3]), dispatch(event, *about))
+    pool.dispatch = lambda event, *arguments: (
+        results.append(arguments[3]),
+        dispatch(event, *arguments),
+    )
     faults.fail("recv_into", errno.ETIMEDOUT, times=1, only=to_servers(deployment))
     assert deployment.ask("/once/x", "POST")[0] == 502
-    (result,) = ended
+    (result,) = results
     assert result.outcome().value == "reset" and "timed out" in result.detail
 
 
@@ -125,14 +130,14 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, *OWN_LIMITS], ids=errno.errorcode.get)
 def test_queued_clients_are_accepted_at_shutdown_despite_accept_errors(deployment, faults, error):
-    """One of them is gone, or there is no descriptor for a moment: the others are not to be reset."""
-    agent = deployment.agent.front
-    deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
+    """A queued client has gone, or there is no descriptor for a moment: the others must not be reset."""
+    front = deployment.agent.front
+    deployment.agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(3)]
     for client in waiting:
         client.sock.sendall(worded())
-    faults.fail("accept", error, times=2, only=lambda sock: sock is agent.listener)
-    agent.stop_accepting()
+    faults.fail("accept", error, times=2, only=lambda sock: sock is front.listener)
+    front.stop_accepting()
     assert [answered(client)[0] for client in waiting] == [200] * 3
 
 
@@ -168,7 +173,7 @@
     assert deployment.ask("/health/ready", connection=client)[0] == 200
     faults.fail("poll", errno.ENOMEM)
     assert not deployment.agent.front.close_idle()
-    # Whoever may be in the listen queue is not taken for a client that has just come.
+    # Clients that may be queued are not assumed to have just come.
     assert deployment.agent.front.has_waiting_clients()
     assert deployment.ask("/once/x", "POST", b"body", connection=client)[0] == 200
 
@@ -185,28 +190,28 @@
 
 def test_fault_while_accepting_leaks_no_connection_of_the_budget(deployment, monkeypatch):
     budget = deployment.agent.budget
-    used = budget.connection_count
-    with monkeypatch.context() as broken:
-        broken.setattr("cartdeal.agent.front.ClientConnection", None)
+    count_before = budget.connection_count
+    with monkeypatch.context() as patched:
+        patched.setattr("cartdeal.agent.front.ClientConnection", None)
         for _ in range(5):
             with pytest.raises(ConnectionError):
                 deployment.ask()
     assert deployment.ask()[0] == 200
-    assert budget.connection_count - used <= 2  # the client's and the server's
+    assert budget.connection_count - count_before <= 2  # those of a client and a server
 
 
 @pytest.mark.parametrize("error, reads", [(errno.ENFILE, 3), (errno.EIO, 3), (errno.EACCES, 1)])
 def test_reading_a_new_configuration_is_retried_after_local_errors(
     deployment, monkeypatch, tmp_path, error, reads
 ):
-    """What the new discovery service has to tell counts 4 s after the signal, whatever the machine lacked."""
-    service, tries, read = DiscoveryService(), [], Path.read_bytes
+    """A new discovery service must be in use 4 s after the signal, whatever the machine lacked at first."""
+    service, paths, read = DiscoveryService(), [], Path.read_bytes
     file = tmp_path / "config.json"
     file.write_text(json.dumps(deployment.config | {"discovery": service.address}))
 
     def refuse_twice(path):
-        tries.append(path)
-        if len(tries) < 3:
+        paths.append(path)
+        if len(paths) < 3:
             raise OSError(error, os.strerror(error))
         return read(path)
 
@@ -214,6 +219,6 @@
     monkeypatch.setattr(configuration.Path, "read_bytes", refuse_twice)
     monkeypatch.setattr("cartdeal.agent.effects.REREAD_PAUSE", 0.001)
     deployment.agent.reread()
-    assert len(tries) == reads
+    assert len(paths) == reads
     assert (deployment.agent.config.discovery[1] == service.socket.getsockname()[1]) == (reads == 3)
     service.stop()
