--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What may have changed between the choice of a server and an attempt's first byte there."""
+"""Changes between the selection of a server and the first byte of the attempt there."""
 
 from types import SimpleNamespace
 
@@ -18,7 +18,7 @@
 WITHOUT_CANCEL = SETTINGS | {
     "caps": SETTINGS["caps"] | {"cancel": False},
     "workloads": [each | {"goalTimeUs": 20000000} for each in SETTINGS["workloads"]],
-}  # requests are held for a while
+}  # the long latency targets let requests be queued for a while
 
 
 pytestmark = pytest.mark.usefixtures("bounded")
@@ -26,60 +26,63 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    made = Deployment(tmp_path, settings=WITHOUT_CANCEL)
-    yield made
-    made.stop()
+    deployment = Deployment(tmp_path, settings=WITHOUT_CANCEL)
+    yield deployment
+    deployment.stop()
 
 
 @pytest.fixture
 def late(monkeypatch):
-    """Connections to servers that count as up only when the test lets them: `came` lists them."""
-    came, gate = [], Event()
+    """Connections to servers, in `sockets`, whose connect returns only when the test sets `gate`."""
+    sockets, gate = [], Event()
 
-    class Late(socket.socket):
+    class LateSocket(socket.socket):
         def connect(self, address):
             super().connect(address)
-            came.append(self)
+            sockets.append(self)
             gate.wait()
 
-    put_in_place(monkeypatch, Late)
-    return SimpleNamespace(came=came, gate=gate)
+    replace_upstream_sockets(monkeypatch, LateSocket)
+    return SimpleNamespace(sockets=sockets, gate=gate)
 
 
 @pytest.fixture
 def narrow(monkeypatch, deployment):
-    """A server that takes a few bytes of a request and reads on only when the test has it accept."""
+    """A server that receives a few bytes of a request, and reads the rest after a call of the fixture.
 
-    class Narrow(socket.socket):
+    The call starts the greenlet that accepts connections.
+    """
+
+    class NarrowSocket(socket.socket):
         def connect(self, address):
             self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             super().connect(address)
 
-    put_in_place(monkeypatch, Narrow)
+    replace_upstream_sockets(monkeypatch, NarrowSocket)
     server = deployment.servers[0]
     server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     server.work.kill()
     return lambda: setattr(server, "work", gevent.spawn(server.accept))
 
 
-def put_in_place(monkeypatch, kind):
+def replace_upstream_sockets(monkeypatch, socket_class):
     names = ("AF_INET", "SOCK_STREAM", "IPPROTO_TCP", "TCP_NODELAY", "wait_write")
     monkeypatch.setattr(
         "cartdeal.agent.upstream.socket",
-        SimpleNamespace(socket=kind, **{name: getattr(socket, name) for name in names}),
+        SimpleNamespace(socket=socket_class, **{name: getattr(socket, name) for name in names}),
     )
 
 
-def settled(deployment):
-    """All attempts have ended, and no connection to a server is left over."""
+def wait_until_settled(deployment):
+    """Waits until all attempts have ended, and checks that no connection to a server is left."""
     until(lambda: not deployment.agent.upstream.attempts)
     # One more is reserved for the next client.
     assert deployment.agent.budget.connection_count == len(deployment.agent.front.clients) + 1
     until(lambda: not deployment.servers[0].open)
 
 
-def unread_end(deployment, count):
-    """So many ends lie in the agent's sockets, unread, when this returns: no other greenlet has run since."""
+def wait_for_unread_ends(deployment, count):
+    """Waits until this many clients' ends are unread at the agent; no other greenlet runs meanwhile."""
     while sum(each.peer_ended() for each in deployment.agent.front.clients) < count:
         pass
 
@@ -91,36 +94,36 @@
 def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, more, path):
     client = deployment.connect()
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
-    until(lambda: late.came)
+    until(lambda: late.sockets)
     deployment.service.tell(deployment.servers[0].line(**more))
     until(lambda: deployment.agent.reducer.version == 2)
     late.gate.set()
-    # It never ran, and there is no other server: none is turned away in doubt.
+    # It never ran, and there is no other server: the answer must say so (503, not 502).
     assert answered(client)[0] == 503 and not deployment.seen()
-    settled(deployment)
+    wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_server_left_the_list_while_connecting(deployment, late):
     client, service = deployment.connect(), deployment.service
     client.sock.sendall(worded("/read/x"))
-    until(lambda: late.came)
+    until(lambda: late.sockets)
     service.version += 1
     for watch in service.watches:
         service.write(watch, service.server_list([], True) + b"\n")
     until(lambda: deployment.agent.reducer.version == 2)
     late.gate.set()
     assert answered(client)[0] == 503 and not deployment.seen()
-    settled(deployment)
+    wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_client_closed_while_connecting(deployment, late):
     client = deployment.connect()
     client.sock.sendall(worded("/once/x", "POST"))
-    until(lambda: late.came)
+    until(lambda: late.sockets)
     client.close()
     until(lambda: not deployment.agent.front.clients)
     late.gate.set()
-    settled(deployment)
+    wait_until_settled(deployment)
     assert not deployment.seen() and not deployment.agent.reducer.requests
 
 
@@ -128,30 +131,30 @@
 def test_nothing_is_sent_if_the_attempt_was_cancelled_while_connecting(deployment, late, ends):
     client = deployment.connect()
     client.sock.sendall(worded("/once/x", "POST"))
-    until(lambda: late.came)
+    until(lambda: late.sockets)
     if ends == "cancel":
         deployment.agent.upstream.cancel(1, 0)
     else:
         deployment.agent.dispatch("overdue", 1)
     late.gate.set()
     assert answered(client)[0] in (502, 503)
-    settled(deployment)
+    wait_until_settled(deployment)
     assert not deployment.seen()
 
 
-@pytest.mark.parametrize("over", [True, False])
-def test_delayed_write_is_completed_only_within_the_repeat_window(deployment, narrow, over):
+@pytest.mark.parametrize("after_window", [True, False])
+def test_delayed_write_is_completed_only_within_the_repeat_window(deployment, narrow, after_window):
     reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
     client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
     attempts = deployment.agent.upstream.attempts
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
-    if over:  # an earlier attempt of it that may have run, longer ago than servers remember
+    if after_window:  # an earlier attempt that may have run, before the repeat window
         balancer = reducer.balancer
         balancer.requests[1].traces[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
-    # In doubt it may not be sent again, nor its client told that it never ran.
-    assert answered(client) == ((502, b"") if over else (200, b"s0 " + body))
-    assert len(deployment.seen()) == 1 - over
+    # Outside the window it must not be sent again, and its client must not be told that it never ran.
+    assert answered(client) == ((502, b"") if after_window else (200, b"s0 " + body))
+    assert len(deployment.seen()) == 1 - after_window
     until(lambda: not attempts)
 
 
@@ -159,7 +162,7 @@
     body = bytes(60000)
     assert deployment.ask("/once/x", "POST", body, X_Timeout="300m") == (503, b"")
     narrow()
-    assert deployment.ask("/once/y", "POST")[0] == 200  # it is accepted behind the first
+    assert deployment.ask("/once/y", "POST")[0] == 200  # its connection is accepted after that of the first
     assert deployment.seen() == ["/once/y"]
 
 
@@ -177,12 +180,14 @@
     until(lambda: len(held) == len(clients))
     for client in clients:
         how(client.sock)
-    unread_end(deployment, len(clients))  # the agent is late: what it sees next is room for all of them
+    wait_for_unread_ends(
+        deployment, len(clients)
+    )  # the agent is late: the next event is a server with capacity for all
     ready = ServerEntry("s0", deployment.servers[0].address, "a")
     deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
     assert deployment.agent.upstream.attempts
     until(lambda: not deployment.agent.front.clients)
-    settled(deployment)
+    wait_until_settled(deployment)
     assert not deployment.seen() and not deployment.agent.reducer.requests
 
 
@@ -191,9 +196,9 @@
     client.sock.sendall(worded("/read/1?do=wait") + worded("/once/2", "POST"))
     until(deployment.seen)
     client.close()
-    unread_end(deployment, 1)
-    done = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
-    deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)  # the answer is read before the close
+    wait_for_unread_ends(deployment, 1)
+    result = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
+    deployment.agent.dispatch("attempt_ended", 1, 0, 0, result)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.attempts)
@@ -220,7 +225,7 @@
         context.reducer.now += 2.0  # the deadline
         assert not context.reducer.may_begin(1, 1, server)
         context.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
-        # What may have run may be rejected only where a repeat does no harm.
+        # A request that may have run is rejected (503) only if a repeat does no harm.
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
 
@@ -230,7 +235,7 @@
     assert context.reducer.may_begin(1, 0, context.at[1, 0])
     context.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
     assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_begin(1, 1, context.at[1, 1])
-    assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that one has ended
+    assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that attempt has ended
 
 
 def test_earlier_attempt_at_another_agent_is_checked_before_sending(tmp_path):
@@ -258,4 +263,4 @@
     context.end(1, 0)
     assert server not in balancer.servers and not context.reducer.pending_count
     context.play(0.0, "listed", ServerList(5, False, (entry,)))
-    assert len(balancer.servers) == 2  # told again, it has not moved again
+    assert len(balancer.servers) == 2  # the same list again is no further move
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -60,9 +60,8 @@
     monkeypatch.setitem(Server.DOES, "full", rejection)
     path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
     assert deployment.ask(path, method)[0] == 503
-    assert (
-        len(received_requests(deployment)) == 2
-    )  # a request that never ran is sent again, even if it may run only once
+    # A request that never ran is sent again, even if it may run only once.
+    assert len(received_requests(deployment)) == 2
 
 
 @CODING_BLANKS
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,7 @@
-"""The end of an agent and of its clients' connections, with bytes that come in the very moment of it.
+"""The end of an agent and of its clients' connections, with requests that cross it.
 
-A stand-in puts the bytes on the wire between the last look and the close, so the bad order comes every time.
-No sleep decides a verdict.
+The tests replace methods to send a request between the agent's last check for input and its close, so that
+the bad order occurs in each run. No result depends on a sleep.
 """
 
 import json
@@ -22,43 +22,43 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    made = Deployment(tmp_path)
-    yield made
-    made.stop()
+    deployment = Deployment(tmp_path)
+    yield deployment
+    deployment.stop()
 
 
-unread = ClientConnection.has_unread_input
+has_unread_input = ClientConnection.has_unread_input
 
 
 def arrive(connection, client, path):
-    """A request is sent and lies unread at the agent's end; no greenlet runs meanwhile."""
+    """Sends a request and waits until it is unread at the agent's end; no other greenlet runs meanwhile."""
     connection.sock.sendall(worded(path, "POST"))
-    while not unread(client):
+    while not has_unread_input(client):
         pass
 
 
 @pytest.fixture
 def crosses(monkeypatch):
-    """`crosses(connection)`: a request arrives right after the next look that found nothing unread."""
+    """`crosses(connection)`: a request arrives right after the next check that finds no unread input."""
     waiting = []
 
-    def looked(client):
-        seen = unread(client)
-        if not seen and waiting:
+    def check_then_send(client):
+        is_unread = has_unread_input(client)
+        if not is_unread and waiting:
             arrive(waiting.pop(), client, "/once/crossing")
-        return seen
+        return is_unread
 
-    monkeypatch.setattr(ClientConnection, "has_unread_input", looked)
+    monkeypatch.setattr(ClientConnection, "has_unread_input", check_then_send)
     return waiting.append
 
 
 def ends_in_order(deployment, connection):
-    """The client sees an end and no reset, and what crossed it was not taken."""
+    """Whether the client sees an orderly end without a reset, and the crossing request was not sent on."""
     return answered(connection) is None and "/once/crossing" not in deployment.seen()
 
 
 @pytest.mark.parametrize(
-    "asked, end",
+    "is_identified, end",
     [
         (True, lambda agent: agent.close_idle()),
         (False, lambda agent: agent.close_unidentified()),
@@ -67,15 +67,15 @@
     ],
 )
 def test_request_crossing_the_close_of_an_idle_connection_is_not_reset(
-    deployment, crosses, monkeypatch, asked, end
+    deployment, crosses, monkeypatch, is_identified, end
 ):
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
-    if asked:
+    if is_identified:
         assert deployment.ask(connection=connection)[0] == 200
     crosses(connection)
     end(agent)
-    monkeypatch.setattr(front, "IDLE_TIMEOUT_S", 0.0)  # the sweep, where nobody else did
+    monkeypatch.setattr(front, "IDLE_TIMEOUT_S", 0.0)  # the sweep ends it if nothing else did
     assert ends_in_order(deployment, connection)
     connection.close()
     until(lambda: not agent.lingering)
@@ -88,40 +88,40 @@
     agent.is_ending = True
     crosses(connection)
     assert deployment.ask(connection=connection) == (200, b"s0 ")
-    for _ in "ab":  # a closed connection would break under the second
+    for _ in "ab":  # a write to a closed connection would fail at the second one
         connection.sock.sendall(worded("/once/crossing", "POST"))
     assert ends_in_order(deployment, connection)
 
 
 def test_request_crossing_an_answer_with_connection_close_is_ignored(deployment, monkeypatch):
-    connection, push = deployment.connect(), ClientConnection.write
+    connection, write = deployment.connect(), ClientConnection.write
 
-    def crossed(client, data, last=False):
+    def send_then_write(client, data, is_last=False):
         arrive(connection, client, "/once/crossing")
-        push(client, data, last)
+        write(client, data, is_last)
 
-    monkeypatch.setattr(ClientConnection, "write", crossed)
+    monkeypatch.setattr(ClientConnection, "write", send_then_write)
     assert deployment.ask(connection=connection, Connection="close") == (200, b"s0 ")
     assert ends_in_order(deployment, connection)
 
 
 def test_unread_request_at_shutdown_is_answered(deployment, crosses, monkeypatch):
-    agent, connection, between = (
+    agent, connection, is_between_requests = (
         deployment.agent.front,
         deployment.connect(),
         ClientConnection.is_between_requests,
     )
     assert deployment.ask(connection=connection)[0] == 200
-    crossed = []
+    checked = []
 
-    def arrives(client):
-        if between(client) and not crossed:
-            crossed.append(client)
+    def check_then_send(client):
+        if is_between_requests(client) and not checked:
+            checked.append(client)
             arrive(connection, client, "/once/late")
             return True
-        return between(client)
+        return is_between_requests(client)
 
-    monkeypatch.setattr(ClientConnection, "is_between_requests", arrives)
+    monkeypatch.setattr(ClientConnection, "is_between_requests", check_then_send)
     agent.close(0.0)
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
@@ -136,13 +136,13 @@
 
 
 def test_partial_request_at_shutdown_is_answered_when_complete(deployment):
-    agent, connection, text = deployment.agent.front, deployment.connect(), worded()
+    agent, connection, request = deployment.agent.front, deployment.connect(), worded()
     assert deployment.ask(connection=connection)[0] == 200
-    connection.sock.sendall(text[:9])
+    connection.sock.sendall(request[:9])
     client = next(iter(agent.clients))
     until(lambda: client.mid_message)
     agent.close(0.0)
-    connection.sock.sendall(text[9:])
+    connection.sock.sendall(request[9:])
     assert answered(connection) == (200, b"s0 ") and answered(connection) is None
 
 
@@ -152,8 +152,8 @@
     client = next(iter(agent.clients))
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-    for place in range(8):  # more than what the system takes at once
-        connection.sock.sendall(worded(f"/mark/{place}", "POST", body, Idempotency_Key="k"))
+    for number in range(8):  # more than the system's buffers take
+        connection.sock.sendall(worded(f"/mark/{number}", "POST", body, Idempotency_Key="k"))
     until(lambda: client.writer and len(client.messages) + len(deployment.seen()) == 8)
     agent.close(0.0)
     assert client.writer and not client.half_closed
@@ -174,14 +174,17 @@
     for _ in range(20):
         connection = deployment.connect()
         connection.sock.sendall(b"".join(worded("/once/x", "POST") for _ in range(requests)))
-        connection.sock.shutdown(socket.SHUT_RDWR)  # at once; a close waits for the loop
+        connection.sock.shutdown(
+            socket.SHUT_RDWR
+        )  # takes effect at once, while a close waits for the event loop
         connection.close()
     until(lambda: not (agent.clients or agent.lingering or deployment.agent.reducer.requests))
     until(lambda: not deployment.agent.upstream.attempts)
     assert deployment.ask() == (200, b"s0 ") and deployment.seen() == ["/read/x"]
 
 
-def refused(deployment):
+def refused_connection(deployment):
+    """A connection whose bad request has been refused."""
     connection = deployment.connect()
     connection.sock.sendall(b"no request\r\n\r\n")
     assert answered(connection)[0] == 400 and answered(connection) is None
@@ -190,36 +193,36 @@
 
 def test_lingering_clients_are_limited_in_number_and_closed_for_capacity(deployment, monkeypatch):
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
-    agent, room = deployment.agent.front, deployment.agent.budget
-    kept = [refused(deployment) for _ in range(3)]
+    agent, budget = deployment.agent.front, deployment.agent.budget
+    connections = [refused_connection(deployment) for _ in range(3)]
     assert len(agent.lingering) == 3 and not agent.clients and not agent.unidentified
-    room.max_connections = 3  # they hold all of it
+    budget.max_connections = 3  # the lingering connections use up the budget
     assert deployment.ask("/health/ready") == (200, b"")
-    room.max_connections = 2 * front.LINGERING_DIVISOR
-    kept += [refused(deployment) for _ in range(5)]
+    budget.max_connections = 2 * front.LINGERING_DIVISOR
+    connections += [refused_connection(deployment) for _ in range(5)]
     # Besides those: another client, the reservation for the next one, and the client of the request above.
-    assert len(agent.lingering) <= 2 and room.connection_count <= 5
-    for each in kept:
+    assert len(agent.lingering) <= 2 and budget.connection_count <= 5
+    for each in connections:
         each.close()
     until(lambda: not agent.lingering)
 
 
 def test_lingering_clients_are_limited_in_bytes_and_time(deployment, monkeypatch):
-    agent, connection = deployment.agent.front, refused(deployment)
+    agent, connection = deployment.agent.front, refused_connection(deployment)
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 60.0)
     until(lambda: agent.lingering)
     with pytest.raises(OSError):
         for _ in range(1000):
             connection.sock.sendall(bytes(65536))
     assert not agent.lingering
-    connection = refused(deployment)
+    connection = refused_connection(deployment)
     monkeypatch.setattr(front, "LINGER_TIMEOUT_S", 0.0)
     until(lambda: not agent.lingering)
 
 
 def test_queued_clients_are_accepted_when_the_listener_closes(deployment):
     agent = deployment.agent.front
-    deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
+    deployment.agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(20)]
     for each in waiting:
         each.sock.sendall(worded())
@@ -229,7 +232,7 @@
         deployment.connect()
 
 
-SIGNALLED = """
+SIGNALLED_AGENT = """
 import os, signal, socket, sys
 from cartdeal.agent import start
 
@@ -255,29 +258,32 @@
 """
 
 
-def run(tmp_path, words, **more):
+def run(tmp_path, arguments, **variables):
+    """Runs Python with these arguments and environment variables, and the configuration of an agent."""
     file = tmp_path / "agent.json"
     file.write_text(json.dumps(config_file()))
     return subprocess.run(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         capture_output=True,
         timeout=60,
         cwd=ROOT,
-        env={**os.environ, "PROXY_CONFIG": str(file), **more},
+        env={**os.environ, "PROXY_CONFIG": str(file), **variables},
     )
 
 
 def test_sigterm_right_after_the_port_opens_ends_the_agent_in_order(tmp_path):
-    done = run(tmp_path, ["-c", SIGNALLED])
-    assert done.returncode == 0, done
-    assert done.stdout.split() in ([b"0", b"200"], [b"0", b"503"])
+    process = run(tmp_path, ["-c", SIGNALLED_AGENT])
+    assert process.returncode == 0, process
+    assert process.stdout.split() in ([b"0", b"200"], [b"0", b"503"])
 
 
 def test_sighup_during_the_start_rereads_the_configuration(tmp_path):
-    once = SIGNALLED.replace("os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread")
-    once = once.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
-    done = run(tmp_path, ["-c", once + "assert here['reread']"])
-    assert done.returncode == 0, done
+    program = SIGNALLED_AGENT.replace(
+        "os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread"
+    )
+    program = program.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
+    process = run(tmp_path, ["-c", program + "assert here['reread']"])
+    assert process.returncode == 0, process
 
 
 def test_sigterm_during_imports_ends_the_agent_in_order(tmp_path):
@@ -288,18 +294,18 @@
         "    def __init__(self, **terms):\n"
         "        super().__init__()\n"
     )
-    done = run(tmp_path, ["-m", "cartdeal"], PYTHONPATH=str(tmp_path))
-    assert done.returncode == 0 and b"ended" in done.stderr, done
+    process = run(tmp_path, ["-m", "cartdeal"], PYTHONPATH=str(tmp_path))
+    assert process.returncode == 0 and b"ended" in process.stderr, process
 
 
 def test_agent_exit_resets_no_connection(deployment, crosses):
-    """Its last look is taken for an exit, too: what lies unread then would reset the last answer."""
+    """Input that is unread when the process exits would reset the connection and lose the last answer."""
     agent, connection = deployment.agent.front, deployment.connect()
     until(lambda: agent.clients)
     arrive(connection, next(iter(agent.clients)), "/once/crossing")
     agent.close_all()
     for _ in range(20):
-        gevent.sleep(0)  # the loop closes descriptors that a greenlet waits on
+        gevent.sleep(0)  # the event loop closes descriptors that a greenlet waits on
     assert connection.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
     assert ends_in_order(deployment, connection) and not agent.clients and not agent.lingering
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -109,9 +109,7 @@
 
 
 def test_tcp_timeout_counts_as_a_reset_connection(deployment, faults):
-    """ETIMEDOUT is a TimeoutError in Python, but TCP has given up this connection, and perhaps others
-    there.
-    """
+    """ETIMEDOUT is a TimeoutError in Python, but means that TCP has given up the connection."""
     results = []
     pool: UpstreamPool = deployment.agent.upstream
     dispatch = pool.dispatch
