--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -46,15 +46,15 @@
 class AdmissionControl:
     """The agent's side of the fleet: one method for each effect of the reducer, and one for its decision."""
 
-    def __init__(self, config, fleet, after):
+    def __init__(self, config, fleet, queue_event):
         """`after(event, *args)` brings an event to the reducer. Raises BindError."""
-        self.config, self.after, self.listen = config, after, fleet.listen
+        self.config, self.queue_event, self.listen = config, queue_event, fleet.listen
         streams, share = (
             config.limits.descriptors // DESCRIPTORS_PER_STREAM,
-            MEMORY_SHARE * config.limits.memory,
+            MEMORY_SHARE * config.limits.memory_mb,
         )
-        self.descriptors, self.memory = 2 * streams + 2, 2 * share
-        self.host = PeerTransport(
+        self.reserved_descriptors, self.reserved_memory_mb = 2 * streams + 2, 2 * share
+        self.transport = PeerTransport(
             fleet.settings,
             fleet.listen,
             Node,
@@ -62,9 +62,9 @@
             TransportLimits(streams, int(share * 1e6), int(share * 1e6)),
         )
         # By ticket, until when (monotonic seconds) a decision has to come; in that order.
-        self.open: dict[int, tuple[float, AdmissionRequest]] = {}
+        self.pending: dict[int, tuple[float, AdmissionRequest]] = {}
         settings = config.settings
-        self.kinds = [
+        self.class_requirements = [
             (
                 IDEMPOTENCY[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
                 kind.group or Group.CELL.value,
@@ -74,27 +74,28 @@
             for kind in settings.request_classes
         ]
         longest = fleet.settings.longest_mark_s
-        self.longest = tuple(
-            {"i": inf, "d": longest - window, "u": longest}[repeat] for repeat, _, window, _ in self.kinds
+        self.max_request_durations = tuple(
+            {"i": inf, "d": longest - window, "u": longest}[repeat]
+            for repeat, _, window, _ in self.class_requirements
         )
-        self.verbs = {
+        self.effect_handlers = {
             "admit": self.admit,
-            "went": self.on_attempt_sent,
-            "settled": self.on_request_ended,
+            "attempt_sent": self.on_attempt_sent,
+            "request_ended": self.on_request_ended,
         }
 
     def start(self):
         """Listen for peers; returns the background tasks."""
-        self.host.start()
+        self.transport.start()
         log.info(
             "in a fleet",
             extra={
-                "fleet": self.host.settings.fleet,
-                "agent": self.host.settings.name,
-                "port": self.host.port,
+                "fleet": self.transport.settings.fleet,
+                "agent": self.transport.settings.name,
+                "port": self.transport.port,
             },
         )
-        return [gevent.spawn(supervise, self.watch, log)]
+        return [gevent.spawn(supervise, self.check_overdue_decisions, log)]
 
     # Effects
 
@@ -102,21 +103,21 @@
         """Ask the fleet about a request; `deadline` in monotonic seconds."""
         now = monotonic()
         admission_request = self.admission_request(request, deadline - now)
-        self.open[number] = now + self.host.settings.wait_s + DECISION_GRACE_S, admission_request
-        self.host.dispatch("request_admission", number, admission_request)
+        self.pending[number] = now + self.transport.settings.wait_s + DECISION_GRACE_S, admission_request
+        self.transport.dispatch("request_admission", number, admission_request)
 
     def on_attempt_sent(self, number: int, zone: str, cell: int):
         """An attempt of an admitted request is being sent to a server of `zone` and `cell`."""
-        self.host.dispatch("on_attempt_sent", number, zone, cell)
+        self.transport.dispatch("on_attempt_sent", number, zone, cell)
 
     def on_request_ended(self, number: int, ran: str):
         """A request is over; `ran` is a value of RanOutcome."""
-        self.open.pop(number, None)
-        self.host.dispatch("on_request_ended", number, RanOutcome(ran))
+        self.pending.pop(number, None)
+        self.transport.dispatch("on_request_ended", number, RanOutcome(ran))
 
     def admission_request(self, request, remaining_s: float) -> AdmissionRequest:
         """What the fleet has to know of a request that has `remaining_s` until its deadline."""
-        repeat, group, window, request_class = self.kinds[request.request_class]
+        repeat, group, window, request_class = self.class_requirements[request.request_class]
         if request.non_idempotent:
             repeat, window = Idempotency.NON_IDEMPOTENT.value, 0.0
         if request.idempotency_key and repeat == Idempotency.DEDUPLICATED:
@@ -126,14 +127,14 @@
         return AdmissionRequest(
             # By name: who names none, or one that is not known, must not use up the first one's limit.
             tenant=request.tenant_name.decode("latin-1"),
-            session=f"{request.key:016x}" if request.key else "",
+            session=f"{request.session_hash:016x}" if request.session_hash else "",
             key=key,
             repeat=repeat,
             group=group,
             window_s=window,
             limit_s=max(0.0, remaining_s),
             workload=request_class,
-            retried=request.repeat,
+            retried=request.is_retry,
         )
 
     # The fleet's decision
@@ -141,13 +142,13 @@
     def on_decision(self, effect: DeliverDecision):
         """Pass a decision on to the reducer."""
         ticket = effect.ticket
-        if self.open.pop(ticket, None) is None:
+        if self.pending.pop(ticket, None) is None:
             return  # answered, or its client has disconnected, before the decision
         if effect.decision is AdmissionDecision.ADMIT:
-            node = self.host.node
+            node = self.transport.node
             shift = node.now - node.wall  # from the fleet's time to the agent's own
-            self.after(
-                "admitted",
+            self.queue_event(
+                "on_admitted",
                 ticket,
                 tuple(
                     (zone, cell, group, until_ms / 1e3 + shift)
@@ -155,15 +156,15 @@
                 ),
             )
         else:
-            self.after("declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
+            self.queue_event("on_declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
 
-    def watch(self):
+    def check_overdue_decisions(self):
         """Decide what is overdue: a fault kept the fleet from deciding in time."""
         while True:
             gevent.sleep(OVERDUE_CHECK_INTERVAL_S)
-            now, fleet_settings = monotonic(), self.host.settings
+            now, fleet_settings = monotonic(), self.transport.settings
             overdue = [
-                (number, request) for number, (deadline, request) in self.open.items() if deadline < now
+                (number, request) for number, (deadline, request) in self.pending.items() if deadline < now
             ]
             for number, request in overdue:
                 log.warning("fleet decision overdue", extra={"request_class": request.workload})
@@ -176,39 +177,39 @@
 
     # The agent's lifecycle
 
-    def reread(self):
+    def reload(self):
         """Adopt what the fleet's file changes; one that can't be used changes nothing."""
         try:
             found = fleet_configuration.read(self.config)
         except InvalidConfigurationError as error:
             log.error("fleet file refused", extra={"reason": str(error)})
             return
-        host, new = self.host, found.settings
-        settings, restart = fleet_configuration.merge_reloadable(host.settings, new)
+        transport, new = self.transport, found.settings
+        settings, restart = fleet_configuration.merge_reloadable(transport.settings, new)
         restart = [key for key in restart if key != "address" or found.listen[1]]
         restart += ["listen"] * (found.listen != self.listen)
-        host.settings = settings
-        host.dispatch("apply_settings", settings)
+        transport.settings = settings
+        transport.dispatch("apply_settings", settings)
         log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
 
-    def leave(self):
+    def begin_handover(self):
         """Begin to hand over what this agent holds."""
-        self.host.dispatch("begin_shutdown")
+        self.transport.dispatch("begin_shutdown")
 
-    def part(self, until: float):
+    def leave_fleet(self, until: float):
         """Wait for the handover, but not beyond `until` (monotonic seconds), and leave the fleet."""
-        while not self.host.node.is_handed_over and monotonic() < until:
+        while not self.transport.node.is_handed_over and monotonic() < until:
             gevent.sleep(HANDOVER_CHECK_INTERVAL_S)
-        self.host.dispatch("finish_shutdown")
-        self.host.flush(monotonic() + FINAL_FLUSH_S)
+        self.transport.dispatch("finish_shutdown")
+        self.transport.flush(monotonic() + FINAL_FLUSH_S)
         log.info(
             "out of the fleet",
-            extra={"handed_over": self.host.node.is_handed_over, "unsent": self.host.queued_bytes},
+            extra={"handed_over": self.transport.node.is_handed_over, "unsent": self.transport.queued_bytes},
         )
 
     def stop(self):
         """Close all sockets."""
-        self.host.stop()
+        self.transport.stop()
 
 
 def digest(request) -> str:
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -15,19 +15,19 @@
 from cartdeal.settings import Settings
 
 Address = tuple[str, int]
-TAKEN_OVER = ("discovery", "seed", "known")  # on SIGHUP; the last two matter at a start only
+RELOADABLE_KEYS = ("discovery", "seed", "initial_servers")  # on SIGHUP; the last two matter at a start only
 
 
-class Fault(Exception):
+class ConfigurationError(Exception):
     """A value of the configuration can't be used; the message names its key."""
 
 
-class Unreadable(Fault):
+class UnreadableFileError(ConfigurationError):
     """The file can't be read; `is_passing`: for want of what the machine may have again in a moment."""
 
-    def __init__(self, path: str, trouble: OSError):
-        super().__init__(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({trouble.strerror})")
-        self.is_passing = is_own_limit(trouble) or trouble.errno == errno.EIO
+    def __init__(self, path: str, error: OSError):
+        super().__init__(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({error.strerror})")
+        self.is_transient = is_own_limit(error) or error.errno == errno.EIO
 
 
 class ServerEntry(msgspec.Struct):
@@ -39,19 +39,19 @@
     cell: int = field(default=0, name="pod_group")
     state: str = "active"
     weight: float = field(default=1.0, name="capacity_hint")
-    started: float = field(default=0.0, name="boot_ms")
+    started_ms: float = field(default=0.0, name="boot_ms")
 
 
 class ServerList(msgspec.Struct):
     """A server list, whole or the lines that changed."""
 
     version: int = field(default=0, name="rev")
-    whole: bool = field(default=False, name="all")
+    is_complete: bool = field(default=False, name="all")
     entries: tuple[ServerEntry, ...] = field(default=(), name="targets")
 
 
 class Limits(msgspec.Struct):
-    memory: float = field(default=192.0, name="memory_mb")
+    memory_mb: float = field(default=192.0, name="memory_mb")
     descriptors: int = field(default=1024, name="sockets")
 
 
@@ -63,10 +63,10 @@
     discovery: str | None = field(default=None, name="discovery")
     seed: str = "0"
     limits: Limits = field(default_factory=Limits)
-    tell_listen: str | None = field(default=None, name="peer_listen")
-    neighbours: tuple[str, ...] = field(default=(), name="peers")
-    everyone: str | None = field(default=None, name="peers_all")
-    known: ServerList = field(default_factory=ServerList)
+    peer_listen: str | None = field(default=None, name="peer_listen")
+    peers: tuple[str, ...] = field(default=(), name="peers")
+    peers_broadcast: str | None = field(default=None, name="peers_all")
+    initial_servers: ServerList = field(default_factory=ServerList, name="known")
     settings: Settings | None = field(default=None, name="settings")
 
 
@@ -78,28 +78,28 @@
     discovery: Address
     seed: int
     limits: Limits
-    tell_listen: Address | None
-    neighbours: tuple[Address, ...]
-    everyone: Address | None
-    known: ServerList
+    peer_listen: Address | None
+    peers: tuple[Address, ...]
+    peers_broadcast: Address | None
+    initial_servers: ServerList
     settings: Settings
 
 
-def address(key: str, text: str | None) -> Address:
+def parse_address(key: str, text: str | None) -> Address:
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise Fault(f"{key}: found {text!r}, wanted an address such as '127.0.0.1:8080'")
+        raise ConfigurationError(f"{key}: found {text!r}, wanted an address such as '127.0.0.1:8080'")
     return host, int(port)
 
 
-def number(key: str, text: str, base: int) -> int:
+def parse_number(key: str, text: str, base: int) -> int:
     try:
         return int(text, base)
     except ValueError:
-        raise Fault(f"{key}: found {text!r}, wanted a number in base {base}") from None
+        raise ConfigurationError(f"{key}: found {text!r}, wanted a number in base {base}") from None
 
 
-def check(settings: Settings, limits: Limits):
+def validate(settings: Settings, limits: Limits):
     # Where a word of the settings decides what the balancer does, another word is a fault and no guess.
     words = [
         ("family", settings.family, ("mesh", "proxy")),
@@ -150,7 +150,7 @@
             settings.permissions.most_attempts < 1,
         ),
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
-        ("limits.memory_mb", limits.memory, "24 or more", limits.memory < 24),
+        ("limits.memory_mb", limits.memory_mb, "24 or more", limits.memory_mb < 24),
     ]
     for place, kind in enumerate(settings.request_classes):
         wrong.append(
@@ -172,48 +172,48 @@
             )
     for key, found, wanted, is_wrong in wrong:
         if is_wrong:
-            raise Fault(f"{key}: found {found!r}, wanted {wanted}")
+            raise ConfigurationError(f"{key}: found {found!r}, wanted {wanted}")
 
 
-def needs_restart(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
+def restart_keys(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
     """The keys that differ and that a running agent can't take over."""
     return [
         key.encode_name
         for key in msgspec.structs.fields(ConfigurationFile)
-        if key.name not in TAKEN_OVER and getattr(old, key.name) != getattr(new, key.name)
+        if key.name not in RELOADABLE_KEYS and getattr(old, key.name) != getattr(new, key.name)
     ]
 
 
 def read(environment=os.environ) -> AgentConfiguration:
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise Fault("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
+        raise ConfigurationError("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
     try:
         text = Path(path).read_bytes()
-    except OSError as trouble:
-        raise Unreadable(path, trouble) from None
+    except OSError as error:
+        raise UnreadableFileError(path, error) from None
     return decode(text, path, environment)
 
 
 def decode(text: bytes, path: str, environment) -> AgentConfiguration:
     try:
         found = msgspec.json.decode(text, type=ConfigurationFile)
-    except (msgspec.MsgspecError, UnicodeError) as trouble:
-        raise Fault(f"PROXY_CONFIG: {path!r} can't be used: {trouble}") from None
+    except (msgspec.MsgspecError, UnicodeError) as error:
+        raise ConfigurationError(f"PROXY_CONFIG: {path!r} can't be used: {error}") from None
     if found.settings is None:
-        raise Fault("settings: found nothing, wanted the settings of the deployment")
-    check(found.settings, found.limits)
-    for line in found.known.entries:
-        address("known.targets[].endpoint", line.address)
+        raise ConfigurationError("settings: found nothing, wanted the settings of the deployment")
+    validate(found.settings, found.limits)
+    for line in found.initial_servers.entries:
+        parse_address("known.targets[].endpoint", line.address)
     return AgentConfiguration(
         name=found.name or environment.get("PROXY_NAME", "agent"),
-        listen=address("listen", found.listen or environment.get("PROXY_LISTEN")),
-        discovery=address("discovery", found.discovery or environment.get("PROXY_DISCOVERY")),
-        seed=number("seed", found.seed, 16),
+        listen=parse_address("listen", found.listen or environment.get("PROXY_LISTEN")),
+        discovery=parse_address("discovery", found.discovery or environment.get("PROXY_DISCOVERY")),
+        seed=parse_number("seed", found.seed, 16),
         limits=found.limits,
-        tell_listen=address("peer_listen", found.tell_listen) if found.tell_listen else None,
-        neighbours=tuple(address("peers", each) for each in found.neighbours),
-        everyone=address("peers_all", found.everyone) if found.everyone else None,
-        known=found.known,
+        peer_listen=parse_address("peer_listen", found.peer_listen) if found.peer_listen else None,
+        peers=tuple(parse_address("peers", each) for each in found.peers),
+        peers_broadcast=parse_address("peers_all", found.peers_broadcast) if found.peers_broadcast else None,
+        initial_servers=found.initial_servers,
         settings=found.settings,
     )
--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -12,12 +12,12 @@
 import msgspec
 from gevent import socket
 
-from cartdeal.agent.configuration import Fault, ServerList, address
+from cartdeal.agent.configuration import ConfigurationError, ServerList, parse_address
 from cartdeal.agent.connection import Connection, Malformed
 from cartdeal.agent.system_errors import is_silence
 
-PATH = "/registry/instances"
-LIST_LIMIT = 4 << 20  # bytes of the longest list, or line of one: 3,200 entries with long names, indented
+SERVER_LIST_PATH = "/registry/instances"
+MAX_LIST_BYTES = 4 << 20  # bytes of the longest list, or line of one: 3,200 entries with long names, indented
 # TCP does not tell that a service is gone. A watch has a whole line every 2 s, and what a silent one misses
 # counts as told 6 s after it fell silent. From its last line on, two calls have to fit into these: 3.0 of
 # silence, 0.75 for the longest first pause, 1.0 for a call that is accepted and not answered, 0.75 for the
@@ -26,15 +26,21 @@
 # that have hung up. Only that one call is short: after it CALL_TIMEOUT holds, and the pauses grow.
 # From the moment a service that was away can be reached again 6 s are left, too: CALL_TIMEOUT for a call that
 # just missed it, 2.0 for the longest pause after it (CALL_TO_CALL of the schedule), 1.0 for the next answer.
-SILENCE_TIMEOUT = 3.0  # seconds from one whole line to the next, the first one from the head
-CALL_TIMEOUT = 3.0  # seconds that a call may take to the head of its answer, a list to its end
-SHORT_CALL_TIMEOUT = 1.0  # the same for the call after a watch that fell silent, or after a move
+SILENCE_TIMEOUT_S = 3.0  # seconds from one whole line to the next, the first one from the head
+CALL_TIMEOUT_S = 3.0  # seconds that a call may take to the head of its answer, a list to its end
+SHORT_CALL_TIMEOUT_S = 1.0  # the same for the call after a watch that fell silent, or after a move
 
-READS_A_TURN = 16  # reads of a watch before others have their turn
+READS_PER_TURN = 16  # reads of a watch before others have their turn
 
-SILENT = "silent"  # why a watch failed, where nothing came in time
+SILENCE_REASON = "silent"  # why a watch failed, where nothing came in time
 
-UNUSABLE = (OSError, Malformed, Fault, msgspec.MsgspecError, UnicodeError)  # what may be wrong with a call
+CALL_ERRORS = (
+    OSError,
+    Malformed,
+    ConfigurationError,
+    msgspec.MsgspecError,
+    UnicodeError,
+)  # what may be wrong with a call
 
 log = logging.getLogger("cartdeal.discovery")
 
@@ -90,10 +96,10 @@
             self.follow()
         except gevent.GreenletExit:
             reason = ""
-        except UNUSABLE as trouble:
+        except CALL_ERRORS as trouble:
             reason = str(trouble) or repr(trouble)  # no reason would mean that it was let go
             if isinstance(trouble, OSError) and is_silence(trouble):
-                reason = SILENT
+                reason = SILENCE_REASON
         except Exception:
             log.exception("watch died")
         watch = gevent.getcurrent()
@@ -103,13 +109,13 @@
             self.current_watch = None
             if reason:
                 log.warning("watch failed", extra={"reason": reason})
-                self.dispatch("watch_failed", reason == SILENT)
+                self.dispatch("on_watch_failed", reason == SILENCE_REASON)
 
     def run_fetch(self):
-        connection, due = None, monotonic() + CALL_TIMEOUT
+        connection, due = None, monotonic() + CALL_TIMEOUT_S
         called_at = self.address, self.lists_told
         try:
-            connection = self.call(PATH, CALL_TIMEOUT)
+            connection = self.call(SERVER_LIST_PATH, CALL_TIMEOUT_S)
             while not connection.messages:
                 if not receive_until(connection, due):
                     raise Malformed(400, "ended early")
@@ -118,28 +124,28 @@
             found = decode_list(connection.messages[0].body)
             # A watch has told what is newer, or another service has: this list would take it back.
             if called_at == (self.address, self.lists_told):
-                self.dispatch("listed", found, False)
-        except UNUSABLE as trouble:
+                self.dispatch("on_server_list", found, False)
+        except CALL_ERRORS as trouble:
             log.warning("list not had", extra={"reason": str(trouble)})
             if not self.current_watch:  # else a watch that stands would be told as failed
-                self.dispatch("watch_failed")
+                self.dispatch("on_watch_failed")
         finally:
             if connection:
                 connection.close()
 
     def follow(self):
         """Calls for a watch and tells what comes on it, to its end. Raises what is wrong with it."""
-        timeout = SHORT_CALL_TIMEOUT if self.next_call_is_short else CALL_TIMEOUT
+        timeout = SHORT_CALL_TIMEOUT_S if self.next_call_is_short else CALL_TIMEOUT_S
         self.next_call_is_short = False
         due, watch, has_stood = monotonic() + timeout, gevent.getcurrent(), False
         # Another service may number its lists otherwise: the first call there asks for all there is.
         after = 0 if self.first_at_address else self.version()
-        stream = ListStream(self.call(f"{PATH}?watch=1&after={after}", timeout), due)
+        stream = ListStream(self.call(f"{SERVER_LIST_PATH}?watch=1&after={after}", timeout), due)
         try:
             for reads in count(1):
                 if not stream.receive():
                     return
-                if not reads % READS_A_TURN:
+                if not reads % READS_PER_TURN:
                     gevent.sleep(0)  # a read of what is there does not yield
                 for text in stream.whole_texts():
                     # Lines of one that was let go may be read before its end: they would go on top of the
@@ -165,11 +171,11 @@
         if found:
             self.lists_told += 1
             # The previous one's say nothing of the watch in its place, which may have failed.
-            self.dispatch("listed", found, is_current)
+            self.dispatch("on_server_list", found, is_current)
         elif is_current and not has_stood:
-            self.dispatch("watch_stands")
+            self.dispatch("on_watch_established")
         else:
-            self.dispatch("watch_beat")
+            self.dispatch("on_watch_heartbeat")
 
     def let_previous_go(self):
         self.first_at_address = False
@@ -179,7 +185,7 @@
 
     def call(self, path: str, timeout: float) -> Connection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = Connection(sock, answers=True, body_limit=LIST_LIMIT)
+        connection = Connection(sock, answers=True, body_limit=MAX_LIST_BYTES)
         try:
             sock.settimeout(timeout)
             sock.connect(self.address)
@@ -216,7 +222,7 @@
             raise Malformed(400, f"status {status}")
         if status and not self.has_head:
             self.has_head = True
-            self.due = monotonic() + SILENCE_TIMEOUT
+            self.due = monotonic() + SILENCE_TIMEOUT_S
         return True
 
     def whole_texts(self):
@@ -227,7 +233,7 @@
                 continue
             yield self.part
             self.part = bytearray()
-            self.due = monotonic() + SILENCE_TIMEOUT
+            self.due = monotonic() + SILENCE_TIMEOUT_S
 
     def arrived_lines(self) -> list[bytes]:
         """Takes the whole lines that came; of an answer that has ended, all that was not taken before."""
@@ -240,8 +246,8 @@
 
         Only the last line is looked at as long as it can't be the end: a list may have thousands.
         """
-        if len(self.part) > LIST_LIMIT:
-            raise Malformed(413, f"a list of over {LIST_LIMIT} bytes")
+        if len(self.part) > MAX_LIST_BYTES:
+            raise Malformed(413, f"a list of over {MAX_LIST_BYTES} bytes")
         if not last_line.rstrip().endswith(b"}"):
             return False
         try:
@@ -274,5 +280,5 @@
     found = msgspec.json.decode(text, type=ServerList)
     for entry in found.entries:
         if entry.state != "left":
-            address("endpoint", entry.address)
+            parse_address("endpoint", entry.address)
     return found
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -278,7 +278,7 @@
         client.messages.clear()
         if client.waits:
             client.waits = False
-            self.dispatch("client_disconnected", client.request)
+            self.dispatch("on_client_disconnected", client.request)
         for trouble in answers[:-1]:
             self.push_error(client, trouble)
         for trouble in answers[-1:]:
@@ -305,7 +305,7 @@
     def disconnect(self, client: ClientConnection):
         if client.waits:
             client.waits = False
-            self.dispatch("client_disconnected", client.request)
+            self.dispatch("on_client_disconnected", client.request)
         client.close()
 
     def refuse(self, client: ClientConnection, trouble: Malformed):
@@ -378,7 +378,7 @@
                 self.answer_unusable(client, trouble)
                 continue
             client.waits = True
-            self.dispatch("taken", client, request)
+            self.dispatch("on_request", client, request)
         refused_last = client.refused and not (client.waits or client.messages)
         if refused_last and not (client.closed or client.ends_after_write):
             client.since = monotonic()
--- a/cartdeal/agent/invariants.py
+++ b/cartdeal/agent/invariants.py
@@ -11,9 +11,9 @@
 
 from cartdeal.terms import Group, Repeat, RequestClass
 
-ANSWER_GRACE = 0.07  # seconds after a request's deadline within which its answer counts as in time
-TIME_SLACK = 0.15  # seconds by which the time told to a server may exceed what the client has left
-REJECTIONS = (429, 503)  # statuses that promise that nothing ran
+ANSWER_GRACE_S = 0.07  # seconds after a request's deadline within which its answer counts as in time
+TIMEOUT_SLACK_S = 0.15  # seconds by which the time told to a server may exceed what the client has left
+REJECTION_STATUSES = (429, 503)  # statuses that promise that nothing ran
 
 
 class Invariant(StrEnum):
@@ -24,13 +24,13 @@
     ANSWER_BEFORE_CLOSE = "answer_before_close"
     NO_SECOND_EFFECT = "no_second_effect"
     NO_UNSAFE_REJECTION = "no_unsafe_rejection"
-    NO_SEND_FOR_NOBODY = "no_send_for_nobody"
+    NO_SEND_WITHOUT_CLIENT = "no_send_for_nobody"
     NO_SEND_TO_DRAINING = "no_send_to_draining"
-    TIME_TOLD = "time_told"
+    TIMEOUT_WITHIN_DEADLINE = "time_told"
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class Destination:
     """Where an attempt goes, as the server list has it at that moment."""
 
     zone: int
@@ -40,8 +40,8 @@
 
 @dataclass(slots=True)
 class SentAttempt:
-    place: Place
-    began_at: float  # when its first byte went
+    destination: Destination
+    started_at: float  # when its first byte went
     may_have_run: bool = True  # until its end proves that it never did
 
 
@@ -50,7 +50,7 @@
     id: bytes
     request_class: RequestClass
     deadline: float
-    is_waited_for: bool = True
+    is_client_waiting: bool = True
     attempts: dict[int, SentAttempt] = field(default_factory=dict)
 
     def may_have_run(self) -> list[SentAttempt]:
@@ -64,61 +64,67 @@
         self.report = report
         self.requests: dict[int, RequestRecord] = {}
 
-    def request_taken(self, number: int, id: bytes, request_class: RequestClass, deadline: float):
+    def on_request(self, number: int, id: bytes, request_class: RequestClass, deadline: float):
         self.requests[number] = RequestRecord(id, request_class, deadline)
 
-    def attempt_begins(self, number: int, attempt: int, place: Place | None, told: float, now: float):
+    def on_attempt_started(
+        self, number: int, attempt: int, destination: Destination | None, timeout_sent: float, now: float
+    ):
         """The first byte goes now.
 
-        `place`: None where the list no longer has the server. `told`: the seconds for which the server hears
-        that it is waited for.
+        `destination`: None where the list no longer has the server. `timeout_sent`: the seconds for which the
+        server hears that it is waited for.
         """
         record = self.requests.get(number)
-        if record is None or not record.is_waited_for:
-            return self.report(Invariant.NO_SEND_FOR_NOBODY, record.id if record else b"", "nobody waits")
-        if place is None or not place.is_ready:
+        if record is None or not record.is_client_waiting:
+            return self.report(Invariant.NO_SEND_WITHOUT_CLIENT, record.id if record else b"", "nobody waits")
+        if destination is None or not destination.is_ready:
             self.report(Invariant.NO_SEND_TO_DRAINING, record.id, "not ready by the list")
-            place = place or Place(-1, -1, False)
-        if told > record.deadline - now + TIME_SLACK:
+            destination = destination or Destination(-1, -1, False)
+        if timeout_sent > record.deadline - now + TIMEOUT_SLACK_S:
             left = record.deadline - now
-            self.report(Invariant.TIME_TOLD, record.id, f"told {told:.3f} s where {left:.3f} s are left")
+            self.report(
+                Invariant.TIMEOUT_WITHIN_DEADLINE,
+                record.id,
+                f"told {timeout_sent:.3f} s where {left:.3f} s are left",
+            )
         for earlier in record.may_have_run():
-            if not repeats_safely(record.request_class, earlier, place, now):
+            if not repeats_safely(record.request_class, earlier, destination, now):
                 self.report(Invariant.NO_SECOND_EFFECT, record.id, "an earlier attempt may have run")
-        record.attempts[attempt] = SentAttempt(place, now)
+        record.attempts[attempt] = SentAttempt(destination, now)
 
-    def attempt_ended(self, number: int, attempt: int, never_ran: bool):
+    def on_attempt_ended(self, number: int, attempt: int, never_ran: bool):
         record = self.requests.get(number)
         sent = record and record.attempts.get(attempt)
         if sent:
             sent.may_have_run = not never_ran
 
-    def request_answered(self, number: int, status: int, now: float):
+    def on_answer(self, number: int, status: int, now: float):
         record = self.requests.get(number)
-        if record is None or not record.is_waited_for:
+        if record is None or not record.is_client_waiting:
             return self.report(Invariant.ONE_ANSWER, record.id if record else b"", f"answered {status} again")
-        record.is_waited_for = False
-        if now > record.deadline + ANSWER_GRACE:
+        record.is_client_waiting = False
+        if now > record.deadline + ANSWER_GRACE_S:
             late = now - record.deadline
             self.report(Invariant.ANSWER_IN_TIME, record.id, f"{late:.3f} s after its deadline")
-        if status in REJECTIONS:
+        if status in REJECTION_STATUSES:
             self.check_rejection(record, now)
 
     def check_rejection(self, record: RequestRecord, now: float):
         """A client may come again after it, at any server, and at once."""
         repeat, group = record.request_class.repeat, record.request_class.group
         for earlier in record.may_have_run():
-            within = now <= earlier.began_at + record.request_class.window
+            within = now <= earlier.started_at + record.request_class.window
             if repeat is Repeat.IDEMPOTENT or repeat is Repeat.DEDUPLICATED and group is Group.ALL and within:
                 continue
             self.report(Invariant.NO_UNSAFE_REJECTION, record.id, "an attempt may have run")
 
-    def client_gone(self, number: int):
+    def on_client_disconnected(self, number: int):
         record = self.requests.get(number)
         if record:
-            record.is_waited_for = False
+            record.is_client_waiting = False
 
-    def connection_closed(self, unanswered: int, peer_ended: bool):
+    def on_connection_closed(self, unanswered: int, peer_ended: bool):
         """A client's connection is closed. `unanswered`: requests of which something was read on it."""
         if unanswered and not peer_ended:
             self.report(Invariant.ANSWER_BEFORE_CLOSE, b"", f"{unanswered} requests read and not answered")
@@ -128,13 +134,15 @@
         self.requests.pop(number, None)
 
 
-def repeats_safely(request_class: RequestClass, earlier: SentAttempt, place: Place, now: float) -> bool:
+def repeats_safely(
+    request_class: RequestClass, earlier: SentAttempt, destination: Destination, now: float
+) -> bool:
     """Whether an attempt that begins there, now, is harmless beside an earlier one that may have run."""
     if request_class.repeat is Repeat.IDEMPOTENT:
         return True
-    if request_class.repeat is Repeat.NON_IDEMPOTENT or now > earlier.began_at + request_class.window:
+    if request_class.repeat is Repeat.NON_IDEMPOTENT or now > earlier.started_at + request_class.window:
         return False
     if request_class.group is Group.ALL:
         return True
-    same_zone = place.zone == earlier.place.zone
-    return same_zone and (request_class.group is Group.ZONE or place.cell == earlier.place.cell)
+    same_zone = destination.zone == earlier.destination.zone
+    return same_zone and (request_class.group is Group.ZONE or destination.cell == earlier.destination.cell)
--- a/cartdeal/agent/log_output.py
+++ b/cartdeal/agent/log_output.py
@@ -13,9 +13,9 @@
 
 from logfmter import Logfmter
 
-LINES_PER_SECOND = 20  # of one kind
-MOST_BYTES = select.PIPE_BUF  # of a line: a pipe that poll says is writable takes so many at once
-CUT = b" ... "  # in place of the middle of a longer one, such as a long traceback
+MAX_LINES_PER_SECOND = 20  # of one kind
+MAX_LINE_BYTES = select.PIPE_BUF  # of a line: a pipe that poll says is writable takes so many at once
+OMISSION_MARK = b" ... "  # in place of the middle of a longer one, such as a long traceback
 
 STANDARD_ERROR = 2
 
@@ -46,7 +46,7 @@
         if now >= kind[0] + 1.0:
             kind[:2] = now, 0
         kind[1] += 1
-        if kind[1] > LINES_PER_SECOND:
+        if kind[1] > MAX_LINES_PER_SECOND:
             kind[2] += 1
             return False
         if kind[2]:
@@ -67,7 +67,7 @@
         if self.lost:
             record.lines_lost = self.lost
         try:
-            line = shortened(self.format(record).encode(errors="replace"), MOST_BYTES - 2)
+            line = shorten(self.format(record).encode(errors="replace"), MAX_LINE_BYTES - 2)
         except Exception:
             return self.handleError(record)
         self.write(b"\n" * self.is_mid_line + line + b"\n")
@@ -89,12 +89,12 @@
         return any(events & select.POLLOUT for _, events in look.poll(0))
 
 
-def shortened(line: bytes, most: int) -> bytes:
+def shorten(line: bytes, most: int) -> bytes:
     """The line, or its two ends where it is longer than `most` bytes."""
     if len(line) <= most:
         return line
-    end = (most - len(CUT)) // 2
-    return line[:end] + CUT + line[-end:]
+    end = (most - len(OMISSION_MARK)) // 2
+    return line[:end] + OMISSION_MARK + line[-end:]
 
 
 def configure():
--- a/cartdeal/agent/metrics.py
+++ b/cartdeal/agent/metrics.py
@@ -5,20 +5,20 @@
 
 from collections import Counter
 
-REPORT_EVERY = 60.0  # seconds
+REPORT_INTERVAL_S = 60.0  # seconds
 
 
 class Metrics:
     def __init__(self):
         self.counts: Counter[str] = Counter()
-        self.reported: dict[str, int] = {}
+        self.last_report: dict[str, int] = {}
 
     def count(self, name: str, amount: int = 1):
         self.counts[name] += amount
 
     def report(self) -> dict[str, int]:
         """All counts, in the order of their names; nothing where none has changed since the last report."""
-        if self.counts == self.reported:
+        if self.counts == self.last_report:
             return {}
-        self.reported = dict(self.counts)
-        return dict(sorted(self.reported.items()))
+        self.last_report = dict(self.counts)
+        return dict(sorted(self.last_report.items()))
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -13,17 +13,17 @@
 from typing import NamedTuple
 
 from cartdeal.agent.configuration import AgentConfiguration, ServerList
-from cartdeal.agent.invariants import Invariant, InvariantMonitor, Place
+from cartdeal.agent.invariants import Destination, Invariant, InvariantMonitor
 from cartdeal.agent.metrics import Metrics
 from cartdeal.agent.start_times import StartTimes
 from cartdeal.balancer import Balancer
 from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, RequestClass, State
 
-STATES = {"active": State.READY, "leaving": State.DRAINING}
-ID_MEMORY = 5.0  # seconds for which a request's id is known, twice that at most
-MOST_IDS = 1 << 15  # that are known at least, twice that at most; less long than ID_MEMORY where more come
-MOST_ZONES = 64  # that are told apart, those of the settings among them
-OVERDUE = 0.02  # how long after its deadline a request that the balancer forgot is answered all the same
+SERVER_STATES = {"active": State.READY, "leaving": State.DRAINING}
+RECENT_ID_S = 5.0  # a request's id is known for as long, twice that at most
+MAX_RECENT_IDS = 1 << 15  # known at least, twice that at most; for less than RECENT_ID_S if more come
+MAX_ZONES = 64  # that are told apart, those of the settings among them
+DEADLINE_GRACE_S = 0.02  # after its deadline a request that the balancer forgot is answered all the same
 
 
 class Progress(IntEnum):
@@ -32,20 +32,20 @@
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
     WRITTEN = 2
-    HEAD = 3
-    WHOLE = 4
+    HEAD_RECEIVED = 3
+    COMPLETE = 4
 
 
 class FailureReason(IntEnum):
     """What ended an attempt."""
 
     ANSWERED = 0
-    BROKEN = 1
+    CONNECTION_BROKEN = 1
     TIMED_OUT = 2
-    GIVEN_UP = 3
-    SPOILT = 4  # what came back can't be read, or can in two ways
+    CANCELLED = 3
+    MALFORMED_RESPONSE = 4  # what came back can't be read, or can in two ways
     NO_CONNECTION = 5  # the agent's own limits left none for it
-    NOT_BEGUN = 6  # what it was decided on no longer held when its first byte was due
+    NOT_SENT = 6  # what it was decided on no longer held when its first byte was due
 
 
 class AttemptResult(NamedTuple):
@@ -53,12 +53,12 @@
 
     reason: FailureReason
     progress: Progress
-    took: float
+    duration: float
     status: int = 0
     not_processed: bool = False
-    kind: bytes = b""  # the body's content type
+    content_type: bytes = b""  # the body's content type
     body: bytes = b""
-    report: bytes = b""  # what the server says of its load
+    raw_load_report: bytes = b""  # what the server says of its load
     detail: str = ""
 
     def outcome(self) -> Outcome:
@@ -70,7 +70,7 @@
                 return Outcome.UNUSABLE  # the request's fault, not the server's
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
         # neither is the server's doing
-        if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION, FailureReason.NOT_BEGUN):
+        if self.reason in (FailureReason.CANCELLED, FailureReason.NO_CONNECTION, FailureReason.NOT_SENT):
             return Outcome.CANCELLED if written else Outcome.NEVER_SENT
         if not written:
             return Outcome.NOT_CONNECTED
@@ -83,14 +83,14 @@
     request_class: int
     non_idempotent: bool  # its form promises less than its request class: it may run once at most
     tenant: int
-    key: int
-    wait: float  # how long the client still waits, in seconds; none is left where it is not above 0
-    repeat: bool
+    session_hash: int
+    timeout: float  # how long the client still waits, in seconds; none is left where it is not above 0
+    is_retry: bool
     method: bytes
     path: bytes
     id: bytes
     idempotency_key: bytes  # by which servers know a repeat
-    kind: bytes
+    content_type: bytes
     body: bytes
     tenant_name: bytes = b""  # the tenant as the client names it
 
@@ -98,18 +98,19 @@
 class PendingRequest:
     """A request that is not answered yet, or whose attempts are still out."""
 
-    waits = False  # for admission
+    awaits_admission = False  # for admission
     earlier_attempts: tuple = ()  # of EarlierAttempt
-    sent = 0  # attempts that were let out, but for those that provably never ran
-    ran = served = False  # whether it may have run; whether its client had the answer
+    sent_count = 0  # attempts that were let out, but for those that provably never ran
+    may_have_run = was_served = False  # whether it may have run; whether its client had the answer
 
     def __init__(self, client, request: Request, deadline: float):
         self.client, self.request, self.deadline = client, request, deadline
-        self.attempts, self.out = 0, 0
+        self.attempt_count, self.in_flight_count = 0, 0
         self.last_outcome: Outcome | None = None
-        self.chosen: dict[int, KnownServer] = {}  # by attempt that is out: what the list said of its server
+        # By attempt that is out: what the list said of its server.
+        self.target_servers: dict[int, KnownServer] = {}
 
-    def ended_as(self) -> str:
+    def last_outcome_name(self) -> str:
         """How its last attempt that has ended did."""
         return self.last_outcome.value if self.last_outcome else "none"
 
@@ -120,10 +121,10 @@
     zone: int
     cell: int
     group: Group
-    until: float
+    repeat_until: float
 
 
-class Past(NamedTuple):
+class AttemptDestination(NamedTuple):
     """Where an earlier attempt went, as the balancer looks at it."""
 
     zone: int
@@ -141,7 +142,7 @@
     """What the list says of a server that the balancer has no use for."""
 
     address: str
-    started: float
+    started_at: float
 
 
 class Reducer:
@@ -150,27 +151,28 @@
         config: AgentConfiguration,
         now: float,
         wall: float,
-        longest_requests: tuple[float, ...] | None = None,
+        max_request_durations: tuple[float, ...] | None = None,
         metrics: Metrics | None = None,
     ):
         """`longest_requests`: by request class, the seconds that a request may last where admission control
         keeps idempotency records; None: there is none.
         """
-        self.config, self.now, self.longest_requests = config, now, longest_requests
+        self.config, self.now, self.max_request_durations = config, now, max_request_durations
         self.start_times = StartTimes(now, wall)
         self.metrics = metrics or Metrics()
         self.monitor = InvariantMonitor(self.report_violation)
         self.effects = []
-        self.count = 0
-        self.end_at = inf  # when the agent is to have answered all
+        self.request_count = 0
+        self.shutdown_deadline = inf  # when the agent is to have answered all
         self.requests: dict[int, PendingRequest] = {}
         # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
-        self.ids, self.previous_ids, self.ids_until = set(), set(), now
-        self.version = 0
-        self.servers_named = 0  # servers so far: each gets an index of its own, which is never another's
-        self.indices: dict[bytes, int] = {}  # these two hold a server until the list says that it is gone
+        self.recent_ids, self.previous_ids, self.ids_rotate_at = set(), set(), now
+        self.list_version = 0
+        self.next_server_index = 0  # servers so far: each gets an index of its own, which is never another's
+        # These two hold a server until the list says that it is gone.
+        self.server_indices: dict[bytes, int] = {}
         self.servers: dict[int, KnownServer] = {}
-        self.zones = {name: place for place, name in enumerate(config.settings.zones)}
+        self.zone_indices = {name: place for place, name in enumerate(config.settings.zones)}
         settings = config.settings.for_balancer(config.seed)
         # A second set, for requests whose form promises less than their request class: these may run once at
         # most.
@@ -184,46 +186,48 @@
         if not settings.must_ask:
             # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
             self.watch()
-        self.apply_list(config.known, fresh=False)
+        self.apply_list(config.initial_servers, fresh=False)
 
     @property
     def pending_count(self) -> int:
         return sum(each.client is not None for each in self.requests.values())
 
     @property
-    def ready(self) -> bool:
-        return bool(self.servers_named)
+    def is_ready(self) -> bool:
+        return bool(self.next_server_index)
 
     # Events
 
-    def taken(self, client, request: Request):
-        if request.id in self.ids or request.id in self.previous_ids:
+    def on_request(self, client, request: Request):
+        if request.id in self.recent_ids or request.id in self.previous_ids:
             # Whose it is can't be told: its answer, or its end, would be another request's.
             self.metrics.count("requests_with_a_known_id")
-            return self.effects.append(("refuse", client, 409, "an X-Request-ID that was used just now"))
-        if self.now > self.ids_until or len(self.ids) >= MOST_IDS:
-            self.previous_ids, self.ids = self.ids, set()
-            self.ids_until = self.now + ID_MEMORY
-        self.ids.add(request.id)
-        self.count += 1
+            return self.effects.append(
+                ("refuse_request", client, 409, "an X-Request-ID that was used just now")
+            )
+        if self.now > self.ids_rotate_at or len(self.recent_ids) >= MAX_RECENT_IDS:
+            self.previous_ids, self.recent_ids = self.recent_ids, set()
+            self.ids_rotate_at = self.now + RECENT_ID_S
+        self.recent_ids.add(request.id)
+        self.request_count += 1
         # A record that is over before its request is would let a repeat of it through.
         wait = (
-            request.wait
-            if self.longest_requests is None
-            else min(request.wait, self.longest_requests[request.request_class])
+            request.timeout
+            if self.max_request_durations is None
+            else min(request.timeout, self.max_request_durations[request.request_class])
         )
-        number, deadline = self.count, min(self.now + wait, self.end_at)
+        number, deadline = self.request_count, min(self.now + wait, self.shutdown_deadline)
         pending = self.requests[number] = PendingRequest(client, request, deadline)
         self.metrics.count("requests")
         # One whose time was over before its turn, behind others of its connection, can't be answered in time.
         due = max(deadline, self.now)
-        self.monitor.request_taken(number, request.id, self.effective_class(request), due)
-        self.effects.append(("begun", client, number))
-        self.effects.append(("remind", number, deadline + OVERDUE))
-        pending.waits = self.longest_requests is not None
+        self.monitor.on_request(number, request.id, self.effective_class(request), due)
+        self.effects.append(("request_accepted", client, number))
+        self.effects.append(("set_deadline_timer", number, deadline + DEADLINE_GRACE_S))
+        pending.awaits_admission = self.max_request_durations is not None
         if pending.deadline <= self.now:  # it waited for those ahead of it, or the agent ends
-            return self.overdue(number)
-        if not pending.waits:
+            return self.on_deadline_passed(number)
+        if not pending.awaits_admission:
             return self.route(number, pending)
         self.effects.append(("admit", number, request, deadline))
 
@@ -237,191 +241,207 @@
     def route(self, number: int, pending: PendingRequest):
         request = pending.request
         self.balancer.taken(
-            number, self.class_index(request), request.tenant, request.key, pending.deadline, request.repeat
+            number,
+            self.class_index(request),
+            request.tenant,
+            request.session_hash,
+            pending.deadline,
+            request.is_retry,
         )
 
-    def admitted(self, number: int, earlier_attempts: tuple):
+    def on_admitted(self, number: int, earlier_attempts: tuple):
         """Admission control lets it go on. Each earlier attempt: zone (by name), cell, group, until when."""
         pending = self.requests.get(number)
-        if pending and pending.waits:
-            pending.waits = False
+        if pending and pending.awaits_admission:
+            pending.awaits_admission = False
             pending.earlier_attempts = tuple(
-                EarlierAttempt(self.zones.get(zone, -1), cell, Group(group), until)
+                EarlierAttempt(self.zone_indices.get(zone, -1), cell, Group(group), until)
                 for zone, cell, group, until in earlier_attempts
             )
             self.route(number, pending)
 
-    def declined(self, number: int, status: int, wait: float):
+    def on_declined(self, number: int, status: int, retry_after: float):
         pending = self.requests.get(number)
-        if pending and pending.waits:
-            self.answer(number, status, b"", b"", wait)
+        if pending and pending.awaits_admission:
+            self.answer(number, status, b"", b"", retry_after)
 
-    def client_disconnected(self, number: int):
+    def on_client_disconnected(self, number: int):
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             pending.client = None
             self.metrics.count("clients_gone")
-            self.log("client gone", pending.request, attempts=pending.attempts, out=pending.out)
-            self.monitor.client_gone(number)
-            self.drop(number, pending)
+            self.log(
+                "client gone", pending.request, attempts=pending.attempt_count, out=pending.in_flight_count
+            )
+            self.monitor.on_client_disconnected(number)
+            self.forget_if_finished(number, pending)
             self.balancer.client_disconnected(number)
 
-    def attempt_begins(self, number: int, attempt: int, server: int, told: float):
-        """The first byte of an attempt goes now; `told`: the seconds for which its server hears it is due."""
+    def on_attempt_started(self, number: int, attempt: int, server: int, timeout_sent: float):
+        """The first byte of an attempt goes now; `timeout_sent`: the seconds that its server is told."""
         where = self.balancer.servers.get(server)
-        place = where and Place(where.zone, where.cell, where.state is State.READY)
+        place = where and Destination(where.zone, where.cell, where.state is State.READY)
         self.metrics.count("attempts")
-        self.monitor.attempt_begins(number, attempt, place, told, self.now)
+        self.monitor.on_attempt_started(number, attempt, place, timeout_sent, self.now)
 
-    def attempt_ended(
+    def on_attempt_ended(
         self, number: int, server: int, attempt: int, result: AttemptResult, load: Load | None = None
     ):
         pending = self.requests.get(number)
         if pending is None:
             return
-        pending.out -= 1
+        pending.in_flight_count -= 1
         outcome = pending.last_outcome = result.outcome()
         self.metrics.count("attempts_" + outcome.name.lower())
-        self.monitor.attempt_ended(number, attempt, outcome.never_ran)
-        if pending.chosen.pop(attempt, None) and outcome.never_ran:
-            pending.sent -= 1  # else its client would be left in doubt for nothing once its time is over
-        pending.ran = pending.ran or not outcome.never_ran
+        self.monitor.on_attempt_ended(number, attempt, outcome.never_ran)
+        if pending.target_servers.pop(attempt, None) and outcome.never_ran:
+            pending.sent_count -= (
+                1  # else its client would be left in doubt for nothing once its time is over
+            )
+        pending.may_have_run = pending.may_have_run or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.client is not None:
-            pending.served = True
-            self.answer(number, 200, result.kind, result.body, 0.0)
+            pending.was_served = True
+            self.answer(number, 200, result.content_type, result.body, 0.0)
         elif outcome is Outcome.UNUSABLE:
             self.answer(number, 400, b"", b"", 0.0)
         finished = pending.client is None
-        self.drop(number, pending)
-        self.balancer.attempt_ended(number, server, outcome, attempt, result.took, finished, load)
+        self.forget_if_finished(number, pending)
+        self.balancer.attempt_ended(number, server, outcome, attempt, result.duration, finished, load)
 
-    def probe_ended(self, server: int, result: AttemptResult, load: Load | None = None):
-        self.balancer.probe_ended(server, result.outcome(), result.took, load)
+    def on_probe_ended(self, server: int, result: AttemptResult, load: Load | None = None):
+        self.balancer.probe_ended(server, result.outcome(), result.duration, load)
 
-    def woken(self, token: int):
+    def on_timer(self, token: int):
         self.balancer.woken(token)
 
-    def ending(self, end_at: float):
+    def on_shutdown(self, shutdown_deadline: float):
         """What is out by then is failed: an agent that is killed loses what it has not answered."""
-        self.end_at = end_at
+        self.shutdown_deadline = shutdown_deadline
         for number, pending in self.requests.items():
-            if pending.deadline > end_at:
-                self.effects.append(("remind", number, end_at))
+            if pending.deadline > shutdown_deadline:
+                self.effects.append(("set_deadline_timer", number, shutdown_deadline))
 
-    def overdue(self, number: int):
+    def on_deadline_passed(self, number: int):
         """The balancer answers every request; should a fault have kept it from it, this does."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.note(f"request {pending.request.id.decode('latin-1')} overdue")
             # What never went out may be asked again; to fail it would leave its client in doubt. But an
             # earlier try of one that still waits may have run at another agent: only the fleet would know.
-            doubt = pending.sent or pending.waits and self.repeat_of(pending.request) is not Repeat.IDEMPOTENT
+            doubt = (
+                pending.sent_count
+                or pending.awaits_admission
+                and self.idempotency_of(pending.request) is not Repeat.IDEMPOTENT
+            )
             self.fail(number) if doubt else self.reject(number, 0.0)
             self.balancer.client_disconnected(number)
 
-    def listed(self, server_list: ServerList, fresh: bool = True):
+    def on_server_list(self, server_list: ServerList, fresh: bool = True):
         """A list came from discovery; `fresh`: on the watch that stands."""
         self.apply_list(server_list, fresh)
-        self.start_times.heard(self.now)
+        self.start_times.on_discovery_response(self.now)
 
     def apply_list(self, server_list: ServerList, fresh: bool):
-        self.version = server_list.version
+        self.list_version = server_list.version
         self.note(
-            f"list {server_list.version}: {len(server_list.entries)} lines{' in all' * server_list.whole}"
+            f"list {server_list.version}: {len(server_list.entries)} lines"
+            f"{' in all' * server_list.is_complete}"
         )
         gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
         # Where an attempt may have run is its server's group of then: one in another group is another server.
         lines = [
-            self.remove_server(line.name.encode()) for line in server_list.entries if self.changed_group(line)
+            self.remove_server(line.name.encode())
+            for line in server_list.entries
+            if self.has_changed_group(line)
         ]
-        lines += [self.listing(line) for line in server_list.entries if line.state != "left"]
-        if server_list.whole:
+        lines += [self.listed_server(line) for line in server_list.entries if line.state != "left"]
+        if server_list.is_complete:
             here = {line.name for line in lines}
-            gone += [name for name in self.indices if name not in here]
-        lines += [self.remove_server(name) for name in gone if name in self.indices]
+            gone += [name for name in self.server_indices if name not in here]
+        lines += [self.remove_server(name) for name in gone if name in self.server_indices]
         self.balancer.listed(lines, fresh)
 
-    def watch_stands(self):
+    def on_watch_established(self):
         """A watch was answered, with nothing new."""
-        self.start_times.heard(self.now)
+        self.start_times.on_discovery_response(self.now)
         self.balancer.listed([], True)
 
-    def watch_beat(self):
+    def on_watch_heartbeat(self):
         """A watch that stands says that there is still nothing new."""
-        self.start_times.heard(self.now)
+        self.start_times.on_discovery_response(self.now)
 
-    def watch_failed(self, silent: bool = False):
+    def on_watch_failed(self, silent: bool = False):
         """The watch ended or, `silent`, sent nothing for too long; or the call for one got no list."""
         self.balancer.watch_failed(silent)
 
-    def discovery_moved(self):
+    def on_discovery_moved(self):
         """The discovery service has another address."""
         self.balancer.discovery_moved()
 
-    def told(self, sender: int, words: bytes):
+    def on_peer_message(self, sender: int, words: bytes):
         """Agents need no words from each other."""
 
     def remove_server(self, name: bytes) -> Listing:
-        index = self.indices.pop(name)
+        index = self.server_indices.pop(name)
         del self.servers[index]
         self.start_times.remove(name)
         self.close_idle(index)
         return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
 
-    def changed_group(self, line) -> bool:
+    def has_changed_group(self, line) -> bool:
         if line.state == "left":  # it may say no zone
             return False
-        index = self.indices.get(line.name.encode())
+        index = self.server_indices.get(line.name.encode())
         known = self.balancer.servers.get(index)
-        return known is not None and (known.zone, known.cell) != (self.zone_of(line), line.cell)
+        return known is not None and (known.zone, known.cell) != (self.zone_index(line), line.cell)
 
-    def listing(self, line) -> Listing:
+    def listed_server(self, line) -> Listing:
         name = line.name.encode()
-        if name not in self.indices:
-            self.indices[name] = self.servers_named
-            self.servers_named += 1
-        index = self.indices[name]
-        started = self.start_times.started_at(name, line.started, self.now)
+        if name not in self.server_indices:
+            self.server_indices[name] = self.next_server_index
+            self.next_server_index += 1
+        index = self.server_indices[name]
+        started = self.start_times.started_at(name, line.started_ms, self.now)
         known = KnownServer(line.address, started)
         if self.servers.setdefault(index, known) != known:
             self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
-        state = STATES.get(line.state, State.DRAINING)
-        zone = self.zone_of(line)
-        if zone >= MOST_ZONES:
+        state = SERVER_STATES.get(line.state, State.DRAINING)
+        zone = self.zone_index(line)
+        if zone >= MAX_ZONES:
             state = State.DRAINING  # among zones that are not told apart a repeat might run twice
         return Listing(index, name, zone, 0, line.cell, state, line.weight, started)
 
-    def zone_of(self, line) -> int:
+    def zone_index(self, line) -> int:
         """A zone's place; one that the settings don't name is another one than all that they do.
 
         Taken for one of these, its servers would be sent repeats that only the group of that zone drops.
         """
         if not self.config.settings.zones:
             return 0
-        if line.zone not in self.zones and len(self.zones) < MOST_ZONES:
+        if line.zone not in self.zone_indices and len(self.zone_indices) < MAX_ZONES:
             self.note(f"zone {line.zone} is none of the settings'")
-            self.zones[line.zone] = len(self.zones)
-        return self.zones.get(line.zone, MOST_ZONES)
+            self.zone_indices[line.zone] = len(self.zone_indices)
+        return self.zone_indices.get(line.zone, MAX_ZONES)
 
     # What the balancer asks for
 
     def send_attempt(self, request: int, server: int, deadline: float):
         pending = self.requests[request]
-        attempt, pending.attempts = pending.attempts, pending.attempts + 1
-        pending.out += 1
+        attempt, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
+        pending.in_flight_count += 1
         if attempt:
             self.metrics.count("retries")
-            self.log("request retried", pending.request, attempt=attempt, after=pending.ended_as())
+            self.log("request retried", pending.request, attempt=attempt, after=pending.last_outcome_name())
         deadline = min(deadline, pending.deadline) if deadline else pending.deadline
-        if self.longest_requests is not None:
+        if self.max_request_durations is not None:
             where = self.balancer.servers[server]
-            if not all(self.within(each, where) for each in pending.earlier_attempts):
-                return self.withhold(request, server, attempt, pending)
-            zones = tuple(self.zones)
-            self.effects.append(("went", request, zones[where.zone] if zones else "", where.cell))
-        pending.sent += 1
-        pending.chosen[attempt] = self.servers[server]
+            if not all(self.allows_attempt(each, where) for each in pending.earlier_attempts):
+                return self.suppress_attempt(request, server, attempt, pending)
+            zones = tuple(self.zone_indices)
+            self.effects.append(("attempt_sent", request, zones[where.zone] if zones else "", where.cell))
+        pending.sent_count += 1
+        pending.target_servers[attempt] = self.servers[server]
         self.effects.append(
             (
                 "send_attempt",
@@ -434,7 +454,7 @@
             )
         )
 
-    def may_begin(self, number: int, attempt: int, server: int) -> bool:
+    def may_send(self, number: int, attempt: int, server: int) -> bool:
         """Whether an attempt that was asked for may still send its first byte, now.
 
         Connecting takes up to seconds. A request that is answered, or whose client has gone, wants nothing
@@ -447,36 +467,39 @@
         where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
         if where is None or known is None or where.state is not State.READY:
             return False
-        if self.servers.get(server) != pending.chosen.get(attempt):
+        if self.servers.get(server) != pending.target_servers.get(attempt):
             return False
         others = {each: past for each, past in known.traces.items() if each != attempt}
         return self.balancer.within_group(
             OtherAttempts(known.request_class, others), where, self.now
-        ) and all(self.within(each, where) for each in pending.earlier_attempts)
+        ) and all(self.allows_attempt(each, where) for each in pending.earlier_attempts)
 
-    def client_of(self, number: int):
+    def waiting_client(self, number: int):
         """Who waits for the request's answer; None where nobody does."""
         pending = self.requests.get(number)
         return pending and pending.client
 
-    def withhold(self, request: int, server: int, attempt: int, pending: PendingRequest):
+    def suppress_attempt(self, request: int, server: int, attempt: int, pending: PendingRequest):
         """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
         the earlier ones as of its own: it then looks for a server where a further one does no harm."""
         known = self.balancer.requests[request]
         for place, each in enumerate(pending.earlier_attempts):
-            known.traces[-1 - place] = Past(each.zone, each.cell), each.until - known.request_class.window
+            known.traces[-1 - place] = (
+                AttemptDestination(each.zone, each.cell),
+                each.repeat_until - known.request_class.window,
+            )
         unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
-        self.effects.append(("withhold", request, server, attempt, unsent))
+        self.effects.append(("suppress_attempt", request, server, attempt, unsent))
 
-    def within(self, earlier_attempts: EarlierAttempt, where) -> bool:
+    def allows_attempt(self, earlier_attempts: EarlierAttempt, where) -> bool:
         """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
-        return self.now < earlier_attempts.until and (
+        return self.now < earlier_attempts.repeat_until and (
             earlier_attempts.group is Group.ALL
             or where.zone == earlier_attempts.zone
             and (earlier_attempts.group is Group.ZONE or where.cell == earlier_attempts.cell)
         )
 
-    def repeat_of(self, request: Request) -> Repeat:
+    def idempotency_of(self, request: Request) -> Repeat:
         return (
             Repeat.NON_IDEMPOTENT
             if request.non_idempotent
@@ -486,7 +509,7 @@
     def reject(self, request: int, wait: float):
         pending = self.requests.get(request)
         if pending and not all(
-            each.group is Group.ALL and self.now < each.until for each in pending.earlier_attempts
+            each.group is Group.ALL and self.now < each.repeat_until for each in pending.earlier_attempts
         ):
             return self.fail(request)  # its client would come again, to where it may run once more
         self.answer(request, 503, b"", b"", wait)
@@ -494,33 +517,33 @@
     def fail(self, request: int):
         self.answer(request, 502, b"", b"", 0.0)
 
-    def answer(self, number: int, status: int, kind: bytes, body: bytes, wait: float):
+    def answer(self, number: int, status: int, content_type: bytes, body: bytes, retry_after: float):
         """The one final answer; whatever comes for the request after it is passed over."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.metrics.count(f"answers_{status}")
-            self.monitor.request_answered(number, status, self.now)
+            self.monitor.on_answer(number, status, self.now)
             if status != 200:
                 left = round(pending.deadline - self.now, 3)
                 self.log(
                     "request not served",
                     pending.request,
                     status=status,
-                    attempts=pending.attempts,
-                    after=pending.ended_as(),
+                    attempts=pending.attempt_count,
+                    after=pending.last_outcome_name(),
                     left_s=left,
                 )
-            self.effects.append(("answer", pending.client, status, kind, body, wait))
+            self.effects.append(("answer", pending.client, status, content_type, body, retry_after))
             pending.client = None
-            self.drop(number, pending)
+            self.forget_if_finished(number, pending)
 
-    def drop(self, number: int, pending: PendingRequest):
-        over = pending.client is None and not pending.out and self.requests.pop(number, None)
+    def forget_if_finished(self, number: int, pending: PendingRequest):
+        over = pending.client is None and not pending.in_flight_count and self.requests.pop(number, None)
         if over:
             self.monitor.forget(number)
-        if over and self.longest_requests is not None:
-            ran = "never" if not pending.ran else "answered" if pending.served else "maybe"
-            self.effects.append(("settled", number, ran))
+        if over and self.max_request_durations is not None:
+            ran = "never" if not pending.may_have_run else "answered" if pending.was_served else "maybe"
+            self.effects.append(("request_ended", number, ran))
 
     def cancel(self, request: int, attempt: int):
         self.effects.append(("cancel", request, attempt))
@@ -563,4 +586,4 @@
     def report_violation(self, invariant: Invariant, id: bytes, detail: str):
         self.metrics.count(f"violations_{invariant}")
         fields = {"invariant": str(invariant), "request": id.decode("latin-1"), "reason": detail}
-        self.effects.append(("violation", fields))
+        self.effects.append(("log_violation", fields))
--- a/cartdeal/agent/start_times.py
+++ b/cartdeal/agent/start_times.py
@@ -15,17 +15,17 @@
 from math import inf, nextafter
 from typing import NamedTuple
 
-LONG_AGO = 0.0  # the time of a start that the list does not stamp
-LIST_DELAY = 2.0  # seconds from a server's start until lists tell of it, as far as a stamp is believed
-MOST_REMOVED = 4096  # servers whose stamp is remembered after they left the list
+LONG_AGO_S = 0.0  # the time of a start that the list does not stamp
+LIST_DELAY_S = 2.0  # seconds from a server's start until lists tell of it, as far as a stamp is believed
+MAX_REMOVED_SERVERS = 4096  # servers whose stamp is remembered after they left the list
 
 
 class Start(NamedTuple):
     """The last start of a server that lists told of."""
 
     stamp: float
-    stamp_before: float  # of its start before that: a list that is late may still say it
-    at: float
+    previous_stamp: float  # of its start before that: a list that is late may still say it
+    started_at: float
 
 
 class StartTimes:
@@ -36,12 +36,12 @@
 
     def __init__(self, now: float, wall: float):
         """`now`, `wall`: what the monotonic clock and the wall clock show in this moment, in seconds."""
-        self.offset = wall - now
+        self.wall_clock_offset = wall - now
         self.heard_at = -inf  # when discovery last said something: it told of every start there was by then
         self.starts: dict[bytes, Start] = {}  # by server name
         self.removed: dict[bytes, Start] = {}  # of servers that left the list, the longest gone first
 
-    def heard(self, now: float):
+    def on_discovery_response(self, now: float):
         """Discovery said something, be it that nothing is new."""
         self.heard_at = now
 
@@ -49,21 +49,21 @@
         """When a server of the list that is read now started. Grows with every new start of the server."""
         known = self.starts.get(name) or self.removed.pop(name, None)
         if known is None:
-            known = Start(stamp, stamp, self.mapped(stamp, now))
-        elif stamp and stamp not in (known.stamp, known.stamp_before):
-            at = self.mapped(stamp, now)
-            if at <= known.at:  # it is a later start, whatever the stamps say
-                at = max(now, nextafter(known.at, inf))
+            known = Start(stamp, stamp, self.to_monotonic(stamp, now))
+        elif stamp and stamp not in (known.stamp, known.previous_stamp):
+            at = self.to_monotonic(stamp, now)
+            if at <= known.started_at:  # it is a later start, whatever the stamps say
+                at = max(now, nextafter(known.started_at, inf))
             known = Start(stamp, known.stamp, at)
         self.starts[name] = known
-        return known.at
+        return known.started_at
 
-    def mapped(self, stamp: float, now: float) -> float:
+    def to_monotonic(self, stamp: float, now: float) -> float:
         """The stamp on the agent's clock, or this moment where the stamp can't be right."""
         if not stamp:
-            return LONG_AGO
-        by_wall_clock = stamp / 1e3 - self.offset
-        if self.heard_at - LIST_DELAY <= by_wall_clock <= now:
+            return LONG_AGO_S
+        by_wall_clock = stamp / 1e3 - self.wall_clock_offset
+        if self.heard_at - LIST_DELAY_S <= by_wall_clock <= now:
             return by_wall_clock
         return now
 
@@ -73,5 +73,5 @@
         if known is None:
             return
         self.removed[name] = known
-        if len(self.removed) > MOST_REMOVED:
+        if len(self.removed) > MAX_REMOVED_SERVERS:
             del self.removed[next(iter(self.removed))]
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -68,7 +68,7 @@
 
     def end(self, reason: FailureReason, detail: str = "") -> AttemptResult:
         if self.given_up:
-            reason = FailureReason.GIVEN_UP
+            reason = FailureReason.CANCELLED
         return AttemptResult(reason, self.progress, monotonic() - self.sent, detail=detail)
 
 
@@ -150,10 +150,15 @@
                     "reason": result.detail,
                 },
             )
-        if result.reason is FailureReason.BROKEN:
+        if result.reason is FailureReason.CONNECTION_BROKEN:
             self.close_idle(server)  # they ended with it, or will: an attempt on one may never be repeated
         self.dispatch(
-            "attempt_ended", request_number, server, attempt_number, result, self.load(result.report)
+            "on_attempt_ended",
+            request_number,
+            server,
+            attempt_number,
+            result,
+            self.load(result.raw_load_report),
         )
 
     def run_probe(self, server, address):
@@ -161,9 +166,9 @@
         deadline = attempt.sent + PROBE * self.connect_limit
         text = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
         result = self.exchange(attempt, server, address, deadline, lambda: text)
-        if result.reason in (FailureReason.BROKEN, FailureReason.TIMED_OUT):
+        if result.reason in (FailureReason.CONNECTION_BROKEN, FailureReason.TIMED_OUT):
             self.close_idle(server)  # those to a silent machine stay silent, or break
-        self.dispatch("probe_ended", server, result, self.load(result.body))
+        self.dispatch("on_probe_ended", server, result, self.load(result.body))
 
     def load(self, report: bytes) -> Load | None:
         if self.reports.how == "none" or not report:
@@ -181,7 +186,7 @@
         answer, attempt.begun = None, True
         try:
             if attempt.given_up:
-                return attempt.end(FailureReason.GIVEN_UP)
+                return attempt.end(FailureReason.CANCELLED)
             self.check(may_begin)
             attempt.connection = self.pooled(server, address)
             if attempt.connection is None:
@@ -190,8 +195,8 @@
             self.write(attempt, text(), deadline, may_begin)
             answer = self.read(attempt, deadline)
             if answer is None:
-                return attempt.end(FailureReason.BROKEN, "ended early")
-            attempt.progress = Progress.WHOLE
+                return attempt.end(FailureReason.CONNECTION_BROKEN, "ended early")
+            attempt.progress = Progress.COMPLETE
             return AttemptResult(
                 FailureReason.ANSWERED,
                 attempt.progress,
@@ -204,20 +209,20 @@
                 f"status {answer.status}",
             )
         except gevent.GreenletExit:
-            return attempt.end(FailureReason.GIVEN_UP)
+            return attempt.end(FailureReason.CANCELLED)
         except NotBegun:
-            return attempt.end(FailureReason.NOT_BEGUN, "no longer wanted there")
+            return attempt.end(FailureReason.NOT_SENT, "no longer wanted there")
         except NoConnection as trouble:
             return attempt.end(FailureReason.NO_CONNECTION, str(trouble))
         except Malformed as trouble:
-            return attempt.end(FailureReason.SPOILT, str(trouble))
+            return attempt.end(FailureReason.MALFORMED_RESPONSE, str(trouble))
         except OSError as trouble:
             if is_silence(trouble):
                 return attempt.end(FailureReason.TIMED_OUT, "no answer in time")
-            return attempt.end(FailureReason.BROKEN, str(trouble))
+            return attempt.end(FailureReason.CONNECTION_BROKEN, str(trouble))
         except Exception as trouble:
             log.exception("attempt died", extra={"address": address})
-            return attempt.end(FailureReason.BROKEN, repr(trouble))
+            return attempt.end(FailureReason.CONNECTION_BROKEN, repr(trouble))
         finally:
             connection = attempt.connection
             if connection and answer and answer.keep_alive and not connection.more and not attempt.given_up:
@@ -258,7 +263,7 @@
                 return None
             self.heard_at = monotonic()
             if connection.message.status >= 200:
-                attempt.progress = Progress.HEAD
+                attempt.progress = Progress.HEAD_RECEIVED
         return connection.messages.pop(0)
 
     # Connections
@@ -358,8 +363,8 @@
     )
     if request.idempotency_key:
         head += b"Idempotency-Key: %b\r\n" % request.idempotency_key
-    if request.kind:
-        head += b"Content-Type: %b\r\n" % request.kind
+    if request.content_type:
+        head += b"Content-Type: %b\r\n" % request.content_type
     if request.body or request.method != b"GET":
         head += b"Content-Length: %d\r\n" % len(request.body)
     return head + b"\r\n" + request.body
--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -52,12 +52,12 @@
 
     try:
         config = configuration.read({**os.environ, "PROXY_CONFIG": file})
-        fleet = start.fleet_config(config)
-    except configuration.Fault as fault:
+        fleet = start.read_fleet_configuration(config)
+    except configuration.ConfigurationError as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
     in_fleet = f", fleet {fleet.settings.fleet}" if fleet else ""
-    click.echo(f"{file}: good, {config.name}, {len(config.known.entries)} servers known{in_fleet}")
+    click.echo(f"{file}: good, {config.name}, {len(config.initial_servers.entries)} servers known{in_fleet}")
 
 
 @main.command()
@@ -83,7 +83,7 @@
             return click.echo(f"{old}: has the new shape already; nothing is written")
         if not dry_run:
             migration.write(made.text, old, new, force)
-    except configuration.Fault as fault:
+    except configuration.ConfigurationError as fault:
         click.echo(f"{old}: {fault}", err=True)
         sys.exit(2)
     if dry_run:
--- a/cartdeal/emulator/stand.py
+++ b/cartdeal/emulator/stand.py
@@ -45,7 +45,7 @@
         for line in self.known.entries:
             self.told(line)
         self.reducer = self.make(config, self.clock.now, self.clock.now)
-        self.carry_out()
+        self.run_effects()
 
     def die(self):
         self.lives = False
@@ -60,33 +60,33 @@
     def dispatch(self, event, *args):
         self.reducer.now = self.clock.now
         getattr(self.reducer, event)(*args)
-        self.carry_out()
+        self.run_effects()
 
     def later(self, time, event, *args):
         life = self.life
         self.clock.at(time, lambda: self.lives and self.life == life and self.dispatch(event, *args))
 
-    def carry_out(self):
+    def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *args in effects:
             getattr(self, verb)(*args)
 
     # What the reducer asks for
 
-    def begun(self, request_id, number):
+    def request_accepted(self, request_id, number):
         pass  # the fleet knows a request_id by its id
 
-    def refuse(self, request_id, status, detail):
+    def refuse_request(self, request_id, status, detail):
         self.fleet.answered(request_id, status, 0.0)
 
     def answer(self, request_id, status, kind, body, wait):
         self.fleet.answered(request_id, status, wait)
 
     def wake(self, token, at):
-        self.later(at, "woken", token)
+        self.later(at, "on_timer", token)
 
-    def remind(self, number, at):
-        self.later(at, "overdue", number)
+    def set_deadline_timer(self, number, at):
+        self.later(at, "on_deadline_passed", number)
 
     def watch(self, on=True):
         if on and not self.watching:
@@ -108,7 +108,7 @@
     def log(self, message, fields):
         pass
 
-    def violation(self, fields):
+    def log_violation(self, fields):
         self.fleet.judge.agents_said.append(fields)
 
     def taken(self, request_id, request_class, key, wait, repeat):
@@ -126,7 +126,7 @@
             b"",
             b"",
         )
-        self.dispatch("taken", request_id, request)
+        self.dispatch("on_request", request_id, request)
 
     # Attempts
 
@@ -141,7 +141,7 @@
         fleet.judge.attempt_sent(
             self.clock.now, self.number, attempt.name, count, address, fleet.world.zones[attempt.server.zone]
         )
-        self.reducer.attempt_begins(number, count, index, 0.0)
+        self.reducer.on_attempt_started(number, count, index, 0.0)
         self.connect(attempt, end)
 
     def connect(self, attempt, end, probe=False):
@@ -205,7 +205,7 @@
 
     def arrive(self, attempt, end, status):
         if not attempt.over and attempt.life == attempt.server.life:
-            attempt.progress = Progress.WHOLE
+            attempt.progress = Progress.COMPLETE
             self.idle.setdefault(attempt.server, []).append((self.clock.now, attempt.life))
             self.clock.after(IDLE, self.tidy, attempt.server)
             attempt.connected = False
@@ -213,7 +213,7 @@
 
     def broken(self, attempt, end, detail, never_up=False):
         if not attempt.over:
-            end(self.result(attempt, FailureReason.BROKEN, detail=detail))
+            end(self.result(attempt, FailureReason.CONNECTION_BROKEN, detail=detail))
 
     def late(self, attempt, end):
         if not attempt.over:
@@ -242,13 +242,13 @@
         written = result.progress >= Progress.WRITTEN
         refused = result.reason is FailureReason.ANSWERED and result.not_processed
         self.fleet.judge.attempt_ended(attempt.name, count, refused or not written)
-        self.dispatch("attempt_ended", number, index, count, result)
+        self.dispatch("on_attempt_ended", number, index, count, result)
 
     def cancel(self, number, count):
         attempt = self.attempts.get((number, count))
         if attempt and not attempt.over:
             index = next(i for i, each in self.reducer.servers.items() if each.address == attempt.server.name)
-            result = self.result(attempt, FailureReason.GIVEN_UP)
+            result = self.result(attempt, FailureReason.CANCELLED)
             self.clock.after(0.0, self.ended, number, count, index, result)
 
     def probe(self, index, address):
@@ -258,7 +258,9 @@
         self.fleet.count["probes"] += 1
         self.connect(
             attempt,
-            lambda result: self.lives and life == self.life and self.dispatch("probe_ended", index, result),
+            lambda result: self.lives
+            and life == self.life
+            and self.dispatch("on_probe_ended", index, result),
             probe=True,
         )
 
@@ -266,7 +268,7 @@
 
     def told(self, line):
         self.fleet.judge.agent_told(
-            self.clock.now, self.number, line.name, line.state == "active", line.started / 1e3
+            self.clock.now, self.number, line.name, line.state == "active", line.started_ms / 1e3
         )
 
     def heard(self, server_list: ServerList | None):
@@ -275,18 +277,18 @@
             return
         if server_list is None:
             self.watching = False
-            return self.dispatch("watch_failed")
-        if not server_list.entries and not server_list.whole:
-            return self.dispatch("watch_stands")
-        lines = {} if server_list.whole else {line.name: line for line in self.known.entries}
+            return self.dispatch("on_watch_failed")
+        if not server_list.entries and not server_list.is_complete:
+            return self.dispatch("on_watch_established")
+        lines = {} if server_list.is_complete else {line.name: line for line in self.known.entries}
         gone = set(line.name for line in self.known.entries) - {line.name for line in server_list.entries}
         for line in server_list.entries:
             self.told(line)
             lines.pop(line.name, None)
             if line.state != "left":
                 lines[line.name] = line
-        if server_list.whole:
+        if server_list.is_complete:
             for name in sorted(gone):
                 self.told(ServerEntry(name, state="left"))
         self.known = ServerList(server_list.version, True, tuple(lines.values()))
-        self.dispatch("listed", server_list)
+        self.dispatch("on_server_list", server_list)
--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -13,7 +13,7 @@
 
 from cartdeal import atomic_write
 from cartdeal.agent import configuration
-from cartdeal.agent.configuration import Fault
+from cartdeal.agent.configuration import ConfigurationError
 
 # What makes the new shape: key of the settings, its value.
 SHAPE = {"family": "proxy", "discovery": "pushed", "weightKind": "live"}
@@ -34,7 +34,7 @@
 
 
 def fault(key, found, wanted):
-    return Fault(f"{key}: found {found!r}, wanted {wanted}")
+    return ConfigurationError(f"{key}: found {found!r}, wanted {wanted}")
 
 
 def load(path: str) -> dict:
@@ -136,7 +136,7 @@
     try:
         configuration.decode(text, path, os.environ)
         trouble = ""
-    except Fault as found:
+    except ConfigurationError as found:
         trouble = str(found)
     if not trouble:
         check_number(new)  # numbers, by now: what was laid over may be of any type
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -129,30 +129,30 @@
         seed = f"{number * 0x9E3779B97F4A7C15 % 2**64:x}"
         config = agent_config(folder, seed=seed, known=known, settings=SETTINGS | settings)
         self.reducer = Reducer(config, fleet.clock.now, WALL_MS / 1e3)
-        self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
-        self.carry_out()
+        self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.list_version)
+        self.run_effects()
 
     def dispatch(self, event, *arguments):
-        if event == "listed":
+        if event == "on_server_list":
             self.lists.append(self.fleet.clock.now)
-        elif event == "watch_failed":
+        elif event == "on_watch_failed":
             self.failed.append(self.fleet.clock.now)
         self.reducer.now = self.fleet.clock.now
         getattr(self.reducer, event)(*arguments)
-        self.carry_out()
+        self.run_effects()
 
-    def carry_out(self):
+    def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *arguments in effects:
             if verb == "wake":
-                self.fleet.clock.at(arguments[1], self.dispatch, "woken", arguments[0])
+                self.fleet.clock.at(arguments[1], self.dispatch, "on_timer", arguments[0])
             elif verb == "watch":
                 self.discovery.watch(*arguments)
 
     def move(self):
         """As after SIGHUP, with a new address for the discovery service."""
         self.discovery.move(("127.0.0.1", 2))
-        self.dispatch("discovery_moved")
+        self.dispatch("on_discovery_moved")
 
     def next_list(self, after):
         return min((at for at in self.lists if at > after), default=float("inf"))
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -53,12 +53,19 @@
         for verb, *args in self.reducer.effects:
             if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
-            if verb in ("admit", "went", "settled", "withhold", "answer", "send_attempt"):
+            if verb in (
+                "admit",
+                "attempt_sent",
+                "request_ended",
+                "suppress_attempt",
+                "answer",
+                "send_attempt",
+            ):
                 self.effects_log.append((verb, *args))
-        withheld = [args for verb, *args in self.reducer.effects if verb == "withhold"]
+        withheld = [args for verb, *args in self.reducer.effects if verb == "suppress_attempt"]
         self.reducer.effects.clear()
         for args in withheld:
-            self.play(0.0, "attempt_ended", *args)
+            self.play(0.0, "on_attempt_ended", *args)
 
     def of(self, verb):
         return [args for each, *args in self.effects_log if each == verb]
@@ -82,35 +89,35 @@
         and not context.reducer.balancer.requests
         and context.of("admit")[0][0] == 1
     )
-    context.play(0.01, "admitted", 1, ())
+    context.play(0.01, "on_admitted", 1, ())
     kinds = [verb for verb, *_ in context.effects_log]
-    assert kinds == ["admit", "went", "send_attempt"] and context.of("went") == [
-        [1, "a", context.of("went")[0][2]]
+    assert kinds == ["admit", "attempt_sent", "send_attempt"] and context.of("attempt_sent") == [
+        [1, "a", context.of("attempt_sent")[0][2]]
     ]
     context.end(1, 0)
-    assert context.statuses() == [200] and context.of("settled") == [[1, "answered"]]
-    context.play(0.0, "admitted", 1, ())
+    assert context.statuses() == [200] and context.of("request_ended") == [[1, "answered"]]
+    context.play(0.0, "on_admitted", 1, ())
     assert len(context.of("send_attempt")) == 1
 
 
 @pytest.mark.parametrize("status", [429, 502, 503])
 def test_declined_request_is_answered_and_never_attempted(context, status):
     context.take(ONCE)
-    context.play(0.01, "declined", 1, status, 0.7)
-    assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("settled") == [
+    context.play(0.01, "on_declined", 1, status, 0.7)
+    assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("request_ended") == [
         [1, "never"]
     ]
-    context.play(0.01, "admitted", 1, ())
-    context.play(0.01, "declined", 1, 502, 0.0)
+    context.play(0.01, "on_admitted", 1, ())
+    context.play(0.01, "on_declined", 1, 502, 0.0)
     assert len(context.statuses()) == 1 and not context.of("send_attempt") and not context.reducer.requests
 
 
 def test_decision_after_the_client_has_disconnected_is_dropped(context):
     context.take(MARK)
-    context.play(0.01, "client_disconnected", 1)
-    context.play(0.01, "admitted", 1, ())
+    context.play(0.01, "on_client_disconnected", 1)
+    context.play(0.01, "on_admitted", 1, ())
     assert (
-        context.of("settled") == [[1, "never"]]
+        context.of("request_ended") == [[1, "never"]]
         and not context.of("send_attempt")
         and not context.reducer.requests
     )
@@ -121,26 +128,26 @@
     context, request_class, status
 ):
     context.take(request_class)
-    context.play(2.1, "overdue", 1)
-    assert context.statuses() == [status] and context.of("settled") == [[1, "never"]]
+    context.play(2.1, "on_deadline_passed", 1)
+    assert context.statuses() == [status] and context.of("request_ended") == [[1, "never"]]
 
 
 @pytest.mark.parametrize(
     "endings, ran",
     [
-        ([(FailureReason.BROKEN, Progress.NOT_CONNECTED, 0)] * 3, "never"),
-        ([(FailureReason.BROKEN, Progress.WRITTEN, 0)], "maybe"),
+        ([(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0)] * 3, "never"),
+        ([(FailureReason.CONNECTION_BROKEN, Progress.WRITTEN, 0)], "maybe"),
         (
             [
-                (FailureReason.BROKEN, Progress.NOT_CONNECTED, 0),
-                (FailureReason.ANSWERED, Progress.WHOLE, 500),
+                (FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
+                (FailureReason.ANSWERED, Progress.COMPLETE, 500),
             ],
             "maybe",
         ),
         (
             [
-                (FailureReason.BROKEN, Progress.NOT_CONNECTED, 0),
-                (FailureReason.ANSWERED, Progress.WHOLE, 200),
+                (FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
+                (FailureReason.ANSWERED, Progress.COMPLETE, 200),
             ],
             "answered",
         ),
@@ -148,20 +155,20 @@
 )
 def test_outcome_that_is_reported_when_a_request_has_ended(context, endings, ran):
     context.take(ONCE)
-    context.play(0.01, "admitted", 1, ())
+    context.play(0.01, "on_admitted", 1, ())
     for attempt, (reason, progress, status) in enumerate(endings):
-        assert not context.of("settled")
+        assert not context.of("request_ended")
         context.end(1, attempt, reason, progress, status)
-    assert context.of("settled") == [[1, ran]] and not context.reducer.requests
+    assert context.of("request_ended") == [[1, ran]] and not context.reducer.requests
 
 
 def test_an_answer_that_comes_for_a_client_that_has_gone_is_no_answer(context):
     context.take(ONCE)
-    context.play(0.01, "admitted", 1, ())
-    context.play(0.01, "client_disconnected", 1)
-    assert not context.of("settled")
+    context.play(0.01, "on_admitted", 1, ())
+    context.play(0.01, "on_client_disconnected", 1)
+    assert not context.of("request_ended")
     context.end(1, 0)
-    assert context.of("settled") == [[1, "maybe"]]
+    assert context.of("request_ended") == [[1, "maybe"]]
 
 
 @pytest.mark.parametrize(
@@ -184,17 +191,19 @@
     for key in range(8):
         context = AdmissionHarness(tmp_path)
         context.take(request_class)
-        context.reducer.requests[1].request = context.reducer.requests[1].request._replace(key=key + 1)
-        context.play(0.01, "admitted", 1, context.earlier_attempts(*places, group=group))
-        context.play(2.0, "woken", 0)
-        assert len(context.of("send_attempt")) == len(context.of("went")) <= 1
+        context.reducer.requests[1].request = context.reducer.requests[1].request._replace(
+            session_hash=key + 1
+        )
+        context.play(0.01, "on_admitted", 1, context.earlier_attempts(*places, group=group))
+        context.play(2.0, "on_timer", 0)
+        assert len(context.of("send_attempt")) == len(context.of("attempt_sent")) <= 1
         went |= {args[2] for args in context.of("send_attempt")}
         if allowed:
             assert context.of("send_attempt"), "an allowed server was not found"
             context.end(1, context.of("send_attempt")[0][1])
             assert context.statuses() == [200]
         else:
-            assert context.statuses() == [502] and context.of("settled") == [[1, "never"]]
+            assert context.statuses() == [502] and context.of("request_ended") == [[1, "never"]]
     assert went <= allowed
 
 
@@ -202,22 +211,22 @@
 def test_rejected_only_where_a_repeat_is_harmless_by_the_earlier_one_too(tmp_path, lasts, group, status):
     context = AdmissionHarness(tmp_path, servers=[])
     context.take(MARK)
-    context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
-    context.play(1.0, "woken", 0)
+    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
+    context.play(1.0, "on_timer", 0)
     assert context.statuses() == [status]
 
 
 def test_no_further_attempt_once_the_earlier_ones_window_is_over(context):
     context.take(MARK)
-    context.play(0.01, "admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
+    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
     assert len(context.of("send_attempt")) == 1
     context.play(
         0.3,
-        "attempt_ended",
+        "on_attempt_ended",
         1,
         context.at[1, 0],
         0,
-        AttemptResult(FailureReason.BROKEN, Progress.NOT_CONNECTED, 0.1),
+        AttemptResult(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0.1),
     )
     assert len(context.of("send_attempt")) == 1 and context.statuses() == [502]
 
@@ -232,21 +241,24 @@
 def test_a_long_day_with_admission_control_leaves_nothing_behind(context):
     for day in range(200):
         entry = ServerEntry(f"n{day}", "127.0.0.1:9", "b", cell=day % 3)
-        context.play(0.1, "listed", ServerList(day + 2, False, (entry,)))
+        context.play(0.1, "on_server_list", ServerList(day + 2, False, (entry,)))
         context.take(day % 5)
-        number = context.reducer.count
+        number = context.reducer.request_count
         context.play(
-            0.01, "admitted", number, context.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else ()
+            0.01,
+            "on_admitted",
+            number,
+            context.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else (),
         )
         if (number, 0) in context.at:
             context.end(number, 0)
-        context.play(1.0, "woken", 0)
+        context.play(1.0, "on_timer", 0)
         for attempt in range(1, 3):
             if number in context.reducer.requests and (number, attempt) in context.at:
                 context.end(number, attempt)
-        context.play(1.0, "overdue", number)
+        context.play(1.0, "on_deadline_passed", number)
     assert not context.reducer.requests and not context.reducer.balancer.requests
-    assert len(context.of("settled")) == 200
+    assert len(context.of("request_ended")) == 200
 
 
 # Admission control itself, over a fake node
@@ -303,7 +315,7 @@
     def make(fleet_settings=FLEET_SETTINGS, **more):
         fleet = configuration.FleetConfiguration(fleet_settings, ("127.0.0.1", 0))
         made.append(Deployment(tmp_path, fleet=fleet, settings=SETTINGS, **more))
-        node = made[-1].agent.admission.host.node
+        node = made[-1].agent.admission.transport.node
         node.decisions |= {kind["name"]: ("admit",) for kind in WORKLOADS}
         return made[-1], node
 
@@ -395,8 +407,8 @@
     if broken:
         node.request_admission = None  # an error in the middle of the event
     assert send_and_receive(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
-    assert not deployment.seen() and not deployment.agent.admission.open and deployment.agent.reducer.now
-    deployment.agent.admission.host.dispatch("deliver", 1, "admit")
+    assert not deployment.seen() and not deployment.agent.admission.pending and deployment.agent.reducer.now
+    deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
     gevent.sleep(0)
     assert not deployment.seen()
 
@@ -407,11 +419,11 @@
     waiting = deployment.connect()
     waiting.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
     until(lambda: node.calls)
-    deployment.agent.admission.host.dispatch(
+    deployment.agent.admission.transport.dispatch(
         "deliver", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
-    assert earlier_attempts.until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
+    assert earlier_attempts.repeat_until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
     assert answered(waiting) == (200, b"s0 ")
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "answered"))
 
@@ -424,17 +436,20 @@
     until(lambda: node.calls)
     waiting.close()
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "never"))
-    assert not deployment.agent.admission.open
-    deployment.agent.admission.host.dispatch("deliver", 1, "admit")
+    assert not deployment.agent.admission.pending
+    deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
     assert not deployment.agent.reducer.requests and not deployment.seen()
 
 
 def test_event_that_comes_of_an_effect_is_played_after_the_others(deploy):
     agent, said = deploy()[0].agent, []
-    agent.verbs["note"] = lambda text: (said.append(text), text == "1" and agent.after("note", "4"))
+    agent.effect_handlers["note"] = lambda text: (
+        said.append(text),
+        text == "1" and agent.queue_event("note", "4"),
+    )
     agent.reducer.effects = [("note", "1"), ("note", "2")]
     agent.dispatch("note", "3")
-    assert said == ["1", "2", "3", "4"] and not agent.playing
+    assert said == ["1", "2", "3", "4"] and not agent.is_handling_event
 
 
 def test_a_withheld_attempt_ends_by_an_event_and_the_request_is_failed(deploy):
@@ -453,12 +468,12 @@
     good = 'fleet = "f"\nname = "n0"\nkey = "' + "k" * 16 + '"\nlisten = "127.0.0.1:0"\n%s[seeds]\n'
     for text, said in (("[", "fleet file refused"), (good % "wait_s = 9.0\n", "fleet file refused")):
         file.write_text(text)
-        deployment.agent.reread()
+        deployment.agent.reload()
         assert caplog.messages[-2] == said and not [
             each for each in node.calls if each[0] == "apply_settings"
         ]
     file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
-    deployment.agent.reread()
+    deployment.agent.reload()
     ((_, fleet_settings),) = [each for each in node.calls if each[0] == "apply_settings"]
     assert (fleet_settings.wait_s, fleet_settings.copies, fleet_settings.seeds) == (
         0.2,
@@ -467,14 +482,14 @@
     )
     assert (
         caplog.records[-2].needs_restart == "zone copies"
-        and deployment.agent.admission.host.settings == fleet_settings
+        and deployment.agent.admission.transport.settings == fleet_settings
     )
 
 
 def test_agent_that_shuts_down_hands_over_and_leaves_the_fleet(deploy):
     deployment, node = deploy()
     node.is_handed_over = False
-    deployment.agent.drain()
+    deployment.agent.begin_handover()
     gone = gevent.spawn_later(0.05, setattr, node, "gone", True)
     deployment.agent.leave_fleet(time.monotonic() + 10)
     assert gone.ready() and [each[0] for each in node.calls] == ["begin_shutdown", "finish_shutdown"]
@@ -492,4 +507,4 @@
         base._replace(method=b"POS", path=b"T/a"),
     ]
     assert len({digest(each) for each in others}) == 4
-    assert digest(base) == digest(base._replace(id=b"7", repeat=True))
+    assert digest(base) == digest(base._replace(id=b"7", is_retry=True))
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -217,7 +217,7 @@
         return [message.path.decode() for server in self.servers for message in server.seen]
 
     def stop(self):
-        gevent.killall(self.agent.works)
+        gevent.killall(self.agent.background_tasks)
         if self.agent.admission:
             self.agent.admission.stop()
         self.agent.front.stop_accepting()
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -5,8 +5,8 @@
 import gevent
 import pytest
 
-from cartdeal.agent.reducer import MOST_ZONES
-from cartdeal.agent.start import lasts, still_open
+from cartdeal.agent.reducer import MAX_ZONES
+from cartdeal.agent.start import accept_duration, shutdown_duration
 from cartdeal.settings import read
 from cartdeal.terms import State
 from tests.scene import SETTINGS, answered, worded
@@ -133,7 +133,7 @@
             for line, zone in zip(list(deployment.service.lines.values()), zones, strict=True)
         )
     )
-    while reducer.version < 2:
+    while reducer.list_version < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k")[0] == 502
     assert len(deployment.seen()) == attempts and deployment.ask("/mark/x", "POST")[0] == 200
@@ -142,12 +142,12 @@
 def test_zones_that_a_list_makes_up_are_bounded(deploy):
     deployment = deploy()
     reducer, line = deployment.agent.reducer, deployment.servers[0].line()
-    deployment.service.tell(*(line | {"uid": f"n{at}", "az": f"z{at}"} for at in range(2 * MOST_ZONES)))
-    while reducer.version < 2:
+    deployment.service.tell(*(line | {"uid": f"n{at}", "az": f"z{at}"} for at in range(2 * MAX_ZONES)))
+    while reducer.list_version < 2:
         gevent.sleep(0.002)
     servers = reducer.balancer.servers.values()
-    assert len(reducer.zones) == MOST_ZONES and len(reducer.balancer.zones) == MOST_ZONES + 1
-    assert sum(each.state is State.READY for each in servers) == MOST_ZONES - 1  # s0 among them; no zone b
+    assert len(reducer.zone_indices) == MAX_ZONES and len(reducer.balancer.zones) == MAX_ZONES + 1
+    assert sum(each.state is State.READY for each in servers) == MAX_ZONES - 1  # s0 among them; no zone b
     assert deployment.ask()[0] == 200
 
 
@@ -182,5 +182,5 @@
     settings = read(json.dumps({"workloads": [{"name": "read", "timeLimitUs": millis * 1000}]}).encode())
     killed = min(3.0, millis / 1e3) + 0.7
     # Connections come for 0.4 s; what is taken on the last one has its time, and all are closed in order.
-    assert 0.4 < still_open(settings) <= lasts(settings) - 0.2
-    assert min(3.0, millis / 1e3) < lasts(settings) <= killed - 0.1
+    assert 0.4 < accept_duration(settings) <= shutdown_duration(settings) - 0.2
+    assert min(3.0, millis / 1e3) < shutdown_duration(settings) <= killed - 0.1
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cartdeal import settings
-from cartdeal.agent.configuration import Fault
+from cartdeal.agent.configuration import ConfigurationError
 from tests.scene import SETTINGS, Scene, agent_config
 
 
@@ -35,5 +35,5 @@
 @pytest.mark.parametrize("multiple", [0, -1.0])
 def test_multiple_that_would_never_warm_a_server_is_refused(tmp_path, multiple):
     wrong = SETTINGS | {"rules": SETTINGS["rules"] | {"overloadFactor": multiple}}
-    with pytest.raises(Fault, match="overloadFactor"):
+    with pytest.raises(ConfigurationError, match="overloadFactor"):
         agent_config(tmp_path, settings=wrong)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -85,9 +85,9 @@
 class WholeTokens(Reducer):
     """Every agent may send a cold server a request at once."""
 
-    def listed(self, server_list, fresh=True):
+    def on_server_list(self, server_list, fresh=True):
         known = set(self.balancer.servers)
-        super().listed(server_list, fresh)
+        super().on_server_list(server_list, fresh)
         for index in set(self.balancer.servers) - known:
             self.balancer.servers[index].tokens = 1.0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -100,21 +100,21 @@
         self.reducer = Reducer(config, self.now, 2000.0)
         if chance is not None:
             self.reducer.balancer.draw = lambda: chance
-        self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
+        self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.list_version)
         call = self.discovery.call
         self.discovery.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
-        self.carry_out()
+        self.run_effects()
 
     def dispatch(self, event, *args):
-        if event == "watch_failed":
+        if event == "on_watch_failed":
             self.failed.append(self.now)
-        elif event == "listed":
+        elif event == "on_server_list":
             self.heard.append((self.now, args[0].version))
         self.reducer.now = self.now
         getattr(self.reducer, event)(*args)
-        self.carry_out()
+        self.run_effects()
 
-    def carry_out(self):
+    def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *args in effects:
             if verb == "wake":
@@ -132,14 +132,14 @@
                 self.discovery.current_watch.join()
             elif self.due and self.due[0][0] <= self.now:
                 heappop(self.due)
-                self.dispatch("woken", 0)
+                self.dispatch("on_timer", 0)
             else:
                 self.now = self.due[0][0]
 
     def take(self, number):
         path = b"/%d" % number
         self.dispatch(
-            "taken", number, Request(0, False, 0, number, 2.0, False, b"GET", path, path, b"", b"", b"")
+            "on_request", number, Request(0, False, 0, number, 2.0, False, b"GET", path, path, b"", b"", b"")
         )
 
 
@@ -173,7 +173,7 @@
     played = world(STOOD, first, new, chance=chance)
     played.play(LAST + TOLD)
     (_, one), (_, two), (at, three) = played.calls[:3]
-    assert at - LAST <= 5.5 and played.reducer.version == 9
+    assert at - LAST <= 5.5 and played.reducer.list_version == 9
     assert one.endswith("after=3") and two.endswith("after=4") and two == three  # all that was missed
     played.take(1)
     assert not played.attempts
@@ -186,7 +186,7 @@
     took = [failed - at for failed, at in zip(played.failed[1:], begun, strict=False)]
     pauses = [at - failed for failed, at in zip(played.failed, begun, strict=False)]
     assert took[:3] == pytest.approx(
-        [discovery.SHORT_CALL_TIMEOUT, discovery.CALL_TIMEOUT, discovery.CALL_TIMEOUT]
+        [discovery.SHORT_CALL_TIMEOUT_S, discovery.CALL_TIMEOUT_S, discovery.CALL_TIMEOUT_S]
     )
     assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 4 / 3, 4 / 3]) and len(begun) < 12
 
@@ -299,7 +299,7 @@
     played = world(chance=0.999999, known=(), service=lambda now: REFUSED if now < 108 else [(0.1, BACK)])
     played.play(112.0)
     begun = [at for at, _ in played.calls]
-    assert played.reducer.ready and max(map(float.__sub__, begun[1:], begun)) < 1.51 and len(begun) < 12
+    assert played.reducer.is_ready and max(map(float.__sub__, begun[1:], begun)) < 1.51 and len(begun) < 12
 
 
 @pytest.mark.parametrize(
@@ -323,12 +323,12 @@
 @pytest.mark.parametrize(
     "script, fails",
     [
-        ([], discovery.CALL_TIMEOUT),
-        ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.CALL_TIMEOUT),
-        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE_TIMEOUT),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT),
-        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE_TIMEOUT),
+        ([], discovery.CALL_TIMEOUT_S),
+        ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.CALL_TIMEOUT_S),
+        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE_TIMEOUT_S),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
+        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
+        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE_TIMEOUT_S),
     ],
     ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"],
 )
@@ -392,17 +392,17 @@
     played.discovery.current_watch.join()  # the old one fell silent, and a pause is on
     moved = played.now
     played.discovery.move(("127.0.0.1", 2))
-    played.dispatch("discovery_moved")
+    played.dispatch("on_discovery_moved")
     played.play(moved + 4.0)  # what changed counts by then
     assert [path[-7:] for _, path in played.calls[1:3]] == ["after=0"] * 2 and played.calls[1][0] == moved
-    assert played.calls[2][0] < moved + 3.8 and played.reducer.version == 2
+    assert played.calls[2][0] < moved + 3.8 and played.reducer.list_version == 2
 
 
 def test_lists_may_come_indented(world):
     text = HEAD + told(8, server("s1", state="leaving"), server("s2{"), whole=True, indent=2)
     played = world([(0.0, text[:90]), (0.1, text[90:]), (2.0, BEAT + told(9, server("s2{", cell=1)))])
     played.play(100.2)
-    assert len(played.calls) == 1 and played.reducer.version == 9
+    assert len(played.calls) == 1 and played.reducer.list_version == 9
 
 
 @pytest.mark.parametrize(
@@ -412,12 +412,12 @@
     played = world(script)
     played.discovery.current_watch.kill()  # before its call: the script is the list's
     gevent.spawn(played.discovery.run_fetch).join()
-    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.CALL_TIMEOUT)
+    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.CALL_TIMEOUT_S)
 
 
 def test_a_list_is_one_of_known_form():
     assert discovery.decode_list(b'{"rev": 2, "targets": []}') == ServerList(2)
-    with pytest.raises(discovery.Fault):
+    with pytest.raises(discovery.ConfigurationError):
         discovery.decode_list(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
     (line,) = discovery.decode_list(json.dumps({"targets": [server("s")]}).encode()).entries
     assert line == ServerEntry("s", "127.0.0.1:1", "a")
@@ -439,7 +439,7 @@
         if down:
             service.stop()
         agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
-        agent.dispatch("discovery_moved")
+        agent.dispatch("on_discovery_moved")
         if not down:
             until(lambda: service.watches)
         return service
@@ -456,7 +456,7 @@
     there = moved.move(down=True)
     until(lambda: not moved.discovery.current_watch)  # refused, and a pause is on
     moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.indices)
+    until(lambda: b"s7" in moved.reducer.server_indices)
     assert not moved.reducer.balancer.watch.watching
     back = DiscoveryService(int(there.address.split(":")[1]))
     until(lambda: back.calls and moved.reducer.balancer.watch.watching and not moved.old.open)
@@ -474,14 +474,14 @@
     for say in both if first == "old" else both[::-1]:  # both lie there before the agent reads either
         say()
     until(lambda: not moved.old.open)
-    assert b"s7" not in moved.reducer.indices and moved.reducer.version == 1
+    assert b"s7" not in moved.reducer.server_indices and moved.reducer.list_version == 1
 
 
 def test_of_two_moves_in_a_row_the_watch_that_has_a_list_goes_on(moved):
     second, third = moved.move(), moved.move()
     until(lambda: not second.open)
     moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.indices)
+    until(lambda: b"s7" in moved.reducer.server_indices)
     third.tell()
     until(lambda: not moved.old.open)
 
@@ -491,7 +491,7 @@
     there.write(there.watches[0], b"\n")
     until(lambda: moved.reducer.balancer.watch.watching)
     moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.indices)
+    until(lambda: b"s7" in moved.reducer.server_indices)
     there.tell()
     until(lambda: not moved.old.open)
 
@@ -506,11 +506,11 @@
         moved.old.tell(server("s7", state="active"))
     else:
         moved.move().tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.indices)
+    until(lambda: b"s7" in moved.reducer.server_indices)
     text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
     held[0].push(answer(200, text))
     until(lambda: held[0] not in moved.old.open)
-    assert b"s7" in moved.reducer.indices and moved.reducer.version == 2
+    assert b"s7" in moved.reducer.server_indices and moved.reducer.list_version == 2
 
 
 def test_list_that_is_not_had_is_no_failure_of_the_watch_that_stands(moved):
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -132,19 +132,19 @@
 
 
 class DrainIgnored(Reducer):
-    def listing(self, line):
-        found = super().listing(line)
+    def listed_server(self, line):
+        found = super().listed_server(line)
         return found._replace(state=State.READY)
 
 
 class GoneIgnored(Reducer):
     def remove_server(self, name):
-        self.indices[name] = self.indices[name]
-        return self.balancer.servers and super().listing(self.lines[name])
+        self.server_indices[name] = self.server_indices[name]
+        return self.balancer.servers and super().listed_server(self.lines[name])
 
-    def listing(self, line):
+    def listed_server(self, line):
         self.lines = getattr(self, "lines", {}) | {line.name.encode(): line}
-        return super().listing(line)._replace(state=State.READY)
+        return super().listed_server(line)._replace(state=State.READY)
 
 
 class SentAgain(Reducer):
@@ -174,8 +174,8 @@
 
 
 class Overdue(Reducer):
-    def taken(self, asker, request):
-        super().taken(asker, request._replace(wait=request.wait + 1.0))
+    def on_request(self, asker, request):
+        super().on_request(asker, request._replace(timeout=request.timeout + 1.0))
 
 
 class RejectedInDoubt(Reducer):
@@ -184,9 +184,9 @@
 
 
 class SentAfterAnswer(Reducer):
-    def attempt_ended(self, number, server, attempt, ending, load=None):
+    def on_attempt_ended(self, number, server, attempt, ending, load=None):
         pending = self.requests.get(number)
-        super().attempt_ended(number, server, attempt, ending, load)
+        super().on_attempt_ended(number, server, attempt, ending, load)
         if pending and number % 50 == 0 and server in self.servers and number not in self.requests:
             self.requests[number] = pending
             self.send_attempt(number, server, 0.0)
@@ -196,7 +196,7 @@
 class BothAtOnce(Reducer):
     def send_attempt(self, request, server, until):
         super().send_attempt(request, server, until)
-        if self.requests[request].attempts == 1 and request % 50 == 0:
+        if self.requests[request].attempt_count == 1 and request % 50 == 0:
             super().send_attempt(request, server, until)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -92,7 +92,7 @@
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
     until(lambda: late.came)
     deployment.service.tell(deployment.servers[0].line(**more))
-    until(lambda: deployment.agent.reducer.version == 2)
+    until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: none is turned away in doubt.
     assert answered(client)[0] == 503 and not deployment.seen()
@@ -106,7 +106,7 @@
     service.version += 1
     for watch in service.watches:
         service.write(watch, service.server_list([], True) + b"\n")
-    until(lambda: deployment.agent.reducer.version == 2)
+    until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     assert answered(client)[0] == 503 and not deployment.seen()
     settled(deployment)
@@ -131,7 +131,7 @@
     if ends == "cancel":
         deployment.agent.upstream.cancel(1, 0)
     else:
-        deployment.agent.dispatch("overdue", 1)
+        deployment.agent.dispatch("on_deadline_passed", 1)
     late.gate.set()
     assert answered(client)[0] in (502, 503)
     settled(deployment)
@@ -168,7 +168,7 @@
 def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
     draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
-    deployment.agent.dispatch("listed", ServerList(2, False, (draining,)))
+    deployment.agent.dispatch("on_server_list", ServerList(2, False, (draining,)))
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
         client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
@@ -178,7 +178,7 @@
         how(client.sock)
     unread_end(deployment, len(clients))  # the agent is late: what it sees next is room for all of them
     ready = ServerEntry("s0", deployment.servers[0].address, "a")
-    deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
+    deployment.agent.dispatch("on_server_list", ServerList(3, False, (ready,)))
     assert deployment.agent.upstream.out
     until(lambda: not deployment.agent.front.clients)
     settled(deployment)
@@ -191,8 +191,8 @@
     until(deployment.seen)
     client.close()
     unread_end(deployment, 1)
-    done = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
-    deployment.agent.dispatch("attempt_ended", 1, 0, 0, done)  # the answer is read before the close
+    done = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
+    deployment.agent.dispatch("on_attempt_ended", 1, 0, 0, done)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.out)
@@ -211,14 +211,14 @@
     for kind, within in ((READ, True), (MARK, False)):
         context = Desk(tmp_path)
         context.take(kind, wait=6.0)
-        context.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
+        context.end(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
         server = context.at[1, 1]
-        assert context.reducer.may_begin(1, 1, server)
+        assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
-        assert context.reducer.may_begin(1, 1, server) is within
+        assert context.reducer.may_send(1, 1, server) is within
         context.reducer.now += 2.0  # the deadline
-        assert not context.reducer.may_begin(1, 1, server)
-        context.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+        assert not context.reducer.may_send(1, 1, server)
+        context.end(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
         # What may have run may be rejected only where a repeat does no harm.
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
@@ -226,20 +226,20 @@
 def test_non_idempotent_request_may_begin_once_its_earlier_attempt_never_ran(tmp_path):
     context = Desk(tmp_path)
     context.take(ONCE)
-    assert context.reducer.may_begin(1, 0, context.at[1, 0])
-    context.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
-    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_begin(1, 1, context.at[1, 1])
-    assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that one has ended
+    assert context.reducer.may_send(1, 0, context.at[1, 0])
+    context.end(1, 0, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_send(1, 1, context.at[1, 1])
+    assert not context.reducer.may_send(1, 0, context.at[1, 0])  # that one has ended
 
 
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
     context = AdmissionHarness(tmp_path)
     context.take(ADMISSION_MARK)
-    context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
     server = context.at[1, 0]
-    assert context.reducer.may_begin(1, 0, server)
+    assert context.reducer.may_send(1, 0, server)
     context.reducer.now += 0.6
-    assert not context.reducer.may_begin(1, 0, server)
+    assert not context.reducer.may_send(1, 0, server)
 
 
 @pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
@@ -249,12 +249,12 @@
     balancer, server = context.reducer.balancer, context.at[1, 0]
     trace, _ = balancer.requests[1].traces[0]
     before = trace.zone, trace.cell
-    name = next(name for name, index in context.reducer.indices.items() if index == server)
+    name = next(name for name, index in context.reducer.server_indices.items() if index == server)
     entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
-    context.play(0.0, "listed", ServerList(4, False, (entry,)))
-    assert (trace.zone, trace.cell) == before and not context.reducer.may_begin(1, 0, server)
-    assert context.reducer.indices[name] != server and server not in context.reducer.servers
+    context.play(0.0, "on_server_list", ServerList(4, False, (entry,)))
+    assert (trace.zone, trace.cell) == before and not context.reducer.may_send(1, 0, server)
+    assert context.reducer.server_indices[name] != server and server not in context.reducer.servers
     context.end(1, 0)
     assert server not in balancer.servers and not context.reducer.pending_count
-    context.play(0.0, "listed", ServerList(5, False, (entry,)))
+    context.play(0.0, "on_server_list", ServerList(5, False, (entry,)))
     assert len(balancer.servers) == 2  # told again, it has not moved again
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -79,6 +79,6 @@
     monkeypatch.setattr(DiscoveryService, "play", play)
     there = DiscoveryService()
     deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
-    deployment.agent.dispatch("discovery_moved")
-    until(lambda: deployment.agent.reducer.version == 9)
+    deployment.agent.dispatch("on_discovery_moved")
+    until(lambda: deployment.agent.reducer.list_version == 9)
     there.stop()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,12 +4,12 @@
 import pytest
 
 from cartdeal.agent import front, upstream
-from cartdeal.agent.invariants import Invariant, InvariantMonitor, Place
+from cartdeal.agent.invariants import Destination, Invariant, InvariantMonitor
 from cartdeal.agent.metrics import Metrics
 from cartdeal.terms import Group, Repeat, RequestClass
 from tests.scene import Deployment, answered, until, worded
 
-HERE, ZONE_MATE, AWAY = Place(0, 0, True), Place(0, 1, True), Place(1, 2, True)
+HERE, ZONE_MATE, AWAY = Destination(0, 0, True), Destination(0, 1, True), Destination(1, 2, True)
 ONCE = RequestClass(Repeat.NON_IDEMPOTENT, Group.CELL, 0.0, 1.0, 1.0)
 READ = ONCE._replace(repeat=Repeat.IDEMPOTENT)
 
@@ -24,10 +24,10 @@
     def __init__(self, request_class):
         self.found = []
         self.monitor = InvariantMonitor(lambda invariant, id, detail: self.found.append(invariant))
-        self.monitor.request_taken(1, b"id", request_class, 105.0)
+        self.monitor.on_request(1, b"id", request_class, 105.0)
 
     def send(self, attempt, place=HERE, now=100.0, told=1.0):
-        self.monitor.attempt_begins(1, attempt, place, told, now)
+        self.monitor.on_attempt_started(1, attempt, place, told, now)
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
     checked = Checked(request_class)
     checked.send(0)
     if never_ran is not None:
-        checked.monitor.attempt_ended(1, 0, never_ran)
+        checked.monitor.on_attempt_ended(1, 0, never_ran)
     checked.send(1, place, now)
     assert checked.found == [Invariant.NO_SECOND_EFFECT] * (breaks and not never_ran)
 
@@ -67,7 +67,7 @@
 def test_rejection_where_an_attempt_may_have_run(request_class, now, breaks, status):
     checked = Checked(request_class)
     checked.send(0)
-    checked.monitor.request_answered(1, status, now)
+    checked.monitor.on_answer(1, status, now)
     assert checked.found == [Invariant.NO_UNSAFE_REJECTION] * (breaks and status != 502)
 
 
@@ -75,27 +75,27 @@
     checked = Checked(READ)
     checked.send(0, told=5.1)
     checked.send(1, told=5.2)
-    checked.send(2, Place(0, 0, False))
+    checked.send(2, Destination(0, 0, False))
     checked.send(3, None)
-    checked.monitor.request_answered(1, 200, 105.06)
-    checked.monitor.request_answered(1, 200, 105.06)
+    checked.monitor.on_answer(1, 200, 105.06)
+    checked.monitor.on_answer(1, 200, 105.06)
     checked.send(4)
     checked.monitor.forget(1)
     checked.send(5)
     assert checked.found == [
-        Invariant.TIME_TOLD,
+        Invariant.TIMEOUT_WITHIN_DEADLINE,
         Invariant.NO_SEND_TO_DRAINING,
         Invariant.NO_SEND_TO_DRAINING,
         Invariant.ONE_ANSWER,
-        Invariant.NO_SEND_FOR_NOBODY,
-        Invariant.NO_SEND_FOR_NOBODY,
+        Invariant.NO_SEND_WITHOUT_CLIENT,
+        Invariant.NO_SEND_WITHOUT_CLIENT,
     ]
     late = Checked(READ)
-    late.monitor.request_answered(1, 200, 105.08)
+    late.monitor.on_answer(1, 200, 105.08)
     gone = Checked(READ)
-    gone.monitor.client_gone(1)
+    gone.monitor.on_client_disconnected(1)
     gone.send(0)
-    assert late.found == [Invariant.ANSWER_IN_TIME] and gone.found == [Invariant.NO_SEND_FOR_NOBODY]
+    assert late.found == [Invariant.ANSWER_IN_TIME] and gone.found == [Invariant.NO_SEND_WITHOUT_CLIENT]
 
 
 # In an agent
@@ -132,7 +132,7 @@
 
 
 def test_attempt_to_a_draining_server_is_counted(deployment, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.reducer.Reducer.may_begin", lambda *about: True)
+    monkeypatch.setattr("cartdeal.agent.reducer.Reducer.may_send", lambda *about: True)
     connect = upstream.UpstreamPool.connect
 
     def drained_meanwhile(pool, *about):
@@ -175,7 +175,7 @@
     (theirs,) = agent.front.clients
     until(lambda: len(theirs.messages) == 2)
     client.close()
-    assert not agent.may_begin(theirs.request, 0, 0)
+    assert not agent.may_send(theirs.request, 0, 0)
     assert not violations(deployment) and agent.metrics.counts["clients_gone"] == 1
 
 
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -13,7 +13,7 @@
 from logfmter import Logfmter
 
 from cartdeal.agent import log_output
-from cartdeal.agent.log_output import MOST_BYTES, NonBlockingHandler, shortened
+from cartdeal.agent.log_output import MAX_LINE_BYTES, NonBlockingHandler, shorten
 from cartdeal.rig.system_faults import PIPE_PAGE
 from tests.scene import Client, answered, config_file, worded
 
@@ -137,6 +137,6 @@
 
 def test_long_line_keeps_both_of_its_ends():
     line = b"begin " + b"x" * 9000 + b" end"
-    short = shortened(line, MOST_BYTES)
-    assert len(short) <= MOST_BYTES and short.startswith(b"begin ") and short.endswith(b" end")
-    assert shortened(line[:50], 50) == line[:50]
+    short = shorten(line, MAX_LINE_BYTES)
+    assert len(short) <= MAX_LINE_BYTES and short.startswith(b"begin ") and short.endswith(b" end")
+    assert shorten(line[:50], 50) == line[:50]
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -155,7 +155,7 @@
 )
 def test_setting_that_the_module_reads_is_checked(tmp_path, key, value, words):
     (tmp_path / "c.json").write_text(json.dumps(config_file(settings=SETTINGS | {key: value})))
-    with pytest.raises(configuration.Fault) as fault:
+    with pytest.raises(configuration.ConfigurationError) as fault:
         configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")})
     assert words in str(fault.value)
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -57,7 +57,11 @@
     "words, rule",
     [
         ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
-        ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=State.READY)", 3),
+        (
+            "l = R.listed_server; "
+            "R.listed_server = lambda self, line: l(self, line)._replace(state=State.READY)",
+            3,
+        ),
         ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1),
     ],
 )
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -216,7 +216,7 @@
 
 def test_clients_that_wait_at_the_door_when_it_closes_come_in(deployment):
     agent = deployment.agent.front
-    deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
+    deployment.agent.background_tasks[3].kill()  # it lets nobody in any more: they stay in the queue
     waiting = [deployment.connect() for _ in range(20)]
     for each in waiting:
         each.sock.sendall(worded())
@@ -238,10 +238,10 @@
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
 
-    def reread(self):
+    def reload(self):
         here["reread"] = True
 
-    def drain(self):
+    def begin_handover(self):
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -16,7 +16,7 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.discovery import DiscoveryClient
-from cartdeal.agent.effects import room_for
+from cartdeal.agent.effects import connection_capacity
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.world import Unusable
@@ -61,7 +61,7 @@
 
 
 def listed(reducer, version, numbers, whole=False, state="active"):
-    reducer.listed(
+    reducer.on_server_list(
         ServerList(
             version, whole, tuple(ServerEntry(f"s{n}", f"10.0.0.1:{n}", "a", state=state) for n in numbers)
         )
@@ -70,23 +70,23 @@
 
 def reached(reducer, requests):
     """Addresses, by how many of the requests reach them; each has its own key and is answered at once."""
-    found, done = Counter(), AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.01, 200)
-    for number in range(reducer.count + 1, reducer.count + 1 + requests):
+    found, done = Counter(), AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
+    for number in range(reducer.request_count + 1, reducer.request_count + 1 + requests):
         reducer.now += 0.01
         key, name = 7919 * number, b"%d" % number
-        reducer.taken("asker", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b""))
+        reducer.on_request("asker", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b""))
         sent = [args for verb, *args in reducer.effects if verb == "send_attempt"]
         reducer.effects.clear()
         for request, attempt, server, address, *_ in sent:
             found[address] += 1
-            reducer.attempt_ended(request, server, attempt, done)
+            reducer.on_attempt_ended(request, server, attempt, done)
     return found
 
 
 def test_requests_reach_the_servers_of_a_list_of_1024_and_of_its_changes():
     config = decoded(limits={"memory_mb": 24, "sockets": 64})
     reducer, first = Reducer(config, 100.0, 1100.0), range(MANY)
-    connections, long_bodies = room_for(config.limits)
+    connections, long_bodies = connection_capacity(config.limits)
     assert connections == 32 and long_bodies > 2_000_000  # the least limits, however long the list
     listed(reducer, 1, first, whole=True)
     assert len(reducer.servers) == MANY and len(reached(reducer, 3 * MANY // 4)) > 0.45 * MANY
@@ -98,9 +98,9 @@
     found, here = reached(reducer, MANY // 4), {f"10.0.0.1:{n}" for n in [*first[1::2], *new]}
     assert found.total() == MANY // 4 and set(found) <= here and len(found) > 0.2 * MANY
     listed(reducer, 4, drained, state="left")
-    assert len(reducer.servers) == len(reducer.indices) == MANY
+    assert len(reducer.servers) == len(reducer.server_indices) == MANY
     listed(reducer, 5, first, whole=True)
-    assert set(reducer.indices) == {b"s%d" % n for n in first}
+    assert set(reducer.server_indices) == {b"s%d" % n for n in first}
 
 
 def generous_list(entries_in_all: int) -> bytes:
@@ -149,7 +149,7 @@
 
 def test_configuration_and_fleet_file_with_1024_agents(tmp_path):
     config = decoded(peers=[f"10.0.{n >> 8}.{n & 255}:7946" for n in range(MANY)])
-    assert len(set(config.neighbours)) == MANY
+    assert len(set(config.peers)) == MANY
     file = tmp_path / "fleet.toml"
     file.write_text(
         f'fleet = "f"\nkey = "{"k" * 32}"\n[seeds]\n'
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,8 +12,8 @@
 
 from cartdeal.agent.connection import BODY_LIMIT, Connection
 from cartdeal.agent.front import hashed
-from cartdeal.agent.log_output import LINES_PER_SECOND, RateLimitFilter
-from cartdeal.agent.start import ENDS, LONGEST_WAIT, lasts
+from cartdeal.agent.log_output import MAX_LINES_PER_SECOND, RateLimitFilter
+from cartdeal.agent.start import MAX_DEADLINE_WAIT_S, SHUTDOWN_MARGIN_S, shutdown_duration
 from cartdeal.settings import ClassSettings, Settings
 from cartdeal.terms import Load, Outcome
 from examples.toy import DiscoveryService, Server, answer
@@ -315,10 +315,10 @@
     reducer = deployment.agent.reducer
     for _ in "ab":
         assert deployment.ask(X_Request_ID="same")[0] == 409
-        reducer.ids_until = 0.0
+        reducer.ids_rotate_at = 0.0
         assert deployment.ask()[0] == 200
     assert deployment.ask(X_Request_ID="same")[0] == 200  # forgotten in time, so that ids don't pile up
-    assert len(reducer.ids) + len(reducer.previous_ids) < 4
+    assert len(reducer.recent_ids) + len(reducer.previous_ids) < 4
 
 
 def test_long_bodies_find_no_memory_when_it_is_out(deploy):
@@ -392,7 +392,7 @@
     for token in (9, 1, 5):
         agent.wake(token, now + token / 1e3)
     time.sleep(0.02)
-    agent.dispatch("watch_stands")
+    agent.dispatch("on_watch_established")
     assert woken == [(1, True), (5, True), (9, True)]
     now = time.monotonic()
     agent.wake(3, now + 0.003)
@@ -432,17 +432,17 @@
 
 
 def test_watch_split_silent_unreadable_and_refused(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
     until(lambda: reducer.balancer.watch.watching)
     extra = Server("s9")
     service.tell(extra.line(), split=30)
-    until(lambda: b"s9" in reducer.indices)
-    assert reducer.version == 2
+    until(lambda: b"s9" in reducer.server_indices)
+    assert reducer.list_version == 2
     service.tell(extra.line(state="left"))
-    until(lambda: reducer.version == 3)
+    until(lambda: reducer.list_version == 3)
     calls = len(service.calls)
     for break_it in (
         lambda: service.write(service.watches[-1], b"{no list\n"),
@@ -454,7 +454,7 @@
         until(lambda: not reducer.balancer.watch.watching)
     service.BEAT, service.down = 0.01, True
     reducer.balancer.watch.call_at = 0.0
-    deployment.agent.dispatch("woken", 0)
+    deployment.agent.dispatch("on_timer", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
     assert deployment.ask() == (200, b"s0 ")  # the old list is kept
     extra.stop()
@@ -475,7 +475,7 @@
 def test_whole_list_is_fetched(deploy):
     deployment = deploy()
     deployment.agent.reducer.fetch_servers()
-    deployment.agent.carry_out()
+    deployment.agent.run_effects()
     until(lambda: "/registry/instances" in deployment.service.calls)
 
 
@@ -519,8 +519,8 @@
     there = f"127.0.0.1:{neighbour.getsockname()[1]}"
     deployment = deploy(peer_listen="127.0.0.1:0", peers=[there], peers_all=there)
     agent, heard = deployment.agent, []
-    agent.reducer.told = lambda sender, words: heard.append((sender, words))
-    here = agent.datagrams.getsockname()
+    agent.reducer.on_peer_message = lambda sender, words: heard.append((sender, words))
+    here = agent.peer_socket.getsockname()
     for sender, words in ((unidentified, b"no"), (neighbour, bytes(257)), (neighbour, b"yes")):
         sender.sendto(words, here)
     until(lambda: heard)
@@ -713,7 +713,7 @@
     until(lambda: deployment.agent.reducer.balancer.watch.call_pause > 0.5)
     deployment.agent.reducer.balancer.watch.call_pause = 60.0
     deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
-    deployment.agent.dispatch("discovery_moved")
+    deployment.agent.dispatch("on_discovery_moved")
     until(lambda: deployment.agent.reducer.balancer.watch.watching)
     there.stop()
 
@@ -765,7 +765,7 @@
         record = logging.makeLogRecord({"name": "x", "msg": "refused"})
         if sparing.filter(record):
             passed.append(getattr(record, "left_out", 0))
-    assert len(passed) == 3 * LINES_PER_SECOND and sum(passed) == 2 * (400 - LINES_PER_SECOND)
+    assert len(passed) == 3 * MAX_LINES_PER_SECOND and sum(passed) == 2 * (400 - MAX_LINES_PER_SECOND)
     assert sparing.filter(logging.makeLogRecord({"name": "x", "msg": "ending"}))
 
 
@@ -794,8 +794,10 @@
     assert agent.wait() == 0
 
 
-@pytest.mark.parametrize("limit, wanted", [(2.0, 2.0 + ENDS), (6.0, LONGEST_WAIT + ENDS)])
+@pytest.mark.parametrize(
+    "limit, wanted", [(2.0, 2.0 + SHUTDOWN_MARGIN_S), (6.0, MAX_DEADLINE_WAIT_S + SHUTDOWN_MARGIN_S)]
+)
 def test_a_long_deadline_does_not_put_off_the_end_beyond_the_kill(limit, wanted):
     kinds = ClassSettings(timeout_us=limit * 1e6), ClassSettings(timeout_us=1e6)
-    assert lasts(Settings(request_classes=kinds)) == pytest.approx(wanted)
+    assert shutdown_duration(Settings(request_classes=kinds)) == pytest.approx(wanted)
     assert wanted < min(limit, 3.0) + 0.7
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -92,14 +92,14 @@
         front, taken, dispatch = agent.front, {}, agent.front.dispatch
 
         def watched(event, client, request=None, *about):
-            if event == "taken":
-                taken[request.path] = request.wait
+            if event == "on_request":
+                taken[request.path] = request.timeout
             dispatch(event, client, *([] if request is None else [request]), *about)
 
         front.dispatch = watched
         here = deployment.connect()
         assert deployment.ask(connection=here)[0] == 200
-        agent.works[3].kill()  # the door: its clients stay in the queue
+        agent.background_tasks[3].kill()  # the door: its clients stay in the queue
         waiting = [deployment.connect() for _ in range(3)]
         for number, client in enumerate((here, *waiting)):
             client.sock.sendall(worded(f"/read/{number}", X_Timeout="10000m"))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -127,7 +127,7 @@
 def test_clients_that_wait_at_the_door_come_in_though_accept_fails_between(deployment, faults, error):
     """One of them is gone, or there is no descriptor for a moment: the others are not to be reset."""
     agent = deployment.agent.front
-    deployment.agent.works[3].kill()  # it lets nobody in any more: they stay in the queue
+    deployment.agent.background_tasks[3].kill()  # it lets nobody in any more: they stay in the queue
     waiting = [deployment.connect() for _ in range(3)]
     for client in waiting:
         client.sock.sendall(worded())
@@ -211,8 +211,8 @@
 
     monkeypatch.setenv("PROXY_CONFIG", str(file))
     monkeypatch.setattr(configuration.Path, "read_bytes", refuse_twice)
-    monkeypatch.setattr("cartdeal.agent.effects.REREAD_PAUSE", 0.001)
-    deployment.agent.reread()
+    monkeypatch.setattr("cartdeal.agent.effects.RELOAD_RETRY_DELAY_S", 0.001)
+    deployment.agent.reload()
     assert len(tries) == reads
     assert (deployment.agent.config.discovery[1] == service.socket.getsockname()[1]) == (reads == 3)
     service.stop()
--- a/tests/test_unbounded.py
+++ b/tests/test_unbounded.py
@@ -34,7 +34,7 @@
     dispatch, taken_meanwhile = front.dispatch, []
 
     def watched(event, *about):
-        if event == "taken" and theirs.writer:
+        if event == "on_request" and theirs.writer:
             taken_meanwhile.append(about)
         dispatch(event, *about)
 
@@ -71,8 +71,8 @@
 
 def test_datagrams_without_a_pause_leave_the_agent_its_other_work(deployment):
     agent = deployment.agent
-    agent.datagrams = Flood()
-    flooded = gevent.spawn(agent.hear)
+    agent.peer_socket = Flood()
+    flooded = gevent.spawn(agent.receive_peer_messages)
     assert deployment.ask()[0] == 200
     assert not flooded.ready()
     flooded.kill()
@@ -99,26 +99,28 @@
 
 
 def test_timers_of_requests_that_are_over_do_not_gather(deployment, monkeypatch):
-    monkeypatch.setattr(effects, "MOST_DUE", 50)
-    deployment.agent.most_due = 50
+    monkeypatch.setattr(effects, "MAX_TIMERS", 50)
+    deployment.agent.max_timers = 50
     client = deployment.connect()
     for _ in range(300):
         assert deployment.ask(connection=client, X_Timeout="60000m")[0] == 200
-        assert len(deployment.agent.due) <= 60
+        assert len(deployment.agent.timers) <= 60
     client.sock.sendall(worded("/once/x?do=wait", "POST", X_Timeout="60000m"))
     until(lambda: deployment.agent.reducer.requests)
     (number,) = deployment.agent.reducer.requests
-    deployment.agent.drop_reminders()
-    assert [each[2:] for each in deployment.agent.due if each[2] == "overdue"] == [("overdue", number)]
+    deployment.agent.drop_obsolete_timers()
+    assert [each[2:] for each in deployment.agent.timers if each[2] == "on_deadline_passed"] == [
+        ("on_deadline_passed", number)
+    ]
     deployment.servers[0].released.set()
 
 
 def test_ids_that_are_remembered_are_bounded_in_number(deployment, monkeypatch):
-    monkeypatch.setattr(reducer, "MOST_IDS", 20)
+    monkeypatch.setattr(reducer, "MAX_RECENT_IDS", 20)
     client, memory = deployment.connect(), deployment.agent.reducer
     for number in range(100):
         assert deployment.ask(connection=client, X_Request_ID=f"id-{number}")[0] == 200
-        assert len(memory.ids) + len(memory.previous_ids) <= 40
+        assert len(memory.recent_ids) + len(memory.previous_ids) <= 40
     assert deployment.ask(connection=client, X_Request_ID="id-95")[0] == 409
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -10,9 +10,9 @@
 
 from cartdeal.agent import start_times
 from cartdeal.agent.configuration import ServerEntry, ServerList
-from cartdeal.agent.log_output import LINES_PER_SECOND, RateLimitFilter
+from cartdeal.agent.log_output import MAX_LINES_PER_SECOND, RateLimitFilter
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
-from cartdeal.agent.start_times import LONG_AGO, StartTimes
+from cartdeal.agent.start_times import LONG_AGO_S, StartTimes
 from tests.scene import agent_config
 from tests.test_discovery import BEAT, LIST, World, server, told
 
@@ -21,13 +21,13 @@
 HOUR = 3600.0
 PER_SECOND = 20.0
 COLD_FOR = 10.0  # as in the settings of tests/scene.py
-ANSWERED = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.01, 200)
+ANSWERED = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
 
 
 def entry(number, started, state="active"):
     """`started`: the server's age at BEGIN as its stamp has it, in seconds; None for long ago."""
     stamp = 0 if started is None else (WALL - started) * 1e3
-    return ServerEntry(f"s{number}", f"10.0.0.1:{number}", "a", state=state, started=stamp)
+    return ServerEntry(f"s{number}", f"10.0.0.1:{number}", "a", state=state, started_ms=stamp)
 
 
 class Agent:
@@ -38,25 +38,25 @@
         self.list(*entries, whole=True)
 
     def list(self, *entries, whole=False):
-        self.reducer.listed(ServerList(self.reducer.version + 1, whole, entries))
+        self.reducer.on_server_list(ServerList(self.reducer.list_version + 1, whole, entries))
 
     def ask(self, seconds):
         """Asks for so long; gives how many attempts were sent, by address."""
         sent = {}
         for _ in range(int(seconds * PER_SECOND)):
             self.reducer.now += 1 / PER_SECOND
-            number = self.reducer.count + 1
+            number = self.reducer.request_count + 1
             name = b"%d" % number
             key = 7919 * number
-            self.reducer.taken(
+            self.reducer.on_request(
                 "client", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b"")
             )
-            self.reducer.woken(0)
+            self.reducer.on_timer(0)
             for verb, *args in self.reducer.effects:
                 if verb == "send_attempt":
                     request, attempt, server, address = args[:4]
                     sent[address] = sent.get(address, 0) + 1
-                    self.reducer.attempt_ended(request, server, attempt, ANSWERED)
+                    self.reducer.on_attempt_ended(request, server, attempt, ANSWERED)
             self.reducer.effects.clear()
         return sent
 
@@ -84,7 +84,7 @@
         warm = [entry(number, None) for number in range(1, 5)]
         agent = Agent(tmp_path, clock_off, [*warm, entry(5, HOUR)] if known else warm)
         agent.ask(30.0)
-        agent.reducer.watch_stands()
+        agent.reducer.on_watch_established()
         agent.ask(1.0)
         agent.list(entry(5, -30.5 - stamp_off))  # half a second before it is told
         return agent.ask(8.0).get("10.0.0.1:5", 0)
@@ -101,16 +101,16 @@
     def let_through(created):
         return limit.filter(logging.makeLogRecord({"name": "x", "msg": "refused", "created": created}))
 
-    assert sum(let_through(WALL) for _ in range(2 * LINES_PER_SECOND)) == LINES_PER_SECOND
+    assert sum(let_through(WALL) for _ in range(2 * MAX_LINES_PER_SECOND)) == MAX_LINES_PER_SECOND
     now[0] += 1.5
-    assert sum(let_through(WALL - HOUR) for _ in range(2 * LINES_PER_SECOND)) == LINES_PER_SECOND
+    assert sum(let_through(WALL - HOUR) for _ in range(2 * MAX_LINES_PER_SECOND)) == MAX_LINES_PER_SECOND
 
 
 def test_age_of_a_server_is_right_by_right_clocks():
     times = StartTimes(BEGIN, WALL)
     assert times.started_at(b"first", (WALL - 7.0) * 1e3, BEGIN + 1.0) == pytest.approx(BEGIN - 7.0)
-    assert times.started_at(b"long ago", 0, BEGIN + 1.0) == LONG_AGO
-    times.heard(BEGIN + 5.0)
+    assert times.started_at(b"long ago", 0, BEGIN + 1.0) == LONG_AGO_S
+    times.on_discovery_response(BEGIN + 5.0)
     told = times.started_at(b"first", (WALL + 4.0) * 1e3, BEGIN + 6.0)
     assert told == pytest.approx(BEGIN + 4.0)  # discovery had not heard of it yet when it last said something
 
@@ -118,7 +118,7 @@
 def test_list_that_is_late_starts_no_server_anew():
     times, stamps = StartTimes(BEGIN, WALL), [(WALL + start) * 1e3 for start in (0.0, 10.0)]
     first = times.started_at(b"s", stamps[0], BEGIN + 1.0)
-    times.heard(BEGIN + 9.0)
+    times.on_discovery_response(BEGIN + 9.0)
     second = times.started_at(b"s", stamps[1], BEGIN + 11.0)
     assert second > first
     assert times.started_at(b"s", stamps[0], BEGIN + 12.0) == second
@@ -130,7 +130,7 @@
     times, stamp = StartTimes(BEGIN, WALL), (WALL - HOUR) * 1e3
     first = times.started_at(b"s", stamp, BEGIN)
     times.remove(b"s")
-    times.heard(BEGIN + 50.0)
+    times.on_discovery_response(BEGIN + 50.0)
     assert times.started_at(b"s", stamp, BEGIN + 60.0) == first
     assert times.started_at(b"another", stamp, BEGIN + 60.0) == BEGIN + 60.0
 
@@ -139,12 +139,12 @@
     times, at = StartTimes(BEGIN, WALL), []
     for stamp in (WALL, WALL + 1.0, WALL - HOUR, WALL + HOUR, WALL - 2 * HOUR):
         at.append(times.started_at(b"s", stamp * 1e3, BEGIN + 2.0))  # all in one moment
-        times.heard(BEGIN + 2.0)
+        times.on_discovery_response(BEGIN + 2.0)
     assert at == sorted(set(at))
 
 
 def test_servers_that_left_are_remembered_up_to_a_bound(monkeypatch):
-    monkeypatch.setattr(start_times, "MOST_REMOVED", 3)
+    monkeypatch.setattr(start_times, "MAX_REMOVED_SERVERS", 3)
     times = StartTimes(BEGIN, WALL)
     for number in range(9):
         times.started_at(b"%d" % number, WALL * 1e3, BEGIN)
@@ -160,14 +160,14 @@
     world = World(tmp_path, monkeypatch, script)
     world.play(BEGIN + 41.5)
     at, version = world.heard[-1]
-    assert version == 5 and world.reducer.start_times.starts[b"s2"].at == at
+    assert version == 5 and world.reducer.start_times.starts[b"s2"].started_at == at
     os.close(world.sink)
 
 
 def test_servers_count_as_warm_however_lately_the_agents_machine_was_booted(tmp_path):
     """The monotonic clock counts from the boot; a server that no stamp is told of started long before it."""
     reducer = Reducer(agent_config(tmp_path), 1.0, WALL)
-    reducer.listed(ServerList(1, True, tuple(entry(number, None) for number in range(4))))
+    reducer.on_server_list(ServerList(1, True, tuple(entry(number, None) for number in range(4))))
     balancer = reducer.balancer
     assert not any(balancer.is_cold(each, reducer.now) for each in balancer.servers.values())
     balancer.warm_rate(0, reducer.now)
