--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -12,6 +12,8 @@
 
 import gevent
 
+from cartdeal.balancer_types import DeduplicationScope
+from cartdeal.balancer_types import Idempotency as RequestIdempotency
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet import idempotency
 from cartdeal.fleet.effects import DeliverDecision
@@ -19,14 +21,13 @@
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, Idempotency, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.transport import PeerTransport, TransportLimits
-from cartdeal.settings import REPEATS, seconds
+from cartdeal.settings import IDEMPOTENCY_BY_NAME, seconds
 from cartdeal.supervision import supervise
-from cartdeal.terms import Group, Repeat
 
 IDEMPOTENCY = {
-    Repeat.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
-    Repeat.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
-    Repeat.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
+    RequestIdempotency.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
+    RequestIdempotency.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
+    RequestIdempotency.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
 }
 STATUSES = {
     AdmissionDecision.RATE_LIMITED: 429,
@@ -66,9 +67,9 @@
         settings = config.settings
         self.kinds = [
             (
-                IDEMPOTENCY[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
-                kind.group or Group.CELL.value,
-                seconds(kind.window),
+                IDEMPOTENCY[IDEMPOTENCY_BY_NAME.get(kind.idempotency, RequestIdempotency.NON_IDEMPOTENT)],
+                kind.deduplication_scope or DeduplicationScope.CELL.value,
+                seconds(kind.deduplication_window_us),
                 kind.name,
             )
             for kind in settings.request_classes
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -104,8 +104,8 @@
     words = [
         ("family", settings.family, ("mesh", "proxy")),
         ("discovery", settings.discovery_mode, ("pushed", "on_request")),
-        ("weightKind", settings.weights, ("none", "nominal", "rough", "live")),
-        ("feedback.how", settings.reports.how, ("none", "probe", "answers")),
+        ("weightKind", settings.weight_kind, ("none", "nominal", "rough", "live")),
+        ("feedback.how", settings.load_reports.source, ("none", "probe", "answers")),
     ]
     wrong = [
         (f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
@@ -116,13 +116,13 @@
             "settings.feedback.how",
             "probe",
             "'answers' or 'none' where caps.probes is not true",
-            settings.reports.how == "probe" and not settings.permissions.may_probe,
+            settings.load_reports.source == "probe" and not settings.permissions.may_probe,
         ),
         (
             "settings.objectiveMix.worstClass",
-            settings.mix.worst_class,
+            settings.objective_mix.worst_class_weight,
             "0 to 1",
-            not 0 <= settings.mix.worst_class <= 1,
+            not 0 <= settings.objective_mix.worst_class_weight <= 1,
         ),
         (
             "settings.workloads",
@@ -136,18 +136,18 @@
             f"a place in areas, under {max(1, len(settings.zones))}",
             not 0 <= settings.own_zone < max(1, len(settings.zones)),
         ),
-        ("settings.groupSize", settings.agents, "1 or more", settings.agents < 1),
+        ("settings.groupSize", settings.agent_count, "1 or more", settings.agent_count < 1),
         (
             "settings.rules.overloadFactor",
-            settings.rules.cold_multiple,
+            settings.rules.overload_factor,
             "more than 0",
-            settings.rules.cold_multiple <= 0,
+            settings.rules.overload_factor <= 0,
         ),
         (
             "settings.caps.maxShots",
-            settings.permissions.most_attempts,
+            settings.permissions.max_attempts,
             "1 or more",
-            settings.permissions.most_attempts < 1,
+            settings.permissions.max_attempts < 1,
         ),
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
         ("limits.memory_mb", limits.memory, "24 or more", limits.memory < 24),
@@ -161,7 +161,7 @@
                 not kind.name or any(other.name == kind.name for other in settings.request_classes[:place]),
             )
         )
-        for key, micros in (("goalTimeUs", kind.latency_target), ("timeLimitUs", kind.timeout_us)):
+        for key, micros in (("goalTimeUs", kind.latency_target_us), ("timeLimitUs", kind.timeout_us)):
             wrong.append(
                 (
                     f"settings.workloads[{place}].{key}",
--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -79,10 +79,10 @@
             "close_idle": self.upstream.close_idle,
             "watch": self.discovery.watch,
             "fetch_servers": self.discovery.fetch_servers,
-            "wake": self.wake,
+            "set_timer": self.set_timer,
             "remind": self.remind,
-            "tell": self.tell,
-            "note": self.note,
+            "send_peer_message": self.send_peer_message,
+            "log_note": self.log_note,
             "log": self.log,
             "violation": self.violation,
         }
@@ -211,7 +211,7 @@
 
     # Timers
 
-    def wake(self, token: int, at: float):
+    def set_timer(self, token: int, at: float):
         self.set(at, "woken", token)
 
     def remind(self, request: int, at: float):
@@ -250,7 +250,7 @@
     # Between agents
 
     def open_datagrams(self):
-        if not self.config.tell_listen or not self.config.settings.permissions.may_tell:
+        if not self.config.tell_listen or not self.config.settings.permissions.may_message_peers:
             return None
         return bind_socket(socket.SOCK_DGRAM, self.config.tell_listen)
 
@@ -263,13 +263,13 @@
             if address in senders and len(text) <= LONGEST_WORDS:
                 self.dispatch("told", senders[address], text)
 
-    def tell(self, agent: int, words: bytes):
+    def send_peer_message(self, agent: int, message: bytes):
         neighbours = self.config.neighbours
         to = self.config.everyone if agent < 0 else neighbours[agent] if agent < len(neighbours) else None
-        if self.datagrams and to and len(words) <= LONGEST_WORDS:
-            self.datagrams.sendto(words, to)
+        if self.datagrams and to and len(message) <= LONGEST_WORDS:
+            self.datagrams.sendto(message, to)
 
-    def note(self, text: str):
+    def log_note(self, text: str):
         log.info("note", extra={"text": text})
 
     def log(self, message: str, fields: dict):
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -28,9 +28,9 @@
 from cartdeal.agent.reducer import Request
 from cartdeal.agent.stalls import StallDetector
 from cartdeal.agent.system_errors import RETRY_PAUSE, is_own_limit
-from cartdeal.settings import REPEATS, Settings
+from cartdeal.balancer_types import Idempotency
+from cartdeal.settings import IDEMPOTENCY_BY_NAME, Settings
 from cartdeal.sockets import bind_socket
-from cartdeal.terms import Repeat
 
 GREETING_TIMEOUT = 1.5  # how long an unidentified client may take from connecting to its first byte
 STALL_TIMEOUT = 2.0  # how long a client may pause in the middle of a request
@@ -410,10 +410,10 @@
         sessions = set(SESSION.findall(headers.get(b"cookie", b"")))
         if len(sessions) > 1:
             raise Malformed(400, "more than one sid")
-        repeat = REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)
+        repeat = IDEMPOTENCY_BY_NAME.get(kind.idempotency, Idempotency.NON_IDEMPOTENT)
         tenant = headers.get(b"x-tenant-id", b"")
         # A method promises nothing of a deduplicated class: servers know a repeat by its key alone.
-        promised = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
+        promised = bool(idempotency_key) if repeat is Idempotency.DEDUPLICATED else message.method == b"GET"
         return Request(
             request_class,
             not promised,
--- a/cartdeal/agent/invariants.py
+++ b/cartdeal/agent/invariants.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from cartdeal.terms import Group, Repeat, RequestClass
+from cartdeal.balancer_types import DeduplicationScope, Idempotency, RequestClass
 
 ANSWER_GRACE = 0.07  # seconds after a request's deadline within which its answer counts as in time
 TIME_SLACK = 0.15  # seconds by which the time told to a server may exceed what the client has left
@@ -106,10 +106,15 @@
 
     def check_rejection(self, record: RequestRecord, now: float):
         """A client may come again after it, at any server, and at once."""
-        repeat, group = record.request_class.repeat, record.request_class.group
+        repeat, group = record.request_class.idempotency, record.request_class.deduplication_scope
         for earlier in record.may_have_run():
-            within = now <= earlier.began_at + record.request_class.window
-            if repeat is Repeat.IDEMPOTENT or repeat is Repeat.DEDUPLICATED and group is Group.ALL and within:
+            within = now <= earlier.began_at + record.request_class.deduplication_window
+            if (
+                repeat is Idempotency.IDEMPOTENT
+                or repeat is Idempotency.DEDUPLICATED
+                and group is DeduplicationScope.ALL
+                and within
+            ):
                 continue
             self.report(Invariant.NO_UNSAFE_REJECTION, record.id, "an attempt may have run")
 
@@ -130,11 +135,16 @@
 
 def repeats_safely(request_class: RequestClass, earlier: SentAttempt, place: Place, now: float) -> bool:
     """Whether an attempt that begins there, now, is harmless beside an earlier one that may have run."""
-    if request_class.repeat is Repeat.IDEMPOTENT:
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
-    if request_class.repeat is Repeat.NON_IDEMPOTENT or now > earlier.began_at + request_class.window:
+    if (
+        request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        or now > earlier.began_at + request_class.deduplication_window
+    ):
         return False
-    if request_class.group is Group.ALL:
+    if request_class.deduplication_scope is DeduplicationScope.ALL:
         return True
     same_zone = place.zone == earlier.place.zone
-    return same_zone and (request_class.group is Group.ZONE or place.cell == earlier.place.cell)
+    return same_zone and (
+        request_class.deduplication_scope is DeduplicationScope.ZONE or place.cell == earlier.place.cell
+    )
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -17,9 +17,17 @@
 from cartdeal.agent.metrics import Metrics
 from cartdeal.agent.start_times import StartTimes
 from cartdeal.balancer import Balancer
-from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, RequestClass, State
-
-STATES = {"active": State.READY, "leaving": State.DRAINING}
+from cartdeal.balancer_types import (
+    DeduplicationScope,
+    Idempotency,
+    ListedServer,
+    LoadReport,
+    Outcome,
+    RequestClass,
+    ServerState,
+)
+
+STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
 ID_MEMORY = 5.0  # seconds for which a request's id is known, twice that at most
 MOST_IDS = 1 << 15  # that are known at least, twice that at most; less long than ID_MEMORY where more come
 MOST_ZONES = 64  # that are told apart, those of the settings among them
@@ -119,7 +127,7 @@
 
     zone: int
     cell: int
-    group: Group
+    group: DeduplicationScope
     until: float
 
 
@@ -134,7 +142,7 @@
     """A request's attempts but for one, as the balancer looks at them."""
 
     request_class: RequestClass
-    traces: dict
+    possible_executions: dict
 
 
 class KnownServer(NamedTuple):
@@ -171,17 +179,17 @@
         self.indices: dict[bytes, int] = {}  # these two hold a server until the list says that it is gone
         self.servers: dict[int, KnownServer] = {}
         self.zones = {name: place for place, name in enumerate(config.settings.zones)}
-        settings = config.settings.for_balancer(config.seed)
+        settings = config.settings.balancer_settings(config.seed)
         # A second set, for requests whose form promises less than their request class: these may run once at
         # most.
         non_idempotent = tuple(
-            each._replace(repeat=Repeat.NON_IDEMPOTENT) for each in settings.request_classes
+            each._replace(idempotency=Idempotency.NON_IDEMPOTENT) for each in settings.request_classes
         )
         self.balancer = Balancer(
             self, replace(settings, request_classes=settings.request_classes + non_idempotent)
         )
         self.balancer.on_transition = self.report_transition
-        if not settings.must_ask:
+        if not settings.polls_discovery:
             # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
             self.watch()
         self.apply_list(config.known, fresh=False)
@@ -236,7 +244,7 @@
 
     def route(self, number: int, pending: PendingRequest):
         request = pending.request
-        self.balancer.taken(
+        self.balancer.on_request(
             number, self.class_index(request), request.tenant, request.key, pending.deadline, request.repeat
         )
 
@@ -246,7 +254,7 @@
         if pending and pending.waits:
             pending.waits = False
             pending.earlier_attempts = tuple(
-                EarlierAttempt(self.zones.get(zone, -1), cell, Group(group), until)
+                EarlierAttempt(self.zones.get(zone, -1), cell, DeduplicationScope(group), until)
                 for zone, cell, group, until in earlier_attempts
             )
             self.route(number, pending)
@@ -264,17 +272,17 @@
             self.log("client gone", pending.request, attempts=pending.attempts, out=pending.out)
             self.monitor.client_gone(number)
             self.drop(number, pending)
-            self.balancer.client_disconnected(number)
+            self.balancer.on_client_disconnected(number)
 
     def attempt_begins(self, number: int, attempt: int, server: int, told: float):
         """The first byte of an attempt goes now; `told`: the seconds for which its server hears it is due."""
         where = self.balancer.servers.get(server)
-        place = where and Place(where.zone, where.cell, where.state is State.READY)
+        place = where and Place(where.zone, where.cell, where.state is ServerState.READY)
         self.metrics.count("attempts")
         self.monitor.attempt_begins(number, attempt, place, told, self.now)
 
     def attempt_ended(
-        self, number: int, server: int, attempt: int, result: AttemptResult, load: Load | None = None
+        self, number: int, server: int, attempt: int, result: AttemptResult, load: LoadReport | None = None
     ):
         pending = self.requests.get(number)
         if pending is None:
@@ -293,13 +301,13 @@
             self.answer(number, 400, b"", b"", 0.0)
         finished = pending.client is None
         self.drop(number, pending)
-        self.balancer.attempt_ended(number, server, outcome, attempt, result.took, finished, load)
+        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.took, finished, load)
 
-    def probe_ended(self, server: int, result: AttemptResult, load: Load | None = None):
-        self.balancer.probe_ended(server, result.outcome(), result.took, load)
+    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None = None):
+        self.balancer.on_probe_ended(server, result.outcome(), result.took, load)
 
     def woken(self, token: int):
-        self.balancer.woken(token)
+        self.balancer.on_timer(token)
 
     def ending(self, end_at: float):
         """What is out by then is failed: an agent that is killed loses what it has not answered."""
@@ -312,12 +320,16 @@
         """The balancer answers every request; should a fault have kept it from it, this does."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
-            self.note(f"request {pending.request.id.decode('latin-1')} overdue")
+            self.log_note(f"request {pending.request.id.decode('latin-1')} overdue")
             # What never went out may be asked again; to fail it would leave its client in doubt. But an
             # earlier try of one that still waits may have run at another agent: only the fleet would know.
-            doubt = pending.sent or pending.waits and self.repeat_of(pending.request) is not Repeat.IDEMPOTENT
+            doubt = (
+                pending.sent
+                or pending.waits
+                and self.repeat_of(pending.request) is not Idempotency.IDEMPOTENT
+            )
             self.fail(number) if doubt else self.reject(number, 0.0)
-            self.balancer.client_disconnected(number)
+            self.balancer.on_client_disconnected(number)
 
     def listed(self, server_list: ServerList, fresh: bool = True):
         """A list came from discovery; `fresh`: on the watch that stands."""
@@ -326,7 +338,7 @@
 
     def apply_list(self, server_list: ServerList, fresh: bool):
         self.version = server_list.version
-        self.note(
+        self.log_note(
             f"list {server_list.version}: {len(server_list.entries)} lines{' in all' * server_list.whole}"
         )
         gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
@@ -339,12 +351,12 @@
             here = {line.name for line in lines}
             gone += [name for name in self.indices if name not in here]
         lines += [self.remove_server(name) for name in gone if name in self.indices]
-        self.balancer.listed(lines, fresh)
+        self.balancer.on_server_list(lines, fresh)
 
     def watch_stands(self):
         """A watch was answered, with nothing new."""
         self.start_times.heard(self.now)
-        self.balancer.listed([], True)
+        self.balancer.on_server_list([], True)
 
     def watch_beat(self):
         """A watch that stands says that there is still nothing new."""
@@ -352,21 +364,21 @@
 
     def watch_failed(self, silent: bool = False):
         """The watch ended or, `silent`, sent nothing for too long; or the call for one got no list."""
-        self.balancer.watch_failed(silent)
+        self.balancer.on_watch_failed(silent)
 
     def discovery_moved(self):
         """The discovery service has another address."""
-        self.balancer.discovery_moved()
+        self.balancer.on_discovery_moved()
 
     def told(self, sender: int, words: bytes):
         """Agents need no words from each other."""
 
-    def remove_server(self, name: bytes) -> Listing:
+    def remove_server(self, name: bytes) -> ListedServer:
         index = self.indices.pop(name)
         del self.servers[index]
         self.start_times.remove(name)
         self.close_idle(index)
-        return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
+        return ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
 
     def changed_group(self, line) -> bool:
         if line.state == "left":  # it may say no zone
@@ -375,7 +387,7 @@
         known = self.balancer.servers.get(index)
         return known is not None and (known.zone, known.cell) != (self.zone_of(line), line.cell)
 
-    def listing(self, line) -> Listing:
+    def listing(self, line) -> ListedServer:
         name = line.name.encode()
         if name not in self.indices:
             self.indices[name] = self.servers_named
@@ -386,11 +398,11 @@
         if self.servers.setdefault(index, known) != known:
             self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
-        state = STATES.get(line.state, State.DRAINING)
+        state = STATES.get(line.state, ServerState.DRAINING)
         zone = self.zone_of(line)
         if zone >= MOST_ZONES:
-            state = State.DRAINING  # among zones that are not told apart a repeat might run twice
-        return Listing(index, name, zone, 0, line.cell, state, line.weight, started)
+            state = ServerState.DRAINING  # among zones that are not told apart a repeat might run twice
+        return ListedServer(index, name, zone, 0, line.cell, state, line.weight, started)
 
     def zone_of(self, line) -> int:
         """A zone's place; one that the settings don't name is another one than all that they do.
@@ -400,7 +412,7 @@
         if not self.config.settings.zones:
             return 0
         if line.zone not in self.zones and len(self.zones) < MOST_ZONES:
-            self.note(f"zone {line.zone} is none of the settings'")
+            self.log_note(f"zone {line.zone} is none of the settings'")
             self.zones[line.zone] = len(self.zones)
         return self.zones.get(line.zone, MOST_ZONES)
 
@@ -445,12 +457,12 @@
         if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
         where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
-        if where is None or known is None or where.state is not State.READY:
+        if where is None or known is None or where.state is not ServerState.READY:
             return False
         if self.servers.get(server) != pending.chosen.get(attempt):
             return False
-        others = {each: past for each, past in known.traces.items() if each != attempt}
-        return self.balancer.within_group(
+        others = {each: past for each, past in known.possible_executions.items() if each != attempt}
+        return self.balancer.is_attempt_safe(
             OtherAttempts(known.request_class, others), where, self.now
         ) and all(self.within(each, where) for each in pending.earlier_attempts)
 
@@ -464,29 +476,33 @@
         the earlier ones as of its own: it then looks for a server where a further one does no harm."""
         known = self.balancer.requests[request]
         for place, each in enumerate(pending.earlier_attempts):
-            known.traces[-1 - place] = Past(each.zone, each.cell), each.until - known.request_class.window
+            known.possible_executions[-1 - place] = (
+                Past(each.zone, each.cell),
+                each.until - known.request_class.deduplication_window,
+            )
         unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
         self.effects.append(("withhold", request, server, attempt, unsent))
 
     def within(self, earlier_attempts: EarlierAttempt, where) -> bool:
         """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
         return self.now < earlier_attempts.until and (
-            earlier_attempts.group is Group.ALL
+            earlier_attempts.group is DeduplicationScope.ALL
             or where.zone == earlier_attempts.zone
-            and (earlier_attempts.group is Group.ZONE or where.cell == earlier_attempts.cell)
+            and (earlier_attempts.group is DeduplicationScope.ZONE or where.cell == earlier_attempts.cell)
         )
 
-    def repeat_of(self, request: Request) -> Repeat:
+    def repeat_of(self, request: Request) -> Idempotency:
         return (
-            Repeat.NON_IDEMPOTENT
+            Idempotency.NON_IDEMPOTENT
             if request.non_idempotent
-            else self.balancer.settings.request_classes[request.request_class].repeat
+            else self.balancer.settings.request_classes[request.request_class].idempotency
         )
 
     def reject(self, request: int, wait: float):
         pending = self.requests.get(request)
         if pending and not all(
-            each.group is Group.ALL and self.now < each.until for each in pending.earlier_attempts
+            each.group is DeduplicationScope.ALL and self.now < each.until
+            for each in pending.earlier_attempts
         ):
             return self.fail(request)  # its client would come again, to where it may run once more
         self.answer(request, 503, b"", b"", wait)
@@ -537,14 +553,14 @@
     def close_idle(self, server: int):
         self.effects.append(("close_idle", server))
 
-    def tell(self, agent: int, words: bytes):
-        self.effects.append(("tell", agent, words))
+    def send_peer_message(self, agent: int, message: bytes):
+        self.effects.append(("send_peer_message", agent, message))
 
-    def wake(self, token: int, delay: float):
-        self.effects.append(("wake", token, self.now + delay))
+    def set_timer(self, token: int, delay: float):
+        self.effects.append(("set_timer", token, self.now + delay))
 
-    def note(self, text: str):
-        self.effects.append(("note", text))
+    def log_note(self, text: str):
+        self.effects.append(("log_note", text))
 
     # What the log and the counts say
 
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -23,8 +23,8 @@
     is_silence,
     is_transient,
 )
-from cartdeal.settings import load_of, seconds
-from cartdeal.terms import Load
+from cartdeal.balancer_types import LoadReport
+from cartdeal.settings import load_report, seconds
 
 SPARE = 8  # one in so many descriptors is left to the application's connections
 # a connection rests so long after an answer: what more belongs to that one shows by then
@@ -80,10 +80,10 @@
         self.may_begin, self.begins = may_begin, begins
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
-        self.connect_limit = seconds(permissions.connect_limit) or CONNECT
-        self.pooled_for = POOLED_SHARE * (seconds(permissions.idle_limit) or 10.0)
-        self.reports = config.settings.reports
-        self.probe_path = b"/health/live" if self.reports.how == "none" else b"/stats"
+        self.connect_limit = seconds(permissions.connect_timeout_us) or CONNECT
+        self.pooled_for = POOLED_SHARE * (seconds(permissions.idle_timeout_us) or 10.0)
+        self.reports = config.settings.load_reports
+        self.probe_path = b"/health/live" if self.reports.source == "none" else b"/stats"
         self.idle: dict[int, list[Connection]] = {}  # by server: another at its address inherits nothing
         self.out: dict[tuple[int, int], Attempt] = {}
         self.heard_at = -inf  # when bytes last came from a server
@@ -165,14 +165,14 @@
             self.close_idle(server)  # those to a silent machine stay silent, or break
         self.dispatch("probe_ended", server, result, self.load(result.body))
 
-    def load(self, report: bytes) -> Load | None:
-        if self.reports.how == "none" or not report:
+    def load(self, report: bytes) -> LoadReport | None:
+        if self.reports.source == "none" or not report:
             return None
         try:
             said = msgspec.json.decode(report, type=Report)
         except (msgspec.MsgspecError, UnicodeError):
             return None
-        return load_of(said.outstanding, said.throughput, said.backlog, said.recent_ms)
+        return load_report(said.outstanding, said.throughput, said.backlog, said.recent_ms)
 
     def exchange(
         self, attempt: Attempt, server: int, address: str, deadline: float, text, may_begin=lambda: True
--- a/cartdeal/terms.py
+++ b/cartdeal/balancer_types.py
@@ -6,29 +6,29 @@
 from typing import NamedTuple, Protocol
 
 
-class Fading:
+class DecayingSum:
     """A sum whose parts fade away over time."""
 
-    def __init__(self, span, now, amount=0.0):
-        self.amount, self.at, self.span = amount, now, span
+    def __init__(self, decay_s, now, amount=0.0):
+        self.amount, self.updated_at, self.decay_s = amount, now, decay_s
 
     def read(self, now):
-        if now > self.at:
-            self.amount *= exp((self.at - now) / self.span)
-            self.at = now
+        if now > self.updated_at:
+            self.amount *= exp((self.updated_at - now) / self.decay_s)
+            self.updated_at = now
         return self.amount
 
-    def add(self, now, more=1.0):
-        self.amount = self.read(now) + more
+    def add(self, now, amount=1.0):
+        self.amount = self.read(now) + amount
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
     NON_IDEMPOTENT = "unrepeatable"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """The servers that recognise a repeat of a deduplicated request."""
 
     ALL = "all"
@@ -36,7 +36,7 @@
     CELL = "cell"
 
 
-class State(Enum):
+class ServerState(Enum):
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -59,9 +59,9 @@
 
 
 class RequestClass(NamedTuple):
-    repeat: Repeat
-    group: Group
-    window: float
+    idempotency: Idempotency
+    deduplication_scope: DeduplicationScope
+    deduplication_window: float
     latency_target: float
     priority: float
     name: str = ""  # told apart by it where all else is alike
@@ -71,26 +71,27 @@
     quota: float
 
 
-class Listing(NamedTuple):
-    """One line of the server list. `server` is the small index, `name` the id as every agent knows it."""
+class ListedServer(NamedTuple):
+    """One line of the server list. `server_index` is the small index, `name` the id as every agent knows
+    it."""
 
-    server: int
+    server_index: int
     name: bytes
     zone: int
     model: int
     cell: int
-    state: State
+    state: ServerState
     weight: float
-    started: float
+    started_at: float
 
 
-class Load(NamedTuple):
+class LoadReport(NamedTuple):
     """What a server says of itself; None where it does not say."""
 
-    held: float | None = None
-    served: float | None = None  # a second
-    waiting: float | None = None
-    took: float | None = None  # seconds to serve one lately, without waiting
+    in_flight: float | None = None
+    throughput: float | None = None  # a second
+    queue_length: float | None = None
+    service_time: float | None = None  # seconds to serve one lately, without waiting
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,28 +99,28 @@
     """What a deployment grants an agent and asks of it."""
 
     seed: int
-    number: int
-    agents: int
-    zones: int
+    agent_number: int
+    agent_count: int
+    zone_count: int
     own_zone: int
     request_classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    beyond_share: float
-    crossing_fee: float
-    probing_fee: float
-    most_attempts: int
+    overage_priority_factor: float
+    cross_zone_fee: float
+    probe_fee: float
+    max_attempts: int
     may_cancel: bool
     may_probe: bool
-    advises_wait: float
-    must_ask: bool
-    ask_every: float
-    cold_from: float
-    cold_for: float
-    cold_span: float
-    cold_multiple: float  # of what a cold server can do now: it falls if sent more over the span
-    pooled: bool  # clients reach any agent of a pool, in place of one of their own
-    worst_class: float  # how much the worst-served request class counts beside the whole
-    live_weights: bool  # the list's weights are lowered by what servers hold
+    max_retry_after: float
+    polls_discovery: bool
+    poll_interval: float
+    slow_start_initial_share: float
+    slow_start_duration: float
+    overload_window: float
+    overload_factor: float  # of what a cold server can do now: it falls if sent more over the span
+    is_pool_member: bool  # clients reach any agent of a pool, in place of one of their own
+    worst_class_weight: float  # how much the worst-served request class counts beside the whole
+    has_live_weights: bool  # the list's weights are lowered by what servers hold
 
 
 class Host(Protocol):
@@ -128,13 +129,13 @@
     now: float
 
     def send_attempt(self, request: int, server: int, deadline: float) -> None: ...
-    def reject(self, request: int, wait: float) -> None: ...
+    def reject(self, request: int, retry_after: float) -> None: ...
     def fail(self, request: int) -> None: ...
     def cancel(self, request: int, attempt: int) -> None: ...
     def probe(self, server: int) -> None: ...
     def watch(self, on: bool = True) -> None: ...
     def fetch_servers(self) -> None: ...
     def close_idle(self, server: int) -> None: ...
-    def tell(self, agent: int, words: bytes) -> None: ...
-    def wake(self, token: int, delay: float) -> None: ...
-    def note(self, text: str) -> None: ...
+    def send_peer_message(self, agent: int, message: bytes) -> None: ...
+    def set_timer(self, token: int, delay: float) -> None: ...
+    def log_note(self, text: str) -> None: ...
--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -4,8 +4,8 @@
 
 from cartdeal import settings
 from cartdeal.balancer import Balancer
+from cartdeal.balancer_types import ListedServer, LoadReport, ServerState
 from cartdeal.benchlink import wire
-from cartdeal.terms import Listing, Load, State
 
 
 class Reply:
@@ -47,11 +47,11 @@
             self.names.append(name)
         return self.indices[name]
 
-    def load(self, count: int, values: tuple) -> Load | None:
+    def load(self, count: int, values: tuple) -> LoadReport | None:
         if not count:
             return None
-        said = [self.columns.get(name, count) for name in settings.COLUMNS]
-        return settings.load_of(*(values[place] if place < count else None for place in said))
+        said = [self.columns.get(name, count) for name in settings.REPORT_COLUMNS]
+        return settings.load_report(*(values[place] if place < count else None for place in said))
 
     def send_attempt(self, request: int, server: int, deadline: float):
         stop = max(0, round(deadline * 1e6))
@@ -66,13 +66,13 @@
     def cancel(self, request: int, attempt: int):
         self.reply.records += wire.WITHDRAW.pack(19, self.instance, request, attempt)
 
-    def wake(self, token: int, delay: float):
+    def set_timer(self, token: int, delay: float):
         self.reply.records += wire.TIMER.pack(20, self.instance, token, max(1, round(delay * 1e6)))
 
     def probe(self, server: int):
         self.reply.records += wire.POLL.pack(21, self.instance, self.names[server])
 
-    def note(self, text: str):
+    def log_note(self, text: str):
         self.reply.text(24, self.instance, text)
 
     def watch(self, on: bool = True):
@@ -84,18 +84,18 @@
     def close_idle(self, server: int):
         self.reply.records += wire.LET_GO.pack(22, self.instance, self.names[server])
 
-    def tell(self, agent: int, words: bytes):
+    def send_peer_message(self, agent: int, message: bytes):
         """Tells one agent, or all for an agent of -1."""
         place = len(self.reply.tail)
-        self.reply.records += wire.SAY.pack(23, self.instance, agent & 0xFFFF, place, len(words))
-        self.reply.tail += words
+        self.reply.records += wire.SAY.pack(23, self.instance, agent & 0xFFFF, place, len(message))
+        self.reply.tail += message
 
 
 class Loop:
     def __init__(self):
         self.reply = Reply()
         self.seats: dict[int, Seat] = {}
-        self.tables: dict[int, list[Listing]] = {}
+        self.tables: dict[int, list[ListedServer]] = {}
 
     def answer(self, clock: int, index: int, count: int, body: bytes) -> bytes:
         """Plays one batch. A broken decision is told as a fault of its instance, not guessed around."""
@@ -132,13 +132,13 @@
     def launched(self, instance: int, clock: int, body: bytes, place: int, tail: int):
         _, seed, offset, size = wire.LAUNCH.unpack_from(body, place)
         try:
-            given = settings.read(wire.cut(body, tail, offset, size))
+            given = settings.decode(wire.cut(body, tail, offset, size))
         except (msgspec.MsgspecError, UnicodeError) as trouble:
             raise wire.Malformed(f"the settings of a launch can't be read: {trouble}") from None
         seat = self.seats[instance] = Seat(instance, self.reply, clock)
-        seat.columns = {name: place for place, name in enumerate(given.reports.columns)}
+        seat.columns = {name: place for place, name in enumerate(given.load_reports.columns)}
         try:
-            seat.balancer = Balancer(seat, given.for_balancer(seed))
+            seat.balancer = Balancer(seat, given.balancer_settings(seed))
         except Exception as trouble:
             self.fault(instance, trouble)
 
@@ -147,27 +147,29 @@
 
     def inbound(self, seat: Seat, body: bytes, place: int, tail: int):
         _, number, request_class, tenant, key, limit, _, bits = wire.INBOUND.unpack_from(body, place)
-        seat.balancer.taken(number, request_class, tenant, key, limit / 1e6, bool(bits & 2))
+        seat.balancer.on_request(number, request_class, tenant, key, limit / 1e6, bool(bits & 2))
 
     def ended(self, seat: Seat, body: bytes, place: int, tail: int):
         _, number, name, code, took, attempt, final, reported, *values = wire.ENDED.unpack_from(body, place)
         outcome = wire.known(wire.OUTCOMES, code, "outcome")
         load = seat.load(reported, values)
-        seat.balancer.attempt_ended(number, seat.index(name), outcome, attempt, took / 1e6, bool(final), load)
+        seat.balancer.on_attempt_ended(
+            number, seat.index(name), outcome, attempt, took / 1e6, bool(final), load
+        )
 
     def head_received(self, seat: Seat, body: bytes, place: int, tail: int):
         wire.HEAD_RECEIVED.unpack_from(body, place)  # no decision waits for it
 
     def client_disconnected(self, seat: Seat, body: bytes, place: int, tail: int):
-        seat.balancer.client_disconnected(wire.ABANDONED.unpack_from(body, place)[1])
+        seat.balancer.on_client_disconnected(wire.ABANDONED.unpack_from(body, place)[1])
 
     def elapsed(self, seat: Seat, body: bytes, place: int, tail: int):
-        seat.balancer.woken(wire.ELAPSED.unpack_from(body, place)[1])
+        seat.balancer.on_timer(wire.ELAPSED.unpack_from(body, place)[1])
 
     def ping_result(self, seat: Seat, body: bytes, place: int, tail: int):
         _, name, code, took, reported, *values = wire.PING_RESULT.unpack_from(body, place)
         outcome = wire.known(wire.OUTCOMES, code, "outcome")
-        seat.balancer.probe_ended(seat.index(name), outcome, took / 1e6, seat.load(reported, values))
+        seat.balancer.on_probe_ended(seat.index(name), outcome, took / 1e6, seat.load(reported, values))
 
     def peer(self, seat: Seat, body: bytes, place: int, tail: int):
         _, _, offset, size = wire.PEER.unpack_from(body, place)
@@ -176,19 +178,19 @@
     def roster_change(self, seat: Seat, body: bytes, place: int, tail: int):
         _, _, how, number = wire.ROSTER_CHANGE.unpack_from(body, place)
         if how == 2:
-            seat.balancer.watch_failed()
+            seat.balancer.on_watch_failed()
             return
         if how not in (0, 1, 3) or number not in self.tables:
             raise wire.Malformed(f"a list change of kind {how} names list {number}")
-        lines = [line._replace(server=seat.index(line.name)) for line in self.tables[number]]
+        lines = [line._replace(server_index=seat.index(line.name)) for line in self.tables[number]]
         if how != 3:
             here = {line.name for line in lines}
             lines += [
-                Listing(place, name, 0, 0, 0, State.GONE, 1.0, 0.0)
+                ListedServer(place, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
                 for place, name in enumerate(seat.names)
                 if name not in here
             ]
-        seat.balancer.listed(lines, how != 1)
+        seat.balancer.on_server_list(lines, how != 1)
 
     HANDLERS = {
         16: launched,
--- a/cartdeal/benchlink/wire.py
+++ b/cartdeal/benchlink/wire.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from struct import Struct
 
-from cartdeal.terms import Listing, Outcome, State
+from cartdeal.balancer_types import ListedServer, Outcome, ServerState
 
 HEADER = Struct("<IIQI")
 REPLY_HEADER = Struct("<III")
@@ -45,7 +45,7 @@
     1: Outcome.CANCELLED,
     9: Outcome.NEVER_SENT,
 }
-STATES = {0: State.DRAINING, 1: State.GONE, 2: State.READY}
+STATES = {0: ServerState.DRAINING, 1: ServerState.GONE, 2: ServerState.READY}
 
 
 class Malformed(Exception):
@@ -79,10 +79,10 @@
     return names[code]
 
 
-def entries(body: bytes, tail: int, offset: int, count: int) -> list[Listing]:
+def entries(body: bytes, tail: int, offset: int, count: int) -> list[ListedServer]:
     """The lines of a server list; the small index of each is still to be given."""
     lines = ENTRY.iter_unpack(cut(body, tail, offset, count * ENTRY.size))
     return [
-        Listing(-1, name, zone, model, cell, known(STATES, state, "availability"), weight, started / 1e6)
+        ListedServer(-1, name, zone, model, cell, known(STATES, state, "availability"), weight, started / 1e6)
         for name, zone, model, cell, state, weight, started in lines
     ]
--- a/cartdeal/emulator/stand.py
+++ b/cartdeal/emulator/stand.py
@@ -82,7 +82,7 @@
     def answer(self, request_id, status, kind, body, wait):
         self.fleet.answered(request_id, status, wait)
 
-    def wake(self, token, at):
+    def set_timer(self, token, at):
         self.later(at, "woken", token)
 
     def remind(self, number, at):
@@ -99,10 +99,10 @@
     def close_idle(self, index):
         pass  # the emulated network tells no more of a connection than of its server
 
-    def tell(self, agent, detail):
+    def send_peer_message(self, agent, message):
         pass
 
-    def note(self, text):
+    def log_note(self, text):
         pass
 
     def log(self, message, fields):
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -15,10 +15,10 @@
 from msgspec import Struct
 from msgspec.structs import fields, replace
 
+from cartdeal.balancer_types import Idempotency
 from cartdeal.fleet.errors import InvalidConfigurationError
 from cartdeal.fleet.settings import FleetSettings, RateLimit
-from cartdeal.settings import REPEATS, Settings, seconds
-from cartdeal.terms import Repeat
+from cartdeal.settings import IDEMPOTENCY_BY_NAME, Settings, seconds
 
 FILE_VARIABLE = "PROXY_FLEET"
 NAME_VARIABLE = "PROXY_FLEET_NAME"
@@ -365,8 +365,8 @@
 def find_short_retention(settings: FleetSettings, config: AgentConfiguration) -> Iterator[Inconsistency]:
     """Attempt records must outlive the idempotency window and the deadline of each request class."""
     for request_class in config.settings.request_classes:
-        is_deduplicated = REPEATS.get(request_class.repeat or "") is Repeat.DEDUPLICATED
-        needed_s = seconds(request_class.window) * is_deduplicated + request_class.timeout
+        is_deduplicated = IDEMPOTENCY_BY_NAME.get(request_class.idempotency or "") is Idempotency.DEDUPLICATED
+        needed_s = seconds(request_class.deduplication_window_us) * is_deduplicated + request_class.timeout
         if settings.longest_mark_s < needed_s:
             yield Inconsistency(
                 "longest_mark_s",
--- a/cartdeal/lab/baselines.py
+++ b/cartdeal/lab/baselines.py
@@ -11,17 +11,17 @@
     def __init__(self, *args):
         super().__init__(*args)
         self.turn = 0
-        self.balancer.pick_server = self.pick
+        self.balancer.select_server = self.pick
         self.balancer.must_probe_first = lambda server, now: False
 
     def pick(self, members, request, now):
         balancer, like, able = self.balancer, None, []
         for server in members:
-            if server in request.tried or not balancer.within_group(request, server, now):
+            if server in request.tried_servers or not balancer.is_attempt_safe(request, server, now):
                 continue
-            if server.started and now - server.started < balancer.settings.cold_for:
-                like = balancer.warm_rate(server.zone, now) if like is None else like
-                if not balancer.ramp_allows(server, now, like):
+            if server.started_at and now - server.started_at < balancer.settings.slow_start_duration:
+                like = balancer.warm_send_rate(server.zone, now) if like is None else like
+                if not balancer.slow_start_allows(server, now, like):
                     continue
             able.append(server)
         return self.choose(able) if able else None
@@ -32,12 +32,12 @@
 
 class Random(Plain):
     def choose(self, able):
-        return able[int(self.balancer.draw() * len(able))]
+        return able[int(self.balancer.random_fraction() * len(able))]
 
 
 class LeastInFlight(Plain):
     def choose(self, able):
-        return min(able, key=lambda server: (len(server.in_flight), server.hash))
+        return min(able, key=lambda server: (len(server.in_flight), server.name_hash))
 
 
 class RoundRobin(Plain):
--- a/cartdeal/watch_schedule.py
+++ b/cartdeal/watch_schedule.py
@@ -7,7 +7,7 @@
 
 from math import inf
 
-from cartdeal.terms import Fading
+from cartdeal.balancer_types import DecayingSum
 
 FIRST_PAUSE = 0.5  # mean after a watch that fell silent, and after the first call that failed
 URGENT_PAUSE = 0.35  # mean after a failed call while a list is urgent
@@ -27,14 +27,16 @@
 class WatchSchedule:
     """The state of one agent's watch, as far as it decides when the service is called again.
 
-    `watching` says whether the watch that stands has had a list; `call_at` is when the next call is due.
+    `is_active` says whether the watch that stands has had a list; `next_call_at` is when the next call is
+    due.
     """
 
-    def __init__(self, now: float, ask_every: float, watching: bool):
-        """`ask_every`: the time that the settings give for asking; `watching`: whether lists come unasked."""
-        self.longest_pause = ask_every / 3
-        self.watching = watching
-        self.call_at = now
+    def __init__(self, now: float, poll_interval: float, is_active: bool):
+        """`poll_interval`: the time that the settings give for asking; `is_active`: whether lists come
+        unasked."""
+        self.longest_pause = poll_interval / 3
+        self.is_active = is_active
+        self.next_call_at = now
         self.called_at = now  # the first of the calls that got no list yet; infinite where none is out
         self.listed_at = now  # when the watch that stands had its first line
         self.brought_news = False  # whether a list of that watch changed anything
@@ -43,20 +45,20 @@
 
     def forget_failures(self, now: float):
         self.call_pause = FIRST_PAUSE
-        self.early_ends = Fading(EARLY_ENDS_FADE, now)
+        self.early_ends = DecayingSum(EARLY_ENDS_FADE, now)
 
     def called(self, now: float):
         """The service was called; should nothing come of it, it is called again in time."""
         self.called_at = min(self.called_at, now)
-        self.call_at = now + self.longest_pause
+        self.next_call_at = now + self.longest_pause
 
     def answered(self, now: float, news: bool):
         """The watch had a list or a line. `news`: whether it changed anything."""
-        if not self.watching:
+        if not self.is_active:
             self.listed_at = now
             self.brought_news = False
         self.brought_news |= news
-        self.watching = True
+        self.is_active = True
         self.called_at = inf
         self.call_pause = FIRST_PAUSE
 
@@ -65,16 +67,16 @@
 
         `chance`, 0 to 1, draws the pause until the next call.
         """
-        if not self.watching:
-            self.call_at = now + self.pause_after_call(now, knows_servers) * (0.5 + chance)
+        if not self.is_active:
+            self.next_call_at = now + self.pause_after_call(now, knows_servers) * (0.5 + chance)
         elif self.ends_early_again(now):
-            self.call_at = now + self.growing_limit(now, knows_servers) * (0.5 + chance)
+            self.next_call_at = now + self.growing_limit(now, knows_servers) * (0.5 + chance)
         elif silent:
-            self.call_at = now + FIRST_PAUSE * (0.5 + chance)
+            self.next_call_at = now + FIRST_PAUSE * (0.5 + chance)
         else:
             self.urgent_until = now + URGENT_AFTER_END
-            self.call_at = max(now, self.listed_at + LIST_FRESH) + SPREAD * chance
-        self.watching = False
+            self.next_call_at = max(now, self.listed_at + LIST_FRESH) + SPREAD * chance
+        self.is_active = False
         self.called_at = inf
 
     def ends_early_again(self, now: float) -> bool:
@@ -106,8 +108,8 @@
 
     def moved(self, now: float):
         """The service has another address, and is called there at once."""
-        self.watching = False
+        self.is_active = False
         self.called_at = inf
-        self.call_at = now
+        self.next_call_at = now
         self.urgent_until = now + URGENT_AFTER_MOVE
         self.forget_failures(now)
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -144,7 +144,7 @@
     def carry_out(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *arguments in effects:
-            if verb == "wake":
+            if verb == "set_timer":
                 self.fleet.clock.at(arguments[1], self.dispatch, "woken", arguments[0])
             elif verb == "watch":
                 self.discovery.watch(*arguments)
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -431,9 +431,9 @@
 
 def test_event_that_comes_of_an_effect_is_played_after_the_others(deploy):
     agent, said = deploy()[0].agent, []
-    agent.verbs["note"] = lambda text: (said.append(text), text == "1" and agent.after("note", "4"))
-    agent.reducer.effects = [("note", "1"), ("note", "2")]
-    agent.dispatch("note", "3")
+    agent.verbs["log_note"] = lambda text: (said.append(text), text == "1" and agent.after("log_note", "4"))
+    agent.reducer.effects = [("log_note", "1"), ("log_note", "2")]
+    agent.dispatch("log_note", "3")
     assert said == ["1", "2", "3", "4"] and not agent.playing
 
 
--- a/tests/fleet/test_disabled.py
+++ b/tests/fleet/test_disabled.py
@@ -13,7 +13,7 @@
 IMPORTS = """
     cartdeal cartdeal.agent cartdeal.agent.configuration cartdeal.agent.connection cartdeal.agent.effects
     cartdeal.agent.front cartdeal.agent.reducer cartdeal.agent.discovery cartdeal.agent.upstream
-    cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.terms cartdeal.watch_schedule
+    cartdeal.agent.start cartdeal.balancer cartdeal.settings cartdeal.balancer_types cartdeal.watch_schedule
     cartdeal.routing_state cartdeal.agent.start_times cartdeal.agent.system_errors
     cartdeal.agent.log_output cartdeal.agent.invariants cartdeal.agent.metrics
     cartdeal.agent.stalls cartdeal.sockets cartdeal.supervision""".split()
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -12,15 +12,27 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.effects import Effects
 from cartdeal.balancer import Balancer
+from cartdeal.balancer_types import (
+    BalancerSettings,
+    DeduplicationScope,
+    Idempotency,
+    ListedServer,
+    Outcome,
+    RequestClass,
+    ServerState,
+)
 from cartdeal.rig.soak.clients import ClientSide as Client
-from cartdeal.terms import BalancerSettings, Group, Listing, Outcome, Repeat, RequestClass, State
 from examples.toy import DiscoveryService, Server
 
 TRACES = Path(__file__).parent / "traces"
-READ = RequestClass(Repeat.IDEMPOTENT, Group.CELL, 5.0, 1.0, 1.0)
-ONCE = READ._replace(repeat=Repeat.NON_IDEMPOTENT, priority=3.0)
-MARKED = READ._replace(repeat=Repeat.DEDUPLICATED, group=Group.ZONE, window=2.0)
-MARKED_ALL = MARKED._replace(group=Group.ALL)
+READ = RequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.CELL, 5.0, 1.0, 1.0)
+ONCE = READ._replace(idempotency=Idempotency.NON_IDEMPOTENT, priority=3.0)
+MARKED = READ._replace(
+    idempotency=Idempotency.DEDUPLICATED,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_window=2.0,
+)
+MARKED_ALL = MARKED._replace(deduplication_scope=DeduplicationScope.ALL)
 IDS = count(1)  # every request has an id of its own
 
 
@@ -28,28 +40,28 @@
     def __init__(self, servers="a0 b0 c1 d1", seed=7, number=0, **terms):
         base = dict(
             seed=seed,
-            number=number,
-            agents=2,
-            zones=2,
+            agent_number=number,
+            agent_count=2,
+            zone_count=2,
             own_zone=0,
             tenants=(),
-            beyond_share=1.0,
+            overage_priority_factor=1.0,
             request_classes=(READ, ONCE, MARKED, MARKED_ALL),
-            crossing_fee=0.1,
-            probing_fee=0.0,
-            most_attempts=5,
+            cross_zone_fee=0.1,
+            probe_fee=0.0,
+            max_attempts=5,
             may_cancel=True,
             may_probe=True,
-            advises_wait=0.0,
-            must_ask=False,
-            ask_every=10.0,
-            cold_from=0.2,
-            cold_for=10.0,
-            cold_span=2.0,
-            cold_multiple=1.0,
-            pooled=False,
-            live_weights=False,
-            worst_class=0.0,
+            max_retry_after=0.0,
+            polls_discovery=False,
+            poll_interval=10.0,
+            slow_start_initial_share=0.2,
+            slow_start_duration=10.0,
+            overload_window=2.0,
+            overload_factor=1.0,
+            is_pool_member=False,
+            has_live_weights=False,
+            worst_class_weight=0.0,
         )
         self.now, self.lines, self.due, self.quiet, self.attempts = 100.0, [], [], False, {}
         self.timers, self.asked, self.prompt = 0, [], True
@@ -57,13 +69,13 @@
         self.names = {}
         self.list(servers)
 
-    def list(self, servers, state=State.READY, started=0.0, whole=True, weight=1.0):
+    def list(self, servers, state=ServerState.READY, started=0.0, whole=True, weight=1.0):
         """Servers are written as a letter for the name and a digit for the zone."""
         lines = [
-            Listing(ord(name), name.encode(), int(zone), 0, 0, state, weight, started)
+            ListedServer(ord(name), name.encode(), int(zone), 0, 0, state, weight, started)
             for name, zone in servers.split()
         ]
-        self.balancer.listed(lines, whole)
+        self.balancer.on_server_list(lines, whole)
 
     def say(self, text):
         if not self.quiet:
@@ -84,7 +96,7 @@
         self.say(f"cancel attempt {attempt} of {request}")
 
     def probe(self, server):
-        if self.balancer.servers[server].circuit_closed and self.prompt:
+        if self.balancer.servers[server].is_circuit_closed and self.prompt:
             self.asked.append(server)
         else:
             self.say(f"probe {chr(server)}")
@@ -92,12 +104,12 @@
     def answer(self):
         """Servers that are asked before an attempt answer at once, unless a scene makes them slow."""
         while self.asked:
-            self.balancer.probe_ended(self.asked.pop(), Outcome.COMPLETED, 0.001, None)
+            self.balancer.on_probe_ended(self.asked.pop(), Outcome.COMPLETED, 0.001, None)
 
     def watch(self):
         self.say("watch")
 
-    def wake(self, token, delay):
+    def set_timer(self, token, delay):
         self.timers += 1
         insort(self.due, self.now + delay)
 
@@ -105,19 +117,19 @@
         end = self.now + time
         while self.due and self.due[0] <= end:
             self.now = self.due.pop(0)
-            self.balancer.woken(0)
+            self.balancer.on_timer(0)
             self.answer()
         self.now = end
 
     def take(self, request, request_class=0, key=0, limit=2.0, repeat=False):
-        self.balancer.taken(request, request_class, 0, key or request, self.now + limit, repeat)
+        self.balancer.on_request(request, request_class, 0, key or request, self.now + limit, repeat)
         self.answer()
         return chr(self.attempts[request][0]) if request in self.attempts else ""
 
     def end(self, request, outcome=Outcome.COMPLETED, load=None):
         server, attempt, sent = self.attempts[request]
         finished = outcome is Outcome.COMPLETED
-        self.balancer.attempt_ended(request, server, outcome, attempt, self.now - sent, finished, load)
+        self.balancer.on_attempt_ended(request, server, outcome, attempt, self.now - sent, finished, load)
         self.answer()
 
     def serve(self, requests, outcomes=None, took=0.05):
@@ -126,7 +138,7 @@
             self.take(request)
             self.wait(took)
             while request in self.balancer.requests:
-                if request in self.balancer.held:
+                if request in self.balancer.queued_requests:
                     self.wait(took)
                     continue
                 self.end(request, (outcomes or {}).get(chr(self.attempts[request][0]), Outcome.COMPLETED))
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -7,8 +7,8 @@
 
 from cartdeal.agent.reducer import MOST_ZONES
 from cartdeal.agent.start import lasts, still_open
-from cartdeal.settings import read
-from cartdeal.terms import State
+from cartdeal.balancer_types import ServerState
+from cartdeal.settings import decode
 from tests.scene import SETTINGS, answered, worded
 
 pytestmark = pytest.mark.usefixtures("bounded")
@@ -72,7 +72,7 @@
     quota = {"name": "x", "quotaPerS": 5}
     for tenants, known in (([{"name": "y"}, quota], 0), ([quota], 2), ([], 0)):
         text = json.dumps(BARE | {"tenants": tenants, "overageImportance": 0.1}).encode()
-        assert len(read(text).for_balancer(1).tenants) == known
+        assert len(decode(text).balancer_settings(1).tenants) == known
 
 
 def test_connection_that_may_have_stood_too_long_is_used_no_more(deploy):
@@ -147,7 +147,9 @@
         gevent.sleep(0.002)
     servers = reducer.balancer.servers.values()
     assert len(reducer.zones) == MOST_ZONES and len(reducer.balancer.zones) == MOST_ZONES + 1
-    assert sum(each.state is State.READY for each in servers) == MOST_ZONES - 1  # s0 among them; no zone b
+    assert (
+        sum(each.state is ServerState.READY for each in servers) == MOST_ZONES - 1
+    )  # s0 among them; no zone b
     assert deployment.ask()[0] == 200
 
 
@@ -167,10 +169,10 @@
     settings = SETTINGS | {"overageImportance": 0.1, "tenants": [{"name": "x", "quotaPerS": 5}]}
     deployment, values = deploy(settings=settings), {}
     balancer = deployment.agent.reducer.balancer
-    place = balancer.place
-    balancer.place = lambda request, now, **more: (
-        values.setdefault(name, []).append(request.value),
-        place(request, now, **more),
+    route = balancer.route
+    balancer.route = lambda request, now, **more: (
+        values.setdefault(name, []).append(request.priority_weight),
+        route(request, now, **more),
     )
     for name in ("y",) * 10 + ("x", None) * 3:  # one with no name counts as the first
         deployment.ask(X_Tenant_Id=name)
@@ -179,7 +181,7 @@
 
 @pytest.mark.parametrize("millis", [50, 180, 300, 900, 6000])
 def test_agent_ends_in_order_before_it_is_killed_however_short_its_deadlines(millis):
-    settings = read(json.dumps({"workloads": [{"name": "read", "timeLimitUs": millis * 1000}]}).encode())
+    settings = decode(json.dumps({"workloads": [{"name": "read", "timeLimitUs": millis * 1000}]}).encode())
     killed = min(3.0, millis / 1e3) + 0.7
     # Connections come for 0.4 s; what is taken on the last one has its time, and all are closed in order.
     assert 0.4 < still_open(settings) <= lasts(settings) - 0.2
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -38,7 +38,7 @@
 # together, admissions go by what several of them know, the fleet's clock by the ring.
 ABOVE_PROTOCOLS = {"node", "pending_admissions", "idempotency", "effects", "fleet_clock"}
 # Modules directly in cartdeal that everything may import; they import nothing of the packages.
-LIBRARY = {"atomic_write", "settings", "simulated_time", "sockets", "supervision", "terms"}
+LIBRARY = {"atomic_write", "settings", "simulated_time", "sockets", "supervision", "balancer_types"}
 
 
 def package_of(path: Path) -> str:
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cartdeal.terms import Outcome, State
+from cartdeal.balancer_types import Outcome, ServerState
 from tests.scene import Scene
 
 
@@ -13,7 +13,7 @@
     scene.say("own zone's circuits are open; probes answer")
     scene.wait(2)
     for server in "ab":
-        scene.balancer.probe_ended(ord(server), Outcome.COMPLETED, 0.01, None)
+        scene.balancer.on_probe_ended(ord(server), Outcome.COMPLETED, 0.01, None)
     scene.serve(range(8, 10))
     scene.wait(10)
     scene.say("past the failback check")
@@ -32,7 +32,7 @@
     scene.say("a's circuit is open")
     scene.serve(range(9, 13))
     scene.wait(1)
-    scene.balancer.probe_ended(ord("a"), Outcome.COMPLETED, 0.01, None)
+    scene.balancer.on_probe_ended(ord("a"), Outcome.COMPLETED, 0.01, None)
     scene.say("the probe was answered: one trial request at a time")
     for request in range(13, 20):
         scene.take(request)
@@ -98,20 +98,20 @@
     for number in (10, 11, 9):
         scene.end(number, Outcome.CANCELLED)
     scene.lines = [line for line in scene.lines if "cancel" in line]
-    scene.say(f"a's circuit is closed: {scene.balancer.servers[ord('a')].circuit_closed}")
+    scene.say(f"a's circuit is closed: {scene.balancer.servers[ord('a')].is_circuit_closed}")
     scene.take(50, 3)
     scene.take(51)
     scene.kept("overtaken")
 
 
 def test_failed_attempt_is_followed_by_another_while_others_are_held_for_a_moment():
-    scene = Scene("a0 b0 e0", agents=8)
+    scene = Scene("a0 b0 e0", agent_count=8)
     for number in range(1, 12):
         scene.take(number)
-    assert scene.balancer.held and scene.balancer.lacked_room.read(scene.now) > 2.0
+    assert scene.balancer.queued_requests and scene.balancer.capacity_misses.read(scene.now) > 2.0
     scene.wait(0.02)
     scene.end(1, Outcome.RESET)
-    while scene.balancer.requests[1].attempts < 2:  # room comes soon: that is no overload
+    while scene.balancer.requests[1].attempt_count < 2:  # room comes soon: that is no overload
         scene.end(next(n for n, each in scene.balancer.requests.items() if each.in_flight))
     for number in range(20, 60):
         scene.take(number)
@@ -150,9 +150,9 @@
     ]:
         scene = Scene(may_cancel=False, may_probe=False)
         scene.take(1, kind, limit=9.0)
-        scene.balancer.requests[1].target_at += 9
+        scene.balancer.requests[1].latency_target_at += 9
         scene.wait(pause)
-        scene.say(f"{scene.balancer.requests[1].request_class.repeat.value}: {outcome.value}")
+        scene.say(f"{scene.balancer.requests[1].request_class.idempotency.value}: {outcome.value}")
         scene.end(1, outcome)
         if 1 in scene.balancer.requests:
             scene.say("and again")
@@ -172,46 +172,46 @@
 
 def test_draining_and_gone_servers_get_nothing():
     scene = Scene("a0 b0")
-    scene.list("a0", State.DRAINING, whole=False)
+    scene.list("a0", ServerState.DRAINING, whole=False)
     assert {scene.take(n) for n in range(1, 4)} == {"b"}
-    scene.list("b0", State.GONE, whole=False)
-    scene.list("a0", State.READY, whole=False)
+    scene.list("b0", ServerState.GONE, whole=False)
+    scene.list("a0", ServerState.READY, whole=False)
     assert {scene.take(n) for n in range(10, 13)} == {"a"}
 
 
 def test_watch_is_renewed_before_the_list_counts_as_stale():
-    scene = Scene(must_ask=True, ask_every=9.0)
+    scene = Scene(polls_discovery=True, poll_interval=9.0)
     for _ in range(5):
-        scene.balancer.watch_failed()
+        scene.balancer.on_watch_failed()
         scene.wait(5)
     scene.kept("watch")
 
 
 def test_quiet_agent_asks_first_and_a_tardy_server_yields():
-    scene = Scene("a0 c1", agents=3)
+    scene = Scene("a0 c1", agent_count=3)
     scene.serve(range(1, 6))
     scene.prompt = False
     scene.wait(30)
     scene.take(10)
     scene.wait(0.05)
     scene.say("the answer to the probe is late")
-    scene.balancer.probe_ended(ord("c"), Outcome.COMPLETED, 0.001, None)
+    scene.balancer.on_probe_ended(ord("c"), Outcome.COMPLETED, 0.001, None)
     scene.wait(0.5)
     scene.kept("asked")
 
 
 def test_server_without_room_is_asked_once_a_request():
-    scene = Scene("a0 b0 e0 f0", crossing_fee=9.0, agents=5)
+    scene = Scene("a0 b0 e0 f0", cross_zone_fee=9.0, agent_count=5)
     scene.prompt = False
     scene.take(1)
-    for server in scene.balancer.requests[1].probed:
-        scene.balancer.probe_ended(server.index, Outcome.COMPLETED, 0.1, None)
+    for server in scene.balancer.requests[1].probed_servers:
+        scene.balancer.on_probe_ended(server.index, Outcome.COMPLETED, 0.1, None)
     scene.wait(0.25)
     assert len([line for line in scene.lines if "probe" in line]) == 1
 
 
 def test_few_agents_know_the_servers_from_their_own_requests():
-    scene = Scene("a0 b0", agents=2)
+    scene = Scene("a0 b0", agent_count=2)
     scene.prompt = False
     scene.take(1)
     assert 1 in scene.attempts and not scene.asked
@@ -220,15 +220,15 @@
 def test_keys_cross_together_while_home_misses_more_than_the_fee():
     crossed = []
     for rounds in (0, 4, 8):
-        scene = Scene("a0 b0 c1 d1", seed=rounds, crossing_fee=0.05)
+        scene = Scene("a0 b0 c1 d1", seed=rounds, cross_zone_fee=0.05)
         scene.serve(range(1, 1 + rounds), took=1.1)
-        zone = scene.balancer.first_zone_for
+        zone = scene.balancer.preferred_zone
         crossed.append({key for key in range(300) if zone(SimpleNamespace(key=key)) != 0})
     assert not crossed[0] and len(crossed[1]) > 20 and crossed[1] < crossed[2] and len(crossed[2]) < 200
 
 
 def test_timers_of_one_moment_do_not_multiply():
-    scene = Scene("a0", agents=8, crossing_fee=9.0)
+    scene = Scene("a0", agent_count=8, cross_zone_fee=9.0)
     for request in range(1, 40):
         scene.take(request)
     before = scene.timers
@@ -237,7 +237,7 @@
 
 
 def test_timers_are_set_only_for_what_is_due():
-    scene = Scene(must_ask=True, ask_every=9.0)
+    scene = Scene(polls_discovery=True, poll_interval=9.0)
     scene.serve(range(1, 4))
     set_before = scene.timers
     scene.wait(60)
@@ -247,7 +247,7 @@
 def test_burst_at_a_just_started_server():
     sent = []
     for number in range(6):
-        scene = Scene("a0 b0 e0", number=number, seed=number + 1, agents=6)
+        scene = Scene("a0 b0 e0", number=number, seed=number + 1, agent_count=6)
         scene.quiet = True
         scene.serve(range(1, 200))
         scene.list("a0", started=scene.now, whole=False)
@@ -265,7 +265,7 @@
 
 
 def test_overload_holds_the_important_longest_in_line_and_rejects_the_rest():
-    scene = Scene("a0", agents=8, crossing_fee=9.0)
+    scene = Scene("a0", agent_count=8, cross_zone_fee=9.0)
     for request in range(1, 7):
         scene.take(request, request_class=request % 2)
     scene.wait(0.05)
@@ -277,7 +277,7 @@
 
 
 def test_repeats_wait_behind_new_requests():
-    scene = Scene("a0", agents=8, crossing_fee=9.0)
+    scene = Scene("a0", agent_count=8, cross_zone_fee=9.0)
     for request in range(1, 5):
         scene.take(request, repeat=request == 2)
     scene.wait(0.05)
@@ -286,7 +286,7 @@
 
 
 def test_held_request_is_answered_before_a_short_try_ends():
-    scene = Scene("", crossing_fee=9.0)
+    scene = Scene("", cross_zone_fee=9.0)
     scene.take(1, limit=0.1)
     scene.wait(0.1)
     scene.say("a try with less left than a sweep")
@@ -297,17 +297,17 @@
 def test_instant_refusals_draw_no_further_attempts():
     scene = Scene("a0 b0")
     scene.serve(range(1, 5))
-    scene.balancer.servers[ord("a")].limit = 4.0
+    scene.balancer.servers[ord("a")].concurrency_limit = 4.0
     refused = next(n for n in range(10, 50) if scene.take(n) == "a")
     scene.end(refused, Outcome.FULL)
     assert "a" not in {scene.take(n) for n in range(50, 53)}
 
 
 def test_many_agents_begin_with_little_and_slow_answers_bring_pauses():
-    assert Scene(agents=12).balancer.servers[ord("a")].limit < 1.0
-    scene = Scene("a0", agents=12)
+    assert Scene(agent_count=12).balancer.servers[ord("a")].concurrency_limit < 1.0
+    scene = Scene("a0", agent_count=12)
     scene.serve(range(1, 8), took=0.7)
-    assert scene.balancer.servers[ord("a")].limit < 1.0
+    assert scene.balancer.servers[ord("a")].concurrency_limit < 1.0
     scene.kept("pauses")
 
 
@@ -323,7 +323,7 @@
         scene.end(request)
     assert scene.take(50, key=keys["b"]) == "b"
     scene.wait(0.5)
-    assert scene.balancer.servers[ord("b")].circuit_closed
+    assert scene.balancer.servers[ord("b")].is_circuit_closed
 
 
 def test_first_quick_answer_makes_no_one_silent():
@@ -333,7 +333,7 @@
     scene.end(first)
     scene.take(30)
     scene.wait(0.45)
-    assert all(server.circuit_closed for server in scene.balancer.servers.values())
+    assert all(server.is_circuit_closed for server in scene.balancer.servers.values())
 
 
 @pytest.mark.parametrize(
@@ -341,20 +341,23 @@
 )
 def test_late_answers_leave_the_agents_of_a_pool_a_few_attempts_together(agents, pooled, least):
     scene = Scene(
-        "a0 " + " ".join(f"{chr(98 + n)}1" for n in range(20)), agents=agents, may_probe=False, pooled=pooled
+        "a0 " + " ".join(f"{chr(98 + n)}1" for n in range(20)),
+        agent_count=agents,
+        may_probe=False,
+        is_pool_member=pooled,
     )
     for request, took in enumerate([0.01] * 9 + [0.4] * 40):
         scene.take(request)
         scene.wait(took)
         scene.end(request)
         scene.wait(2.0)
-    assert scene.balancer.servers[ord("a")].limit == pytest.approx(least)
+    assert scene.balancer.servers[ord("a")].concurrency_limit == pytest.approx(least)
 
 
 @pytest.mark.parametrize("fee, missed, asks", [(0.01, 2, True), (0.08, 2, False), (0.08, 8, True)])
 def test_dear_probes_are_kept_for_when_much_is_missed(fee, missed, asks):
-    scene = Scene("a0 c1", agents=3, probing_fee=fee)
-    for count, each in zip((10, missed), scene.balancer.ended_requests[0], strict=True):
+    scene = Scene("a0 c1", agent_count=3, probe_fee=fee)
+    for count, each in zip((10, missed), scene.balancer.finished_requests[0], strict=True):
         each.add(scene.now, count)
     scene.prompt = False
     scene.take(1)
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -11,7 +11,7 @@
 
 def sent_to_cold(multiple):
     """Requests at a server in the first half of its ramp, beside three like warm ones that are never full."""
-    scene = Scene("a0 b0 c0 d0", cold_multiple=multiple)
+    scene = Scene("a0 b0 c0 d0", overload_factor=multiple)
     scene.serve(range(1, 200), took=0.05)
     scene.list("d0", started=scene.now, whole=False)
     sent = []
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("rules, multiple", [({"overloadFactor": 2.5}, 2.5), ({}, 1.0)])
 def test_multiple_is_read_from_the_settings_and_is_one_where_none_is_stated(rules, multiple):
     text = json.dumps(SETTINGS | {"rules": SETTINGS["rules"] | rules}).encode()
-    assert settings.read(text).for_balancer(1).cold_multiple == multiple
+    assert settings.decode(text).balancer_settings(1).overload_factor == multiple
 
 
 @pytest.mark.parametrize("multiple", [0, -1.0])
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -89,7 +89,7 @@
         known = set(self.balancer.servers)
         super().listed(server_list, fresh)
         for index in set(self.balancer.servers) - known:
-            self.balancer.servers[index].tokens = 1.0
+            self.balancer.servers[index].slow_start_tokens = 1.0
 
 
 class FleetsRate(Reducer):
@@ -97,8 +97,8 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        like = self.balancer.warm_rate
-        self.balancer.warm_rate = lambda zone, now: like(zone, now) * self.balancer.settings.agents
+        like = self.balancer.warm_send_rate
+        self.balancer.warm_send_rate = lambda zone, now: like(zone, now) * self.balancer.settings.agent_count
 
 
 @pytest.mark.parametrize("breakage", [WholeTokens, FleetsRate])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -99,7 +99,7 @@
         config = agent_config(folder, seed=seed, known=known, settings=settings)
         self.reducer = Reducer(config, self.now, 2000.0)
         if chance is not None:
-            self.reducer.balancer.draw = lambda: chance
+            self.reducer.balancer.random_fraction = lambda: chance
         self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.version)
         call = self.discovery.call
         self.discovery.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
@@ -117,7 +117,7 @@
     def carry_out(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *args in effects:
-            if verb == "wake":
+            if verb == "set_timer":
                 self.order += 1
                 heappush(self.due, (args[1], self.order))
             elif verb == "watch":
@@ -445,7 +445,7 @@
         return service
 
     with gevent.Timeout(20):
-        until(lambda: agent.reducer.balancer.watch.watching and old.watches)
+        until(lambda: agent.reducer.balancer.watch.is_active and old.watches)
         yield SimpleNamespace(move=move, old=old, reducer=agent.reducer, discovery=agent.discovery)
     deployment.stop()
     for each in made:
@@ -457,9 +457,9 @@
     until(lambda: not moved.discovery.current_watch)  # refused, and a pause is on
     moved.old.tell(server("s7", state="active"))
     until(lambda: b"s7" in moved.reducer.indices)
-    assert not moved.reducer.balancer.watch.watching
+    assert not moved.reducer.balancer.watch.is_active
     back = DiscoveryService(int(there.address.split(":")[1]))
-    until(lambda: back.calls and moved.reducer.balancer.watch.watching and not moved.old.open)
+    until(lambda: back.calls and moved.reducer.balancer.watch.is_active and not moved.old.open)
     back.stop()
 
 
@@ -489,7 +489,7 @@
 def test_empty_line_of_the_new_service_does_not_end_the_watch_before_it(moved):
     there = moved.move()
     there.write(there.watches[0], b"\n")
-    until(lambda: moved.reducer.balancer.watch.watching)
+    until(lambda: moved.reducer.balancer.watch.is_active)
     moved.old.tell(server("s7", state="active"))
     until(lambda: b"s7" in moved.reducer.indices)
     there.tell()
@@ -517,4 +517,4 @@
     moved.old.down = True
     moved.discovery.fetch_servers()
     until(lambda: "/registry/instances" in moved.old.calls and len(moved.old.open) == 1)
-    assert moved.reducer.balancer.watch.watching and moved.discovery.current_watch
+    assert moved.reducer.balancer.watch.is_active and moved.discovery.current_watch
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -9,12 +9,12 @@
 import pytest
 
 from cartdeal.agent.reducer import Reducer
+from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.cut import cut_down
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.servers import Job, Server
 from cartdeal.simulated_time import SimulatedClock, seeded_random
-from cartdeal.terms import State
 
 HARD = {
     "seconds": 14.0,
@@ -134,7 +134,7 @@
 class DrainIgnored(Reducer):
     def listing(self, line):
         found = super().listing(line)
-        return found._replace(state=State.READY)
+        return found._replace(state=ServerState.READY)
 
 
 class GoneIgnored(Reducer):
@@ -144,19 +144,19 @@
 
     def listing(self, line):
         self.lines = getattr(self, "lines", {}) | {line.name.encode(): line}
-        return super().listing(line)._replace(state=State.READY)
+        return super().listing(line)._replace(state=ServerState.READY)
 
 
 class SentAgain(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.within_group = lambda request, server, now: True
+        self.balancer.is_attempt_safe = lambda request, server, now: True
 
 
 class NoRamp(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.ramp_allows = lambda server, now, like: True
+        self.balancer.slow_start_allows = lambda server, now, like: True
 
 
 class TwoAnswers(Reducer):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -146,7 +146,7 @@
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
     if over:  # an earlier attempt of it that may have run, longer ago than servers remember
         balancer = reducer.balancer
-        balancer.requests[1].traces[-1] = balancer.servers[0], reducer.now - 60.0
+        balancer.requests[1].possible_executions[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
     # In doubt it may not be sent again, nor its client told that it never ran.
     assert answered(client) == ((502, b"") if over else (200, b"s0 " + body))
@@ -166,13 +166,13 @@
     "how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)], ids=["closes", "ends its side"]
 )
 def test_no_attempt_begins_for_clients_whose_close_lies_unread(deployment, how):
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
     draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
     deployment.agent.dispatch("listed", ServerList(2, False, (draining,)))
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
         client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
-    held = deployment.agent.reducer.balancer.held
+    held = deployment.agent.reducer.balancer.queued_requests
     until(lambda: len(held) == len(clients))
     for client in clients:
         how(client.sock)
@@ -247,7 +247,7 @@
     context = Desk(tmp_path)
     context.take(MARK)
     balancer, server = context.reducer.balancer, context.at[1, 0]
-    trace, _ = balancer.requests[1].traces[0]
+    trace, _ = balancer.requests[1].possible_executions[0]
     before = trace.zone, trace.cell
     name = next(name for name, index in context.reducer.indices.items() if index == server)
     entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,16 +6,18 @@
 from cartdeal.agent import front, upstream
 from cartdeal.agent.invariants import Invariant, InvariantMonitor, Place
 from cartdeal.agent.metrics import Metrics
-from cartdeal.terms import Group, Repeat, RequestClass
+from cartdeal.balancer_types import DeduplicationScope, Idempotency, RequestClass
 from tests.scene import Deployment, answered, until, worded
 
 HERE, ZONE_MATE, AWAY = Place(0, 0, True), Place(0, 1, True), Place(1, 2, True)
-ONCE = RequestClass(Repeat.NON_IDEMPOTENT, Group.CELL, 0.0, 1.0, 1.0)
-READ = ONCE._replace(repeat=Repeat.IDEMPOTENT)
+ONCE = RequestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 1.0, 1.0)
+READ = ONCE._replace(idempotency=Idempotency.IDEMPOTENT)
 
 
 def deduplicated(group):
-    return ONCE._replace(repeat=Repeat.DEDUPLICATED, group=group, window=2.0)
+    return ONCE._replace(
+        idempotency=Idempotency.DEDUPLICATED, deduplication_scope=group, deduplication_window=2.0
+    )
 
 
 class Checked:
@@ -35,12 +37,12 @@
     [
         (READ, AWAY, 104.0, False),
         (ONCE, HERE, 100.1, True),
-        (deduplicated(Group.ALL), AWAY, 101.9, False),
-        (deduplicated(Group.ALL), HERE, 102.1, True),
-        (deduplicated(Group.ZONE), ZONE_MATE, 101.0, False),
-        (deduplicated(Group.ZONE), AWAY, 101.0, True),
-        (deduplicated(Group.CELL), HERE, 101.0, False),
-        (deduplicated(Group.CELL), ZONE_MATE, 101.0, True),
+        (deduplicated(DeduplicationScope.ALL), AWAY, 101.9, False),
+        (deduplicated(DeduplicationScope.ALL), HERE, 102.1, True),
+        (deduplicated(DeduplicationScope.ZONE), ZONE_MATE, 101.0, False),
+        (deduplicated(DeduplicationScope.ZONE), AWAY, 101.0, True),
+        (deduplicated(DeduplicationScope.CELL), HERE, 101.0, False),
+        (deduplicated(DeduplicationScope.CELL), ZONE_MATE, 101.0, True),
     ],
 )
 @pytest.mark.parametrize("never_ran", [None, False, True])
@@ -58,9 +60,9 @@
     [
         (READ, 104.0, False),
         (ONCE, 101.0, True),
-        (deduplicated(Group.ALL), 101.0, False),
-        (deduplicated(Group.ALL), 102.5, True),
-        (deduplicated(Group.ZONE), 101.0, True),
+        (deduplicated(DeduplicationScope.ALL), 101.0, False),
+        (deduplicated(DeduplicationScope.ALL), 102.5, True),
+        (deduplicated(DeduplicationScope.ZONE), 101.0, True),
     ],
 )
 @pytest.mark.parametrize("status", [429, 503, 502])
@@ -126,7 +128,7 @@
 
 
 def test_further_attempt_of_a_non_idempotent_request_is_counted(deployment, monkeypatch):
-    monkeypatch.setattr("cartdeal.balancer.Balancer.within_group", lambda *about: True)
+    monkeypatch.setattr("cartdeal.balancer.Balancer.is_attempt_safe", lambda *about: True)
     deployment.ask("/once/x?do=reset", "POST")
     assert violations(deployment)["no_second_effect"] >= 1
 
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -72,7 +72,7 @@
     assert "to confirm: settings.workloads" in out and "to confirm: settings.groupSize" not in out
     first = new.read_bytes()
     assert said("migrate", old, new, *TOLD, "--force")[0] == 0 and new.read_bytes() == first
-    assert configuration.read({"PROXY_CONFIG": str(new)}).settings.for_balancer(1).pooled
+    assert configuration.read({"PROXY_CONFIG": str(new)}).settings.balancer_settings(1).is_pool_member
 
 
 def test_dry_run_shows_all_and_changes_nothing(old, tmp_path):
@@ -162,5 +162,9 @@
 
 def test_defaults_are_those_of_an_agent_beside_its_client(tmp_path):
     (tmp_path / "c.json").write_text(json.dumps(config_file()))
-    settings = configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")}).settings.for_balancer(1)
-    assert (settings.pooled, settings.live_weights, settings.worst_class) == (False, False, 0.0)
+    settings = configuration.read({"PROXY_CONFIG": str(tmp_path / "c.json")}).settings.balancer_settings(1)
+    assert (settings.is_pool_member, settings.has_live_weights, settings.worst_class_weight) == (
+        False,
+        False,
+        0.0,
+    )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -3,7 +3,7 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
-from cartdeal.terms import Outcome
+from cartdeal.balancer_types import Outcome
 from tests.scene import agent_config, config_file, kept
 
 SERVERS = [{"uid": f"s{n}", "endpoint": f"127.0.0.1:{n}", "az": "a"} for n in (1, 2)]
@@ -28,7 +28,7 @@
         for verb, *args in self.reducer.effects:
             if verb == "send_attempt":
                 self.at[tuple(args[:2])] = args[2]
-            if verb not in ("note", "log", "begun", "wake"):
+            if verb not in ("log_note", "log", "begun", "set_timer"):
                 words = " ".join(self.show(each) for each in args)
                 self.lines.append(f"         {verb} {words}".rstrip())
         self.reducer.effects.clear()
@@ -84,12 +84,12 @@
     desk.play(
         1.0, "listed", ServerList(5, False, (ServerEntry("s1", "127.0.0.1:9", "a", started=1101500.0),))
     )
-    assert desk.reducer.balancer.servers[0].started == pytest.approx(101.5)
+    assert desk.reducer.balancer.servers[0].started_at == pytest.approx(101.5)
     desk.play(1.0, "listed", ServerList(6, True, (ServerEntry("s2", "127.0.0.1:2", "a"),)))
-    assert desk.reducer.balancer.servers.keys() == {1} and desk.reducer.balancer.servers[1].started == 0.0
+    assert desk.reducer.balancer.servers.keys() == {1} and desk.reducer.balancer.servers[1].started_at == 0.0
     desk.play(1.0, "watch_failed")
     desk.play(0.0, "watch_stands")
-    assert desk.reducer.balancer.watch.watching
+    assert desk.reducer.balancer.watch.is_active
     kept("list", desk.lines)
 
 
@@ -104,7 +104,7 @@
         desk.play(0.1, "listed", ServerList(day, False, (ServerEntry(new.name, state="left"),)))
         assert server in balancer.servers or server not in reducer.servers
         desk.end(number, 0)
-    assert not reducer.requests and not balancer.requests and not balancer.held
+    assert not reducer.requests and not balancer.requests and not balancer.queued_requests
     assert len(reducer.servers) == len(reducer.indices) == len(balancer.servers) <= 2
     assert reducer.servers_named > 300 and len(reducer.ids) + len(reducer.previous_ids) < 200
 
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("progress, status", [(Progress.PARTLY_WRITTEN, 503), (Progress.WRITTEN, 502)])
 def test_overdue_request_is_rejected_if_all_that_was_let_out_never_ran(tmp_path, progress, status):
     desk = Desk(tmp_path)
-    desk.reducer.balancer.follow_up = lambda request, now: None  # it forgets the request
+    desk.reducer.balancer.retry_or_give_up = lambda request, now: None  # it forgets the request
     desk.take(2)
     desk.end(1, 0, FailureReason.BROKEN, progress)
     desk.play(2.0, "overdue", 1)
@@ -147,7 +147,7 @@
 
 def test_a_broken_decision_still_gets_its_request_answered(tmp_path):
     desk = Desk(tmp_path)
-    desk.reducer.balancer.pick_server = None
+    desk.reducer.balancer.select_server = None
     with pytest.raises(TypeError):
         desk.take(0)
     desk.play(2.1, "overdue", 1)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -40,7 +40,8 @@
     """The command of an agent with a planted fault."""
     return (
         f'exec {sys.executable} -c "from cartdeal.agent.reducer import Reducer as R; '
-        f'from cartdeal.terms import State; {words}; from cartdeal.__main__ import main; main()"'
+        f"from cartdeal.balancer_types import ServerState; {words}; "
+        'from cartdeal.__main__ import main; main()"'
     )
 
 
@@ -57,7 +58,7 @@
     "words, rule",
     [
         ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
-        ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=State.READY)", 3),
+        ("l = R.listing; R.listing = lambda self, line: l(self, line)._replace(state=ServerState.READY)", 3),
         ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1),
     ],
 )
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,6 +18,7 @@
 from cartdeal.agent.discovery import DiscoveryClient
 from cartdeal.agent.effects import room_for
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.world import Unusable
 from cartdeal.fleet import codec
@@ -41,7 +42,6 @@
 from cartdeal.lab import fleets
 from cartdeal.rig import play
 from cartdeal.rig.stands import DiscoveryService
-from cartdeal.terms import State as ServerState
 from tests.fleet import test_membership, test_ring_consensus, test_transport
 from tests.fleet.test_membership import peer
 from tests.fleet.test_transport import SETTINGS, StreamMessage, wait_until
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,8 +14,8 @@
 from cartdeal.agent.front import hashed
 from cartdeal.agent.log_output import LINES_PER_SECOND, RateLimitFilter
 from cartdeal.agent.start import ENDS, LONGEST_WAIT, lasts
+from cartdeal.balancer_types import LoadReport, Outcome
 from cartdeal.settings import ClassSettings, Settings
-from cartdeal.terms import Load, Outcome
 from examples.toy import DiscoveryService, Server, answer
 from tests.scene import IDS, SETTINGS, answered, until, worded
 
@@ -115,7 +115,7 @@
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
-    assert deployment.agent.reducer.balancer.servers[0].circuit_closed and len(deployment.seen()) == 4
+    assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed and len(deployment.seen()) == 4
 
 
 def test_request_goes_on_and_its_answer_comes_back_unchanged(deploy):
@@ -142,7 +142,7 @@
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
     deployment, told = deploy(settings=SETTINGS | more), []
     balancer = deployment.agent.reducer.balancer
-    for event in ("taken", "attempt_ended", "probe_ended"):
+    for event in ("on_request", "on_attempt_ended", "on_probe_ended"):
         handle = getattr(balancer, event)
         setattr(balancer, event, lambda *args, handle=handle: (told.append(args), handle(*args)))
     deployment.ask("/read/x?do=load", X_Tenant_Id="y", X_Retried="1")
@@ -150,7 +150,11 @@
     until(lambda: len(told) > 2)
     (_, _, tenant, _, _, repeat), attempt, probe = told
     assert (tenant, repeat) == (1, True)
-    assert attempt[-1] == Load(7.0, None) and probe[1] is Outcome.COMPLETED and probe[-1] == Load(1.0, 2.5)
+    assert (
+        attempt[-1] == LoadReport(7.0, None)
+        and probe[1] is Outcome.COMPLETED
+        and probe[-1] == LoadReport(1.0, 2.5)
+    )
     assert [deployment.agent.upstream.load(each) for each in (b"\xff", b'{"throughput": []}')] == [None, None]
 
 
@@ -388,14 +392,16 @@
 
 def test_timers_are_handled_in_order_and_never_early(deploy):
     agent, woken, now = deploy().agent, [], time.monotonic()
-    agent.reducer.balancer.woken = lambda token: woken.append((token, agent.reducer.now >= now + token / 1e3))
+    agent.reducer.balancer.on_timer = lambda token: woken.append(
+        (token, agent.reducer.now >= now + token / 1e3)
+    )
     for token in (9, 1, 5):
-        agent.wake(token, now + token / 1e3)
+        agent.set_timer(token, now + token / 1e3)
     time.sleep(0.02)
     agent.dispatch("watch_stands")
     assert woken == [(1, True), (5, True), (9, True)]
     now = time.monotonic()
-    agent.wake(3, now + 0.003)
+    agent.set_timer(3, now + 0.003)
     until(lambda: len(woken) > 3)
     assert woken[3:] == [(3, True)]
 
@@ -436,7 +442,7 @@
     monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
-    until(lambda: reducer.balancer.watch.watching)
+    until(lambda: reducer.balancer.watch.is_active)
     extra = Server("s9")
     service.tell(extra.line(), split=30)
     until(lambda: b"s9" in reducer.indices)
@@ -449,11 +455,11 @@
         lambda: service.tell(extra.line(endpoint="nowhere")),
         lambda: setattr(service, "BEAT", 1e9),
     ):
-        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.watching)
+        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.is_active)
         break_it()
-        until(lambda: not reducer.balancer.watch.watching)
+        until(lambda: not reducer.balancer.watch.is_active)
     service.BEAT, service.down = 0.01, True
-    reducer.balancer.watch.call_at = 0.0
+    reducer.balancer.watch.next_call_at = 0.0
     deployment.agent.dispatch("woken", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
     assert deployment.ask() == (200, b"s0 ")  # the old list is kept
@@ -469,7 +475,7 @@
         ),
     )
     deployment = deploy()
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
 
 
 def test_whole_list_is_fetched(deploy):
@@ -509,7 +515,7 @@
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
-    assert deployment.agent.reducer.balancer.servers[0].circuit_closed  # the lack of room is not its doing
+    assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed  # the lack of room is not its doing
 
 
 def test_words_between_agents(deploy):
@@ -526,7 +532,7 @@
     until(lambda: heard)
     assert heard == [(0, b"yes")]
     for to in (0, -1, 5):
-        agent.tell(to, b"hi %d" % to)
+        agent.send_peer_message(to, b"hi %d" % to)
     assert [neighbour.recv(300) for _ in "ab"] == [b"hi 0", b"hi -1"]
 
 
@@ -559,7 +565,7 @@
         )
         == 0
     )
-    deployment.agent.reducer.balancer.record_end = lambda *args: gevent.sleep(0)
+    deployment.agent.reducer.balancer.record_result = lambda *args: gevent.sleep(0)
     assert switches(deployment.ask) > 0
 
 
@@ -714,7 +720,7 @@
     deployment.agent.reducer.balancer.watch.call_pause = 60.0
     deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
     deployment.agent.dispatch("discovery_moved")
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
     there.stop()
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -70,7 +70,7 @@
     for _ in range(20):
         assert deployment.ask("/once/x", "POST", connection=client)[0] == 503
     servers = deployment.agent.reducer.balancer.servers.values()
-    assert all(each.circuit_closed and not each.failures.amount for each in servers)
+    assert all(each.is_circuit_closed and not each.failures.amount for each in servers)
 
 
 def test_server_without_a_route_fails_once_another_one_was_heard(deployment, monkeypatch):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -169,6 +169,6 @@
     reducer = Reducer(agent_config(tmp_path), 1.0, WALL)
     reducer.listed(ServerList(1, True, tuple(entry(number, None) for number in range(4))))
     balancer = reducer.balancer
-    assert not any(balancer.is_cold(each, reducer.now) for each in balancer.servers.values())
-    balancer.warm_rate(0, reducer.now)
-    assert 0 in balancer.warm_rates  # known from warm servers
+    assert not any(balancer.is_in_slow_start(each, reducer.now) for each in balancer.servers.values())
+    balancer.warm_send_rate(0, reducer.now)
+    assert 0 in balancer.warm_send_rates  # known from warm servers
--- a/tests/test_watch_renewal.py
+++ b/tests/test_watch_renewal.py
@@ -55,7 +55,7 @@
         fleet.service.refuses_until = fleet.clock.now + refused_before
         fleet.service.end_watches(b"")
         fleet.play(fleet.service.refuses_until)
-        while not all(agent.reducer.balancer.watch.watching for agent in fleet.agents):
+        while not all(agent.reducer.balancer.watch.is_active for agent in fleet.agents):
             fleet.play(fleet.clock.now + 0.05)
     fleet.play(fleet.clock.now + life)
     ended_at = fleet.clock.now
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def schedule():
-    made = WatchSchedule(100.0, ASK_EVERY, watching=False)
+    made = WatchSchedule(100.0, ASK_EVERY, is_active=False)
     made.called(100.0)
     return made
 
@@ -27,7 +27,7 @@
 def fail(schedule, now, chance=0.5, silent=False, knows_servers=True):
     """Says how long the pause is."""
     schedule.failed(now, silent, knows_servers, chance)
-    return schedule.call_at - now
+    return schedule.next_call_at - now
 
 
 def stand(schedule, since, until, chance=0.5, silent=False, news=False):
@@ -64,7 +64,7 @@
     now, pauses = 100.0, []
     for _ in range(6):
         pauses.append(stand(schedule, now, now + 0.1))
-        now = schedule.call_at + 0.1
+        now = schedule.next_call_at + 0.1
     assert max(pauses[:3]) < 0.5 and min(pauses[3:]) == pytest.approx(ASK_EVERY / 3)
     assert stand(schedule, now, now + LINE_EVERY) == pytest.approx(SPREAD / 2)
     assert stand(schedule, now + 20.0, now + 20.1) < 0.5
@@ -92,8 +92,8 @@
     now = 100.0
     for _ in range(8):
         stand(schedule, now, now + 0.1)
-        fail(schedule, schedule.call_at)
-        now = schedule.call_at + 0.1
+        fail(schedule, schedule.next_call_at)
+        now = schedule.next_call_at + 0.1
     assert stand(schedule, now, now + 0.1) == pytest.approx(ASK_EVERY / 3)
 
 
@@ -103,15 +103,15 @@
         schedule.called(now)
         called, now = now, now + 3.0
         fail(schedule, now, chance=0.999999)
-        assert schedule.call_at <= called + CALL_TO_CALL
-        now = schedule.call_at
+        assert schedule.next_call_at <= called + CALL_TO_CALL
+        now = schedule.next_call_at
 
 
 def test_pauses_after_a_move_begin_anew_and_do_not_grow_while_its_list_is_urgent(schedule):
     for place in range(5):
         fail(schedule, 100.0 + place)
     schedule.moved(106.0)
-    assert schedule.call_at == 106.0
+    assert schedule.next_call_at == 106.0
     assert [fail(schedule, 106.0 + place) for place in range(4)] == pytest.approx([URGENT_PAUSE] * 4)
     assert fail(schedule, 110.0) == pytest.approx(FIRST_PAUSE)
 
