--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -1,6 +1,8 @@
-"""All of an agent's decisions: which server a request's attempt goes to, and when it is held or given up.
+"""The balancer's decisions: which server takes an attempt, and when a request is queued or given up.
 
-Each thing that happens is one method call on an agent's Balancer, with `host.now` set; it acts by host."""
+The agent reports each event by one method call on its `Balancer`, with `host.now` set to the event's time.
+The balancer acts through its `Host` alone. Times are in seconds.
+"""
 
 from math import exp, inf, log
 from zlib import crc32
@@ -9,246 +11,278 @@
 from cartdeal.routing_state import DECAY_S, RoutedRequest, Server
 from cartdeal.watch_schedule import WatchSchedule
 
-ROOM_CHECK = 0.05  # seconds between two looks for room; so long the answer to a probe holds
-LEAST_DELAY = 0.002  # seconds to a timer
-DEADLINE_MARGIN = 0.04  # seconds kept free for the answer
-WINDOW_MARGIN = 0.05  # seconds before a window's end after which no repeat begins
-LONGEST_CLASS_BACKOFF = 4.0  # seconds for which a class passes a server by
-FAILBACK = 10.0  # seconds between checks of zones ranked higher
-OPENING_FAILURES = 2.0  # fading, from which on a circuit may open
-OPENING_SHARE = 0.3  # that failures must be of what ended
-SHARED_LIMIT = 8.0  # in flight at a new server, by all agents together
-SLOW_START_SHARE = 0.7  # of what rule 4 allows a cold server that is used
-LEAST_LIMIT = 0.25  # limits under one mean pauses between single attempts
-CUT_TO = 0.75  # of a limit that is left by a cut
-QUICK = 0.15  # of the latency target, under which a limit grows
-LATE = 0.25  # of the latency target, over which a limit is cut
-VERY_LATE = 0.6  # of the latency target, over which a limit may fall under one
-YIELD = 1.5  # times the mean in flight, from which on a server yields
-HOLD = 0.3  # of the latency target for which a request may be held
-POOL_YIELD = 1.2  # times the mean load, from which on a pool's server yields
-POOL_LIMIT = 4.0  # least in flight at a pool's server, by all agents together
-GROWTH = 0.125  # of a pool's limit, by a request of usual value
-WEIGHT_FADES = 600.0  # seconds over which a live weight that was higher fades
-CROWDED = 0.6  # seconds for which a report of a queue holds
-TROUBLE = 0.08  # share missed at home from which on probes or other zones help
-FEW_REQUESTS = 20.0  # a server over the span, under which an agent learns too late
-PROBE_PATIENCE = 2.0  # times the usual time of a probe's answer
-PROBE_WORTH = 8.0  # requests missed of which a probe saves one
-OVERLOAD = 0.02  # share of requests given up unsent from which on nothing is sent again
-HASHES = 1 << 64
-HASH_MASK = HASHES - 1
-NO_BACKOFF = (0, 0.0, 1.0)  # as in Server.class_backoffs
+CAPACITY_CHECK_INTERVAL_S = 0.05  # for queued requests; also how long the response to a probe is valid
+MIN_TIMER_DELAY_S = 0.002
+DEADLINE_MARGIN_S = 0.04  # reserved for delivering the answer to the client
+DEDUPLICATION_WINDOW_MARGIN_S = 0.05  # no repeat is sent this close to the end of the window
+MAX_CLASS_BACKOFF_S = 4.0  # for which a request class avoids a server
+FAILBACK_INTERVAL_S = 10.0  # between checks of the zones that are preferred to the current one
+MIN_FAILURES_TO_OPEN = 2.0  # decaying count from which a circuit may open
+MIN_FAILURE_SHARE_TO_OPEN = 0.3  # of the attempts that ended
+INITIAL_SHARED_LIMIT = 8.0  # attempts in flight at a new server, summed over all agents
+SLOW_START_SHARE = 0.7  # of the load that rule 4 allows a server in slow start
+MIN_CONCURRENCY_LIMIT = 0.25  # a limit below 1 means pauses between single attempts
+LIMIT_DECREASE_FACTOR = 0.75
+FAST_RESPONSE_RATIO = 0.15  # of the latency target; the limit grows below it
+SLOW_RESPONSE_RATIO = 0.25  # of the latency target; the limit is cut above it
+VERY_SLOW_RESPONSE_RATIO = 0.6  # of the latency target; the limit may fall below 1 above it
+MAX_IN_FLIGHT_RATIO = (
+    1.5  # of the mean in flight; a server above it is used only if no other one has capacity
+)
+MAX_QUEUE_TIME_RATIO = 0.3  # of the latency target
+MAX_POOL_LOAD_RATIO = 1.2  # of the mean load; the same for an agent of a pool
+MIN_SHARED_POOL_LIMIT = 4.0  # attempts in flight at a server, summed over all agents of a pool
+POOL_LIMIT_GROWTH_FACTOR = 0.125  # growth of the limit by one request of average weight
+LIVE_WEIGHT_DECAY_S = 600.0  # over which an earlier, higher live weight decays
+OVERLOAD_REPORT_TTL_S = 0.6  # for which a report of queued requests counts
+MIN_MISS_SHARE = 0.08  # of requests in the home zone; above it probes and other zones are used
+MIN_REQUESTS_PER_SERVER = 20.0  # within the decay time; an agent with fewer learns of overload too late
+PROBE_TIMEOUT_FACTOR = 2.0  # of the mean response time of a probe
+MISSES_PER_USEFUL_PROBE = 8.0  # one probe saves one in this many missed requests
+MAX_UNSENT_SHARE = 0.02  # of requests given up before any attempt; above it nothing is retried
+HASH_COUNT = 1 << 64
+HASH_MASK = HASH_COUNT - 1
+NO_CLASS_BACKOFF = (0, 0.0, 1.0)  # as in Server.class_backoffs
 
 
 class Balancer:
-    on_transition = staticmethod(lambda what, server, why: None)  # told of circuits and zones that change
+    """Routes one agent's requests to servers; the methods named `on_...` are its events."""
+
+    on_transition = staticmethod(lambda what, server, why: None)  # called when a circuit or the zone changes
 
     def __init__(self, host, settings):
         self.host, self.settings, self.is_pool_member, now = host, settings, settings.is_pool_member, host.now
-        # Agents that each begin with a whole server's room for themselves jam it together at the start.
-        self.initial_limit = max(LEAST_LIMIT, min(4.0, SHARED_LIMIT / settings.agent_count))
-        self.least_limit = min(1.0, POOL_LIMIT / settings.agent_count)
-        # By class: requests asked for and those served in time, time to answers and how many these were.
+        # Agents that each start with the limit of a whole server overload it together.
+        self.initial_limit = max(MIN_CONCURRENCY_LIMIT, min(4.0, INITIAL_SHARED_LIMIT / settings.agent_count))
+        self.min_pool_limit = min(1.0, MIN_SHARED_POOL_LIMIT / settings.agent_count)
+        # By request class: requests, requests served in time, sum of response times, number of responses.
         self.class_statistics = [
             [DecayingSum(DECAY_S, now) for _ in range(4)] for _ in settings.request_classes
         ]
         self.draws, self.servers, self.requests, self.queued_requests, self.full_zones = 0, {}, {}, {}, set()
         self.zones = [[] for _ in range(settings.zone_count)]
         self.zone_order = sorted(range(settings.zone_count), key=self.zone_rank)
-        self.zone_place, self.failback_at = 0, now + FAILBACK  # standing: place in the order of zones
+        # The rank of the current zone is an index into `zone_order`.
+        self.current_zone_rank, self.failback_at = 0, now + FAILBACK_INTERVAL_S
         self.arrivals, self.priority = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
-        self.tenants, self.warm_send_rates = (
-            {},
-            {},
-        )  # by zone: last known sends a second to a warm one, by weight
-        # Judged by first quick answers alone, a zone that is only slow at the start seems silent and fails.
-        late = LATE * max((kind.latency_target for kind in settings.request_classes), default=1.0)
-        self.response_time, self.responses = DecayingSum(DECAY_S, now, late), DecayingSum(DECAY_S, now, 1.0)
-        self.probe_time, self.probe_answers = (
-            DecayingSum(DECAY_S, now),
-            DecayingSum(DECAY_S, now),
-        )  # time to answers of probes
-        self.capacity_misses = DecayingSum(1.0, now)  # requests that found no room lately
-        # Held requests, by whether room came, and those given up that never were sent.
-        self.holds_met, self.holds_missed, self.given_up_unsent = (
+        # By zone: the last known sends per second to a server outside slow start, per unit of weight.
+        self.tenants, self.warm_send_rates = {}, {}
+        # Without this initial value a zone that is only slow at the start seems silent after the first fast
+        # responses, and fails.
+        slow = SLOW_RESPONSE_RATIO * max(
+            (kind.latency_target for kind in settings.request_classes), default=1.0
+        )
+        self.response_time, self.responses = DecayingSum(DECAY_S, now, slow), DecayingSum(DECAY_S, now, 1.0)
+        # The sum of the response times of probes, and their number.
+        self.probe_time, self.probe_responses = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
+        self.capacity_misses = DecayingSum(1.0, now)  # requests that recently found no capacity
+        # Queued requests that got capacity and that did not, and requests given up before any attempt.
+        self.queue_successes, self.queue_timeouts, self.given_up_unsent = (
             DecayingSum(2.0, now),
             DecayingSum(2.0, now),
             DecayingSum(DECAY_S, now),
         )
-        # The share of the keys that cross; requests that ended, all and bad, at home and away.
+        # The share of keys routed to another zone; finished requests, all and missed, for the home zone ("h")
+        # and away from it ("a").
         self.cross_zone_share, self.finished_requests = (
             0.0,
             [[DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)] for _ in "ha"],
         )
         self.next_timer_at = inf
         self.watch = WatchSchedule(now, settings.poll_interval, is_active=not settings.polls_discovery)
-        self.keep_watch(now)
+        self.renew_watch(now)
 
     def zone_rank(self, zone):
-        """The agent's own zone comes first, the others by a hash of the agent's number."""
+        """Sort key of a zone: the agent's own zone first, then by a hash of the agent's number."""
         number, own_zone = self.settings.agent_number, self.settings.own_zone
-        return zone != own_zone, mixed(crc32(b"%d/%d" % (number, zone))), zone
+        return zone != own_zone, mix_bits(crc32(b"%d/%d" % (number, zone))), zone
 
     def random_fraction(self):
-        """A number from 0 to 1, by the agent's seed and how many were drawn before."""
+        """A number between 0 and 1, derived from the agent's seed and the count of earlier draws."""
         self.draws += 1
         return (crc32(b"%d/%d" % (self.settings.seed, self.draws)) + 0.5) / 4294967296
 
     def on_server_list(self, lines, fresh):
-        now, news = self.host.now, False
+        """Applies lines of the server list; `fresh`: they came from the current watch."""
+        now, changed = self.host.now, False
         for line in lines:
-            while line.zone >= len(self.zones):  # one that the settings don't name comes last of all
+            while line.zone >= len(self.zones):  # a zone that the settings do not name is ordered last
                 self.zones, self.zone_order = [*self.zones, []], [*self.zone_order, len(self.zones)]
             server = self.servers.get(line.server_index)
             if server is None:
                 if line.state is ServerState.GONE:
                     continue
-                # What a pool's agents of a lost zone begin with at the next comes on top of its own agents'.
+                # After a failover, the agents of a lost zone add to the load of the next zone's own agents.
                 away = line.zone != self.settings.own_zone
-                first = self.least_limit if self.is_pool_member and away else self.initial_limit
-                server = self.servers[line.server_index] = Server(line.server_index, first, now)
-                server.name_hash = mixed(crc32(line.name))
-            news |= server.state is not line.state or line.started_at > server.started_at
+                limit = self.min_pool_limit if self.is_pool_member and away else self.initial_limit
+                server = self.servers[line.server_index] = Server(line.server_index, limit, now)
+                server.name_hash = mix_bits(crc32(line.name))
+            changed |= server.state is not line.state or line.started_at > server.started_at
             if line.state is not ServerState.GONE:
                 server.zone, server.cell = line.zone, line.cell
                 self.update_weight(server, line.weight, now)
             if line.started_at > server.started_at:
                 server.started_at = line.started_at
                 server.restart(now)
-                # Agents that all begin with a whole token would meet at the cold server in one burst.
+                # If all agents started with a whole token, they would send to the new server in one burst.
                 server.slow_start_tokens = self.random_fraction()
             server.state = line.state
             self.remove_if_gone(server)
         if fresh:
-            self.watch.answered(now, news)
+            self.watch.answered(now, changed)
         for zone, members in enumerate(self.zones):
             members[:] = [s for s in self.servers.values() if s.state is ServerState.READY and s.zone == zone]
         self.check_zones(now)
-        self.offer_room(now)
+        self.route_queued_requests(now)
 
     def update_weight(self, server, weight, now):
-        """What the list says, or the most that it said where what a server holds lowers it."""
-        if not 1e-3 <= weight <= 1e6:  # also what is no number at all
+        """Sets the listed weight; a live weight, which load lowers, decays from its highest value instead."""
+        if not 1e-3 <= weight <= 1e6:  # false for NaN too
             weight = server.weight
         elif self.settings.has_live_weights:
-            # Taken as they come, such weights move the attempts of all agents to the same servers, and late.
-            weight = max(weight, server.weight * exp((server.weight_updated_at - now) / WEIGHT_FADES))
+            # Unsmoothed live weights move the attempts of all agents to the same servers, and too late.
+            weight = max(weight, server.weight * exp((server.weight_updated_at - now) / LIVE_WEIGHT_DECAY_S))
         server.weight, server.weight_updated_at = weight, now
 
     def remove_if_gone(self, server):
-        # Where servers are replaced all day, those gone would fill the memory; traces hold their own.
+        """Removes a server that has left the list once none of its attempts is in flight.
+
+        Without this, memory grows where servers are replaced continually. `possible_executions` keeps its own
+        references.
+        """
         if server.state is ServerState.GONE and not server.in_flight:
             del self.servers[server.index]
 
     def on_watch_failed(self, silent=False):
-        """The watch ended or fell silent, or the call for one got no list."""
+        """The watch ended or, if `silent`, sent nothing for too long; or the call for one got no list."""
         self.watch.failed(self.host.now, silent, bool(self.servers), self.random_fraction())
-        self.wake_by(self.watch.next_call_at)
+        self.set_timer_by(self.watch.next_call_at)
 
     def on_discovery_moved(self):
+        """The discovery service has a new address."""
         self.watch.moved(self.host.now)
-        self.keep_watch(self.host.now)
+        self.renew_watch(self.host.now)
+
+    def renew_watch(self, now):
+        """Calls the discovery service if no watch is active and the call is due.
 
-    def keep_watch(self, now):
-        # Without a watch, an agent is held to know what it never heard unless it has asked lately.
+        Without a watch, an agent counts as informed of changes that it never received, unless it has called
+        recently.
+        """
         if not self.watch.is_active:
             if now >= self.watch.next_call_at:
                 self.host.watch()
                 self.watch.called(now)
-            self.wake_by(self.watch.next_call_at)
+            self.set_timer_by(self.watch.next_call_at)
 
     def on_request(self, number, request_class, tenant, key, deadline, repeat):
+        """A request arrived; `repeat`: the client has sent it before."""
         now, kind = self.host.now, self.settings.request_classes[request_class]
         self.arrivals.add(now)
         self.priority.add(now, kind.priority)
-        value = (
+        priority_weight = (
             self.pool_priority_weight(request_class, kind.priority, now)
             if self.is_pool_member
             else kind.priority
         )
-        # A repeat has spent part of its time at its first try: served first, it makes new ones late too.
-        value *= self.tenant_factor(tenant, now) * (0.5 if repeat else 1.0)
+        # A repeat has used part of its time already: served first, it would make new requests late too.
+        priority_weight *= self.tenant_factor(tenant, now) * (0.5 if repeat else 1.0)
         request = self.requests[number] = RoutedRequest(
             number,
             kind,
             key or int(self.random_fraction() * HASH_MASK),
             deadline,
             now,
-            value,
+            priority_weight,
             self.class_statistics[request_class],
         )
         self.route(request, now)
 
-    def pool_priority_weight(self, request_class, value, now):
-        """What a pool's request adds for the time that it takes; more in the class that is served worst."""
-        asked, _, took, answers = self.class_statistics[request_class]
-        asked.add(now)
-        shares = [done.read(now) / max(all_.read(now), 0.1) for all_, done, _, _ in self.class_statistics]
+    def pool_priority_weight(self, request_class, priority_weight, now):
+        """The priority weight per unit of response time; higher for the request class served worst."""
+        arrivals, _, response_time, responses = self.class_statistics[request_class]
+        arrivals.add(now)
+        shares = [served.read(now) / max(all_.read(now), 0.1) for all_, served, _, _ in self.class_statistics]
         if shares[request_class] <= min(shares) + 0.02:
-            value += self.settings.worst_class_weight * self.priority.amount / asked.amount
-        usual = took.read(now) / max(answers.read(now), 0.1)
+            priority_weight += self.settings.worst_class_weight * self.priority.amount / arrivals.amount
+        mean = response_time.read(now) / max(responses.read(now), 0.1)
         return (
-            value * self.response_time.read(now) / max(self.responses.read(now), 0.1) / usual
-            if usual
-            else value
+            priority_weight * self.response_time.read(now) / max(self.responses.read(now), 0.1) / mean
+            if mean
+            else priority_weight
         )
 
     def tenant_factor(self, tenant, now):
+        """The overage factor for the randomly chosen part of a tenant's requests over its quota, else 1."""
         if not self.settings.tenants:
             return 1.0
-        seen = self.tenants.setdefault(tenant, DecayingSum(DECAY_S, now))
-        seen.add(now)
-        all_, share = sum(each.quota for each in self.settings.tenants), self.settings.tenants[tenant].quota
-        beyond = 1.0 - 1.1 * share / max(all_, 1e-9) * self.arrivals.amount / seen.amount
-        return self.settings.overage_priority_factor if self.random_fraction() < beyond else 1.0
+        arrivals = self.tenants.setdefault(tenant, DecayingSum(DECAY_S, now))
+        arrivals.add(now)
+        all_, quota = sum(each.quota for each in self.settings.tenants), self.settings.tenants[tenant].quota
+        overage = 1.0 - 1.1 * quota / max(all_, 1e-9) * self.arrivals.amount / arrivals.amount
+        return self.settings.overage_priority_factor if self.random_fraction() < overage else 1.0
 
     def route(self, request, now, further=False, last=False):
-        """The ordinary path: the zone stood on, its top server by rendezvous; else another zone; or hold."""
-        home, first = self.zone_order[self.zone_place], self.preferred_zone(request)
-        server = self.select_server(self.zones[first], request, now)
+        """Sends an attempt to the preferred zone or, failing that, to another zone; else queues the request.
+
+        `further`: an attempt has failed before. `last`: the request gives up if no server has capacity now.
+        """
+        home, preferred = self.zone_order[self.current_zone_rank], self.preferred_zone(request)
+        server = self.select_server(self.zones[preferred], request, now)
         if server is None:
             self.capacity_misses.add(now)
-            crossing = self.worth_crossing(request, now, further or last)
+            may_cross = self.is_crossing_worthwhile(request, now, further or last)
             for zone in self.zone_order:
-                if server is None and zone != first and (zone == home or crossing) and self.zone_passes(zone):
+                if (
+                    server is None
+                    and zone != preferred
+                    and (zone == home or may_cross)
+                    and self.is_zone_healthy(zone)
+                ):
                     server = self.select_server(self.zones[zone], request, now)
-        unasked = server is not None and self.must_probe_first(server, now)
-        if unasked and self.queue_request(request, now):
+        needs_probe = server is not None and self.must_probe_first(server, now)
+        if needs_probe and self.queue_request(request, now):
             self.probe_first(request, server, now)
         elif server is not None:
             self.send_attempt(request, server, now)
         elif request.number in self.queued_requests and now < request.queued_until:
-            # While an asked server may still answer, what others have to offer comes too late to matter.
+            # While a probe may still be answered, an offer from another server comes too late to matter.
             request.next_attempt_at = request.queued_until if request.probed_servers else now
         elif last or not self.queue_request(request, now):
             self.give_up(request, now)
 
     def queue_request(self, request, now):
+        """Queues the request until a server has capacity; False if its queue time is over."""
         if request.number not in self.queued_requests:
-            # A client's late try can end sooner than the hold: the timer must find it in time to answer.
-            longest = HOLD * request.request_class.latency_target
-            request.queued_until = min(now + longest, request.deadline - DEADLINE_MARGIN)
+            # A late repeat may have less time left than the queue time: the timer must answer it in time.
+            max_queue_time = MAX_QUEUE_TIME_RATIO * request.request_class.latency_target
+            request.queued_until = min(now + max_queue_time, request.deadline - DEADLINE_MARGIN_S)
         if now < request.queued_until:
             self.queued_requests[request.number] = request
-            self.wake_by(min(max(request.next_attempt_at, now + ROOM_CHECK), request.queued_until))
+            self.set_timer_by(
+                min(max(request.next_attempt_at, now + CAPACITY_CHECK_INTERVAL_S), request.queued_until)
+            )
         return now < request.queued_until
 
     def select_server(self, members, request, now):
-        """The top server by weighted rendezvous that has room and isn't well over the mean in flight."""
+        """The server ranked first by weighted rendezvous hashing among those with capacity.
+
+        A server well above the mean load is taken only if there is no other one. None if no server has
+        capacity.
+        """
         if members and members[0].zone in self.full_zones:
-            return None  # nothing has ended since it was found full
+            return None  # no attempt has ended since the zone was found full
         usable = self.usable_servers(members, request, now)
         if not usable or any(s.zone == usable[0].zone for s in request.probed_servers):
             return None
         if self.is_pool_member and self.is_at_limit(usable):
             self.full_zones.add(usable[0].zone)
             return None
-        best, top, spare, like = None, -1.0, None, None
-        size = sum([s.weight for s in usable])
-        mean = YIELD * sum([len(s.in_flight) for s in usable]) / size
-        even = (
-            POOL_YIELD * sum([self.server_load(s, now) for s in usable]) / size
+        best, best_score, fallback, warm_rate = None, -1.0, None, None
+        total_weight = sum([s.weight for s in usable])
+        max_in_flight = MAX_IN_FLIGHT_RATIO * sum([len(s.in_flight) for s in usable]) / total_weight
+        max_load = (
+            MAX_POOL_LOAD_RATIO * sum([self.server_load(s, now) for s in usable]) / total_weight
             if self.is_pool_member
             else inf
         )
@@ -256,62 +290,67 @@
             if not self.has_capacity(s, request, now):
                 continue
             if self.is_in_slow_start(s, now):
-                like = (
-                    self.warm_send_rate(s.zone, now) if like is None else like
-                )  # once a pick: all may be cold
-                if not self.slow_start_allows(s, now, like):
+                # Computed once per selection: all servers may be in slow start.
+                warm_rate = self.warm_send_rate(s.zone, now) if warm_rate is None else warm_rate
+                if not self.slow_start_allows(s, now, warm_rate):
                     continue
-            score = s.weight / -log((mixed(request.key ^ s.name_hash) + 1) / HASHES)
-            busy, load = len(s.in_flight), self.server_load(s, now)
-            if busy >= 2 and busy + 1 > mean * s.weight or load > even * s.weight:
-                if spare is None or load / s.weight < self.server_load(spare, now) / spare.weight:
-                    spare = s
-            elif score > top:
-                best, top = s, score
-        return best or spare
+            score = s.weight / -log((mix_bits(request.key ^ s.name_hash) + 1) / HASH_COUNT)
+            in_flight, load = len(s.in_flight), self.server_load(s, now)
+            if in_flight >= 2 and in_flight + 1 > max_in_flight * s.weight or load > max_load * s.weight:
+                if fallback is None or load / s.weight < self.server_load(fallback, now) / fallback.weight:
+                    fallback = s
+            elif score > best_score:
+                best, best_score = s, score
+        return best or fallback
 
     def usable_servers(self, members, request, now):
-        """Those whose circuit is closed or may be tried; all of the zone stood on where no zone passes."""
-        safe = (
-            request.request_class.idempotency is Idempotency.IDEMPOTENT
-        )  # these try open circuits first, singly
-        usable = [s for s in members if s.is_circuit_closed or self.may_try(s, safe, now)]
-        standing = members is self.zones[self.zone_order[self.zone_place]]
-        if not usable and standing and not any(map(self.zone_passes, self.zone_order)):
+        """The servers whose circuit is closed or may be tried.
+
+        All servers of the current zone if none of them is usable and no zone is healthy.
+        """
+        # Idempotent requests are the first to try a half-open circuit, one at a time.
+        is_idempotent = request.request_class.idempotency is Idempotency.IDEMPOTENT
+        usable = [s for s in members if s.is_circuit_closed or self.may_try(s, is_idempotent, now)]
+        is_current = members is self.zones[self.zone_order[self.current_zone_rank]]
+        if not usable and is_current and not any(map(self.is_zone_healthy, self.zone_order)):
             return members
         return usable
 
-    def may_try(self, server, safe, now):
-        return server.is_half_open and not server.in_flight and (safe or now > server.retry_at)
+    def may_try(self, server, is_idempotent, now):
+        """Whether an attempt may try the server's half-open circuit."""
+        return server.is_half_open and not server.in_flight and (is_idempotent or now > server.retry_at)
 
     def has_capacity(self, server, request, now):
-        """Whether the server's limit, pauses and group allow an attempt of the request there."""
+        """Whether the server's limit, pauses and deduplication scope allow an attempt of the request."""
         kind = request.request_class
-        fills = len(server.in_flight) + len(server.abandoned_attempts)
-        if fills >= max(1.0 + self.is_pool_member, server.concurrency_limit) or now < server.paused_until:
+        occupied = len(server.in_flight) + len(server.abandoned_attempts)
+        if occupied >= max(1.0 + self.is_pool_member, server.concurrency_limit) or now < server.paused_until:
             return False
-        if server in request.tried_servers or now < server.class_backoffs.get(kind, NO_BACKOFF)[1]:
+        if server in request.tried_servers or now < server.class_backoffs.get(kind, NO_CLASS_BACKOFF)[1]:
             return False
         return self.is_attempt_safe(request, server, now)
 
     def is_at_limit(self, servers):
-        """Whether a pool's agent has out all it may; those given up count until a later one is answered."""
-        # Limits under one are kept over the zone: pauses at each server would leave it idle. Where all that
-        # fills it was given up, one still goes out: a lost zone would be found out late, and left late.
-        out = sum([len(s.in_flight) for s in servers])
-        return out and out + sum([len(s.abandoned_attempts) for s in servers]) >= sum(
+        """Whether the attempts of a pool's agent in a zone reach the sum of its servers' limits.
+
+        An abandoned attempt counts until a later one at its server is answered.
+        """
+        # Limits below 1 apply to the zone as a whole: pauses at each server would leave the zone idle. If all
+        # attempts are abandoned, one more may still be sent: otherwise a lost zone is detected and left late.
+        in_flight = sum([len(s.in_flight) for s in servers])
+        return in_flight and in_flight + sum([len(s.abandoned_attempts) for s in servers]) >= sum(
             [s.concurrency_limit for s in servers]
         )
 
     def server_load(self, server, now):
-        """What a server has of this agent's requests: in flight or, in a pool, seconds of that lately."""
-        # A pool's agent has one at most at a server at most moments, and a key that is dear to all would jam
-        # its server unseen; but each meets a fair sample, and what each spreads evenly is even in all.
+        """This agent's load on a server: attempts in flight or, in a pool, the recent seconds in flight."""
+        # An agent of a pool mostly has at most one attempt at a server, so a key that is popular with all
+        # agents would overload its server unnoticed. But each agent sees a fair sample of the requests, and
+        # what each of them spreads evenly is even in total.
         if not self.is_pool_member:
             return len(server.in_flight)
-        if (
-            now > server.load_updated_at
-        ):  # once a moment: a large zone's sums would cost more than its requests
+        # Computed once per moment: the sums over a large zone would cost more than its requests.
+        if now > server.load_updated_at:
             server.cached_load = server.flight_time.read(now) + sum(
                 [now - sent for sent in server.in_flight.values()]
             )
@@ -319,75 +358,114 @@
         return server.cached_load
 
     def must_probe_first(self, server, now):
-        # Among many agents a quiet one learns of full servers too late: in trouble, or new, it asks first.
-        ended, bad = self.finished_requests[0]
-        bad, ended = bad.read(now) + 0.05, ended.read(now)
-        trouble = bad > TROUBLE * ended or self.capacity_misses.read(now) > 0.1
-        # A probe is work at a server: where it is dear, hundreds of agents that ask lose more than they save.
-        trouble = trouble and bad > (PROBE_WORTH * self.settings.probe_fee - TROUBLE) * ended
-        few = self.arrivals.read(now) < FEW_REQUESTS * len(self.zones[server.zone])
-        asks = trouble and few and self.settings.may_probe and self.settings.agent_count > len(self.servers)
-        return asks and server.is_circuit_closed and now > server.probe_answered_at + ROOM_CHECK
+        """Whether the server is probed before an attempt is sent to it.
+
+        Among many agents, one with few requests learns of overloaded servers too late. It probes first if
+        requests were missed or found no capacity.
+        """
+        finished, missed = self.finished_requests[0]
+        missed, finished = missed.read(now) + 0.05, finished.read(now)
+        is_overloaded = missed > MIN_MISS_SHARE * finished or self.capacity_misses.read(now) > 0.1
+        # A probe is work for a server: if it is expensive, hundreds of probing agents cost more than they
+        # save.
+        is_overloaded = (
+            is_overloaded
+            and missed > (MISSES_PER_USEFUL_PROBE * self.settings.probe_fee - MIN_MISS_SHARE) * finished
+        )
+        has_few_requests = self.arrivals.read(now) < MIN_REQUESTS_PER_SERVER * len(self.zones[server.zone])
+        may_probe = (
+            is_overloaded
+            and has_few_requests
+            and self.settings.may_probe
+            and self.settings.agent_count > len(self.servers)
+        )
+        return (
+            may_probe
+            and server.is_circuit_closed
+            and now > server.probe_answered_at + CAPACITY_CHECK_INTERVAL_S
+        )
 
     def probe_first(self, request, server, now):
+        """Sends a probe, unless one is out, and has the request wait for its response."""
         request.probed_servers.append(server)
         server.probe_waiters[request.number] = request
         if now > server.probe_sent_at + 1.0:
             server.probe_sent_at = now
             self.host.probe(server.index)
         request.next_attempt_at = now + max(
-            0.01, PROBE_PATIENCE * self.probe_time.read(now) / max(self.probe_answers.read(now), 0.1)
+            0.01, PROBE_TIMEOUT_FACTOR * self.probe_time.read(now) / max(self.probe_responses.read(now), 0.1)
         )
-        self.wake_by(min(request.next_attempt_at, request.queued_until))
+        self.set_timer_by(min(request.next_attempt_at, request.queued_until))
 
     def preferred_zone(self, request):
-        """The zone stood on, but for the keys that it can't carry: all agents send such a key to one zone."""
-        home, at = self.zone_order[self.zone_place], mixed(request.key ^ HASH_MASK) / HASH_MASK
-        others = at < self.cross_zone_share and [
-            z for z in range(len(self.zones)) if z != home and self.zone_passes(z)
+        """The current zone, or another one for the share of keys that it cannot serve.
+
+        All agents send such a key to the same zone.
+        """
+        home, position = (
+            self.zone_order[self.current_zone_rank],
+            mix_bits(request.key ^ HASH_MASK) / HASH_MASK,
+        )
+        others = position < self.cross_zone_share and [
+            z for z in range(len(self.zones)) if z != home and self.is_zone_healthy(z)
         ]
-        return others[int(at * 1e6) % len(others)] if others else home
+        return others[int(position * 1e6) % len(others)] if others else home
+
+    def record_result(self, request, missed, now):
+        """Records a finished request and adjusts the share of keys that are routed to another zone.
 
-    def record_result(self, request, bad, now):
-        """Moves the share of keys that cross by its gain: what is missed at home, less away, less the fee."""
+        The share grows while the requests missed at home, less those missed in other zones, exceed the
+        cross-zone fee by more than MIN_MISS_SHARE.
+        """
         away = (
-            bool(request.tried_servers) and request.tried_servers[-1].zone != self.zone_order[self.zone_place]
+            bool(request.tried_servers)
+            and request.tried_servers[-1].zone != self.zone_order[self.current_zone_rank]
         )
-        for each, more in zip(self.finished_requests[away], (1.0, bad), strict=True):
-            each.add(now, more)
-        home, other = (bad.read(now) / max(ended.read(now), 0.5) for ended, bad in self.finished_requests)
-        # What found room nowhere counts for neither: zones that are both full would swap their keys.
-        moves = (
+        for each, amount in zip(self.finished_requests[away], (1.0, missed), strict=True):
+            each.add(now, amount)
+        home, other = (
+            missed.read(now) / max(finished.read(now), 0.5) for finished, missed in self.finished_requests
+        )
+        # A request that found no capacity anywhere is ignored: two full zones would swap their keys.
+        grows = (
             request.tried_servers or not self.is_pool_member
-        ) and home - other > self.settings.cross_zone_fee + TROUBLE
-        self.cross_zone_share = min(0.9, max(0.0, self.cross_zone_share + (0.05 if moves else -0.02)))
+        ) and home - other > self.settings.cross_zone_fee + MIN_MISS_SHARE
+        self.cross_zone_share = min(0.9, max(0.0, self.cross_zone_share + (0.05 if grows else -0.02)))
+
+    def is_crossing_worthwhile(self, request, now, last):
+        """Whether the gain of an attempt in another zone exceeds the cross-zone fee.
 
-    def worth_crossing(self, request, now, last):
-        """Whether the next zone's chance, beyond what held requests lately had at home, is worth its fee."""
-        met, missed = self.holds_met.read(now), self.holds_missed.read(now)
-        gain = request.priority_weight * (1.0 if last else 1.0 - met / (met + missed + 0.1))
+        The gain is discounted by the share of queued requests that recently got capacity in the home zone.
+        """
+        successes, timeouts = self.queue_successes.read(now), self.queue_timeouts.read(now)
+        gain = request.priority_weight * (1.0 if last else 1.0 - successes / (successes + timeouts + 0.1))
         return gain * self.arrivals.amount > self.settings.cross_zone_fee * self.priority.amount
 
     def is_in_slow_start(self, server, now):
-        """Whether its start was lately; one that the list does not stamp started long ago."""
+        """Whether the server started recently; one without a start time in the list started long ago."""
         return bool(server.started_at) and now - server.started_at < self.settings.slow_start_duration
 
-    def slow_start_allows(self, server, now, like):
-        """Whether a cold server's ramp allows one more: rule 4 holds if every agent keeps to its own ramp."""
+    def slow_start_allows(self, server, now, warm_rate):
+        """Whether the slow start of a server allows one more attempt.
+
+        Rule 4 (no overload of a server in slow start) holds if every agent keeps to its own token bucket.
+        `warm_rate`: sends per second and unit of weight to a server outside slow start.
+        """
         age = max(0.0, now - server.started_at)
-        ramp = 1 - (1 - self.settings.slow_start_initial_share) * max(
+        share = 1 - (1 - self.settings.slow_start_initial_share) * max(
             0.0, 1 - age / self.settings.slow_start_duration
         )
-        rate = SLOW_START_SHARE * self.settings.overload_factor * ramp * server.weight * like
-        # Counted in short spans: what was not used lately is no leave for a burst.
-        most = max(1.0, rate * self.settings.overload_window / 4)
+        rate = SLOW_START_SHARE * self.settings.overload_factor * share * server.weight * warm_rate
+        # The bucket holds a quarter of the overload window at most: unused tokens must not allow a burst.
+        max_tokens = max(1.0, rate * self.settings.overload_window / 4)
         server.slow_start_tokens, server.tokens_refilled_at = (
-            min(most, server.slow_start_tokens + rate * (now - server.tokens_refilled_at)),
+            min(max_tokens, server.slow_start_tokens + rate * (now - server.tokens_refilled_at)),
             now,
         )
         return server.slow_start_tokens >= 1.0
 
     def warm_send_rate(self, zone, now):
+        """Sends per second and unit of weight to the zone's servers outside slow start."""
         warm = [s for s in self.zones[zone] if s.is_circuit_closed and not self.is_in_slow_start(s, now)]
         if warm:
             self.warm_send_rates[zone] = (
@@ -398,92 +476,110 @@
         return self.warm_send_rates[zone]
 
     def send_attempt(self, request, server, now):
+        """Records an attempt of the request at the server and has the host send it."""
         attempt, request.attempt_count = request.attempt_count, request.attempt_count + 1
         request.in_flight[attempt], request.possible_executions[attempt] = server, (server, now)
         request.tried_servers.append(server)
         request.probed_servers.clear()
-        was_held = self.queued_requests.pop(request.number, None) is not None
-        self.holds_met.add(now, was_held and self.zone_order[self.zone_place] == server.zone)
+        was_queued = self.queued_requests.pop(request.number, None) is not None
+        self.queue_successes.add(now, was_queued and self.zone_order[self.current_zone_rank] == server.zone)
         server.last_response_at = server.last_response_at if server.in_flight else now
         server.in_flight[request.number, attempt] = now
-        self.wake_by(now + self.patience(server, now))
+        self.set_timer_by(now + self.silence_timeout(server, now))
         server.recent_sends.add(now)
         if request.request_class in server.class_backoffs:
-            # One that passed it by tries it with one request at a time.
+            # A request class that avoided the server tries it with one request at a time.
             self.back_off_class(server, request, now, 0)
         server.slow_start_tokens -= 1.0
         self.host.send_attempt(request.number, server.index, request.deadline)
 
     def is_attempt_safe(self, request, server, now):
-        """Whether an attempt there could not cause a second effect."""
+        """Whether an attempt of the request at the server cannot cause a second execution."""
         kind = request.request_class
         if not request.possible_executions or kind.idempotency is Idempotency.IDEMPOTENT:
             return True
         if kind.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         return all(
-            now <= sent + kind.deduplication_window - WINDOW_MARGIN
-            and self.in_same_scope(kind.deduplication_scope, past, server)
-            for past, sent in request.possible_executions.values()
+            now <= sent + kind.deduplication_window - DEDUPLICATION_WINDOW_MARGIN_S
+            and self.in_same_scope(kind.deduplication_scope, earlier, server)
+            for earlier, sent in request.possible_executions.values()
         )
 
-    def in_same_scope(self, group, past, server):
-        if group is DeduplicationScope.ALL:
+    def in_same_scope(self, scope, earlier, server):
+        """Whether both servers are in one deduplication scope."""
+        if scope is DeduplicationScope.ALL:
             return True
-        return past.zone == server.zone and (group is DeduplicationScope.ZONE or past.cell == server.cell)
+        return earlier.zone == server.zone and (
+            scope is DeduplicationScope.ZONE or earlier.cell == server.cell
+        )
 
     def give_up(self, request, now):
+        """Ends the request without a result: rejects it if the client may safely repeat it, else fails it."""
         kind = request.request_class
-        safe = not request.possible_executions or kind.idempotency is Idempotency.IDEMPOTENT
+        may_repeat = not request.possible_executions or kind.idempotency is Idempotency.IDEMPOTENT
         if (
-            not safe
+            not may_repeat
             and kind.idempotency is Idempotency.DEDUPLICATED
             and kind.deduplication_scope is DeduplicationScope.ALL
         ):
-            safe = all(
+            may_repeat = all(
                 now < sent + kind.deduplication_window for _, sent in request.possible_executions.values()
             )
-        if safe:
-            wait = min(
+        if may_repeat:
+            retry_after = min(
                 self.settings.max_retry_after, kind.latency_target * (0.2 + 0.3 * self.random_fraction())
             )
-            self.host.reject(request.number, wait)
+            self.host.reject(request.number, retry_after)
         else:
             self.host.fail(request.number)
         self.given_up_unsent.add(now, not request.tried_servers)
         self.record_result(self.remove_request(request.number), True, now)
 
     def remove_request(self, number):
+        """Removes and returns the request; None if it is unknown."""
         self.queued_requests.pop(number, None)
         return self.requests.pop(number, None)
 
     def on_client_disconnected(self, number):
+        """The client of a request has gone; the request counts as missed."""
         if number in self.requests:
             self.record_result(self.remove_request(number), True, self.host.now)
 
-    def offer_room(self, now):
-        """Offers room to held requests, the most important first."""
+    def route_queued_requests(self, now):
+        """Routes the queued requests that are due, by priority weight, until two of them find no capacity."""
         misses, due = 0, [each for each in self.queued_requests.values() if now >= each.next_attempt_at]
         for request in sorted(due, key=lambda each: -each.priority_weight):
             if misses < 2:
                 self.route(request, now)
                 misses += request.number in self.queued_requests
 
-    def on_attempt_ended(self, number, index, outcome, attempt, took, finished, load):
-        now, server, completed = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
-        # After a restart an outcome may come of an attempt, at a server, that this agent knows nothing of.
+    def on_attempt_ended(self, number, index, outcome, attempt, duration, finished, load):
+        """An attempt ended.
+
+        Args:
+            number: the request's number.
+            index: the server's index.
+            outcome: how the attempt ended.
+            attempt: the attempt's number within the request.
+            duration: seconds from sending the attempt to its end.
+            finished: whether the client has its final answer.
+            load: the server's load report, or None.
+        """
+        now, server, is_completed = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
+        # After a restart, outcomes may arrive for attempts and servers that this agent does not know.
         sent = server and server.in_flight.pop((number, attempt), None)
         if sent is None:
             return
         self.full_zones.clear()
         if self.is_pool_member and outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             server.abandoned_attempts.append(sent)
-        elif completed:
+        elif is_completed:
             server.abandoned_attempts = [each for each in server.abandoned_attempts if each > sent]
         request = self.requests.get(number)
-        server.flight_time.add(now, took)
-        self.note_load(server, load, now)
-        self.learn(server, outcome, took, request, now)
+        server.flight_time.add(now, duration)
+        self.apply_load_report(server, load, now)
+        self.apply_outcome(server, outcome, duration, request, now)
         self.remove_if_gone(server)
         if request is not None:
             request.in_flight.pop(attempt, None)
@@ -491,64 +587,78 @@
                 request.possible_executions.pop(attempt, None)
             if finished:
                 self.record_result(
-                    self.remove_request(number), not (completed and now <= request.latency_target_at), now
+                    self.remove_request(number), not (is_completed and now <= request.latency_target_at), now
                 )
             elif not request.in_flight:
                 self.retry_or_give_up(request, now)
-        self.offer_room(now)
+        self.route_queued_requests(now)
 
     def retry_or_give_up(self, request, now):
-        """An attempt ended without an answer: up to two further ones, none under overload."""
-        over = (
+        """Retries a failed request up to two times, but not under overload nor after its latency target."""
+        is_overloaded = (
             request.possible_executions
-            and self.given_up_unsent.read(now) > 2 + OVERLOAD * self.arrivals.amount
+            and self.given_up_unsent.read(now) > 2 + MAX_UNSENT_SHARE * self.arrivals.amount
+        )
+        may_retry = (
+            request.attempt_count < min(3, self.settings.max_attempts) and now < request.latency_target_at
         )
-        more = request.attempt_count < min(3, self.settings.max_attempts) and now < request.latency_target_at
         others = (s for zone in self.zones for s in zone if s not in request.tried_servers)
-        if more and not over and any(self.is_attempt_safe(request, s, now) for s in others):
+        if may_retry and not is_overloaded and any(self.is_attempt_safe(request, s, now) for s in others):
             self.route(request, now, further=True)
         else:
             self.give_up(request, now)
 
-    def learn(self, server, outcome, took, request, now):
+    def apply_outcome(self, server, outcome, duration, request, now):
+        """Updates the server's statistics, concurrency limit and circuit after an attempt."""
         if outcome in (Outcome.CANCELLED, Outcome.NEVER_SENT, Outcome.UNUSABLE):
             return
-        goal = request.request_class.latency_target if request else took * 2
+        latency_target = request.request_class.latency_target if request else duration * 2
         if outcome is Outcome.COMPLETED:
             server.last_response_at = now
             server.class_backoffs.pop(request and request.request_class, None)
             server.completions.add(now)
-            server.response_time += 0.2 * (took - server.response_time) if server.response_time else took
-            self.response_time.add(now, took)
+            server.response_time += (
+                0.2 * (duration - server.response_time) if server.response_time else duration
+            )
+            self.response_time.add(now, duration)
             self.responses.add(now)
             if request:
-                for each, more in zip(
-                    request.class_statistics[1:], (now <= request.latency_target_at, took, 1.0), strict=True
+                for each, amount in zip(
+                    request.class_statistics[1:],
+                    (now <= request.latency_target_at, duration, 1.0),
+                    strict=True,
                 ):
-                    each.add(now, more)
+                    each.add(now, amount)
             if server.is_silent or server.is_half_open and server.completions.amount > 1.5:
                 if not server.is_circuit_closed:
                     self.on_transition("circuit closed", server, "answered")
                 server.is_circuit_closed, server.is_silent, server.is_half_open = True, False, False
                 server.failures = DecayingSum(DECAY_S, now)
             if server.concurrency_limit < 1.0 and not self.is_pool_member:
-                # One from each of many agents can be too much for a server: take turns with the others.
+                # One attempt from each of many agents may be too much for a server: the agents take turns.
                 server.paused_until = now + server.response_time * (1.0 / server.concurrency_limit - 1.0)
-            if took < QUICK * goal and self.is_pool_member:
-                worth = (
-                    request.priority_weight * self.arrivals.amount / self.priority.amount
-                )  # others need room, too
+            if duration < FAST_RESPONSE_RATIO * latency_target and self.is_pool_member:
+                # Growth follows the request's relative weight, since other agents need capacity too.
+                relative_weight = request.priority_weight * self.arrivals.amount / self.priority.amount
                 if now > server.overloaded_until:
                     server.concurrency_limit += min(
-                        1.0 / server.concurrency_limit, server.concurrency_limit * GROWTH * min(2.0, worth)
+                        1.0 / server.concurrency_limit,
+                        server.concurrency_limit * POOL_LIMIT_GROWTH_FACTOR * min(2.0, relative_weight),
                     )
-            elif took < QUICK * goal and len(server.in_flight) + 1 > 0.7 * server.concurrency_limit:
+            elif (
+                duration < FAST_RESPONSE_RATIO * latency_target
+                and len(server.in_flight) + 1 > 0.7 * server.concurrency_limit
+            ):
                 server.concurrency_limit += min(1.0 / server.concurrency_limit, server.concurrency_limit / 4)
-            elif took > LATE * goal and request:
-                self.cut_limit(server, now, LEAST_LIMIT if took > VERY_LATE * goal else 1.0)
+            elif duration > SLOW_RESPONSE_RATIO * latency_target and request:
+                self.cut_limit(
+                    server,
+                    now,
+                    MIN_CONCURRENCY_LIMIT if duration > VERY_SLOW_RESPONSE_RATIO * latency_target else 1.0,
+                )
         elif outcome is Outcome.FULL:
-            self.cut_limit(server, now, LEAST_LIMIT)
-            # One that refuses at once always looks idle, and would draw ever more attempts.
+            self.cut_limit(server, now, MIN_CONCURRENCY_LIMIT)
+            # A server that refuses at once always looks idle, and would attract more and more attempts.
             server.paused_until = now + max(0.1, server.response_time) / min(1.0, server.concurrency_limit)
         else:
             server.failures.add(now)
@@ -557,26 +667,31 @@
             if outcome is Outcome.TIMED_OUT:
                 self.cut_limit(server, now)
             failures = server.failures.amount
-            often = failures > OPENING_SHARE * (failures + server.completions.read(now))
-            if server.is_half_open or failures >= OPENING_FAILURES * 0.95 and often:
+            is_often = failures > MIN_FAILURE_SHARE_TO_OPEN * (failures + server.completions.read(now))
+            if server.is_half_open or failures >= MIN_FAILURES_TO_OPEN * 0.95 and is_often:
                 self.open_circuit(server, now)
 
-    def back_off_class(self, server, request, now, failed=1):
-        """A server may fail with one class alone, which then passes it by; the circuit is for them all."""
-        row, until, span = server.class_backoffs.get(request.request_class, NO_BACKOFF)
-        if row + failed > 2 and now >= until:
-            until, span = now + span, min(LONGEST_CLASS_BACKOFF, span * 2)
-        server.class_backoffs[request.request_class] = row + failed, until, span
+    def back_off_class(self, server, request, now, failure_count=1):
+        """Counts failures of the request's class at the server; the class avoids it from the third in a row.
 
-    def cut_limit(self, server, now, least=1.0):
+        A server may fail with one request class alone. The circuit applies to all of them.
+        """
+        count, until, duration = server.class_backoffs.get(request.request_class, NO_CLASS_BACKOFF)
+        if count + failure_count > 2 and now >= until:
+            until, duration = now + duration, min(MAX_CLASS_BACKOFF_S, duration * 2)
+        server.class_backoffs[request.request_class] = count + failure_count, until, duration
+
+    def cut_limit(self, server, now, min_limit=1.0):
+        """Cuts the server's concurrency limit, at most once per response time."""
         if now >= server.next_limit_cut_at:
             server.concurrency_limit = max(
-                min(server.concurrency_limit, self.least_limit if self.is_pool_member else least),
-                server.concurrency_limit * CUT_TO,
+                min(server.concurrency_limit, self.min_pool_limit if self.is_pool_member else min_limit),
+                server.concurrency_limit * LIMIT_DECREASE_FACTOR,
             )
             server.next_limit_cut_at = now + max(0.1, server.response_time)
 
     def open_circuit(self, server, now):
+        """Opens the server's circuit, or opens it again if it was half-open."""
         if server.is_circuit_closed or server.is_half_open:
             if server.is_circuit_closed:
                 self.on_transition("circuit opened", server, "silent" if server.is_silent else "failures")
@@ -586,21 +701,23 @@
             self.check_zones(now)
 
     def delay_retry(self, server, now):
+        """Doubles the backoff of an open circuit and draws the time of the next try."""
         server.backoff = min(8.0, server.backoff * 2)
         server.retry_at = now + server.backoff * (0.75 + 0.5 * self.random_fraction())
-        self.wake_by(server.retry_at)
+        self.set_timer_by(server.retry_at)
 
-    def on_probe_ended(self, index, outcome, took, load):
-        now, server, answered = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
+    def on_probe_ended(self, index, outcome, duration, load):
+        """A probe of the server with this index ended; the requests that wait for it are routed."""
+        now, server, is_answered = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
         if server is None:
             return
-        askers, server.probe_waiters, server.probe_sent_at = server.probe_waiters, {}, -inf
-        if answered and server.is_circuit_closed:
-            self.probe_time.add(now, took)
-            self.probe_answers.add(now)
+        waiters, server.probe_waiters, server.probe_sent_at = server.probe_waiters, {}, -inf
+        if is_answered and server.is_circuit_closed:
+            self.probe_time.add(now, duration)
+            self.probe_responses.add(now)
             server.probe_answered_at = now
-            self.note_load(server, load, now)
-        elif answered:
+            self.apply_load_report(server, load, now)
+        elif is_answered:
             server.is_half_open, server.completions, server.failures = (
                 True,
                 DecayingSum(DECAY_S, now),
@@ -609,62 +726,71 @@
             server.retry_at = now + 1.0
         elif not server.is_circuit_closed:
             self.delay_retry(server, now)
-        for request in sorted(askers.values(), key=lambda each: -each.priority_weight):
+        for request in sorted(waiters.values(), key=lambda each: -each.priority_weight):
             if request.number in self.queued_requests and server in request.probed_servers:
                 request.probed_servers.remove(server)
-                ready = answered and server.is_circuit_closed and server.state is ServerState.READY
-                if ready and self.select_server([server], request, now):
+                is_ready = is_answered and server.is_circuit_closed and server.state is ServerState.READY
+                if is_ready and self.select_server([server], request, now):
                     self.send_attempt(request, server, now)
                 else:
-                    request.probed_servers.append(server)  # else a jammed fleet is asked over and over
+                    # Without this entry, overloaded servers would be probed over and over.
+                    request.probed_servers.append(server)
                     self.route(request, now)
 
-    def note_load(self, server, load, now):
-        """Where requests wait beyond what a server works on, it is late, however quick its answer was."""
-        # A report is old when it comes: it may say that there was a crowd, never that there is room.
+    def apply_load_report(self, server, load, now):
+        """Cuts the limit of a server that reports queued requests, however fast its response was.
+
+        A report is old when it arrives: it can show that the server was overloaded, but never that it has
+        capacity.
+        """
         if load and load.queue_length and now > server.overloaded_until:
-            server.overloaded_until = now + CROWDED
+            server.overloaded_until = now + OVERLOAD_REPORT_TTL_S
             self.cut_limit(server, now)
 
-    def zone_passes(self, zone):
+    def is_zone_healthy(self, zone):
+        """Whether at least half of the zone's servers have a closed or half-open circuit."""
         members = self.zones[zone]
         return bool(members) and 2 * sum([s.is_circuit_closed or s.is_half_open for s in members]) >= len(
             members
         )
 
     def check_zones(self, now):
-        """Failover: away from a zone that fails, to the next that passes; none passing, stay."""
-        if not self.zone_passes(self.zone_order[self.zone_place]):
-            self.choose_zone(now)
-
-    def choose_zone(self, now):
-        before = self.zone_place
-        self.zone_place = next(
-            (p for p, zone in enumerate(self.zone_order) if self.zone_passes(zone)), before
+        """Fails over from an unhealthy zone to the next healthy one; stays if there is none."""
+        if not self.is_zone_healthy(self.zone_order[self.current_zone_rank]):
+            self.select_zone(now)
+
+    def select_zone(self, now):
+        """Moves to the first healthy zone in order; this is a failover or a failback."""
+        previous = self.current_zone_rank
+        self.current_zone_rank = next(
+            (rank for rank, zone in enumerate(self.zone_order) if self.is_zone_healthy(zone)), previous
         )
-        if self.zone_place != before:
-            self.on_transition("zone changed", None, f"from place {before} to {self.zone_place}")
-        self.failback_at = now + FAILBACK
-        self.wake_by(self.failback_at)
-
-    def wake_by(self, at):
-        # Timers only for what is due: agents that look round all the time cost more than their requests do.
-        # Never at once: each of several timers of one moment would find the next due again, and set two more.
-        at = max(at, self.host.now + LEAST_DELAY)
+        if self.current_zone_rank != previous:
+            self.on_transition("zone changed", None, f"from place {previous} to {self.current_zone_rank}")
+        self.failback_at = now + FAILBACK_INTERVAL_S
+        self.set_timer_by(self.failback_at)
+
+    def set_timer_by(self, at):
+        """Has the host call `on_timer` at `at` or earlier."""
+        # Timers are set only for what is due: periodic checks would cost an agent more than its requests do.
+        # A timer never fires at once: each of several timers of one moment would find the next one due and
+        # set two more.
+        at = max(at, self.host.now + MIN_TIMER_DELAY_S)
         if at < self.next_timer_at:
             self.next_timer_at = at
             self.host.set_timer(0, at - self.host.now)
 
     def on_timer(self, token):
+        """A timer fired: handles everything that is due now."""
         now = self.host.now
         if now < self.next_timer_at - 1e-5:
-            return  # set before an earlier one was
+            return  # replaced by an earlier timer
         self.next_timer_at = inf
-        self.keep_watch(now)
-        if self.zone_place:
+        self.renew_watch(now)
+        if self.current_zone_rank:
             if now >= self.failback_at:
-                self.choose_zone(now)
-            self.wake_by(self.failback_at)
+                self.select_zone(now)
+            self.set_timer_by(self.failback_at)
         for server in self.servers.values():
             if server.in_flight and server.is_circuit_closed:
                 self.check_silence(server, now)
@@ -675,47 +801,51 @@
                     server.retry_at, server.is_half_open = now + 2.0, not self.settings.may_probe
                     if self.settings.may_probe:
                         self.host.probe(server.index)
-                self.wake_by(server.retry_at)
+                self.set_timer_by(server.retry_at)
         for request in [each for each in self.queued_requests.values() if now >= each.queued_until]:
-            self.holds_missed.add(now)
+            self.queue_timeouts.add(now)
             self.route(request, now, last=True)
-        self.offer_room(now)
+        self.route_queued_requests(now)
         for request in self.queued_requests.values():
             self.queue_request(request, now)
 
-    def patience(self, server, now):
-        usual = max(
-            server.response_time, self.response_time.read(now) / max(self.responses.read(now), 0.1)
-        )  # slow is not silent
-        return max(0.25, usual * (4.0 if len(server.in_flight) < 3 else 2.5)) if usual else inf
+    def silence_timeout(self, server, now):
+        """Seconds without a response until the server counts as silent; infinity before any response."""
+        # The larger of both means is used, so that a slow server does not count as silent.
+        mean = max(server.response_time, self.response_time.read(now) / max(self.responses.read(now), 0.1))
+        return max(0.25, mean * (4.0 if len(server.in_flight) < 3 else 2.5)) if mean else inf
 
     def check_silence(self, server, now):
-        """A server that has gone silent is left before its attempts end."""
-        patience = self.patience(server, now)
-        due = max(next(iter(server.in_flight.values())), server.last_response_at) + patience
+        """Opens the circuit of a server that went silent, before its attempts time out."""
+        timeout = self.silence_timeout(server, now)
+        due = max(next(iter(server.in_flight.values())), server.last_response_at) + timeout
         if now < due:
-            self.wake_by(due)
+            self.set_timer_by(due)
         else:
             server.is_silent = True
-            server.failures.add(now, OPENING_FAILURES)
+            server.failures.add(now, MIN_FAILURES_TO_OPEN)
             self.open_circuit(server, now)
-        # The requests waiting there are taken back where another attempt can do no harm. So are those that
-        # others overtake: they'd fill the room until their deadline, and the whole server would seem silent.
+        # Attempts at a silent server are cancelled if another attempt is safe. So are overdue attempts that
+        # later ones have overtaken: they would use up the limit until their deadline, and the whole server
+        # would seem silent.
         for (number, attempt), sent in list(server.in_flight.items()):
             request = self.requests.get(number)
             if not request or attempt not in request.in_flight or not self.settings.may_cancel:
                 continue
             if request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
                 continue
-            overtaken = server.last_response_at > sent + patience
-            overdue = now > max(request.latency_target_at, sent + 2 * patience)
-            if now < request.latency_target_at if server.is_silent else overtaken and overdue:
+            is_overtaken = server.last_response_at > sent + timeout
+            is_overdue = now > max(request.latency_target_at, sent + 2 * timeout)
+            if now < request.latency_target_at if server.is_silent else is_overtaken and is_overdue:
                 self.back_off_class(server, request, now)
                 self.host.cancel(number, attempt)
 
 
-def mixed(value):
-    """Spreads a number over 64 bits; crc32 alone would rank all servers alike for keys that differ alike."""
+def mix_bits(value):
+    """Spreads a number over 64 bits.
+
+    CRC-32 alone would rank all servers alike for keys that differ in the same way.
+    """
     value = (value ^ (value >> 30)) * 0xBF58476D1CE4E5B9 & HASH_MASK
     value = (value ^ (value >> 27)) * 0x94D049BB133111EB & HASH_MASK
     return value ^ (value >> 31)
--- a/cartdeal/balancer_types.py
+++ b/cartdeal/balancer_types.py
@@ -1,4 +1,4 @@
-"""What the decisions and whoever drives them agree on: the host's duties and the shared types."""
+"""The interface between the balancer and the agent that hosts it: the host's methods and the shared types."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,22 +7,26 @@
 
 
 class DecayingSum:
-    """A sum whose parts fade away over time."""
+    """A sum whose parts decay exponentially over time, by a factor of e in `decay_s` seconds."""
 
     def __init__(self, decay_s, now, amount=0.0):
         self.amount, self.updated_at, self.decay_s = amount, now, decay_s
 
     def read(self, now):
+        """The sum at the time `now`; `amount` holds it afterwards."""
         if now > self.updated_at:
             self.amount *= exp((self.updated_at - now) / self.decay_s)
             self.updated_at = now
         return self.amount
 
     def add(self, now, amount=1.0):
+        """Adds an amount at the time `now`."""
         self.amount = self.read(now) + amount
 
 
 class Idempotency(Enum):
+    """Whether a request may be executed more than once."""
+
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
     NON_IDEMPOTENT = "unrepeatable"
@@ -37,12 +41,16 @@
 
 
 class ServerState(Enum):
+    """The state of a server in the server list."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class Outcome(Enum):
+    """How an attempt or a probe ended."""
+
     COMPLETED = "completed"
     ERROR = "error"
     FULL = "full"
@@ -51,29 +59,36 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     NEVER_SENT = "never sent"
-    UNUSABLE = "unusable"  # the server can make nothing of the request, and would not again
+    UNUSABLE = "unusable"  # the server cannot use the request; a repeat would fail too
 
     @property
     def never_ran(self) -> bool:
+        """Whether the server cannot have executed the attempt."""
         return self in (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NEVER_SENT)
 
 
 class RequestClass(NamedTuple):
+    """The properties that all requests of a class share. Durations are in seconds."""
+
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: float
     latency_target: float
     priority: float
-    name: str = ""  # told apart by it where all else is alike
+    name: str = ""  # distinguishes classes that are equal otherwise
 
 
 class Tenant(NamedTuple):
+    """A tenant's quota, in requests per second."""
+
     quota: float
 
 
 class ListedServer(NamedTuple):
-    """One line of the server list. `server_index` is the small index, `name` the id as every agent knows
-    it."""
+    """One line of the server list.
+
+    `server_index` is the agent's own index of the server; `name` is the id that all agents know it by.
+    """
 
     server_index: int
     name: bytes
@@ -86,17 +101,17 @@
 
 
 class LoadReport(NamedTuple):
-    """What a server says of itself; None where it does not say."""
+    """A server's report of its load; None for values that it does not report."""
 
     in_flight: float | None = None
-    throughput: float | None = None  # a second
+    throughput: float | None = None  # requests per second
     queue_length: float | None = None
-    service_time: float | None = None  # seconds to serve one lately, without waiting
+    service_time: float | None = None  # recent seconds per request, without queueing
 
 
 @dataclass(slots=True, frozen=True)
 class BalancerSettings:
-    """What a deployment grants an agent and asks of it."""
+    """What a deployment permits an agent and requires of it. Durations are in seconds."""
 
     seed: int
     agent_number: int
@@ -105,7 +120,7 @@
     own_zone: int
     request_classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...]
-    overage_priority_factor: float
+    overage_priority_factor: float  # of a request over its tenant's quota
     cross_zone_fee: float
     probe_fee: float
     max_attempts: int
@@ -114,28 +129,65 @@
     max_retry_after: float
     polls_discovery: bool
     poll_interval: float
-    slow_start_initial_share: float
+    slow_start_initial_share: float  # of the full rate, at the start of a server
     slow_start_duration: float
     overload_window: float
-    overload_factor: float  # of what a cold server can do now: it falls if sent more over the span
-    is_pool_member: bool  # clients reach any agent of a pool, in place of one of their own
-    worst_class_weight: float  # how much the worst-served request class counts beside the whole
-    has_live_weights: bool  # the list's weights are lowered by what servers hold
+    overload_factor: (
+        float  # a server in slow start fails if sent this multiple of its capacity over the window
+    )
+    is_pool_member: bool  # clients may use any agent of a pool instead of one of their own
+    worst_class_weight: float  # weight of the worst-served request class beside the overall result
+    has_live_weights: bool  # the load of a server lowers its listed weight
 
 
 class Host(Protocol):
-    """What an agent can do. `now` is the time of the event being handled, in seconds."""
+    """The actions that an agent offers its balancer.
+
+    `now` is the time of the event being handled, in seconds.
+    """
 
     now: float
 
-    def send_attempt(self, request: int, server: int, deadline: float) -> None: ...
-    def reject(self, request: int, retry_after: float) -> None: ...
-    def fail(self, request: int) -> None: ...
-    def cancel(self, request: int, attempt: int) -> None: ...
-    def probe(self, server: int) -> None: ...
-    def watch(self, on: bool = True) -> None: ...
-    def fetch_servers(self) -> None: ...
-    def close_idle(self, server: int) -> None: ...
-    def send_peer_message(self, agent: int, message: bytes) -> None: ...
-    def set_timer(self, token: int, delay: float) -> None: ...
-    def log_note(self, text: str) -> None: ...
+    def send_attempt(self, request: int, server: int, deadline: float) -> None:
+        """Sends the request to the server; the next attempt of a request has the next number from 0 on."""
+        ...
+
+    def reject(self, request: int, retry_after: float) -> None:
+        """Answers that the request was not served and may be repeated after this many seconds."""
+        ...
+
+    def fail(self, request: int) -> None:
+        """Answers that the request failed and may have been executed."""
+        ...
+
+    def cancel(self, request: int, attempt: int) -> None:
+        """Cancels an attempt that is in flight."""
+        ...
+
+    def probe(self, server: int) -> None:
+        """Probes the server; `Balancer.on_probe_ended` gets the result."""
+        ...
+
+    def watch(self, on: bool = True) -> None:
+        """Starts a watch of the server list, or stops it."""
+        ...
+
+    def fetch_servers(self) -> None:
+        """Requests the server list once."""
+        ...
+
+    def close_idle(self, server: int) -> None:
+        """Closes the idle connections to the server."""
+        ...
+
+    def send_peer_message(self, agent: int, message: bytes) -> None:
+        """Sends a message to one agent, or to all agents if `agent` is -1."""
+        ...
+
+    def set_timer(self, token: int, delay: float) -> None:
+        """Has `Balancer.on_timer` called with the token after `delay` seconds."""
+        ...
+
+    def log_note(self, text: str) -> None:
+        """Writes a note to the log."""
+        ...
--- a/cartdeal/routing_state.py
+++ b/cartdeal/routing_state.py
@@ -1,18 +1,18 @@
-"""What a balancer remembers of each request and of each server. Nothing here decides anything.
+"""What the balancer stores of each request and each server. This module decides nothing.
 
-Times are seconds on the host's clock. A `DecayingSum` is a sum whose parts fade over DECAY_S.
+Times are in seconds on the host's clock. The sums decay over DECAY_S.
 """
 
 from math import inf
 
 from cartdeal.balancer_types import DecayingSum, ServerState
 
-DECAY_S = 6.0  # seconds over which what was seen of servers and requests fades
-FIRST_BACKOFF = 1.0  # seconds, of an open circuit
+DECAY_S = 6.0  # of the statistics of servers and requests
+INITIAL_BACKOFF_S = 1.0  # of an open circuit
 
 
 class RoutedRequest:
-    """A request that has no final answer yet."""
+    """A request without a final answer."""
 
     def __init__(self, number, request_class, key, deadline, now, priority_weight, class_statistics):
         self.number = number
@@ -20,19 +20,20 @@
         self.key = key
         self.deadline = deadline
         self.latency_target_at = min(deadline, now + request_class.latency_target)
-        self.priority_weight = priority_weight  # priority, by which requests that are held get room
-        self.class_statistics = class_statistics  # of its class
-        self.attempt_count = 0  # begun so far
+        self.priority_weight = priority_weight  # queued requests get capacity in this order
+        self.class_statistics = class_statistics  # of its request class, as in Balancer
+        self.attempt_count = 0
         self.in_flight = {}  # attempt -> server
-        self.possible_executions = {}  # attempts that are out or may have run -> (server, when sent)
+        # Attempts that are in flight or may have been executed -> (server, time of sending).
+        self.possible_executions = {}
         self.tried_servers = []  # servers that were sent an attempt
-        self.probed_servers = []  # servers whose answer to a probe it waits for
-        self.next_attempt_at = 0.0  # while it is held
+        self.probed_servers = []  # servers whose response to a probe the request waits for
+        self.next_attempt_at = 0.0  # of a queued request
         self.queued_until = 0.0
 
 
 class Server:
-    """A server of the list, and what this agent has seen of it."""
+    """A server of the list and this agent's statistics of it."""
 
     def __init__(self, index, initial_limit, now):
         self.index = index
@@ -40,34 +41,32 @@
         self.state = ServerState.GONE
         self.started_at = -inf
         self.weight = 1.0
-        self.weight_updated_at = -inf  # when the list last said it
-        self.in_flight = {}  # own attempts: (request, attempt) -> when sent
+        self.weight_updated_at = -inf  # when a list last stated it
+        self.in_flight = {}  # attempts of this agent: (request, attempt) -> time of sending
         self.recent_sends = DecayingSum(DECAY_S, now)
         self.overloaded_until = -inf
-        self.load_updated_at = -inf  # when its load was last summed
-        self.probe_waiters = {}  # requests that wait for the answer to a probe
+        self.load_updated_at = -inf  # when `cached_load` was computed
+        self.probe_waiters = {}  # request number -> request that waits for the response to a probe
         self.probe_sent_at = -inf
         self.restart(now)
 
     def restart(self, now):
-        """Forgets what was learnt of the process before."""
-        self.concurrency_limit = (
-            self.initial_limit
-        )  # attempts in flight; under one, with pauses between single ones
+        """Resets what was learnt of the server's previous process."""
+        self.concurrency_limit = self.initial_limit  # a limit below 1 means pauses between single attempts
         self.next_limit_cut_at = now
         self.paused_until = now
         self.failures = DecayingSum(DECAY_S, now)
         self.completions = DecayingSum(DECAY_S, now)
-        self.flight_time = DecayingSum(DECAY_S, now)  # seconds that ended attempts were in flight
+        self.flight_time = DecayingSum(DECAY_S, now)  # seconds in flight of the attempts that ended
         self.response_time = 0.0  # mean
         self.last_response_at = now
         self.is_circuit_closed = True
         self.is_half_open = False
         self.is_silent = False
         self.retry_at = now
-        self.backoff = FIRST_BACKOFF
-        self.slow_start_tokens = 0.0  # of its cold ramp
+        self.backoff = INITIAL_BACKOFF_S
+        self.slow_start_tokens = 0.0
         self.tokens_refilled_at = now
         self.probe_answered_at = 0.0
-        self.abandoned_attempts = []  # when attempts that were given up had been sent
-        self.class_backoffs = {}  # request class -> failures in a row, backed off until, next backoff
+        self.abandoned_attempts = []  # times of sending of attempts that timed out or were cancelled
+        self.class_backoffs = {}  # request class -> (failures in a row, end of the backoff, next backoff)
