--- a/cartdeal/atomic_write.py
+++ b/cartdeal/atomic_write.py
@@ -1,6 +1,7 @@
-"""Writes a file that appears complete or not at all.
+"""Writes a file atomically: it appears complete or not at all.
 
-The one place that writes a draft beside a file and moves it into place. It must never leave a draft behind.
+The content is written to a temporary file in the same folder, which is moved into place. The temporary file
+must never be left behind.
 """
 
 import os
@@ -8,26 +9,33 @@
 from collections.abc import Callable
 from pathlib import Path
 
-OWNER_ONLY = 0o600  # permissions: read and written by its owner alone
+OWNER_ONLY_MODE = 0o600  # readable and writable by the owner alone
 
 
 def write(
     path: str | Path,
     content: bytes,
     move: Callable[[str, Path], None] = os.replace,
-    mode: int = OWNER_ONLY,
+    mode: int = OWNER_ONLY_MODE,
 ) -> None:
     """Writes `content` to `path`.
 
-    `move` puts the draft into place: os.replace writes over what is there, os.link fails where something is.
-    Raises OSError where the folder or the file can't be written.
+    Args:
+        path: the file to write.
+        content: its content.
+        move: puts the temporary file into place. os.replace overwrites an existing file; os.link fails if
+            there is one.
+        mode: the permissions of the file.
+
+    Raises:
+        OSError: the folder or the file cannot be written.
     """
     target = Path(path)
-    handle, draft = tempfile.mkstemp(dir=target.parent, prefix=f".{target.name}.")
+    handle, temporary = tempfile.mkstemp(dir=target.parent, prefix=f".{target.name}.")
     try:
         with open(handle, "wb") as file:
             file.write(content)
-        os.chmod(draft, mode)
-        move(draft, target)
+        os.chmod(temporary, mode)
+        move(temporary, target)
     finally:
-        Path(draft).unlink(missing_ok=True)
+        Path(temporary).unlink(missing_ok=True)
--- a/cartdeal/fleet/transport/incoming.py
+++ b/cartdeal/fleet/transport/incoming.py
@@ -17,7 +17,7 @@
 from cartdeal.fleet.settings import FleetSettings
 from cartdeal.fleet.transport.limits import TransportLimits
 from cartdeal.fleet.transport.reporting import PeerAddress, TransportReporter
-from cartdeal.supervision import RESTART_DELAY
+from cartdeal.supervision import RESTART_DELAY_S
 
 READER_IDLE_TIMEOUT_S = 90.0  # after which a stream that carries nothing is closed; longer than the writer's
 FIRST_MESSAGE_TIMEOUT_S = 2.0  # how long a connection may take to its first valid message
@@ -118,7 +118,7 @@
                 sock, peer = self.listener.accept()
             except OSError as error:
                 log.warning("accept failed", extra={"text": str(error)})
-                gevent.sleep(RESTART_DELAY)
+                gevent.sleep(RESTART_DELAY_S)
                 continue
             self._make_room()
             connection = IncomingConnection(sock, peer)
--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -1,6 +1,7 @@
-"""Decodes the settings an agent is given, for the bench's wire and for sockets, and draws up its settings.
+"""Decodes an agent's settings and builds the balancer's settings from them.
 
-The one place that knows the names of the settings. Unknown keys are passed over.
+Only this module knows the outer names of the settings. Unknown keys are ignored. Values whose names end in
+`_us` are in microseconds.
 """
 
 import msgspec
@@ -20,17 +21,15 @@
     "keyed": Idempotency.DEDUPLICATED,
     "unsafe": Idempotency.NON_IDEMPOTENT,
 }
-REPORT_COLUMNS = (
-    "outstanding",
-    "throughput",
-    "backlog",
-    "recent_ms",
-)  # of a report, as load_report takes them
-SCOPES_BY_NAME = {group.value: group for group in DeduplicationScope}
-LEAST_PRIORITY = 1e-6  # priorities are divided by their mean, which must not be 0
+# The columns of a load report, in the order of the parameters of `load_report`.
+REPORT_COLUMNS = ("outstanding", "throughput", "backlog", "recent_ms")
+SCOPES_BY_NAME = {scope.value: scope for scope in DeduplicationScope}
+MIN_PRIORITY = 1e-6  # priorities are divided by their mean, which must not be 0
 
 
 class ClassSettings(msgspec.Struct):
+    """The settings of a request class."""
+
     name: str = ""
     idempotency: str | None = field(default=None, name="idempotency")
     deduplication_scope: str | None = field(default=None, name="group")
@@ -41,29 +40,33 @@
 
     @property
     def timeout(self) -> float:
+        """The timeout of a request in seconds, unless the client states another one."""
         return seconds(self.timeout_us) or 1.0
 
-    def request_class(self, zoned: bool) -> RequestClass:
-        # Where no group is named, none is known to drop repeats beyond the narrowest one. Where the areas are
-        # not, all servers look like one zone, and a repeat in another one might run again.
+    def request_class(self, has_zones: bool) -> RequestClass:
+        """The balancer's form of these settings; `has_zones`: whether the settings name zones."""
+        # Without a stated scope, only the narrowest one is known to drop repeats. Without stated zones, all
+        # servers seem to be in one zone, and a repeat in another zone might be executed again.
         scope = SCOPES_BY_NAME.get(self.deduplication_scope, DeduplicationScope.CELL)
         return RequestClass(
             IDEMPOTENCY_BY_NAME.get(self.idempotency, Idempotency.NON_IDEMPOTENT),
-            DeduplicationScope.CELL if scope is DeduplicationScope.ZONE and not zoned else scope,
+            DeduplicationScope.CELL if scope is DeduplicationScope.ZONE and not has_zones else scope,
             seconds(self.deduplication_window_us),
             seconds(self.latency_target_us) or self.timeout,
-            max(self.priority, LEAST_PRIORITY),
+            max(self.priority, MIN_PRIORITY),
             self.name,
         )
 
 
-class Quota(msgspec.Struct):
+class TenantSettings(msgspec.Struct):
+    """A tenant and its quota, in requests per second."""
+
     name: str = ""
     quota: float | None = field(default=None, name="quotaPerS")
 
 
 class Permissions(msgspec.Struct):
-    """What the deployment permits."""
+    """What the deployment permits an agent to do, and its limits."""
 
     max_attempts: int = field(default=1, name="maxShots")
     may_cancel: bool = field(default=False, name="cancel")
@@ -76,6 +79,8 @@
 
 
 class Rules(msgspec.Struct):
+    """The rules for polling discovery and for servers in slow start."""
+
     poll_interval_us: float | None = field(default=None, name="askEveryUs")
     slow_start_initial_share: float = field(default=0.1, name="coldFrom")
     slow_start_duration_us: float | None = field(default=None, name="coldUs")
@@ -84,28 +89,34 @@
 
 
 class Fees(msgspec.Struct):
+    """What a cross-zone attempt and a probe cost, in requests of average priority."""
+
     cross_zone: float = field(default=0.0, name="crossZone")
     probe: float = field(default=0.0, name="probe")
 
 
 class LoadReportSettings(msgspec.Struct):
+    """Where the load reports of servers come from and what they contain."""
+
     source: str = field(default="none", name="how")
     columns: tuple[str, ...] = ()
 
 
 class ObjectiveMix(msgspec.Struct):
-    """What a result is made of."""
+    """The weights of the parts of the overall result."""
 
     worst_class_weight: float = field(default=0.0, name="worstClass")
 
 
 class Settings(msgspec.Struct):
+    """All settings of an agent, as its deployment states them."""
+
     agent_number: int = field(default=0, name="myNumber")
     agent_count: int = field(default=1, name="groupSize")
     zones: tuple[str, ...] = field(default=(), name="areas")
     own_zone: int = field(default=0, name="az")
     request_classes: tuple[ClassSettings, ...] = field(default=(), name="workloads")
-    tenants: tuple[Quota, ...] = ()
+    tenants: tuple[TenantSettings, ...] = ()
     overage_priority_factor: float = field(default=1.0, name="overageImportance")
     discovery_mode: str = field(default="pushed", name="discovery")
     family: str = "mesh"
@@ -117,14 +128,16 @@
     load_reports: LoadReportSettings = field(default_factory=LoadReportSettings, name="feedback")
 
     def tenant_quotas(self) -> tuple[Tenant, ...]:
-        """A share is one of all quotas: where one is missing nobody's is known, and nobody is beyond it.
+        """The quotas of the tenants, then one of 0 for all tenants that the settings do not name.
 
-        The last one is of those that the settings don't name: they have none, and use up nobody else's.
+        Empty if a quota is missing: a tenant's share of all quotas is then unknown, and none exceeds it. An
+        unnamed tenant has no quota and uses up none of the others'.
         """
         quotas = [each.quota for each in self.tenants]
         return tuple(map(Tenant, quotas + [0.0])) if quotas and all(quotas) else ()
 
     def balancer_settings(self, seed: int) -> BalancerSettings:
+        """The balancer's form of these settings; `seed` is that of its random numbers."""
         return BalancerSettings(
             seed=seed,
             agent_number=self.agent_number,
@@ -155,7 +168,7 @@
 
 
 def load_report(in_flight, throughput, queue_length, service_ms) -> LoadReport:
-    """A report as it was said; what no server can mean counts as not said."""
+    """A load report; values out of range count as not reported."""
     in_flight, throughput, queue_length, service_ms = (
         each if each is not None and 0 <= each < 1e9 else None
         for each in (in_flight, throughput, queue_length, service_ms)
@@ -164,8 +177,14 @@
 
 
 def seconds(micros: float | None) -> float:
+    """Converts microseconds to seconds; 0 for None."""
     return (micros or 0.0) / 1e6
 
 
 def decode(text: bytes) -> Settings:
+    """Decodes settings from JSON.
+
+    Raises:
+        msgspec.MsgspecError: the text is not valid JSON, or a value has the wrong type.
+    """
     return msgspec.json.decode(text, type=Settings)
--- a/cartdeal/sockets.py
+++ b/cartdeal/sockets.py
@@ -1,16 +1,19 @@
-"""Sockets at addresses of the agent's own, for the agent and the fleet alike."""
+"""Binds sockets to the agent's own addresses, for the agent and for the fleet."""
 
 from gevent import socket
 
 
 class BindError(Exception):
-    """An address of the agent's own can't be had."""
+    """The agent cannot listen on one of its own addresses."""
 
 
 def bind_socket(kind: int, address: tuple[str, int], backlog: int = 0) -> socket.socket:
-    """A socket of this kind (`SOCK_STREAM`, `SOCK_DGRAM`) at the address; one that listens, with a `backlog`.
+    """Returns a socket of this kind (`SOCK_STREAM`, `SOCK_DGRAM`) bound to the address.
 
-    Raises BindError where the address can't be had.
+    It listens if a `backlog` is given.
+
+    Raises:
+        BindError: the socket cannot be bound to the address.
     """
     sock = None
     try:
--- a/cartdeal/supervision.py
+++ b/cartdeal/supervision.py
@@ -1,17 +1,17 @@
-"""Background tasks that run as long as the agent does."""
+"""Supervision of the background tasks that run as long as the agent does."""
 
 import logging
 from collections.abc import Callable
 
 import gevent
 
-RESTART_DELAY = 0.05  # seconds before a task that failed begins again
+RESTART_DELAY_S = 0.05  # before a failed task is started again
 
 
 def supervise(task: Callable[[], None], log: logging.Logger) -> None:
-    """Runs `task` until it returns, and begins it again whenever it fails.
+    """Runs `task` until it returns, and starts it again whenever it raises an exception.
 
-    An agent that no longer listens because of a fault would look alive to its peers and clients.
+    Otherwise, an agent that no longer listens because of a fault would look alive to its peers and clients.
     """
     while True:
         try:
@@ -19,4 +19,4 @@
             return
         except Exception:
             log.exception("background task failed", extra={"task": task.__name__})
-            gevent.sleep(RESTART_DELAY)
+            gevent.sleep(RESTART_DELAY_S)
