--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -82,10 +82,10 @@
             "close_idle": self.upstream.close_idle,
             "watch": self.discovery.watch,
             "fetch_servers": self.discovery.fetch_servers,
-            "wake": self.wake,
+            "set_timer": self.set_timer,
             "set_deadline_timer": self.set_deadline_timer,
-            "tell": self.tell,
-            "note": self.note,
+            "send_peer_message": self.send_peer_message,
+            "log_note": self.log_note,
             "log": self.log,
             "log_violation": self.log_violation,
         }
@@ -216,7 +216,7 @@
 
     # Timers
 
-    def wake(self, token: int, at: float):
+    def set_timer(self, token: int, at: float):
         self.schedule_event(at, "on_timer", token)
 
     def set_deadline_timer(self, request: int, at: float):
@@ -255,7 +255,7 @@
     # Between agents
 
     def open_peer_socket(self):
-        if not self.config.peer_listen or not self.config.settings.permissions.may_tell:
+        if not self.config.peer_listen or not self.config.settings.permissions.may_message_peers:
             return None
         return bind_socket(socket.SOCK_DGRAM, self.config.peer_listen)
 
@@ -268,13 +268,13 @@
             if address in senders and len(text) <= MAX_PEER_MESSAGE_BYTES:
                 self.dispatch("on_peer_message", senders[address], text)
 
-    def tell(self, agent: int, words: bytes):
+    def send_peer_message(self, agent: int, message: bytes):
         peers = self.config.peers
         to = self.config.peers_broadcast if agent < 0 else peers[agent] if agent < len(peers) else None
-        if self.peer_socket and to and len(words) <= MAX_PEER_MESSAGE_BYTES:
-            self.peer_socket.sendto(words, to)
+        if self.peer_socket and to and len(message) <= MAX_PEER_MESSAGE_BYTES:
+            self.peer_socket.sendto(message, to)
 
-    def note(self, text: str):
+    def log_note(self, text: str):
         log.info("note", extra={"text": text})
 
     def log(self, message: str, fields: dict):
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -17,9 +17,17 @@
 from cartdeal.agent.metrics import Metrics
 from cartdeal.agent.start_times import StartTimes
 from cartdeal.balancer import Balancer
-from cartdeal.terms import Group, Listing, Load, Outcome, Repeat, RequestClass, State
-
-SERVER_STATES = {"active": State.READY, "leaving": State.DRAINING}
+from cartdeal.balancer_types import (
+    DeduplicationScope,
+    Idempotency,
+    ListedServer,
+    LoadReport,
+    Outcome,
+    RequestClass,
+    ServerState,
+)
+
+SERVER_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
 RECENT_ID_S = 5.0  # a request's id is known for as long, twice that at most
 MAX_RECENT_IDS = 1 << 15  # known at least, twice that at most; for less than RECENT_ID_S if more come
 MAX_ZONES = 64  # that are told apart, those of the settings among them
@@ -120,7 +128,7 @@
 
     zone: int
     cell: int
-    group: Group
+    group: DeduplicationScope
     repeat_until: float
 
 
@@ -135,7 +143,7 @@
     """A request's attempts but for one, as the balancer looks at them."""
 
     request_class: RequestClass
-    traces: dict
+    possible_executions: dict
 
 
 class KnownServer(NamedTuple):
@@ -173,17 +181,17 @@
         self.server_indices: dict[bytes, int] = {}
         self.servers: dict[int, KnownServer] = {}
         self.zone_indices = {name: place for place, name in enumerate(config.settings.zones)}
-        settings = config.settings.for_balancer(config.seed)
+        settings = config.settings.balancer_settings(config.seed)
         # A second set, for requests whose form promises less than their request class: these may run once at
         # most.
         non_idempotent = tuple(
-            each._replace(repeat=Repeat.NON_IDEMPOTENT) for each in settings.request_classes
+            each._replace(idempotency=Idempotency.NON_IDEMPOTENT) for each in settings.request_classes
         )
         self.balancer = Balancer(
             self, replace(settings, request_classes=settings.request_classes + non_idempotent)
         )
         self.balancer.on_transition = self.report_transition
-        if not settings.must_ask:
+        if not settings.polls_discovery:
             # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
             self.watch()
         self.apply_list(config.initial_servers, fresh=False)
@@ -240,7 +248,7 @@
 
     def route(self, number: int, pending: PendingRequest):
         request = pending.request
-        self.balancer.taken(
+        self.balancer.on_request(
             number,
             self.class_index(request),
             request.tenant,
@@ -255,7 +263,7 @@
         if pending and pending.awaits_admission:
             pending.awaits_admission = False
             pending.earlier_attempts = tuple(
-                EarlierAttempt(self.zone_indices.get(zone, -1), cell, Group(group), until)
+                EarlierAttempt(self.zone_indices.get(zone, -1), cell, DeduplicationScope(group), until)
                 for zone, cell, group, until in earlier_attempts
             )
             self.route(number, pending)
@@ -275,17 +283,17 @@
             )
             self.monitor.on_client_disconnected(number)
             self.forget_if_finished(number, pending)
-            self.balancer.client_disconnected(number)
+            self.balancer.on_client_disconnected(number)
 
     def on_attempt_started(self, number: int, attempt: int, server: int, timeout_sent: float):
         """The first byte of an attempt goes now; `timeout_sent`: the seconds that its server is told."""
         where = self.balancer.servers.get(server)
-        place = where and Destination(where.zone, where.cell, where.state is State.READY)
+        place = where and Destination(where.zone, where.cell, where.state is ServerState.READY)
         self.metrics.count("attempts")
         self.monitor.on_attempt_started(number, attempt, place, timeout_sent, self.now)
 
     def on_attempt_ended(
-        self, number: int, server: int, attempt: int, result: AttemptResult, load: Load | None = None
+        self, number: int, server: int, attempt: int, result: AttemptResult, load: LoadReport | None = None
     ):
         pending = self.requests.get(number)
         if pending is None:
@@ -306,13 +314,13 @@
             self.answer(number, 400, b"", b"", 0.0)
         finished = pending.client is None
         self.forget_if_finished(number, pending)
-        self.balancer.attempt_ended(number, server, outcome, attempt, result.duration, finished, load)
+        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.duration, finished, load)
 
-    def on_probe_ended(self, server: int, result: AttemptResult, load: Load | None = None):
-        self.balancer.probe_ended(server, result.outcome(), result.duration, load)
+    def on_probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None = None):
+        self.balancer.on_probe_ended(server, result.outcome(), result.duration, load)
 
     def on_timer(self, token: int):
-        self.balancer.woken(token)
+        self.balancer.on_timer(token)
 
     def on_shutdown(self, shutdown_deadline: float):
         """What is out by then is failed: an agent that is killed loses what it has not answered."""
@@ -325,16 +333,16 @@
         """The balancer answers every request; should a fault have kept it from it, this does."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
-            self.note(f"request {pending.request.id.decode('latin-1')} overdue")
+            self.log_note(f"request {pending.request.id.decode('latin-1')} overdue")
             # What never went out may be asked again; to fail it would leave its client in doubt. But an
             # earlier try of one that still waits may have run at another agent: only the fleet would know.
             doubt = (
                 pending.sent_count
                 or pending.awaits_admission
-                and self.idempotency_of(pending.request) is not Repeat.IDEMPOTENT
+                and self.idempotency_of(pending.request) is not Idempotency.IDEMPOTENT
             )
             self.fail(number) if doubt else self.reject(number, 0.0)
-            self.balancer.client_disconnected(number)
+            self.balancer.on_client_disconnected(number)
 
     def on_server_list(self, server_list: ServerList, fresh: bool = True):
         """A list came from discovery; `fresh`: on the watch that stands."""
@@ -343,7 +351,7 @@
 
     def apply_list(self, server_list: ServerList, fresh: bool):
         self.list_version = server_list.version
-        self.note(
+        self.log_note(
             f"list {server_list.version}: {len(server_list.entries)} lines"
             f"{' in all' * server_list.is_complete}"
         )
@@ -359,12 +367,12 @@
             here = {line.name for line in lines}
             gone += [name for name in self.server_indices if name not in here]
         lines += [self.remove_server(name) for name in gone if name in self.server_indices]
-        self.balancer.listed(lines, fresh)
+        self.balancer.on_server_list(lines, fresh)
 
     def on_watch_established(self):
         """A watch was answered, with nothing new."""
         self.start_times.on_discovery_response(self.now)
-        self.balancer.listed([], True)
+        self.balancer.on_server_list([], True)
 
     def on_watch_heartbeat(self):
         """A watch that stands says that there is still nothing new."""
@@ -372,21 +380,21 @@
 
     def on_watch_failed(self, silent: bool = False):
         """The watch ended or, `silent`, sent nothing for too long; or the call for one got no list."""
-        self.balancer.watch_failed(silent)
+        self.balancer.on_watch_failed(silent)
 
     def on_discovery_moved(self):
         """The discovery service has another address."""
-        self.balancer.discovery_moved()
+        self.balancer.on_discovery_moved()
 
     def on_peer_message(self, sender: int, words: bytes):
         """Agents need no words from each other."""
 
-    def remove_server(self, name: bytes) -> Listing:
+    def remove_server(self, name: bytes) -> ListedServer:
         index = self.server_indices.pop(name)
         del self.servers[index]
         self.start_times.remove(name)
         self.close_idle(index)
-        return Listing(index, name, 0, 0, 0, State.GONE, 1.0, 0.0)
+        return ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
 
     def has_changed_group(self, line) -> bool:
         if line.state == "left":  # it may say no zone
@@ -395,7 +403,7 @@
         known = self.balancer.servers.get(index)
         return known is not None and (known.zone, known.cell) != (self.zone_index(line), line.cell)
 
-    def listed_server(self, line) -> Listing:
+    def listed_server(self, line) -> ListedServer:
         name = line.name.encode()
         if name not in self.server_indices:
             self.server_indices[name] = self.next_server_index
@@ -406,11 +414,11 @@
         if self.servers.setdefault(index, known) != known:
             self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
             self.servers[index] = known
-        state = SERVER_STATES.get(line.state, State.DRAINING)
+        state = SERVER_STATES.get(line.state, ServerState.DRAINING)
         zone = self.zone_index(line)
         if zone >= MAX_ZONES:
-            state = State.DRAINING  # among zones that are not told apart a repeat might run twice
-        return Listing(index, name, zone, 0, line.cell, state, line.weight, started)
+            state = ServerState.DRAINING  # among zones that are not told apart a repeat might run twice
+        return ListedServer(index, name, zone, 0, line.cell, state, line.weight, started)
 
     def zone_index(self, line) -> int:
         """A zone's place; one that the settings don't name is another one than all that they do.
@@ -420,7 +428,7 @@
         if not self.config.settings.zones:
             return 0
         if line.zone not in self.zone_indices and len(self.zone_indices) < MAX_ZONES:
-            self.note(f"zone {line.zone} is none of the settings'")
+            self.log_note(f"zone {line.zone} is none of the settings'")
             self.zone_indices[line.zone] = len(self.zone_indices)
         return self.zone_indices.get(line.zone, MAX_ZONES)
 
@@ -465,12 +473,12 @@
         if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
         where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
-        if where is None or known is None or where.state is not State.READY:
+        if where is None or known is None or where.state is not ServerState.READY:
             return False
         if self.servers.get(server) != pending.target_servers.get(attempt):
             return False
-        others = {each: past for each, past in known.traces.items() if each != attempt}
-        return self.balancer.within_group(
+        others = {each: past for each, past in known.possible_executions.items() if each != attempt}
+        return self.balancer.is_attempt_safe(
             OtherAttempts(known.request_class, others), where, self.now
         ) and all(self.allows_attempt(each, where) for each in pending.earlier_attempts)
 
@@ -484,9 +492,9 @@
         the earlier ones as of its own: it then looks for a server where a further one does no harm."""
         known = self.balancer.requests[request]
         for place, each in enumerate(pending.earlier_attempts):
-            known.traces[-1 - place] = (
+            known.possible_executions[-1 - place] = (
                 AttemptDestination(each.zone, each.cell),
-                each.repeat_until - known.request_class.window,
+                each.repeat_until - known.request_class.deduplication_window,
             )
         unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
         self.effects.append(("suppress_attempt", request, server, attempt, unsent))
@@ -494,22 +502,23 @@
     def allows_attempt(self, earlier_attempts: EarlierAttempt, where) -> bool:
         """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
         return self.now < earlier_attempts.repeat_until and (
-            earlier_attempts.group is Group.ALL
+            earlier_attempts.group is DeduplicationScope.ALL
             or where.zone == earlier_attempts.zone
-            and (earlier_attempts.group is Group.ZONE or where.cell == earlier_attempts.cell)
+            and (earlier_attempts.group is DeduplicationScope.ZONE or where.cell == earlier_attempts.cell)
         )
 
-    def idempotency_of(self, request: Request) -> Repeat:
+    def idempotency_of(self, request: Request) -> Idempotency:
         return (
-            Repeat.NON_IDEMPOTENT
+            Idempotency.NON_IDEMPOTENT
             if request.non_idempotent
-            else self.balancer.settings.request_classes[request.request_class].repeat
+            else self.balancer.settings.request_classes[request.request_class].idempotency
         )
 
     def reject(self, request: int, wait: float):
         pending = self.requests.get(request)
         if pending and not all(
-            each.group is Group.ALL and self.now < each.repeat_until for each in pending.earlier_attempts
+            each.group is DeduplicationScope.ALL and self.now < each.repeat_until
+            for each in pending.earlier_attempts
         ):
             return self.fail(request)  # its client would come again, to where it may run once more
         self.answer(request, 503, b"", b"", wait)
@@ -560,14 +569,14 @@
     def close_idle(self, server: int):
         self.effects.append(("close_idle", server))
 
-    def tell(self, agent: int, words: bytes):
-        self.effects.append(("tell", agent, words))
+    def send_peer_message(self, agent: int, message: bytes):
+        self.effects.append(("send_peer_message", agent, message))
 
-    def wake(self, token: int, delay: float):
-        self.effects.append(("wake", token, self.now + delay))
+    def set_timer(self, token: int, delay: float):
+        self.effects.append(("set_timer", token, self.now + delay))
 
-    def note(self, text: str):
-        self.effects.append(("note", text))
+    def log_note(self, text: str):
+        self.effects.append(("log_note", text))
 
     # What the log and the counts say
 
