--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -29,9 +29,9 @@
 from cartdeal.agent.reducer import Request
 from cartdeal.agent.stalls import StallDetector
 from cartdeal.agent.system_errors import RETRY_PAUSE_S, is_own_limit
-from cartdeal.settings import REPEATS, Settings
+from cartdeal.balancer_types import Idempotency
+from cartdeal.settings import IDEMPOTENCY_BY_NAME, Settings
 from cartdeal.sockets import bind_socket
-from cartdeal.terms import Repeat
 
 FIRST_BYTE_TIMEOUT_S = 1.5  # for an unidentified client, from connecting to its first byte
 READ_STALL_TIMEOUT_S = 2.0  # a pause in the middle of a request
@@ -307,7 +307,7 @@
         client.messages.clear()
         if client.awaits_answer:
             client.awaits_answer = False
-            self.dispatch("client_disconnected", client.request_number)
+            self.dispatch("on_client_disconnected", client.request_number)
         for error in errors[:-1]:
             self.write_error(client, error)
         for error in errors[-1:]:
@@ -336,7 +336,7 @@
         """Cancels the request that awaits an answer, and closes the connection."""
         if client.awaits_answer:
             client.awaits_answer = False
-            self.dispatch("client_disconnected", client.request_number)
+            self.dispatch("on_client_disconnected", client.request_number)
         client.close()
 
     def refuse(self, client: ClientConnection, error: MalformedMessageError):
@@ -414,7 +414,7 @@
                 self.reject_request(client, error)
                 continue
             client.awaits_answer = True
-            self.dispatch("taken", client, request)
+            self.dispatch("on_request", client, request)
         refused_last = client.refusal and not (client.awaits_answer or client.messages)
         if refused_last and not (client.closed or client.ends_after_write):
             client.last_active_at = monotonic()
@@ -448,10 +448,12 @@
         sessions = set(SESSION_PATTERN.findall(headers.get(b"cookie", b"")))
         if len(sessions) > 1:
             raise MalformedMessageError(400, "more than one sid")
-        repeat = REPEATS.get(class_settings.repeat, Repeat.NON_IDEMPOTENT)
+        repeat = IDEMPOTENCY_BY_NAME.get(class_settings.idempotency, Idempotency.NON_IDEMPOTENT)
         tenant = headers.get(b"x-tenant-id", b"")
         # In a deduplicated class the method does not matter: servers recognise a repeat only by its key.
-        is_repeatable = bool(idempotency_key) if repeat is Repeat.DEDUPLICATED else message.method == b"GET"
+        is_repeatable = (
+            bool(idempotency_key) if repeat is Idempotency.DEDUPLICATED else message.method == b"GET"
+        )
         return Request(
             request_class,
             not is_repeatable,
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -22,8 +22,8 @@
     is_transient,
     is_wait_timeout,
 )
-from cartdeal.settings import load_of, seconds
-from cartdeal.terms import Load
+from cartdeal.balancer_types import LoadReport
+from cartdeal.settings import load_report, seconds
 
 SPARE_DIVISOR = 8  # one in this many connections is left for clients
 # A connection is not reused for this long after an answer: surplus bytes of that answer show by then.
@@ -68,7 +68,7 @@
     def make_result(self, reason: FailureReason, detail: str = "") -> AttemptResult:
         """The result of an attempt without a complete answer; a cancelled one has the reason GIVEN_UP."""
         if self.is_cancelled:
-            reason = FailureReason.GIVEN_UP
+            reason = FailureReason.CANCELLED
         return AttemptResult(reason, self.progress, monotonic() - self.started_at, detail=detail)
 
 
@@ -84,10 +84,10 @@
         self.may_begin, self.begins = may_begin, begins
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
-        self.connect_timeout_s = seconds(permissions.connect_limit) or DEFAULT_CONNECT_TIMEOUT_S
-        self.max_idle_s = MAX_IDLE_SHARE * (seconds(permissions.idle_limit) or 10.0)
-        self.report_settings = config.settings.reports
-        self.probe_path = b"/health/live" if self.report_settings.how == "none" else b"/stats"
+        self.connect_timeout_s = seconds(permissions.connect_timeout_us) or DEFAULT_CONNECT_TIMEOUT_S
+        self.max_idle_s = MAX_IDLE_SHARE * (seconds(permissions.idle_timeout_us) or 10.0)
+        self.report_settings = config.settings.load_reports
+        self.probe_path = b"/health/live" if self.report_settings.source == "none" else b"/stats"
         # By server, not by address: another server at the same address inherits no connection.
         self.idle: dict[int, list[Connection]] = {}
         self.attempts: dict[tuple[int, int], Attempt] = {}  # by the numbers of request and attempt
@@ -162,11 +162,16 @@
                     "reason": result.detail,
                 },
             )
-        if result.reason is FailureReason.BROKEN:
+        if result.reason is FailureReason.CONNECTION_BROKEN:
             # The others have broken too, or will: an attempt on one might be impossible to repeat.
             self.close_idle(server)
         self.dispatch(
-            "attempt_ended", request_number, server, attempt_number, result, self.parse_load(result.report)
+            "on_attempt_ended",
+            request_number,
+            server,
+            attempt_number,
+            result,
+            self.parse_load(result.raw_load_report),
         )
 
     def run_probe(self, server, address):
@@ -175,19 +180,19 @@
         deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout_s
         request_bytes = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
         result = self.exchange(attempt, server, address, deadline, lambda: request_bytes)
-        if result.reason in (FailureReason.BROKEN, FailureReason.TIMED_OUT):
+        if result.reason in (FailureReason.CONNECTION_BROKEN, FailureReason.TIMED_OUT):
             self.close_idle(server)  # connections to a machine that does not answer stay silent, or break
-        self.dispatch("probe_ended", server, result, self.parse_load(result.body))
+        self.dispatch("on_probe_ended", server, result, self.parse_load(result.body))
 
-    def parse_load(self, raw_report: bytes) -> Load | None:
+    def parse_load(self, raw_report: bytes) -> LoadReport | None:
         """The load that a server reports; None if the deployment has no reports, or this one is unusable."""
-        if self.report_settings.how == "none" or not raw_report:
+        if self.report_settings.source == "none" or not raw_report:
             return None
         try:
             report = msgspec.json.decode(raw_report, type=Report)
         except (msgspec.MsgspecError, UnicodeError):
             return None
-        return load_of(report.outstanding, report.throughput, report.backlog, report.recent_ms)
+        return load_report(report.outstanding, report.throughput, report.backlog, report.recent_ms)
 
     def exchange(
         self,
@@ -205,7 +210,7 @@
         answer, attempt.is_started = None, True
         try:
             if attempt.is_cancelled:
-                return attempt.make_result(FailureReason.GIVEN_UP)
+                return attempt.make_result(FailureReason.CANCELLED)
             self.check_may_begin(may_begin)
             attempt.connection = self.take_idle(server, address)
             if attempt.connection is None:
@@ -215,8 +220,8 @@
             self.write(attempt, make_request(), deadline, may_begin)
             answer = self.read(attempt, deadline)
             if answer is None:
-                return attempt.make_result(FailureReason.BROKEN, "ended early")
-            attempt.progress = Progress.WHOLE
+                return attempt.make_result(FailureReason.CONNECTION_BROKEN, "ended early")
+            attempt.progress = Progress.COMPLETE
             return AttemptResult(
                 FailureReason.ANSWERED,
                 attempt.progress,
@@ -229,20 +234,20 @@
                 f"status {answer.status}",
             )
         except gevent.GreenletExit:
-            return attempt.make_result(FailureReason.GIVEN_UP)
+            return attempt.make_result(FailureReason.CANCELLED)
         except AttemptNotBegunError:
-            return attempt.make_result(FailureReason.NOT_BEGUN, "no longer wanted there")
+            return attempt.make_result(FailureReason.NOT_SENT, "no longer wanted there")
         except NoConnectionError as error:
             return attempt.make_result(FailureReason.NO_CONNECTION, str(error))
         except MalformedMessageError as error:
-            return attempt.make_result(FailureReason.SPOILT, str(error))
+            return attempt.make_result(FailureReason.MALFORMED_RESPONSE, str(error))
         except OSError as error:
             if is_wait_timeout(error):
                 return attempt.make_result(FailureReason.TIMED_OUT, "no answer in time")
-            return attempt.make_result(FailureReason.BROKEN, str(error))
+            return attempt.make_result(FailureReason.CONNECTION_BROKEN, str(error))
         except Exception as error:
             log.exception("attempt died", extra={"address": address})
-            return attempt.make_result(FailureReason.BROKEN, repr(error))
+            return attempt.make_result(FailureReason.CONNECTION_BROKEN, repr(error))
         finally:
             connection = attempt.connection
             if (
@@ -293,7 +298,7 @@
                 return None
             self.last_read_at = monotonic()
             if connection.message.status >= 200:
-                attempt.progress = Progress.HEAD
+                attempt.progress = Progress.HEAD_RECEIVED
         return connection.messages.pop(0)
 
     # Connections
@@ -413,8 +418,8 @@
     )
     if request.idempotency_key:
         head += b"Idempotency-Key: %b\r\n" % request.idempotency_key
-    if request.kind:
-        head += b"Content-Type: %b\r\n" % request.kind
+    if request.content_type:
+        head += b"Content-Type: %b\r\n" % request.content_type
     if request.body or request.method != b"GET":
         head += b"Content-Length: %d\r\n" % len(request.body)
     return head + b"\r\n" + request.body
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -9,12 +9,12 @@
 import pytest
 
 from cartdeal.agent.reducer import Reducer
+from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.cut import cut_down
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.servers import Job, Server
 from cartdeal.simulated_time import SimulatedClock, seeded_random
-from cartdeal.terms import State
 
 HARD = {
     "seconds": 14.0,
@@ -132,31 +132,31 @@
 
 
 class DrainIgnored(Reducer):
-    def listing(self, line):
-        found = super().listing(line)
-        return found._replace(state=State.READY)
+    def listed_server(self, line):
+        found = super().listed_server(line)
+        return found._replace(state=ServerState.READY)
 
 
 class GoneIgnored(Reducer):
     def remove_server(self, name):
-        self.indices[name] = self.indices[name]
-        return self.balancer.servers and super().listing(self.lines[name])
+        self.server_indices[name] = self.server_indices[name]
+        return self.balancer.servers and super().listed_server(self.lines[name])
 
-    def listing(self, line):
+    def listed_server(self, line):
         self.lines = getattr(self, "lines", {}) | {line.name.encode(): line}
-        return super().listing(line)._replace(state=State.READY)
+        return super().listed_server(line)._replace(state=ServerState.READY)
 
 
 class SentAgain(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.within_group = lambda request, server, now: True
+        self.balancer.is_attempt_safe = lambda request, server, now: True
 
 
 class NoRamp(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.ramp_allows = lambda server, now, like: True
+        self.balancer.slow_start_allows = lambda server, now, like: True
 
 
 class TwoAnswers(Reducer):
@@ -174,8 +174,8 @@
 
 
 class Overdue(Reducer):
-    def taken(self, asker, request):
-        super().taken(asker, request._replace(wait=request.wait + 1.0))
+    def on_request(self, asker, request):
+        super().on_request(asker, request._replace(timeout=request.timeout + 1.0))
 
 
 class RejectedInDoubt(Reducer):
@@ -184,9 +184,9 @@
 
 
 class SentAfterAnswer(Reducer):
-    def attempt_ended(self, number, server, attempt, ending, load=None):
+    def on_attempt_ended(self, number, server, attempt, ending, load=None):
         pending = self.requests.get(number)
-        super().attempt_ended(number, server, attempt, ending, load)
+        super().on_attempt_ended(number, server, attempt, ending, load)
         if pending and number % 50 == 0 and server in self.servers and number not in self.requests:
             self.requests[number] = pending
             self.send_attempt(number, server, 0.0)
@@ -196,7 +196,7 @@
 class BothAtOnce(Reducer):
     def send_attempt(self, request, server, until):
         super().send_attempt(request, server, until)
-        if self.requests[request].attempts == 1 and request % 50 == 0:
+        if self.requests[request].attempt_count == 1 and request % 50 == 0:
             super().send_attempt(request, server, until)
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -96,7 +96,7 @@
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
     until(lambda: late.sockets)
     deployment.service.tell(deployment.servers[0].line(**more))
-    until(lambda: deployment.agent.reducer.version == 2)
+    until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: the answer must say so (503, not 502).
     assert answered(client)[0] == 503 and not deployment.seen()
@@ -110,7 +110,7 @@
     service.version += 1
     for watch in service.watches:
         service.write(watch, service.server_list([], True) + b"\n")
-    until(lambda: deployment.agent.reducer.version == 2)
+    until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     assert answered(client)[0] == 503 and not deployment.seen()
     wait_until_settled(deployment)
@@ -135,7 +135,7 @@
     if ends == "cancel":
         deployment.agent.upstream.cancel(1, 0)
     else:
-        deployment.agent.dispatch("overdue", 1)
+        deployment.agent.dispatch("on_deadline_passed", 1)
     late.gate.set()
     assert answered(client)[0] in (502, 503)
     wait_until_settled(deployment)
@@ -150,7 +150,7 @@
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
     if after_window:  # an earlier attempt that may have run, before the repeat window
         balancer = reducer.balancer
-        balancer.requests[1].traces[-1] = balancer.servers[0], reducer.now - 60.0
+        balancer.requests[1].possible_executions[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
     # Outside the window it must not be sent again, and its client must not be told that it never ran.
     assert answered(client) == ((502, b"") if after_window else (200, b"s0 " + body))
@@ -170,13 +170,13 @@
     "how", [socket.socket.close, lambda sock: sock.shutdown(socket.SHUT_WR)], ids=["closes", "ends its side"]
 )
 def test_no_attempt_starts_for_clients_with_an_unread_close(deployment, how):
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
     draining = ServerEntry("s0", deployment.servers[0].address, "a", state="leaving")
-    deployment.agent.dispatch("listed", ServerList(2, False, (draining,)))
+    deployment.agent.dispatch("on_server_list", ServerList(2, False, (draining,)))
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
         client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
-    held = deployment.agent.reducer.balancer.held
+    held = deployment.agent.reducer.balancer.queued_requests
     until(lambda: len(held) == len(clients))
     for client in clients:
         how(client.sock)
@@ -184,7 +184,7 @@
         deployment, len(clients)
     )  # the agent is late: the next event is a server with capacity for all
     ready = ServerEntry("s0", deployment.servers[0].address, "a")
-    deployment.agent.dispatch("listed", ServerList(3, False, (ready,)))
+    deployment.agent.dispatch("on_server_list", ServerList(3, False, (ready,)))
     assert deployment.agent.upstream.attempts
     until(lambda: not deployment.agent.front.clients)
     wait_until_settled(deployment)
@@ -197,8 +197,8 @@
     until(deployment.seen)
     client.close()
     wait_for_unread_ends(deployment, 1)
-    result = AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.1, 200)
-    deployment.agent.dispatch("attempt_ended", 1, 0, 0, result)  # the answer is read before the close
+    result = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
+    deployment.agent.dispatch("on_attempt_ended", 1, 0, 0, result)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.attempts)
@@ -217,14 +217,14 @@
     for kind, within in ((READ, True), (MARK, False)):
         context = Desk(tmp_path)
         context.take(kind, wait=6.0)
-        context.end(1, 0, FailureReason.BROKEN, Progress.WRITTEN)
+        context.end(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
         server = context.at[1, 1]
-        assert context.reducer.may_begin(1, 1, server)
+        assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
-        assert context.reducer.may_begin(1, 1, server) is within
+        assert context.reducer.may_send(1, 1, server) is within
         context.reducer.now += 2.0  # the deadline
-        assert not context.reducer.may_begin(1, 1, server)
-        context.end(1, 1, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
+        assert not context.reducer.may_send(1, 1, server)
+        context.end(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
         # A request that may have run is rejected (503) only if a repeat does no harm.
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
@@ -232,20 +232,20 @@
 def test_non_idempotent_request_is_sent_again_if_it_never_ran(tmp_path):
     context = Desk(tmp_path)
     context.take(ONCE)
-    assert context.reducer.may_begin(1, 0, context.at[1, 0])
-    context.end(1, 0, FailureReason.NOT_BEGUN, Progress.NOT_CONNECTED)
-    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_begin(1, 1, context.at[1, 1])
-    assert not context.reducer.may_begin(1, 0, context.at[1, 0])  # that attempt has ended
+    assert context.reducer.may_send(1, 0, context.at[1, 0])
+    context.end(1, 0, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_send(1, 1, context.at[1, 1])
+    assert not context.reducer.may_send(1, 0, context.at[1, 0])  # that attempt has ended
 
 
 def test_earlier_attempt_at_another_agent_is_checked_before_sending(tmp_path):
     context = AdmissionHarness(tmp_path)
     context.take(ADMISSION_MARK)
-    context.play(0.01, "admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
     server = context.at[1, 0]
-    assert context.reducer.may_begin(1, 0, server)
+    assert context.reducer.may_send(1, 0, server)
     context.reducer.now += 0.6
-    assert not context.reducer.may_begin(1, 0, server)
+    assert not context.reducer.may_send(1, 0, server)
 
 
 @pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
@@ -253,14 +253,14 @@
     context = Desk(tmp_path)
     context.take(MARK)
     balancer, server = context.reducer.balancer, context.at[1, 0]
-    trace, _ = balancer.requests[1].traces[0]
+    trace, _ = balancer.requests[1].possible_executions[0]
     before = trace.zone, trace.cell
-    name = next(name for name, index in context.reducer.indices.items() if index == server)
+    name = next(name for name, index in context.reducer.server_indices.items() if index == server)
     entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
-    context.play(0.0, "listed", ServerList(4, False, (entry,)))
-    assert (trace.zone, trace.cell) == before and not context.reducer.may_begin(1, 0, server)
-    assert context.reducer.indices[name] != server and server not in context.reducer.servers
+    context.play(0.0, "on_server_list", ServerList(4, False, (entry,)))
+    assert (trace.zone, trace.cell) == before and not context.reducer.may_send(1, 0, server)
+    assert context.reducer.server_indices[name] != server and server not in context.reducer.servers
     context.end(1, 0)
     assert server not in balancer.servers and not context.reducer.pending_count
-    context.play(0.0, "listed", ServerList(5, False, (entry,)))
+    context.play(0.0, "on_server_list", ServerList(5, False, (entry,)))
     assert len(balancer.servers) == 2  # the same list again is no further move
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -81,6 +81,6 @@
     monkeypatch.setattr(DiscoveryService, "play", play)
     service = DiscoveryService()
     deployment.agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
-    deployment.agent.dispatch("discovery_moved")
-    until(lambda: deployment.agent.reducer.version == 9)
+    deployment.agent.dispatch("on_discovery_moved")
+    until(lambda: deployment.agent.reducer.list_version == 9)
     service.stop()
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -222,7 +222,9 @@
 
 def test_queued_clients_are_accepted_when_the_listener_closes(deployment):
     agent = deployment.agent.front
-    deployment.agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
+    deployment.agent.background_tasks[
+        3
+    ].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(20)]
     for each in waiting:
         each.sock.sendall(worded())
@@ -244,10 +246,10 @@
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
 
-    def reread(self):
+    def reload(self):
         here["reread"] = True
 
-    def drain(self):
+    def begin_handover(self):
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)
 
@@ -279,7 +281,7 @@
 
 def test_sighup_during_the_start_rereads_the_configuration(tmp_path):
     program = SIGNALLED_AGENT.replace(
-        "os.kill(os.getpid(), signal.SIGTERM)\n\n    def reread", "\n    def reread"
+        "os.kill(os.getpid(), signal.SIGTERM)\n\n    def reload", "\n    def reload"
     )
     program = program.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
     process = run(tmp_path, ["-c", program + "assert here['reread']"])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,10 +12,10 @@
 
 from cartdeal.agent.connection import MAX_BODY_BYTES, Connection
 from cartdeal.agent.front import hash_key
-from cartdeal.agent.log_output import LINES_PER_SECOND, RateLimitFilter
-from cartdeal.agent.start import ENDS, LONGEST_WAIT, lasts
+from cartdeal.agent.log_output import MAX_LINES_PER_SECOND, RateLimitFilter
+from cartdeal.agent.start import MAX_DEADLINE_WAIT_S, SHUTDOWN_MARGIN_S, shutdown_duration
+from cartdeal.balancer_types import LoadReport, Outcome
 from cartdeal.settings import ClassSettings, Settings
-from cartdeal.terms import Load, Outcome
 from examples.toy import DiscoveryService, Server, answer
 from tests.scene import IDS, SETTINGS, answered, until, worded
 
@@ -119,7 +119,7 @@
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
-    assert deployment.agent.reducer.balancer.servers[0].circuit_closed and len(deployment.seen()) == 4
+    assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed and len(deployment.seen()) == 4
 
 
 def test_request_and_answer_are_forwarded_unchanged(deploy):
@@ -146,7 +146,7 @@
     monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
     deployment, told = deploy(settings=SETTINGS | more), []
     balancer = deployment.agent.reducer.balancer
-    for event in ("taken", "attempt_ended", "probe_ended"):
+    for event in ("on_request", "on_attempt_ended", "on_probe_ended"):
         handle = getattr(balancer, event)
         setattr(balancer, event, lambda *args, handle=handle: (told.append(args), handle(*args)))
     deployment.ask("/read/x?do=load", X_Tenant_Id="y", X_Retried="1")
@@ -154,7 +154,11 @@
     until(lambda: len(told) > 2)
     (_, _, tenant, _, _, repeat), attempt, probe = told
     assert (tenant, repeat) == (1, True)
-    assert attempt[-1] == Load(7.0, None) and probe[1] is Outcome.COMPLETED and probe[-1] == Load(1.0, 2.5)
+    assert (
+        attempt[-1] == LoadReport(7.0, None)
+        and probe[1] is Outcome.COMPLETED
+        and probe[-1] == LoadReport(1.0, 2.5)
+    )
     assert [deployment.agent.upstream.parse_load(each) for each in (b"\xff", b'{"throughput": []}')] == [
         None,
         None,
@@ -322,10 +326,10 @@
     reducer = deployment.agent.reducer
     for _ in "ab":
         assert deployment.ask(X_Request_ID="same")[0] == 409
-        reducer.ids_until = 0.0
+        reducer.ids_rotate_at = 0.0
         assert deployment.ask()[0] == 200
     assert deployment.ask(X_Request_ID="same")[0] == 200  # forgotten in time, so that ids don't pile up
-    assert len(reducer.ids) + len(reducer.previous_ids) < 4
+    assert len(reducer.recent_ids) + len(reducer.previous_ids) < 4
 
 
 def test_long_body_is_refused_when_the_memory_budget_is_used_up(deploy):
@@ -395,14 +399,16 @@
 
 def test_timers_are_handled_in_order_and_never_early(deploy):
     agent, woken, now = deploy().agent, [], time.monotonic()
-    agent.reducer.balancer.woken = lambda token: woken.append((token, agent.reducer.now >= now + token / 1e3))
+    agent.reducer.balancer.on_timer = lambda token: woken.append(
+        (token, agent.reducer.now >= now + token / 1e3)
+    )
     for token in (9, 1, 5):
-        agent.wake(token, now + token / 1e3)
+        agent.set_timer(token, now + token / 1e3)
     time.sleep(0.02)
-    agent.dispatch("watch_stands")
+    agent.dispatch("on_watch_established")
     assert woken == [(1, True), (5, True), (9, True)]
     now = time.monotonic()
-    agent.wake(3, now + 0.003)
+    agent.set_timer(3, now + 0.003)
     until(lambda: len(woken) > 3)
     assert woken[3:] == [(3, True)]
 
@@ -439,29 +445,29 @@
 
 
 def test_watch_survives_split_lines_and_fails_on_bad_lines_and_silence(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT", 0.05)
+    monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
-    until(lambda: reducer.balancer.watch.watching)
+    until(lambda: reducer.balancer.watch.is_active)
     extra = Server("s9")
     service.tell(extra.line(), split=30)
-    until(lambda: b"s9" in reducer.indices)
-    assert reducer.version == 2
+    until(lambda: b"s9" in reducer.server_indices)
+    assert reducer.list_version == 2
     service.tell(extra.line(state="left"))
-    until(lambda: reducer.version == 3)
+    until(lambda: reducer.list_version == 3)
     calls = len(service.calls)
     for break_it in (
         lambda: service.write(service.watches[-1], b"{no list\n"),
         lambda: service.tell(extra.line(endpoint="nowhere")),
         lambda: setattr(service, "BEAT", 1e9),
     ):
-        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.watching)
+        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.is_active)
         break_it()
-        until(lambda: not reducer.balancer.watch.watching)
+        until(lambda: not reducer.balancer.watch.is_active)
     service.BEAT, service.down = 0.01, True
-    reducer.balancer.watch.call_at = 0.0
-    deployment.agent.dispatch("woken", 0)
+    reducer.balancer.watch.next_call_at = 0.0
+    deployment.agent.dispatch("on_timer", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
     assert deployment.ask() == (200, b"s0 ")  # the old list is kept
     extra.stop()
@@ -476,13 +482,13 @@
         ),
     )
     deployment = deploy()
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
 
 
 def test_complete_server_list_is_fetched(deploy):
     deployment = deploy()
     deployment.agent.reducer.fetch_servers()
-    deployment.agent.carry_out()
+    deployment.agent.run_effects()
     until(lambda: "/registry/instances" in deployment.service.calls)
 
 
@@ -516,7 +522,7 @@
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
     assert not deployment.seen()
-    assert deployment.agent.reducer.balancer.servers[0].circuit_closed  # the lack of room is not its doing
+    assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed  # the lack of room is not its doing
 
 
 def test_messages_between_agents_are_checked_and_sent(deploy):
@@ -526,14 +532,14 @@
     there = f"127.0.0.1:{neighbour.getsockname()[1]}"
     deployment = deploy(peer_listen="127.0.0.1:0", peers=[there], peers_all=there)
     agent, heard = deployment.agent, []
-    agent.reducer.told = lambda sender, words: heard.append((sender, words))
-    here = agent.datagrams.getsockname()
+    agent.reducer.on_peer_message = lambda sender, words: heard.append((sender, words))
+    here = agent.peer_socket.getsockname()
     for sender, words in ((unidentified, b"no"), (neighbour, bytes(257)), (neighbour, b"yes")):
         sender.sendto(words, here)
     until(lambda: heard)
     assert heard == [(0, b"yes")]
     for to in (0, -1, 5):
-        agent.tell(to, b"hi %d" % to)
+        agent.send_peer_message(to, b"hi %d" % to)
     assert [neighbour.recv(300) for _ in "ab"] == [b"hi 0", b"hi -1"]
 
 
@@ -566,7 +572,7 @@
         )
         == 0
     )
-    deployment.agent.reducer.balancer.record_end = lambda *args: gevent.sleep(0)
+    deployment.agent.reducer.balancer.record_result = lambda *args: gevent.sleep(0)
     assert switches(deployment.ask) > 0
 
 
@@ -720,8 +726,8 @@
     until(lambda: deployment.agent.reducer.balancer.watch.call_pause > 0.5)
     deployment.agent.reducer.balancer.watch.call_pause = 60.0
     deployment.agent.discovery.move(("127.0.0.1", int(there.address.split(":")[1])))
-    deployment.agent.dispatch("discovery_moved")
-    until(lambda: deployment.agent.reducer.balancer.watch.watching)
+    deployment.agent.dispatch("on_discovery_moved")
+    until(lambda: deployment.agent.reducer.balancer.watch.is_active)
     there.stop()
 
 
@@ -772,7 +778,7 @@
         record = logging.makeLogRecord({"name": "x", "msg": "refused"})
         if sparing.filter(record):
             passed.append(getattr(record, "left_out", 0))
-    assert len(passed) == 3 * LINES_PER_SECOND and sum(passed) == 2 * (400 - LINES_PER_SECOND)
+    assert len(passed) == 3 * MAX_LINES_PER_SECOND and sum(passed) == 2 * (400 - MAX_LINES_PER_SECOND)
     assert sparing.filter(logging.makeLogRecord({"name": "x", "msg": "ending"}))
 
 
@@ -801,8 +807,10 @@
     assert agent.wait() == 0
 
 
-@pytest.mark.parametrize("limit, wanted", [(2.0, 2.0 + ENDS), (6.0, LONGEST_WAIT + ENDS)])
+@pytest.mark.parametrize(
+    "limit, wanted", [(2.0, 2.0 + SHUTDOWN_MARGIN_S), (6.0, MAX_DEADLINE_WAIT_S + SHUTDOWN_MARGIN_S)]
+)
 def test_shutdown_time_is_limited_despite_long_timeouts(limit, wanted):
     kinds = ClassSettings(timeout_us=limit * 1e6), ClassSettings(timeout_us=1e6)
-    assert lasts(Settings(request_classes=kinds)) == pytest.approx(wanted)
+    assert shutdown_duration(Settings(request_classes=kinds)) == pytest.approx(wanted)
     assert wanted < min(limit, 3.0) + 0.7
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -96,14 +96,14 @@
         front, timeouts, dispatch = agent.front, {}, agent.front.dispatch
 
         def record_timeout(event, client, request=None, *arguments):
-            if event == "taken":
-                timeouts[request.path] = request.wait
+            if event == "on_request":
+                timeouts[request.path] = request.timeout
             dispatch(event, client, *([] if request is None else [request]), *arguments)
 
         front.dispatch = record_timeout
         connected = deployment.connect()
         assert deployment.ask(connection=connected)[0] == 200
-        agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
+        agent.background_tasks[3].kill()  # it accepts: new clients stay in the listen queue
         waiting = [deployment.connect() for _ in range(3)]
         for number, client in enumerate((connected, *waiting)):
             client.sock.sendall(worded(f"/read/{number}", X_Timeout="10000m"))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -70,7 +70,7 @@
     for _ in range(20):
         assert deployment.ask("/once/x", "POST", connection=client)[0] == 503
     servers = deployment.agent.reducer.balancer.servers.values()
-    assert all(each.circuit_closed and not each.failures.amount for each in servers)
+    assert all(each.is_circuit_closed and not each.failures.amount for each in servers)
 
 
 def test_missing_route_counts_as_failure_once_another_server_answers(deployment, monkeypatch):
@@ -130,7 +130,9 @@
 def test_queued_clients_are_accepted_at_shutdown_despite_accept_errors(deployment, faults, error):
     """A queued client has gone, or there is no descriptor for a moment: the others must not be reset."""
     front = deployment.agent.front
-    deployment.agent.works[3].kill()  # the greenlet that accepts: new clients stay in the listen queue
+    deployment.agent.background_tasks[
+        3
+    ].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(3)]
     for client in waiting:
         client.sock.sendall(worded())
@@ -215,8 +217,8 @@
 
     monkeypatch.setenv("PROXY_CONFIG", str(file))
     monkeypatch.setattr(configuration.Path, "read_bytes", refuse_twice)
-    monkeypatch.setattr("cartdeal.agent.effects.REREAD_PAUSE", 0.001)
-    deployment.agent.reread()
+    monkeypatch.setattr("cartdeal.agent.effects.RELOAD_RETRY_DELAY_S", 0.001)
+    deployment.agent.reload()
     assert len(paths) == reads
     assert (deployment.agent.config.discovery[1] == service.socket.getsockname()[1]) == (reads == 3)
     service.stop()
