--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -73,7 +73,7 @@
         self.discovery = DiscoveryClient(config, self.dispatch, lambda: self.reducer.list_version)
         self.peer_socket = self.open_peer_socket()
         self.effect_handlers = {
-            "request_accepted": self.front.begun,
+            "request_accepted": self.front.on_request_accepted,
             "refuse_request": self.front.refuse_request,
             "answer": self.front.answer,
             "send_attempt": self.upstream.send_attempt,
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -347,7 +347,7 @@
             client.end_reason = EndReason.REFUSED
 
     def end_connection(self, client: ClientConnection, reason: EndReason, error: MalformedMessageError):
-        """Ends a connection that could have gone on; everything that does so goes through here.
+        """Ends a connection that could have gone on; used wherever the agent does so.
 
         A request that was read in part is answered with `error` first.
         """
@@ -359,16 +359,14 @@
             client.half_close()
 
     def reject_request(self, client: ClientConnection, error: MalformedMessageError):
-        """Answers a complete but invalid request, rejects the requests read after it and ends the
-        connection.
-        """
-        answers = [error] + [MalformedMessageError(503, "behind a bad request")] * self.discard_requests(
+        """Answers an invalid request, rejects those read after it, and ends the connection."""
+        errors = [error] + [MalformedMessageError(503, "behind a bad request")] * self.discard_requests(
             client
         )
-        for each in answers[:-1]:
+        for each in errors[:-1]:
             log.info("request refused", extra={"status": each.status, "reason": str(each)})
             self.write_error(client, each)
-        self.refuse(client, answers[-1])
+        self.refuse(client, errors[-1])
 
     def write_error(self, client: ClientConnection, error: MalformedMessageError, is_last: bool = False):
         """Writes the answer for an error; after the last one the connection is half-closed."""
@@ -415,8 +413,8 @@
                 continue
             client.awaits_answer = True
             self.dispatch("on_request", client, request)
-        refused_last = client.refusal and not (client.awaits_answer or client.messages)
-        if refused_last and not (client.closed or client.ends_after_write):
+        is_refusal_due = client.refusal and not (client.awaits_answer or client.messages)
+        if is_refusal_due and not (client.closed or client.ends_after_write):
             client.last_active_at = monotonic()
             self.unidentified[client] = None
             self.write_error(client, client.refusal, is_last=True)
@@ -448,11 +446,11 @@
         sessions = set(SESSION_PATTERN.findall(headers.get(b"cookie", b"")))
         if len(sessions) > 1:
             raise MalformedMessageError(400, "more than one sid")
-        repeat = IDEMPOTENCY_BY_NAME.get(class_settings.idempotency, Idempotency.NON_IDEMPOTENT)
+        idempotency = IDEMPOTENCY_BY_NAME.get(class_settings.idempotency, Idempotency.NON_IDEMPOTENT)
         tenant = headers.get(b"x-tenant-id", b"")
         # In a deduplicated class the method does not matter: servers recognise a repeat only by its key.
         is_repeatable = (
-            bool(idempotency_key) if repeat is Idempotency.DEDUPLICATED else message.method == b"GET"
+            bool(idempotency_key) if idempotency is Idempotency.DEDUPLICATED else message.method == b"GET"
         )
         return Request(
             request_class,
@@ -472,8 +470,9 @@
 
     # Effects
 
-    def begun(self, client: ClientConnection, request: int):
-        client.request_number = request
+    def on_request_accepted(self, client: ClientConnection, request_number: int):
+        """Records the number of the request that the reducer has accepted from the client."""
+        client.request_number = request_number
         self.identify(client)
 
     def refuse_request(self, client: ClientConnection, status: int, message: str):
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -42,11 +42,11 @@
     """The limits of the agent, or of its machine, allow no connection for an attempt."""
 
 
-class AttemptNotBegunError(Exception):
+class AttemptNotSentError(Exception):
     """The attempt is no longer allowed, and its request has not been written in full."""
 
 
-class Report(msgspec.Struct):
+class ServerLoad(msgspec.Struct):
     """A server's report of its load, as JSON; a value out of range makes the whole report invalid."""
 
     outstanding: ReportedValue | None = None
@@ -75,13 +75,13 @@
 class UpstreamPool:
     """Sends attempts and probes, each in a greenlet of its own, on connections that it keeps for reuse."""
 
-    def __init__(self, config, dispatch, budget: ConnectionBudget, may_begin, begins):
-        """`may_begin(request, attempt, server)`: whether an attempt may still be sent.
+    def __init__(self, config, dispatch, budget: ConnectionBudget, may_send, on_attempt_started):
+        """`may_send(request, attempt, server)` tells whether an attempt may still be sent.
 
-        `begins(request, attempt, server, timeout_s)` is called right before its first byte, with the timeout
-        that the server is told.
+        `on_attempt_started(request, attempt, server, timeout_s)` is called right before its first byte, with
+        the timeout that the server is told.
         """
-        self.may_begin, self.begins = may_begin, begins
+        self.may_send, self.on_attempt_started = may_send, on_attempt_started
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
         self.connect_timeout_s = seconds(permissions.connect_timeout_us) or DEFAULT_CONNECT_TIMEOUT_S
@@ -140,7 +140,7 @@
 
         def make_request():
             timeout_ms = milliseconds_left(deadline)
-            self.begins(request_number, attempt_number, server, timeout_ms / 1000)
+            self.on_attempt_started(request_number, attempt_number, server, timeout_ms / 1000)
             return encode_request(request, timeout_ms)
 
         result = self.exchange(
@@ -149,7 +149,7 @@
             address,
             deadline,
             make_request,
-            lambda: self.may_begin(request_number, attempt_number, server),
+            lambda: self.may_send(request_number, attempt_number, server),
         )
         del self.attempts[request_number, attempt_number]
         if result.reason is not FailureReason.ANSWERED or result.status != 200:
@@ -189,7 +189,7 @@
         if self.report_settings.source == "none" or not raw_report:
             return None
         try:
-            report = msgspec.json.decode(raw_report, type=Report)
+            report = msgspec.json.decode(raw_report, type=ServerLoad)
         except (msgspec.MsgspecError, UnicodeError):
             return None
         return load_report(report.outstanding, report.throughput, report.backlog, report.recent_ms)
@@ -201,7 +201,7 @@
         address: str,
         deadline: float,
         make_request,
-        may_begin=lambda: True,
+        may_send=lambda: True,
     ) -> AttemptResult:
         """Writes one request and reads its whole answer; a failure is returned in the result, not raised.
 
@@ -211,13 +211,13 @@
         try:
             if attempt.is_cancelled:
                 return attempt.make_result(FailureReason.CANCELLED)
-            self.check_may_begin(may_begin)
+            self.check_may_send(may_send)
             attempt.connection = self.take_idle(server, address)
             if attempt.connection is None:
                 attempt.connection = self.connect(server, address, deadline)
                 # Connecting may have taken seconds. No other greenlet runs from here to the first byte.
-                self.check_may_begin(may_begin)
-            self.write(attempt, make_request(), deadline, may_begin)
+                self.check_may_send(may_send)
+            self.write(attempt, make_request(), deadline, may_send)
             answer = self.read(attempt, deadline)
             if answer is None:
                 return attempt.make_result(FailureReason.CONNECTION_BROKEN, "ended early")
@@ -235,7 +235,7 @@
             )
         except gevent.GreenletExit:
             return attempt.make_result(FailureReason.CANCELLED)
-        except AttemptNotBegunError:
+        except AttemptNotSentError:
             return attempt.make_result(FailureReason.NOT_SENT, "no longer wanted there")
         except NoConnectionError as error:
             return attempt.make_result(FailureReason.NO_CONNECTION, str(error))
@@ -261,12 +261,12 @@
             elif connection:
                 connection.close()
 
-    def check_may_begin(self, may_begin):
-        """Raises AttemptNotBegunError if the attempt may no longer be sent."""
-        if not may_begin():
-            raise AttemptNotBegunError
+    def check_may_send(self, may_send):
+        """Raises AttemptNotSentError if the attempt may no longer be sent."""
+        if not may_send():
+            raise AttemptNotSentError
 
-    def write(self, attempt: Attempt, data: bytes, deadline: float, may_begin):
+    def write(self, attempt: Attempt, data: bytes, deadline: float, may_send):
         """Writes a request and records the attempt's progress. Raises what the socket raises."""
         sock, rest = attempt.connection.sock, memoryview(data)
         sock.settimeout(0.0)
@@ -277,7 +277,7 @@
                 self.wait_to_write(sock, error, deadline)
                 # A server starts with the last byte of a request: after a delay beyond the repeat window it
                 # must not be sent.
-                self.check_may_begin(may_begin)
+                self.check_may_send(may_send)
                 continue
             attempt.progress = Progress.PARTLY_WRITTEN if rest else Progress.WRITTEN
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,7 +1,7 @@
-"""Several processes of the program in a fleet, with a relay of our own between them.
+"""A fleet of agent processes, with relays between them that can lose, delay and duplicate messages.
 
-Owns the processes, which it ends by id, and the relay. Tests wait for a condition, with a timeout that is
-far off; no sleep decides one.
+Owns the processes, which it ends by id, and the relays. Tests wait for conditions with a long timeout; no
+result depends on a sleep.
 """
 
 import json
@@ -25,7 +25,7 @@
 from examples.toy import DiscoveryService, Server
 
 PORT_PATTERN = re.compile(rb"msg=serving .*port=(\d+)")
-TIMEOUT_S = 30.0  # after which what has to happen counts as never happening
+TIMEOUT_S = 30.0  # a condition that does not hold by then fails the test
 IDS = count(1)
 FAST_SETTINGS = {
     "lease_s": 0.6,
@@ -61,7 +61,7 @@
 
 
 class Relay:
-    """Stands before one agent: peers reach it here. Knows each message's sender from its envelope."""
+    """Receives all messages of peers to one agent, and forwards them; reads each sender from the envelope."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -75,7 +75,7 @@
 
     @staticmethod
     def bind():
-        """A socket for streams and one for datagrams, and the port that they share."""
+        """Binds a stream socket and a datagram socket to one port; returns both and the port."""
         while True:
             listener = socket.socket()
             listener.bind(("127.0.0.1", 0))
@@ -89,7 +89,7 @@
                 datagrams.close()
 
     def draw_delays(self, signed) -> list[float]:
-        """After which delays the message is forwarded, once for each: none where it is lost."""
+        """The delays in seconds after which a copy of the message is forwarded; none if it is lost."""
         fleet, random = self.fleet, self.fleet.random
         sender = msgspec.msgpack.decode(signed[1 + codec.MAC_BYTES :])[1]
         if (sender, self.name) in fleet.blocked_links or random.random() < fleet.loss_probability:
@@ -133,7 +133,7 @@
 
 
 class Agent:
-    """One process of the program, and the relay before it."""
+    """An agent process, and the relay in front of it."""
 
     def __init__(self, fleet, name, zone):
         self.fleet = fleet
@@ -142,8 +142,8 @@
         self.relay = Relay(fleet, name)
         self.process = None
         self.log = []  # the lines that the process has logged
-        self.port = 0  # where it serves clients; 0 while it doesn't
-        self.tree = Path(__file__).parents[1]  # of the sources that it is started from
+        self.port = 0  # for clients; 0 while the agent does not serve
+        self.tree = Path(__file__).parents[1]  # the source tree that it is started from
 
     def start(self, **changes):
         fleet_port = self.fleet.free_port()
@@ -196,7 +196,7 @@
                 self.port = int(found[1])
 
     def log_lines(self, *parts) -> list[str]:
-        """The lines of its log that contain all of these."""
+        """The log lines that contain all of these parts."""
         return [line for line in self.log if all(part in line for part in parts)]
 
     def signal(self, number):
@@ -216,7 +216,7 @@
 class ProcessFleet:
     """Agents of one fleet, one in each zone, with toy servers behind them.
 
-    `blocked_links`: pairs of a sender and a receiver that no message passes.
+    `blocked_links`: pairs of sender and receiver between which all messages are lost.
     """
 
     def __init__(self, folder, agents=3, limits="", **settings):
@@ -239,7 +239,7 @@
 
     def __exit__(self, *_):
         for agent in self.agents:
-            print(f"--- {agent.name}", *agent.log[-40:], sep="\n")  # pytest shows it where a test fails
+            print(f"--- {agent.name}", *agent.log[-40:], sep="\n")  # pytest shows it if the test fails
         for agent in self.agents:
             agent.stop()
         for service in [self.discovery, *self.servers]:
@@ -281,7 +281,7 @@
         return self
 
     def common_epoch(self, agents=None) -> int:
-        """The epoch that all have; 0 while they differ."""
+        """The epoch that all agents have; 0 while they differ."""
         epochs = set()
         for agent in agents or self.agents:
             rings = agent.log_lines("ring", "epoch=")
@@ -291,7 +291,7 @@
     def request(
         self, agent, path, session="one", key="", tenant="", method="POST", retried=False, timeout_s=3.0
     ):
-        """One request; its status, body and headers, or 0 where the connection broke off."""
+        """Sends one request; returns status, body and headers, with status 0 if there is no answer."""
         sock = socket.create_connection(("127.0.0.1", agent.port))
         connection = Connection(sock, reads_responses=True)
         head = [
@@ -316,5 +316,5 @@
             connection.close()
 
     def executions(self, path) -> int:
-        """How often a server has received a request for this path."""
+        """How many requests for this path the servers have received."""
         return sum(message.path.decode() == path for server in self.servers for message in server.seen)
