--- a/cartdeal/fleet/membership/failure_detector.py
+++ b/cartdeal/fleet/membership/failure_detector.py
@@ -53,7 +53,7 @@
         self,
         context: NodeContext,
         settings: FleetSettings,
-        numbers: Iterator[int],
+        ping_numbers: Iterator[int],
         table: PeerTable,
         gossip: Gossip,
         health: LocalHealth,
@@ -61,7 +61,7 @@
     ):
         self.context = context
         self.settings = settings
-        self.numbers = numbers  # of pings, shared with the peer verifier
+        self.ping_numbers = ping_numbers  # of pings, shared with the peer verifier
         self.table = table
         self.gossip = gossip
         self.health = health
@@ -149,7 +149,7 @@
         ):
             self.gossip.send(sender, Nack, message.number)
             return
-        number = next(self.numbers)
+        number = next(self.ping_numbers)
         deadline = self.context.now + DIRECT_PROBE_SHARE * self.settings.probe_s
         self.relayed_pings[number] = RelayedPing(sender, message.number, message.target, deadline)
         self.gossip.send(message.target, Ping, number)
@@ -162,7 +162,7 @@
         timeout_s = self.settings.probe_s * (1 + self.health.score)
         self._next_probe_at = now + timeout_s
         if peer:
-            self.probe = Probe(peer, next(self.numbers), now, timeout_s)
+            self.probe = Probe(peer, next(self.ping_numbers), now, timeout_s)
             self.gossip.send(peer.name, Ping, self.probe.number)
 
     def _next_peer(self) -> Peer | None:
@@ -195,12 +195,12 @@
         self._failed_in_succession += 1
         if probe.nacks < len(probe.helpers) or not probe.helpers:
             self.health.degrade()  # helpers are silent as well: it may be this agent that hears nobody
-        peer, known = probe.peer, self.table.peers.get(probe.peer.name)
-        if known is None or known.state > PeerState.SUSPECT:
+        probed_peer, known_peer = probe.peer, self.table.peers.get(probe.peer.name)
+        if known_peer is None or known_peer.state > PeerState.SUSPECT:
             return
         # A version that was raised meanwhile is a sign of life that came some other way.
-        if (known.incarnation, known.version) == (peer.incarnation, peer.version):
-            self.suspicion.suspect(peer.name, (), own_probe_failed=True)
+        if (known_peer.incarnation, known_peer.version) == (probed_peer.incarnation, probed_peer.version):
+            self.suspicion.suspect(probed_peer.name, (), own_probe_failed=True)
 
     def _suspect_all_if_isolated(self, now: float) -> None:
         """Suspect all peers where this agent is cut off from all of them.
--- a/cartdeal/fleet/membership/gossip.py
+++ b/cartdeal/fleet/membership/gossip.py
@@ -44,7 +44,7 @@
         return True
 
 
-class QueuedNews(NamedTuple):
+class GossipPriority(NamedTuple):
     """Order in which news is sent: what was sent least often first, and the newest of these."""
 
     times_sent: int
@@ -57,17 +57,17 @@
     def __init__(self, context: NodeContext, table: PeerTable):
         self.context = context
         self.table = table
-        self.news: dict[str, QueuedNews] = {}  # by name of the peer that has changed
+        self.pending_updates: dict[str, GossipPriority] = {}  # by name of the peer that has changed
         self._sequence: int = 0
 
     def announce(self, name: str) -> None:
         """Pass on what is known of a peer: it has changed."""
         self._sequence += 1
-        self.news[name] = QueuedNews(0, -self._sequence)
+        self.pending_updates[name] = GossipPriority(0, -self._sequence)
 
     def forget(self, name: str) -> None:
         """Drop the news of a peer."""
-        self.news.pop(name, None)
+        self.pending_updates.pop(name, None)
 
     def send(
         self, recipient: str, make_message: Callable[..., MembershipMessage], *fields: object, about: str = ""
@@ -79,27 +79,29 @@
         local_peer = self.table.local_peer
         packer = ItemPacker(make_message(*fields, sender=local_peer, items=()))
         peers = self.table.peers
-        first = [recipient] if recipient in peers and peers[recipient].state != PeerState.ALIVE else []
-        first += [about] if about in peers else []
-        for name in first:
+        required_names = (
+            [recipient] if recipient in peers and peers[recipient].state != PeerState.ALIVE else []
+        )
+        required_names += [about] if about in peers else []
+        for name in required_names:
             packer.add(self.table.gossip_item(name))
-        self._add_news(packer, {self.table.name, *first})
+        self._add_updates(packer, {self.table.name, *required_names})
         self.context.send(recipient, make_message(*fields, sender=local_peer, items=tuple(packer.items)))
 
     def send_items(self, recipient: str, items: tuple[GossipItem, ...]) -> None:
         """Send these entries of the table and no other gossip."""
         self.context.send(recipient, StatePush(sender=self.table.local_peer, items=items))
 
-    def _add_news(self, packer: ItemPacker, included: set[str]) -> None:
+    def _add_updates(self, packer: ItemPacker, included_names: set[str]) -> None:
         max_transmissions = RETRANSMIT_FACTOR * ceil(log2(self.table.size() + 1))
-        for name in nsmallest(MAX_GOSSIP_ITEMS, self.news, key=self.news.__getitem__):
-            queued = self.news[name]
-            if name not in included:
+        for name in nsmallest(MAX_GOSSIP_ITEMS, self.pending_updates, key=self.pending_updates.__getitem__):
+            priority = self.pending_updates[name]
+            if name not in included_names:
                 if not packer.add_if_fits(self.table.gossip_item(name)):
                     continue
             elif name != self.table.name:  # each message carries the description of its sender
                 continue
-            times_sent = queued.times_sent + 1
-            self.news[name] = QueuedNews(times_sent, queued.negated_sequence)
+            times_sent = priority.times_sent + 1
+            self.pending_updates[name] = GossipPriority(times_sent, priority.negated_sequence)
             if times_sent >= max_transmissions:
-                del self.news[name]
+                del self.pending_updates[name]
--- a/cartdeal/fleet/membership/membership.py
+++ b/cartdeal/fleet/membership/membership.py
@@ -69,7 +69,7 @@
         self.context = context
         self.name: str = context.name
         self._settings = settings
-        numbers = count(context.random.getrandbits(40) + 1)
+        ping_numbers = count(context.random.getrandbits(40) + 1)
         self.health = LocalHealth(context.now)
         self.table = PeerTable(context, settings)
         # All known agents by name, this one and the dead included; not to be written.
@@ -77,9 +77,9 @@
         self.gossip = Gossip(context, self.table)
         self.suspicion = SuspicionTracker(context, settings, self.table, self.gossip)
         self.detector = FailureDetector(
-            context, settings, numbers, self.table, self.gossip, self.health, self.suspicion
+            context, settings, ping_numbers, self.table, self.gossip, self.health, self.suspicion
         )
-        self.verifier = PeerVerifier(context, numbers, self.gossip)
+        self.verifier = PeerVerifier(context, ping_numbers, self.gossip)
         self.exchange = StateExchange(context, settings, self.table, self.gossip, self.health)
         self.updater = TableUpdater(
             context, self.table, self.gossip, self.health, self.suspicion, self.detector, self.verifier
@@ -141,8 +141,8 @@
         """Tell a few peers, who tell the others; this agent still answers, and suspects nobody any more."""
         if self.local_peer.state == PeerState.LEFT:
             return
-        local = self.local_peer
-        self.updater.replace_self(replace(local, version=local.version + 1, state=PeerState.LEFT))
+        local_peer = self.local_peer
+        self.updater.replace_self(replace(local_peer, version=local_peer.version + 1, state=PeerState.LEFT))
         self._is_active = False
         self.detector.stop()
         for name in sample(self.context.random, self.table.others(PeerState.SUSPECT), NOTIFIED_ON_LEAVING):
@@ -158,9 +158,11 @@
 
     def addresses(self) -> dict[str, str]:
         """Return where each known agent is reached, also the dead and callers that are not verified yet."""
-        unverified = self.verifier.unverified_peers
+        unverified_peers = self.verifier.unverified_peers
         addresses = {name: peer.address for name, peer in self.peers.items()}
-        return addresses | {name: caller.peer.address for name, caller in unverified.items()}
+        return addresses | {
+            name: unverified_peer.peer.address for name, unverified_peer in unverified_peers.items()
+        }
 
     def update_self(
         self,
@@ -180,8 +182,8 @@
 
     def newer_incarnation(self) -> int:
         """Return the highest incarnation of its own name that a peer told of, if above its own; else 0."""
-        reported = self.updater.highest_reported_incarnation
-        return reported if reported > self.local_peer.incarnation else 0
+        reported_incarnation = self.updater.highest_reported_incarnation
+        return reported_incarnation if reported_incarnation > self.local_peer.incarnation else 0
 
     # Time
 
@@ -225,15 +227,15 @@
             self.updater.refute(self.local_peer.version)
 
     def _announce_changes(self) -> None:
-        if not self._pending_changes or self._hears_nobody():
+        if not self._pending_changes or self._has_lost_contact():
             return
-        local = self.local_peer
-        changed = replace(local, **self._pending_changes)
+        local_peer = self.local_peer
+        changed_peer = replace(local_peer, **self._pending_changes)
         self._pending_changes = {}
-        if changed != local:
-            self.updater.replace_self(replace(changed, version=local.version + 1))
+        if changed_peer != local_peer:
+            self.updater.replace_self(replace(changed_peer, version=local_peer.version + 1))
 
-    def _hears_nobody(self) -> bool:
+    def _has_lost_contact(self) -> bool:
         silence_s = self.health.silence_s(self.context.now)
         return self.health.has_heard_peer and silence_s > MAX_SILENT_PROBES * self.settings.probe_s
 
@@ -248,8 +250,8 @@
             return
         self.health.record_contact(now)
         version = self.local_peer.version
-        known = self.peers.get(sender)
-        if (known is None or known.state >= PeerState.DEAD) and not self._verify(message):
+        known_peer = self.peers.get(sender)
+        if (known_peer is None or known_peer.state >= PeerState.DEAD) and not self._verify(message):
             self._on_unverified_message(sender, message)
             return
         self.updater.apply_gossip(GossipItem(message.sender))
@@ -264,18 +266,18 @@
 
         One from an earlier incarnation is answered with the incarnation that is known.
         """
-        described = message.sender
-        if not is_valid_peer(described) or not are_valid_items(message.items):
+        sender_peer = message.sender
+        if not is_valid_peer(sender_peer) or not are_valid_items(message.items):
             self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
             return False
-        if described.name != sender or described.state not in (PeerState.ALIVE, PeerState.LEFT):
+        if sender_peer.name != sender or sender_peer.state not in (PeerState.ALIVE, PeerState.LEFT):
             self.context.increment(Metric.DROPPED_WRONG_SENDER)
             return False
         if sender == self.name:
-            self.updater.apply_to_self(described)
+            self.updater.apply_to_self(sender_peer)
             return False
-        known = self.peers.get(sender)
-        if known and described.incarnation < known.incarnation:
+        known_peer = self.peers.get(sender)
+        if known_peer and sender_peer.incarnation < known_peer.incarnation:
             # Late, or from one that was restarted with its clock set back, which has to learn of its higher
             # incarnation.
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
@@ -289,27 +291,27 @@
         One that has not been challenged yet is challenged now.
         """
         peer = message.sender
-        known = self.peers.get(peer.name)
+        known_peer = self.peers.get(peer.name)
         if PeerState.LEFT in (peer.state, self.local_peer.state):
-            return known is not None
-        caller = self.verifier.unverified_peers.get(peer.name)
-        if caller is None:
-            self._challenge(peer, known)
+            return known_peer is not None
+        unverified_peer = self.verifier.unverified_peers.get(peer.name)
+        if unverified_peer is None:
+            self._challenge(peer, known_peer)
             return False
-        if type(message) is not Ack or message.number != caller.challenge_number:
+        if type(message) is not Ack or message.number != unverified_peer.challenge_number:
             return False
         self.verifier.remove(peer.name)
-        if known is None and not self.table.make_room():
+        if known_peer is None and not self.table.make_room():
             return False
         self.updater.apply_gossip(GossipItem(peer))
         self.exchange.send_digests(peer.name)
         return True
 
-    def _challenge(self, peer: Peer, known: Peer | None) -> None:
+    def _challenge(self, peer: Peer, known_peer: Peer | None) -> None:
         if not self.verifier.may_challenge():
             return
-        if known and peer.incarnation > known.incarnation:  # restarted, perhaps at another address
-            self.table.put(replace(known, address=peer.address))
+        if known_peer and peer.incarnation > known_peer.incarnation:  # restarted, perhaps at another address
+            self.table.put(replace(known_peer, address=peer.address))
         self.verifier.challenge(peer)
 
     def _on_unverified_message(self, sender: str, message: MembershipMessage) -> None:
--- a/cartdeal/fleet/membership/peer_table.py
+++ b/cartdeal/fleet/membership/peer_table.py
@@ -93,10 +93,10 @@
 
     def put(self, peer: Peer) -> None:
         """Add a peer, or replace what is known of it."""
-        former = self.peers.get(peer.name)
+        previous_peer = self.peers.get(peer.name)
         self.peers[peer.name] = peer
         self._live_peers = None
-        self.view_version += public_state(former) != public_state(peer)
+        self.view_version += public_state(previous_peer) != public_state(peer)
 
     def mark_dead(self, name: str, now: float) -> None:
         """Declare a peer dead; it is remembered for DEAD_RETENTION_S."""
--- a/cartdeal/fleet/membership/randomness.py
+++ b/cartdeal/fleet/membership/randomness.py
@@ -3,9 +3,9 @@
 from random import Random
 
 
-def sample(random: Random, names: list[str], most: int) -> list[str]:
+def sample(random: Random, names: list[str], max_count: int) -> list[str]:
     """Return up to `most` of the names, in random order."""
-    return random.sample(names, min(most, len(names)))
+    return random.sample(names, min(max_count, len(names)))
 
 
 def jitter(random: Random) -> float:
--- a/cartdeal/fleet/membership/state_exchange.py
+++ b/cartdeal/fleet/membership/state_exchange.py
@@ -130,10 +130,13 @@
 
     def _digests(self) -> bytes:
         """One digest for each part of the table, over its live peers."""
-        parts: list[list[str]] = [[] for _ in range(TABLE_BUCKETS)]
+        bucket_entries: list[list[str]] = [[] for _ in range(TABLE_BUCKETS)]
         for name, peer in self.table.live_peers().items():
-            parts[bucket_of(name)].append(f"{name}\0{peer.incarnation}\0{peer.version}\n")
-        return b"".join(blake2b("".join(part).encode(), digest_size=DIGEST_BYTES).digest() for part in parts)
+            bucket_entries[bucket_of(name)].append(f"{name}\0{peer.incarnation}\0{peer.version}\n")
+        return b"".join(
+            blake2b("".join(entries).encode(), digest_size=DIGEST_BYTES).digest()
+            for entries in bucket_entries
+        )
 
     def _push_state(self, recipient: str) -> None:
         """Push as many entries as one message takes; the rest waits at the end of the queue."""
--- a/cartdeal/fleet/membership/suspicion.py
+++ b/cartdeal/fleet/membership/suspicion.py
@@ -45,7 +45,7 @@
     ) -> None:
         """Add accusers to the suspicion of a peer, or begin one; those that are no witnesses don't count."""
         suspicion = self.table.suspicions.get(name)
-        known = self.table.peers[name]
+        known_peer = self.table.peers[name]
         witnesses = [accuser for accuser in accusers if self._is_witness(accuser, name)]
         if own_probe_failed:
             witnesses.append(self.table.name)
@@ -54,15 +54,15 @@
             for witness in dict.fromkeys(witnesses)
             if not suspicion or witness not in suspicion.accusers
         ]
-        if known.state == PeerState.ALIVE and warn and (witnesses or accusers):
-            self._queue_warning(known, accusers or (self.table.name,))
+        if known_peer.state == PeerState.ALIVE and warn and (witnesses or accusers):
+            self._queue_warning(known_peer, accusers or (self.table.name,))
         if not witnesses or (suspicion and len(suspicion.accusers) >= MAX_ACCUSERS):
             return
         if suspicion is None:
             suspicion = self.table.suspicions[name] = Suspicion(self.context.now, [])
         suspicion.accusers = (suspicion.accusers + witnesses)[:MAX_ACCUSERS]
-        if known.state == PeerState.ALIVE:
-            self.table.put(replace(known, state=PeerState.SUSPECT))
+        if known_peer.state == PeerState.ALIVE:
+            self.table.put(replace(known_peer, state=PeerState.SUSPECT))
             self.context.increment(Metric.SUSPICIONS)
             self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # this agent's own among them
         self.gossip.announce(name)
@@ -111,11 +111,13 @@
 
     def _duration_s(self, witness_count: int) -> float:
         """Lifeguard's dynamic suspicion: from the longest time down to suspect_s as witnesses confirm."""
-        needed = min(INDIRECT_PROBES, self.table.size() - 2)
-        if needed < 1:
+        full_confirmation_count = min(INDIRECT_PROBES, self.table.size() - 2)
+        if full_confirmation_count < 1:
             return self.settings.suspect_s
-        share = min(1.0, log(witness_count) / log(needed + 1))
-        return self.settings.suspect_s * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * share)
+        confirmation_ratio = min(1.0, log(witness_count) / log(full_confirmation_count + 1))
+        return self.settings.suspect_s * (
+            MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * confirmation_ratio
+        )
 
     def _is_witness(self, accuser: str, suspect: str) -> bool:
         peer = self.table.peers.get(accuser)
@@ -128,7 +130,7 @@
 
     def _queue_warning(self, suspect: Peer, accusers: tuple[str, ...]) -> None:
         now = self.context.now
-        since_last_s = now - self._warned_at.get(suspect.name, -inf)
-        if since_last_s >= self.settings.suspect_s / 2 and len(self.warnings) < MAX_WARNINGS:
+        since_last_warning_s = now - self._warned_at.get(suspect.name, -inf)
+        if since_last_warning_s >= self.settings.suspect_s / 2 and len(self.warnings) < MAX_WARNINGS:
             self._warned_at[suspect.name] = now
             self.warnings[suspect.name] = GossipItem(replace(suspect, state=PeerState.SUSPECT), accusers)
--- a/cartdeal/fleet/membership/update.py
+++ b/cartdeal/fleet/membership/update.py
@@ -57,25 +57,29 @@
         ):
             self.suspicion.suspect(peer.name, item.accusers)
 
-    def apply_to_self(self, reported: Peer) -> None:
+    def apply_to_self(self, reported_peer: Peer) -> None:
         """Refute what is wrongly told of this agent, and find another one that runs under its name."""
-        local = self.table.local_peer
-        if reported.incarnation < local.incarnation:
+        local_peer = self.table.local_peer
+        if reported_peer.incarnation < local_peer.incarnation:
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
             return
-        is_same_agent = (reported.address, reported.zone) == (local.address, local.zone)
+        is_same_agent = (reported_peer.address, reported_peer.zone) == (local_peer.address, local_peer.zone)
         if not is_same_agent:
-            self._report_duplicate_name(local, reported)
-        if reported.incarnation > local.incarnation:
-            self.highest_reported_incarnation = max(self.highest_reported_incarnation, reported.incarnation)
+            self._report_duplicate_name(local_peer, reported_peer)
+        if reported_peer.incarnation > local_peer.incarnation:
+            self.highest_reported_incarnation = max(
+                self.highest_reported_incarnation, reported_peer.incarnation
+            )
             return
-        is_accused = reported.state != PeerState.ALIVE
-        is_overridden = reported.version > local.version or (reported.version == local.version and is_accused)
-        if is_same_agent and local.state == PeerState.ALIVE and is_overridden:
+        is_accused = reported_peer.state != PeerState.ALIVE
+        is_overridden = reported_peer.version > local_peer.version or (
+            reported_peer.version == local_peer.version and is_accused
+        )
+        if is_same_agent and local_peer.state == PeerState.ALIVE and is_overridden:
             if is_accused:
                 self.health.degrade()
                 self.context.increment(Metric.REFUTATIONS)
-            self.refute(reported.version)
+            self.refute(reported_peer.version)
 
     def refute(self, version: int) -> None:
         """Override all that is told of this agent up to this version."""
@@ -88,31 +92,31 @@
 
     def _apply_description(self, peer: Peer) -> bool:
         """Take over a newer description of a peer; return whether the item's state still counts."""
-        known = self.table.peers.get(peer.name)
-        if known is None:
+        known_peer = self.table.peers.get(peer.name)
+        if known_peer is None:
             # One that is dead or has left isn't added: agents that forget it at different times would pass
             # it round for ever.
             if peer.state >= PeerState.DEAD or not self.table.make_room():
                 return False
             self._add_peer(peer)
-        elif peer.incarnation < known.incarnation:
+        elif peer.incarnation < known_peer.incarnation:
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
             return False
-        elif (peer.incarnation, peer.version) > (known.incarnation, known.version):
-            if peer.state == PeerState.DEAD and known.state >= PeerState.DEAD:
-                self.table.put(replace(peer, state=known.state))
+        elif (peer.incarnation, peer.version) > (known_peer.incarnation, known_peer.version):
+            if peer.state == PeerState.DEAD and known_peer.state >= PeerState.DEAD:
+                self.table.put(replace(peer, state=known_peer.state))
             else:
                 self._add_peer(peer)
-        elif peer.version < known.version:
+        elif peer.version < known_peer.version:
             return False
-        elif peer.state == PeerState.LEFT and known.state != PeerState.LEFT:
+        elif peer.state == PeerState.LEFT and known_peer.state != PeerState.LEFT:
             self._add_peer(peer)
         return True
 
     def _add_peer(self, peer: Peer) -> None:
         """Take a peer's description of itself in place of what was known; any suspicion begins anew."""
-        name, known = peer.name, self.table.peers.get(peer.name)
-        if known and known.state == PeerState.DEAD and known.incarnation == peer.incarnation:
+        name, known_peer = peer.name, self.table.peers.get(peer.name)
+        if known_peer and known_peer.state == PeerState.DEAD and known_peer.incarnation == peer.incarnation:
             self.suspicion.record_return(name)
         self.suspicion.end(name)
         self.table.forget_at.pop(name, None)
@@ -120,7 +124,7 @@
         has_left = peer.state == PeerState.LEFT
         if has_left:
             self.table.retain(name, self.context.now)
-        elif known is None or known.state > PeerState.SUSPECT:
+        elif known_peer is None or known_peer.state > PeerState.SUSPECT:
             self.detector.insert_in_round(name)
         self.table.put(replace(peer, state=PeerState.LEFT if has_left else PeerState.ALIVE))
         self.gossip.announce(name)
--- a/cartdeal/fleet/membership/verification.py
+++ b/cartdeal/fleet/membership/verification.py
@@ -27,9 +27,9 @@
 class PeerVerifier:
     """The challenges that have not been answered yet."""
 
-    def __init__(self, context: NodeContext, numbers: Iterator[int], gossip: Gossip):
+    def __init__(self, context: NodeContext, ping_numbers: Iterator[int], gossip: Gossip):
         self.context = context
-        self.numbers = numbers  # of pings, shared with the failure detector
+        self.ping_numbers = ping_numbers  # of pings, shared with the failure detector
         self.gossip = gossip
         self.unverified_peers: dict[str, UnverifiedPeer] = {}  # by name
 
@@ -42,7 +42,7 @@
 
     def challenge(self, peer: Peer) -> None:
         """Send a ping that the caller has to answer."""
-        number = next(self.numbers)
+        number = next(self.ping_numbers)
         self.unverified_peers[peer.name] = UnverifiedPeer(
             peer, number, self.context.now + CHALLENGE_TIMEOUT_S
         )
@@ -54,6 +54,8 @@
 
     def expire(self, now: float) -> None:
         """Drop the challenges that were not answered in time."""
-        unverified = self.unverified_peers
-        for name in [name for name, caller in unverified.items() if caller.deadline <= now]:
-            del unverified[name]
+        unverified_peers = self.unverified_peers
+        for name in [
+            name for name, unverified_peer in unverified_peers.items() if unverified_peer.deadline <= now
+        ]:
+            del unverified_peers[name]
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -366,7 +366,7 @@
     network.agents.pop("n003")
     receive(agents[0], "n003", version=9, capacity=4.0)
     for agent in agents:
-        agent.gossip.news.clear()
+        agent.gossip.pending_updates.clear()
         agent.exchange.compare_at = network.now
     network.run(1)
     assert Counter(agent.peers["n003"].capacity for agent in agents)[4.0] > 2
