--- a/cartdeal/fleet/consensus/acceptor.py
+++ b/cartdeal/fleet/consensus/acceptor.py
@@ -42,12 +42,12 @@
             return self._nack(number, RefusalReason.MEMBER_IS_LIVE)
         self.promised = ballot
         if sender != self._context.name:
-            ballot_lasts_s = state.settings.lease_s * (0.25 + 0.5 * self._context.random.random())
-            self._backoff.defer(self._context.now + ballot_lasts_s)
+            deferral_s = state.settings.lease_s * (0.25 + 0.5 * self._context.random.random())
+            self._backoff.defer(self._context.now + deferral_s)
         accepted = self.accepted
         return Promise(
-            state.base.epoch,
-            state.base.digest,
+            state.current_ring.epoch,
+            state.current_ring.digest,
             number,
             accepted.ballot if accepted else None,
             accepted.step if accepted else None,
@@ -67,8 +67,8 @@
         self.accepted = AcceptedStep(self.promised, step)
         if sender != self._context.name:
             self._backoff.defer(self._context.now + state.settings.lease_s / 2)
-        return Accepted(state.base.epoch, state.base.digest, number)
+        return Accepted(state.current_ring.epoch, state.current_ring.digest, number)
 
     def _nack(self, number: int, reason: RefusalReason) -> Nack:
-        base = self._state.base
-        return Nack(base.epoch, base.digest, number, self.promised[0], reason)
+        current_ring = self._state.current_ring
+        return Nack(current_ring.epoch, current_ring.digest, number, self.promised[0], reason)
--- a/cartdeal/fleet/consensus/bootstrap.py
+++ b/cartdeal/fleet/consensus/bootstrap.py
@@ -34,14 +34,14 @@
         self._interval_s = min(MAX_SEARCH_S, self._interval_s * 1.5 or FIRST_SEARCH_S)
         self._next_search_at = context.now + self._interval_s * (0.5 + context.random.random())
         names = sorted((set(state.live) | set(state.settings.seeds)) - {context.name})
-        queried = context.random.sample(names, min(QUERIED_PEERS, len(names)))
+        recipients = context.random.sample(names, min(QUERIED_PEERS, len(names)))
         if state.is_member:
-            present = [name for name in state.seed_ring.names if name in state.live]
-            if context.name in present[:MAX_FOUNDERS]:
-                queried += [
-                    name for name in state.seed_ring.names if name not in queried and name != context.name
+            present_seeds = [name for name in state.seed_ring.names if name in state.live]
+            if context.name in present_seeds[:MAX_FOUNDERS]:
+                recipients += [
+                    name for name in state.seed_ring.names if name not in recipients and name != context.name
                 ]
-        for name in queried:
+        for name in recipients:
             state.send(name, RingQuery)
 
     def first_ring(self) -> Ring | None:
@@ -49,16 +49,16 @@
         state, context = self._state, self._context
         if not state.is_member or not state.remembers_promises:
             return None
-        now, names, lease_s = context.now, state.seed_ring.names, state.settings.lease_s
-        without_ring = [
+        now, seed_names, lease_s = context.now, state.seed_ring.names, state.settings.lease_s
+        seeds_without_ring = [
             name
-            for name in names
+            for name in seed_names
             if name == context.name or now - self._no_ring_at.get(name, -inf) <= 2 * lease_s
         ]
         majority_is_enough = now - state.started_at >= 2 * lease_s + state.settings.damp_s
-        if len(without_ring) < state.seed_ring.majority:
+        if len(seeds_without_ring) < state.seed_ring.majority:
             return None
-        if len(without_ring) < len(names) and not majority_is_enough:
+        if len(seeds_without_ring) < len(seed_names) and not majority_is_enough:
             return None
         members = [
             RingMember(peer.name, peer.zone, float(peer.capacity)) for _, peer in sorted(state.live.items())
--- a/cartdeal/fleet/consensus/learner.py
+++ b/cartdeal/fleet/consensus/learner.py
@@ -22,32 +22,32 @@
         self._state = state
         self._context = state.context
         self._on_learned = on_learned
-        self._conflicting_rings: dict[bytes, bool] = {}
+        self._logged_digests: dict[bytes, bool] = {}
         self._query_at = -inf
 
     @property
     def max_epoch(self) -> int:
         """The highest epoch that is believed."""
-        return self._state.base.epoch + MAX_EPOCH_LEAD if self._state.ring else MAX_EPOCH
+        return self._state.current_ring.epoch + MAX_EPOCH_LEAD if self._state.ring else MAX_EPOCH
 
     def learn(self, previous: Ring, step: RingStep, ring: Ring) -> None:
         """Takes over a decided ring if it's newer than the own one.
 
         Of two conflicting rings of one epoch, the one of the lower digest is taken.
         """
-        own = self._state.base
-        if ring.epoch < own.epoch or ring.digest == own.digest:
+        current_ring = self._state.current_ring
+        if ring.epoch < current_ring.epoch or ring.digest == current_ring.digest:
             return
-        if ring.epoch == own.epoch:
-            self._log_conflict(own, ring)
-            if ring.digest > own.digest:
+        if ring.epoch == current_ring.epoch:
+            self._log_conflict(current_ring, ring)
+            if ring.digest > current_ring.digest:
                 return
         self._state.adopt(previous, step, ring)
         self._on_learned()
 
     def announce_decision(self, step: RingStep) -> None:
         """Learns the ring of a ballot that was won, and tells all that may need it."""
-        previous, ring = self._state.base, self._state.next_ring(step)
+        previous, ring = self._state.current_ring, self._state.next_ring(step)
         if ring is None:
             raise AssertionError("a majority accepted a step that leads to no valid ring")
         self.learn(previous, step, ring)
@@ -63,27 +63,27 @@
 
     def send_ring(self, recipient: str, message: RingMessage) -> None:
         """Sends the ring in force to one that asked: the step alone if that's all it lacks."""
-        base, step = self._state.last_step_base, self._state.last_step
+        step_base, step = self._state.last_step_base, self._state.last_step
         if step is None:
             return
-        if (message.epoch, message.ring_digest) == (base.epoch, base.digest):
+        if (message.epoch, message.ring_digest) == (step_base.epoch, step_base.digest):
             self._context.send(recipient, RingUpdate(step))
         else:
-            self._context.send(recipient, RingSnapshot(base, step))
+            self._context.send(recipient, RingSnapshot(step_base, step))
 
     def on_ring_update(self, sender: str, message: RingUpdate) -> None:
         """A decided step; a step from another ring means that the own one may be old."""
-        step, base = message.step, self._state.base
-        if step.previous_digest == base.digest:
+        step, current_ring = message.step, self._state.current_ring
+        if step.previous_digest == current_ring.digest:
             ring = self._state.next_ring(step)
             if ring is None:
                 self._context.increment(Metric.DROPPED_MALFORMED_RING)
                 return
-            self.learn(base, step, ring)
-        elif base.epoch <= step.epoch <= self.max_epoch:
+            self.learn(current_ring, step, ring)
+        elif current_ring.epoch <= step.epoch <= self.max_epoch:
             if step != self._state.last_step:
                 self.query_ring(sender)
-        elif step.epoch < base.epoch:
+        elif step.epoch < current_ring.epoch:
             self._context.increment(Metric.DROPPED_OLDER_EPOCH)
         else:
             self._context.increment(Metric.DROPPED_DISTANT_EPOCH)
@@ -101,11 +101,11 @@
             return
         self.learn(previous, message.step, ring)
 
-    def _log_conflict(self, own: Ring, ring: Ring) -> None:
-        known = self._conflicting_rings
-        if ring.digest in known or len(known) >= MAX_CONFLICTING_RINGS:
+    def _log_conflict(self, current_ring: Ring, ring: Ring) -> None:
+        logged_digests = self._logged_digests
+        if ring.digest in logged_digests or len(logged_digests) >= MAX_CONFLICTING_RINGS:
             return
-        known[ring.digest] = True
-        digests = f"{own.digest.hex()} and {ring.digest.hex()}"
-        error = errors.ConflictingRingsError(f"epoch {own.epoch}", digests)
+        logged_digests[ring.digest] = True
+        digests = f"{current_ring.digest.hex()} and {ring.digest.hex()}"
+        error = errors.ConflictingRingsError(f"epoch {current_ring.epoch}", digests)
         self._context.log_event(events.ConflictingRings.of(error))
--- a/cartdeal/fleet/consensus/lease.py
+++ b/cartdeal/fleet/consensus/lease.py
@@ -43,7 +43,7 @@
         self.next_renewal_at = -inf
         self._retry_s = FIRST_RETRY_S
         self._round_started_at: dict[int, float] = {}
-        self._heard_at: list[float] = [-inf] * len(self._state.base.members)
+        self._heard_at: list[float] = [-inf] * len(self._state.current_ring.members)
         self._majority_heard_at = -inf  # since when a majority has confirmed; it only grows
         self._majority_is_stale = False
         self._encoded_until = -inf
@@ -62,8 +62,8 @@
 
     def request_renewals(self, ring: Ring) -> None:
         """Starts a round."""
-        now, third_s = self._context.now, self._state.settings.lease_s / 3
-        self.next_renewal_at = now + (third_s if self.is_valid() else min(self._retry_s, third_s))
+        now, max_wait_s = self._context.now, self._state.settings.lease_s / 3
+        self.next_renewal_at = now + (max_wait_s if self.is_valid() else min(self._retry_s, max_wait_s))
         self._retry_s *= 2
         self._choose_targets(ring)
         self._round += 1
@@ -78,8 +78,8 @@
         ages = bytearray(self._ages())
         own_index = self._state.index_by_name.get(self._context.name)
         if own_index is not None:
-            confirms = self._state.remembers_promises and not self._acceptor.has_accepted_next
-            ages[own_index] = 0 if confirms else NOT_HEARD
+            is_confirmed = self._state.remembers_promises and not self._acceptor.has_accepted_next
+            ages[own_index] = 0 if is_confirmed else NOT_HEARD
         self._state.send(sender, LeaseRenewalAck, message.round, self._unit_ms, bytes(ages))
 
     def on_renewal_ack(self, sender: str, message: LeaseRenewalAck) -> None:
@@ -96,8 +96,8 @@
             self._targets[sender] = 0
         unit_s, heard_at = message.unit_ms / 1000, self._heard_at
         for index, age in enumerate(message.ages):
-            if age != NOT_HEARD and (at := started_at - age * unit_s) > heard_at[index]:
-                heard_at[index] = at
+            if age != NOT_HEARD and (confirmed_at := started_at - age * unit_s) > heard_at[index]:
+                heard_at[index] = confirmed_at
         self._majority_is_stale = True
 
     def is_valid(self) -> bool:
@@ -122,50 +122,58 @@
         if state.ring is None or self._acceptor.has_accepted_next:
             return -inf
         own_index = state.index_by_name.get(self._context.name)
-        needed = state.ring.majority - (own_index is not None and state.remembers_promises)
-        if needed <= 0:
+        needed_count = state.ring.majority - (own_index is not None and state.remembers_promises)
+        if needed_count <= 0:
             return self._context.now + state.settings.lease_s
         if self._majority_is_stale:
-            others = (at for index, at in enumerate(self._heard_at) if index != own_index)
-            latest = nlargest(needed, others)
-            self._majority_heard_at = latest[-1] if len(latest) == needed else -inf
+            others = (heard_at for index, heard_at in enumerate(self._heard_at) if index != own_index)
+            latest = nlargest(needed_count, others)
+            self._majority_heard_at = latest[-1] if len(latest) == needed_count else -inf
             self._majority_is_stale = False
         return self._majority_heard_at + state.settings.lease_s
 
     def _choose_targets(self, ring: Ring) -> None:
         state, own_name = self._state, self._context.name
-        count = min(
+        target_count = min(
             len(ring.members) - state.is_member,
             ring.majority + 1 - state.is_member,
             ceil(1.5 * sqrt(len(ring.members))) + 2,
         )
-        answering = {
+        responsive_targets = {
             name: unanswered
             for name, unanswered in self._targets.items()
             if name in state.index_by_name and name in state.live and unanswered < MAX_UNANSWERED
         }
-        self._targets = dict(list(answering.items())[:count])
-        candidate_sets: tuple[Collection[str], ...] = (state.live, ())  # first those that are live, then any
-        for candidates in candidate_sets:
-            if len(self._targets) < count:
-                left = [
+        self._targets = dict(list(responsive_targets.items())[:target_count])
+        # New targets are chosen from the live members first, then from all (the empty group).
+        candidate_groups: tuple[Collection[str], ...] = (state.live, ())
+        for candidates in candidate_groups:
+            if len(self._targets) < target_count:
+                remaining = [
                     name
                     for name in ring.names
                     if name != own_name
                     and name not in self._targets
                     and (not candidates or name in candidates)
                 ]
-                chosen = self._context.random.sample(left, min(len(left), count - len(self._targets)))
-                self._targets |= dict.fromkeys(chosen, 0)
+                new_targets = self._context.random.sample(
+                    remaining, min(len(remaining), target_count - len(self._targets))
+                )
+                self._targets |= dict.fromkeys(new_targets, 0)
 
     def _ages(self) -> bytes:
         """As they will be when AGES_REUSED_S are over; until then they are sent again."""
         now, settings = self._context.now, self._state.settings
         if now >= self._encoded_until:
-            self._encoded_until = then = now + AGES_REUSED_S
-            oldest = then - settings.lease_s
+            self._encoded_until = expires_at = now + AGES_REUSED_S
+            oldest_heard_at = expires_at - settings.lease_s
             units_per_s = (1 + settings.clock_drift) * 1000 / self._unit_ms
             self._encoded_ages = bytes(
-                [int((then - at) * units_per_s) + 1 if at > oldest else NOT_HEARD for at in self._heard_at]
+                [
+                    int((expires_at - heard_at) * units_per_s) + 1
+                    if heard_at > oldest_heard_at
+                    else NOT_HEARD
+                    for heard_at in self._heard_at
+                ]
             )
         return self._encoded_ages
--- a/cartdeal/fleet/consensus/proposer.py
+++ b/cartdeal/fleet/consensus/proposer.py
@@ -52,20 +52,20 @@
             return
         if accepted is None and not self._may_propose_target():
             return
-        present = [name for name in state.base.names if name in state.live]
-        if len(present) < state.base.majority or self._context.name not in present:
+        present_members = [name for name in state.current_ring.names if name in state.live]
+        if len(present_members) < state.current_ring.majority or self._context.name not in present_members:
             return
-        rank, unit_s = present.index(self._context.name), self._resend_interval_s()
-        if accepted is None and now < self._target.wanted_since + unit_s * min(rank, RANKED_PROPOSERS):
+        rank, slot_s = present_members.index(self._context.name), self._resend_interval_s()
+        if accepted is None and now < self._target.wanted_since + slot_s * min(rank, RANKED_PROPOSERS):
             return
         if rank > RANKED_PROPOSERS or accepted:  # any of them may; they draw lots who goes first
-            candidates = len(present) if accepted else len(present) - RANKED_PROPOSERS
-            if self._context.random.random() * candidates * unit_s > state.settings.tick_s:
+            candidates = len(present_members) if accepted else len(present_members) - RANKED_PROPOSERS
+            if self._context.random.random() * candidates * slot_s > state.settings.tick_s:
                 return
         if accepted:  # to be ended, whoever is there: nobody is removed by that
             self.start_proposal(accepted.step, ())
         elif self._target.ring is not None:
-            step = step_between(state.base, self._target.ring)
+            step = step_between(state.current_ring, self._target.ring)
             self.start_proposal(step, step.removed)
 
     def start_proposal(self, step: RingStep, removed: tuple[str, ...]) -> None:
@@ -90,7 +90,7 @@
             self._abandon_proposal()
         elif now >= proposal.resend_at:
             proposal.resend_at = now + self._resend_interval_s()
-            for name in self._state.base.names:
+            for name in self._state.current_ring.names:
                 if name != self._context.name:
                     self._resend_to(name, proposal)
 
@@ -109,7 +109,7 @@
             self._on_promise(proposal, sender, message)
         elif proposal.accepting and sender in proposal.promises:
             proposal.accepted[sender] = True
-            if len(proposal.accepted) >= self._state.base.majority:
+            if len(proposal.accepted) >= self._state.current_ring.majority:
                 self._learner.announce_decision(proposal.step)
 
     def _may_propose_target(self) -> bool:
@@ -128,8 +128,8 @@
         patience_s = CATCH_UP_PATIENCE_LEASES * state.settings.lease_s
         if state.ring is None or self._context.now >= state.ring_learned_at + patience_s:
             return False
-        present = [state.live[name] for name in state.ring.names if name in state.live]
-        return any(peer.state == 0 and peer.caught_up_epoch < state.ring.epoch for peer in present)
+        present_members = [state.live[name] for name in state.ring.names if name in state.live]
+        return any(peer.state == 0 and peer.caught_up_epoch < state.ring.epoch for peer in present_members)
 
     def _resend_interval_s(self) -> float:
         return max(MIN_RESEND_S, RESEND_TICKS * self._state.settings.tick_s)
@@ -149,7 +149,7 @@
         if 0 <= message.promised_number < MAX_BALLOT_NUMBER:
             self.highest_number = max(self.highest_number, message.promised_number)
         proposal.refusals[sender] = message.reason
-        if len(self._state.index_by_name) - len(proposal.refusals) < self._state.base.majority:
+        if len(self._state.index_by_name) - len(proposal.refusals) < self._state.current_ring.majority:
             self._context.increment(Metric.BALLOTS_REJECTED)
             self._abandon_proposal()
 
@@ -164,15 +164,15 @@
         if proposal.accepting:
             if sender != self._context.name:
                 self._state.send(sender, Accept, proposal.number, proposal.step)
-        elif len(proposal.promises) >= self._state.base.majority:
+        elif len(proposal.promises) >= self._state.current_ring.majority:
             self._start_accepting(proposal)
 
     def _start_accepting(self, proposal: Proposal) -> None:
         """Phase 2: a majority has promised."""
         proposal.accepting = True
-        accepted_before = [accepted for accepted in proposal.promises.values() if accepted is not None]
-        if accepted_before:  # it may be decided already: no other ring may be
-            proposal.step = max(accepted_before, key=lambda accepted: accepted.ballot).step
+        accepted_steps = [accepted for accepted in proposal.promises.values() if accepted is not None]
+        if accepted_steps:  # it may be decided already: no other ring may be
+            proposal.step = max(accepted_steps, key=lambda accepted: accepted.ballot).step
         proposal.resend_at = self._context.now
         name = self._context.name
         if name in proposal.promises:
--- a/cartdeal/fleet/consensus/reconfiguration.py
+++ b/cartdeal/fleet/consensus/reconfiguration.py
@@ -59,17 +59,17 @@
 
     def _successor_of(self, ring: Ring, next_versions: NextVersions) -> Ring | None:
         state = self._state
-        members = self.damper.target_members(state.live, ring, self._context.now)
-        target = ring
-        if members and members != ring.member_by_name:
-            target = plan_next_ring(ring, members, state.settings.step_share)
-            if len(target.members) > state.settings.most_agents:
+        target_members = self.damper.target_members(state.live, ring, self._context.now)
+        target_ring = ring
+        if target_members and target_members != ring.member_by_name:
+            target_ring = plan_next_ring(ring, target_members, state.settings.step_share)
+            if len(target_ring.members) > state.settings.most_agents:
                 self._context.increment(Metric.RING_FULL)
-                target = ring
+                target_ring = ring
         written_version, phase = next_versions(ring, state.live)
-        if target is ring and (written_version, phase) == (ring.written_version, ring.phase):
+        if target_ring is ring and (written_version, phase) == (ring.written_version, ring.phase):
             return None
-        return replace(target, epoch=ring.epoch + 1, written_version=written_version, phase=phase)
+        return replace(target_ring, epoch=ring.epoch + 1, written_version=written_version, phase=phase)
 
 
 class MajorityMonitor:
@@ -88,16 +88,19 @@
 
     def check(self) -> None:
         """Counts the time without a majority; a gap between two calls counts for 2 s at most."""
-        now, base = self._context.now, self._state.base
-        present = sum(name in self._state.live for name in base.names)
-        if present < base.majority:
+        now, current_ring = self._context.now, self._state.current_ring
+        present_count = sum(name in self._state.live for name in current_ring.names)
+        if present_count < current_ring.majority:
             self._lost_for_s += min(now - self._checked_at, MAX_COUNTED_GAP_S)
         else:
             self._lost_for_s = 0.0
         self._checked_at = now
         limit_s = max(MAJORITY_LOST_ALARM_S, 6 * self._state.settings.damp_s)
-        if self._lost_for_s >= limit_s and not self._is_logged and base.members:
+        if self._lost_for_s >= limit_s and not self._is_logged and current_ring.members:
             self._is_logged = True
-            kind = errors.RingMajorityLostError if self._state.ring else errors.BootstrapIncompleteError
-            error = kind(f"epoch {base.epoch}", f"{present} of {len(base.members)} members present")
+            error_type = errors.RingMajorityLostError if self._state.ring else errors.BootstrapIncompleteError
+            error = error_type(
+                f"epoch {current_ring.epoch}",
+                f"{present_count} of {len(current_ring.members)} members present",
+            )
             self._context.log_event(events.RingMajorityLost.of(error))
--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -97,10 +97,10 @@
             self.learner.on_ring_update(sender, message)
         elif isinstance(message, RingSnapshot):
             self.learner.on_ring_snapshot(message)
-        elif isinstance(message, RingMessage) and self._is_of_own_ring(sender, message):
-            self._on_own_ring_message(sender, message)
+        elif isinstance(message, RingMessage) and self._is_of_current_ring(sender, message):
+            self._on_current_ring_message(sender, message)
 
-    def _on_own_ring_message(self, sender: str, message: RingMessage) -> None:
+    def _on_current_ring_message(self, sender: str, message: RingMessage) -> None:
         match message:
             case LeaseRenewal():
                 self.lease.on_renewal(sender, message)
@@ -116,25 +116,25 @@
             case Promise() | Nack() | Accepted():
                 self.proposer.on_answer(sender, message)
 
-    def _is_of_own_ring(self, sender: str, message: RingMessage) -> bool:
+    def _is_of_current_ring(self, sender: str, message: RingMessage) -> bool:
         """Whether the sender's ring is the own one; if not, whoever is behind gets to know."""
-        base = self.state.base
+        current_ring = self.state.current_ring
         if not 0 <= message.epoch <= self.learner.max_epoch:
             self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
             return False
-        if message.epoch == base.epoch and message.ring_digest == base.digest:
+        if message.epoch == current_ring.epoch and message.ring_digest == current_ring.digest:
             return True
-        if message.epoch < base.epoch:
+        if message.epoch < current_ring.epoch:
             if isinstance(message, RingQuery):
                 self.learner.send_ring(sender, message)
             else:
                 self.context.increment(Metric.DROPPED_OLDER_EPOCH)
                 self.state.send(sender, EpochAnnouncement)
-        elif message.epoch > base.epoch:
+        elif message.epoch > current_ring.epoch:
             if isinstance(message, LeaseRenewal):
                 self.lease.add_pending_renewal(sender, message)
             self.learner.query_ring(sender)
-        elif base.epoch:  # conflicting rings: each asks, each answers
+        elif current_ring.epoch:  # conflicting rings: each asks, each answers
             if isinstance(message, RingQuery):
                 self.learner.send_ring(sender, message)
             self.learner.query_ring(sender)
@@ -163,7 +163,7 @@
         self.acceptor.reset()
         self.proposer.reset()
         self.lease.reset()
-        ring = self.state.base
+        ring = self.state.current_ring
         for sender, message in pending_renewals.items():
             if (message.epoch, message.ring_digest) == (ring.epoch, ring.digest):
                 self.lease.on_renewal(sender, message)
--- a/cartdeal/fleet/consensus/state.py
+++ b/cartdeal/fleet/consensus/state.py
@@ -69,7 +69,7 @@
         self.index_by_name = self._index_members()
 
     @property
-    def base(self) -> Ring:
+    def current_ring(self) -> Ring:
         """The ring whose members vote for the next epoch: the one in force, or at first the seeds'."""
         return self.ring or self.seed_ring
 
@@ -85,11 +85,11 @@
 
     def send(self, recipient: str, message_type: type[RingMessage], *fields: object) -> None:
         """Sends a message under the header of the ring in force."""
-        self.context.send(recipient, message_type(self.base.epoch, self.base.digest, *fields))
+        self.context.send(recipient, message_type(self.current_ring.epoch, self.current_ring.digest, *fields))
 
     def next_ring(self, step: RingStep) -> Ring | None:
         """The ring that a step leads to from the one in force; None where it can't be used."""
-        return self.valid_successor(self.base, step)
+        return self.valid_successor(self.current_ring, step)
 
     def valid_successor(self, previous: Ring, step: RingStep) -> Ring | None:
         """The ring that a step leads to from `previous`; None where it can't be used."""
@@ -102,7 +102,7 @@
         return ring
 
     def _index_members(self) -> dict[str, int]:
-        return {name: index for index, name in enumerate(self.base.names)}
+        return {name: index for index, name in enumerate(self.current_ring.names)}
 
 
 class ProposalBackoff:
