--- a/cartdeal/fleet/membership/__init__.py
+++ b/cartdeal/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which agents are in the fleet, by SWIM."""
+"""Membership of the fleet by the SWIM protocol: failure detection and dissemination by gossip."""
--- a/cartdeal/fleet/membership/failure_detector.py
+++ b/cartdeal/fleet/membership/failure_detector.py
@@ -1,8 +1,8 @@
-"""The failure detector: one probe at a time in a shuffled round, and indirect probes by helpers.
+"""The failure detector: it probes one peer at a time in a shuffled round, directly and through helpers.
 
-Follows SWIM (Das, Gupta, Motivala, DSN 2002) for the round and the indirect probes, and Lifeguard (Dadgar,
-Phillips, Currey, DSN 2018) for nacks and the local health. A peer must never be suspected for what ran out
-while this agent was stopped.
+The round and the indirect probes follow SWIM (Das, Gupta, Motivala, DSN 2002). Nacks and the local health
+score follow Lifeguard (Dadgar, Phillips, Currey, DSN 2018). A peer must never be suspected because of a probe
+that timed out while this agent's process was stopped.
 """
 
 from collections.abc import Iterator
@@ -20,12 +20,14 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-DIRECT_PROBE_SHARE = 0.4  # of a probe's time: then helpers are asked; a helper gives up after as long
-MAX_RELAYED_PINGS = 1024  # pings on behalf of others that wait for their answer
+# The share of a probe's timeout after which helpers are asked to ping the target. A helper waits for the
+# target's answer for the same share of probe_s.
+DIRECT_PROBE_SHARE = 0.4
+MAX_RELAYED_PINGS = 1024  # unanswered pings that this agent has sent on behalf of others
 
 
 class Probe(Struct):
-    """The probe that is under way."""
+    """A probe of one peer: the direct ping, then the pings by helpers. Times are in seconds."""
 
     peer: Peer
     number: int
@@ -38,7 +40,7 @@
 
 
 class RelayedPing(Struct):
-    """A ping on behalf of another agent, the requester."""
+    """A ping that this agent sent to `target` on behalf of the requester. `deadline` is in local seconds."""
 
     requester: str
     request_number: int
@@ -47,7 +49,7 @@
 
 
 class FailureDetector:
-    """Probes the peers, answers probes, and relays those of others."""
+    """Probes the peers, answers their probes, and pings peers on behalf of others."""
 
     def __init__(
         self,
@@ -61,21 +63,21 @@
     ):
         self.context = context
         self.settings = settings
-        self.ping_numbers = ping_numbers  # of pings, shared with the peer verifier
+        self.ping_numbers = ping_numbers  # shared with the peer verifier
         self.table = table
         self.gossip = gossip
         self.health = health
         self.suspicion = suspicion
         self.probe: Probe | None = None
-        self.relayed_pings: dict[int, RelayedPing] = {}  # by the number of the ping
-        self._round: list[str] = []  # peers that are still to be probed, the next one last
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by ping number
+        self._round: list[str] = []  # the peers still to be probed; the next one is last
         self._failed_in_succession: int = 0
         self._next_probe_at: float = context.now + settings.probe_s * context.random.random()
 
     # Time
 
     def tick(self, now: float) -> None:
-        """Ask helpers, end the probe or begin the next one, where it is time."""
+        """Run the steps of the probe that are due: ask helpers, time it out, or start the next one."""
         probe = self.probe
         if probe and not probe.is_done:
             if not probe.has_requested_help and now >= probe.started + DIRECT_PROBE_SHARE * probe.timeout_s:
@@ -87,7 +89,7 @@
             self._start_probe(now)
 
     def expire_relayed_pings(self, now: float) -> None:
-        """Answer with a Nack where the target of a relayed ping has not answered in time."""
+        """Send a Nack to the requester of each relayed ping whose target did not answer in time."""
         expired = [number for number, relayed in self.relayed_pings.items() if relayed.deadline <= now]
         for number in expired:
             relayed = self.relayed_pings.pop(number)
@@ -95,27 +97,27 @@
                 self.gossip.send(relayed.requester, Nack, relayed.request_number)
 
     def reset_after_pause(self) -> None:
-        """Drop all that is under way: this agent was stopped, and could hear no answers."""
+        """Drop the probe and the relayed pings: this agent's process was stopped and received no answers."""
         self.probe = None
         self._failed_in_succession = 0
         self.relayed_pings.clear()
 
     def stop(self) -> None:
-        """Give up the probe that is under way: this agent leaves."""
+        """Drop the current probe because this agent leaves the fleet."""
         self.probe = None
 
     def insert_in_round(self, name: str) -> None:
-        """Have a new peer probed at a random place of the current round."""
+        """Insert a new peer at a random position of the current round."""
         self._round.insert(self.context.random.randint(0, len(self._round)), name)
 
     # Messages
 
     def on_ping(self, sender: str, message: Ping) -> None:
-        """Acknowledge a probe."""
+        """Answer a probe with an Ack."""
         self.gossip.send(sender, Ack, message.number)
 
     def on_ack(self, sender: str, message: Ack) -> None:
-        """End the probe that it answers, or pass it on to the requester of a relayed ping."""
+        """End the probe that the Ack answers, or forward it to the requester of a relayed ping."""
         probe = self.probe
         if (
             probe
@@ -136,12 +138,12 @@
             self.gossip.send(relayed.requester, Ack, relayed.request_number, about=sender)
 
     def on_nack(self, sender: str, message: Nack) -> None:
-        """Count a helper that is well: the target, not this agent, is cut off."""
+        """Count a helper's Nack: the helper is reachable, so the target rather than this agent is cut off."""
         if self.probe and self.probe.number == message.number and sender in self.probe.helpers:
             self.probe.nacks += 1
 
     def on_ping_request(self, sender: str, message: PingRequest) -> None:
-        """Ping the target on the sender's behalf."""
+        """Ping the target on the sender's behalf, or answer with a Nack if that is impossible."""
         if (
             message.target not in self.table.peers
             or message.target == self.table.name
@@ -166,9 +168,10 @@
             self.gossip.send(peer.name, Ping, self.probe.number)
 
     def _next_peer(self) -> Peer | None:
-        """Return the next peer of SWIM's round, which takes each peer once.
+        """Return the next live peer of the round, or None if there is no other live peer.
 
-        Each round is shuffled anew, so that no peer waits longer than two rounds.
+        As in SWIM, a round probes each peer once and is then shuffled again, so no peer waits longer than two
+        rounds for its next probe.
         """
         for is_new_round in (False, True):
             if is_new_round:
@@ -185,27 +188,28 @@
         target = probe.peer.name
         candidates = [name for name in self.table.others(PeerState.ALIVE) if name != target]
         probe.helpers = tuple(sample(self.context.random, candidates, INDIRECT_PROBES))
-        self.gossip.send(target, Ping, probe.number)  # a second chance: one datagram may be lost
+        self.gossip.send(target, Ping, probe.number)  # pinged again, since the first datagram may be lost
         for helper in probe.helpers:
-            # With what the target is accused of, which may not have counted yet.
+            # `about` adds the accusations against the target, which the helper may not have counted yet.
             self.gossip.send(helper, PingRequest, probe.number, target, about=target)
 
     def _fail(self, probe: Probe) -> None:
         probe.is_done = True
         self._failed_in_succession += 1
         if probe.nacks < len(probe.helpers) or not probe.helpers:
-            self.health.degrade()  # helpers are silent as well: it may be this agent that hears nobody
+            # Some helper is silent as well, or there is none: this agent may be the one that is cut off.
+            self.health.degrade()
         probed_peer, known_peer = probe.peer, self.table.peers.get(probe.peer.name)
         if known_peer is None or known_peer.state > PeerState.SUSPECT:
             return
-        # A version that was raised meanwhile is a sign of life that came some other way.
+        # If the peer's version rose during the probe, the peer is alive: its refutation came by gossip.
         if (known_peer.incarnation, known_peer.version) == (probed_peer.incarnation, probed_peer.version):
             self.suspicion.suspect(probed_peer.name, (), own_probe_failed=True)
 
     def _suspect_all_if_isolated(self, now: float) -> None:
-        """Suspect all peers where this agent is cut off from all of them.
+        """Suspect all peers at once if this agent is cut off from all of them.
 
-        By probes alone it would take as many rounds to see that as there are agents.
+        Probes alone would need as many probe intervals as there are agents to find all peers unreachable.
         """
         if not self._is_isolated(now):
             return
@@ -216,7 +220,10 @@
             self.suspicion.suspect(name, (), own_probe_failed=True, warn=False)
 
     def _is_isolated(self, now: float) -> bool:
-        """Return whether nothing at all came in for long, though this agent was not stopped."""
+        """Return whether probes failed in succession and no message came in for the longest suspicion time.
+
+        Time for which this agent's process was stopped doesn't count as silence.
+        """
         return (
             self._failed_in_succession >= INDIRECT_PROBES + 1
             and self.health.silence_s(now) > MAX_SUSPICION_FACTOR * self.settings.suspect_s
--- a/cartdeal/fleet/membership/gossip.py
+++ b/cartdeal/fleet/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination: news of peers is piggybacked on messages, each item a bounded number of times (SWIM)."""
+"""Dissemination: updates of peers are piggybacked on messages, each a bounded number of times (SWIM)."""
 
 from collections.abc import Callable
 from heapq import nsmallest
@@ -17,25 +17,25 @@
 )
 from cartdeal.fleet.membership.peer_table import PeerTable
 
-MAX_MESSAGE_BYTES = 1_100  # the envelope comes on top of it
-ARRAY_HEADER_BYTES = 2  # by which the header of a longer array of items exceeds that of an empty one
-RETRANSMIT_FACTOR = 3  # an item is sent this many times log2 of the fleet's size
+MAX_MESSAGE_BYTES = 1_100  # without the envelope
+ARRAY_HEADER_BYTES = 2  # MessagePack's header of a long array is this much longer than that of an empty one
+RETRANSMIT_FACTOR = 3  # an update is sent at most this many times log2 of the fleet's size
 
 
 class ItemPacker:
-    """Collects gossip items for one message, up to its size."""
+    """Collects gossip items for one message, up to MAX_MESSAGE_BYTES and MAX_GOSSIP_ITEMS."""
 
     def __init__(self, empty_message: MembershipMessage):
         self.items: list[GossipItem] = []
         self._room_bytes: int = MAX_MESSAGE_BYTES - len(msgpack.encode(empty_message)) - ARRAY_HEADER_BYTES
 
     def add(self, item: GossipItem) -> None:
-        """Add an item whether it fits or not."""
+        """Add an item without checking whether it fits."""
         self.items.append(item)
         self._room_bytes -= len(msgpack.encode(item))
 
     def add_if_fits(self, item: GossipItem) -> bool:
-        """Add an item where it fits, and return whether it did."""
+        """Add an item if it fits, and return whether it was added."""
         size_bytes = len(msgpack.encode(item))
         if size_bytes > self._room_bytes or len(self.items) >= MAX_GOSSIP_ITEMS:
             return False
@@ -45,28 +45,28 @@
 
 
 class GossipPriority(NamedTuple):
-    """Order in which news is sent: what was sent least often first, and the newest of these."""
+    """The order of updates: the one sent least often is first; of equals, the newest is first."""
 
     times_sent: int
     negated_sequence: int
 
 
 class Gossip:
-    """Sends the membership's messages, and adds news to them."""
+    """Sends the membership's messages and piggybacks updates of peers on them."""
 
     def __init__(self, context: NodeContext, table: PeerTable):
         self.context = context
         self.table = table
-        self.pending_updates: dict[str, GossipPriority] = {}  # by name of the peer that has changed
+        self.pending_updates: dict[str, GossipPriority] = {}  # by name of the changed peer
         self._sequence: int = 0
 
     def announce(self, name: str) -> None:
-        """Pass on what is known of a peer: it has changed."""
+        """Queue the peer's entry for dissemination, because it has changed."""
         self._sequence += 1
         self.pending_updates[name] = GossipPriority(0, -self._sequence)
 
     def forget(self, name: str) -> None:
-        """Drop the news of a peer."""
+        """Drop the update of a peer."""
         self.pending_updates.pop(name, None)
 
     def send(
@@ -74,7 +74,8 @@
     ) -> None:
         """Send a message with as much gossip as fits.
 
-        What the recipient is accused of comes first, then what is known of the peer `about`.
+        The recipient's entry comes first if the recipient is suspect, dead or has left, so that it can refute
+        it. The entry of the peer `about` comes next, then the pending updates.
         """
         local_peer = self.table.local_peer
         packer = ItemPacker(make_message(*fields, sender=local_peer, items=()))
@@ -99,7 +100,7 @@
             if name not in included_names:
                 if not packer.add_if_fits(self.table.gossip_item(name)):
                     continue
-            elif name != self.table.name:  # each message carries the description of its sender
+            elif name != self.table.name:  # each message carries its sender's description anyway
                 continue
             times_sent = priority.times_sent + 1
             self.pending_updates[name] = GossipPriority(times_sent, priority.negated_sequence)
--- a/cartdeal/fleet/membership/membership.py
+++ b/cartdeal/fleet/membership/membership.py
@@ -1,22 +1,26 @@
-"""Which agents are in the fleet, and what each tells of itself: SWIM with Lifeguard's extensions.
-
-Invariants: it must never call an agent dead on one witness while there is another to ask, believe another
-about its own name, or do I/O. Sources: SWIM (Das, Gupta, Motivala, DSN 2002) for probing in a shuffled round,
-indirect pings, suspicion, refutation and piggybacked gossip; Lifeguard (Dadgar, Phillips, Currey, DSN 2018)
-for suspicion that shortens with independent witnesses, warning the suspect, nacks and local health.
-
-Where it differs from both: that an agent is dead is never taken from hearsay. Hearing of it counts as what
-its witnesses accuse, and each agent waits out its own time, so that the suspect can refute it first. Those
-that are dead to this agent, or came back a moment ago, are no witnesses, and whoever hears an accusation that
-is new to it warns the suspect at once: after a cut, neither half declares the other's agents dead anew.
-
-One-way cuts. A peer that others reach stays: helpers' acks count as its own. Where B hears nobody, the others
-call B dead and believe nothing that B says any more; B sees that it is cut off from all, and calls all of
-them dead. Where nobody hears B, it is dead to the others and suspects all of them, and calls them dead once
-no news of any comes in any more. Neither takes the other in again by its calls alone: an unknown caller, or
-one that is dead, has to answer a ping before anything it says is read but what concerns the reader; and an
-agent that hears nobody changes nothing that it says of itself, since its next version would pass for a
-refutation. Of two agents alone, each calls the other dead until both ways are open.
+"""Membership: the agents of the fleet and their self-descriptions, by SWIM with Lifeguard's extensions.
+
+Invariants. The membership must never declare an agent dead on one witness while a second one could exist,
+must never believe another agent about this agent's own name, and must do no I/O.
+
+Sources. SWIM (Das, Gupta, Motivala, DSN 2002): probes in a shuffled round, indirect pings, suspicion,
+refutation and piggybacked gossip. Lifeguard (Dadgar, Phillips, Currey, DSN 2018): suspicions that shorten
+with independent witnesses, warnings to the suspect, nacks and local health.
+
+Differences from both. An agent never takes over a peer's death from gossip. Gossip that a peer is dead counts
+only as an accusation by the accusers that it names, and each agent runs its own suspicion timeout, so that
+the suspect can refute the accusation first. An agent that is dead in the local table, or returned from the
+dead recently, is no witness. An agent that receives a new accusation warns the suspect at once. After a
+partition heals, these rules keep each half from declaring the other half's agents dead again.
+
+One-way cuts. A peer that any helper reaches stays alive, because a helper's ack counts like the peer's own.
+If B receives nothing, the other agents declare B dead and ignore what B sends; B finds itself cut off from
+all peers and declares all of them dead. If B's messages reach nobody, the other agents declare B dead; B
+suspects all of them and declares them dead once it receives no more gossip about them. Messages in one
+direction alone never bring a dead peer back, for two reasons. First, an unknown or dead sender has to answer
+a ping before its messages are read; until then only the items about the receiver itself are. Second, an agent
+that receives nothing does not change its self-description, because the higher version would pass for a
+refutation. In a fleet of two, each agent holds the other dead until both directions work.
 """
 
 from collections.abc import Callable
@@ -53,16 +57,17 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-MAX_SILENT_PROBES = 3  # probes' time without a word from anyone, after which this agent announces no change
-MAX_MISSED_TICKS = 10  # in succession: after more than that, this agent was stopped rather than late
-NOTIFIED_ON_LEAVING = 2 * INDIRECT_PROBES  # peers
+MAX_SILENT_PROBES = 3  # after a silence of more than this many probe_s, this agent announces no change
+MAX_MISSED_TICKS = 10  # a gap of more than this many tick_s means that the process was stopped, not late
+NOTIFIED_ON_LEAVING = 2 * INDIRECT_PROBES  # the number of peers that a leaving agent notifies
 
 
 class Membership:
-    """One agent's part of the protocol.
+    """One agent's part of the membership protocol.
 
-    It sends a ping and an ack each probe_s and a comparison of tables every few seconds, in a fleet of any
-    size; a failed probe costs up to a dozen messages more, over five agents.
+    The load is independent of the fleet's size: an agent sends about one ping and one ack in each probe_s,
+    and a digest exchange every few seconds. A failed probe costs up to a dozen more messages, spread over
+    five agents.
     """
 
     def __init__(self, context: NodeContext, settings: FleetSettings):
@@ -72,7 +77,7 @@
         ping_numbers = count(context.random.getrandbits(40) + 1)
         self.health = LocalHealth(context.now)
         self.table = PeerTable(context, settings)
-        # All known agents by name, this one and the dead included; not to be written.
+        # All known agents by name, including this one and the dead; read-only for users of this class.
         self.peers = self.table.peers
         self.gossip = Gossip(context, self.table)
         self.suspicion = SuspicionTracker(context, settings, self.table, self.gossip)
@@ -88,7 +93,7 @@
         self._is_active: bool = False  # from join() to leave()
         self._last_tick: float = context.now
         self._last_event: float = context.now
-        self._pending_changes: dict[str, float] = {}  # of its own description, to be announced
+        self._pending_changes: dict[str, float] = {}  # of the self-description, not announced yet
         self._handlers: dict[type[MembershipMessage], Callable[[str, Any], None]] = {
             Ping: self.detector.on_ping,
             Ack: self.detector.on_ack,
@@ -98,16 +103,16 @@
             StatePush: self._on_state_push,
         }
 
-    # What the node uses
+    # Interface of the node
 
     @property
     def settings(self) -> FleetSettings:
-        """The operator's settings; they may be replaced while the agent runs."""
+        """The operator's settings, which may be replaced while the agent runs."""
         return self._settings
 
     @settings.setter
     def settings(self, settings: FleetSettings) -> None:
-        """Replace the settings in all parts."""
+        """Replace the settings of all parts of the membership."""
         self._settings = settings
         self.table.settings = settings
         self.suspicion.settings = settings
@@ -121,24 +126,27 @@
 
     @property
     def view_version(self) -> int:
-        """A number that is raised where what live_peers() tells has changed."""
+        """A number that rises whenever a field that users of live_peers() depend on has changed."""
         return self.table.view_version
 
     @property
     def error(self) -> DuplicateNameError | None:
-        """The last sign of another agent under this agent's name."""
+        """The last report of another agent under this agent's name, or None if there was none."""
         return self.updater.error
 
     def join(self) -> None:
-        """Call the seeds, again and again until any has answered.
+        """Contact the seeds, repeatedly until any peer has sent a message.
 
-        Before this, nothing is sent but answers.
+        Before this call, the membership only answers messages.
         """
         self._is_active = True
         self.exchange.start(self.context.now)
 
     def leave(self) -> None:
-        """Tell a few peers, who tell the others; this agent still answers, and suspects nobody any more."""
+        """Leave the fleet: notify NOTIFIED_ON_LEAVING peers, which disseminate it by gossip.
+
+        Afterwards this agent still answers messages, but starts no probes and suspects nobody.
+        """
         if self.local_peer.state == PeerState.LEFT:
             return
         local_peer = self.local_peer
@@ -149,15 +157,15 @@
             self.gossip.send(name, StatePush)
 
     def live_peers(self) -> dict[str, Peer]:
-        """Return all that are alive or suspect, this agent included, sorted by name; not to be written."""
+        """Return the peers that are alive or suspect, including this agent, sorted by name; read-only."""
         return self.table.live_peers()
 
     def size(self) -> int:
-        """Return the number of live peers, this agent included."""
+        """Return the number of live peers, including this agent."""
         return self.table.size()
 
     def addresses(self) -> dict[str, str]:
-        """Return where each known agent is reached, also the dead and callers that are not verified yet."""
+        """Return the "host:port" of each known agent by name, including dead and unverified ones."""
         unverified_peers = self.verifier.unverified_peers
         addresses = {name: peer.address for name, peer in self.peers.items()}
         return addresses | {
@@ -171,7 +179,10 @@
         migrated_version: int | None = None,
         caught_up_epoch: int | None = None,
     ) -> None:
-        """Change this agent's description of itself, at once or when any peer is heard again."""
+        """Change this agent's description of itself.
+
+        The change is announced at once, or, if no message has come in lately, after the next one.
+        """
         changes = {
             "capacity": capacity,
             "migrated_version": migrated_version,
@@ -181,19 +192,22 @@
         self._announce_changes()
 
     def newer_incarnation(self) -> int:
-        """Return the highest incarnation of its own name that a peer told of, if above its own; else 0."""
+        """Return the highest incarnation that peers reported for this agent's name, or 0.
+
+        It is 0 unless the reported incarnation is higher than this agent's own.
+        """
         reported_incarnation = self.updater.highest_reported_incarnation
         return reported_incarnation if reported_incarnation > self.local_peer.incarnation else 0
 
     # Time
 
     def tick(self) -> None:
-        """Do what is due: called every tick_s."""
+        """Run everything that is due; the node calls this every tick_s."""
         now = self.context.now
         self._resume_after_pause(now - self._last_tick)
         self._last_tick = self._last_event = now
         if self.context.incarnation > self.local_peer.incarnation:
-            # The node took a higher one: what was said of the former one is void.
+            # The node has raised its incarnation, which overrides all reports about the former one.
             self.updater.replace_self(
                 replace(self.local_peer, incarnation=self.context.incarnation, version=0)
             )
@@ -209,9 +223,10 @@
             self.exchange.tick(now)
 
     def _resume_after_pause(self, gap_s: float) -> None:
-        """Reset what was under way where this agent was stopped for a while.
+        """Reset probes, exchanges and deadlines if this agent's process was stopped for `gap_s`.
 
-        What ran out meanwhile says nothing of the others; they have long suspected this agent.
+        A timeout that passed during the stop says nothing about the peers. They have probably suspected this
+        agent by now, so it refutes at once.
         """
         if gap_s <= MAX_MISSED_TICKS * self.settings.tick_s:
             return
@@ -242,7 +257,7 @@
     # Messages
 
     def on_message(self, sender: str, message: MembershipMessage) -> None:
-        """Handle a message that `sender` has signed."""
+        """Handle a message whose signature by `sender` is valid."""
         now = self.context.now
         self._resume_after_pause(now - max(self._last_tick, self._last_event))
         self._last_event = now
@@ -259,12 +274,12 @@
             self.updater.apply_gossip(item)
         self._handlers[type(message)](sender, message)
         if self.local_peer.version != version and type(message) is StatePush:
-            self.gossip.send(sender, StatePush)  # the refutation
+            self.gossip.send(sender, StatePush)  # carries the refutation
 
     def _accept(self, sender: str, message: MembershipMessage) -> bool:
-        """Check a message's values and its sender's incarnation, and return whether it is to be read.
+        """Check a message's values and its sender's incarnation, and return whether to process it.
 
-        One from an earlier incarnation is answered with the incarnation that is known.
+        A message from an earlier incarnation is answered with the sender's entry in the local table.
         """
         sender_peer = message.sender
         if not is_valid_peer(sender_peer) or not are_valid_items(message.items):
@@ -278,17 +293,18 @@
             return False
         known_peer = self.peers.get(sender)
         if known_peer and sender_peer.incarnation < known_peer.incarnation:
-            # Late, or from one that was restarted with its clock set back, which has to learn of its higher
-            # incarnation.
+            # Either the message is late, or its sender was restarted with its clock set back and has to learn
+            # of the higher incarnation.
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
             self.gossip.send_items(sender, (self.table.gossip_item(sender),))
             return False
         return True
 
     def _verify(self, message: MembershipMessage) -> bool:
-        """Check whether an unknown or dead sender has answered its challenge, and return whether it has.
+        """Return whether the message of an unknown or dead sender may be processed.
 
-        One that has not been challenged yet is challenged now.
+        It may once the sender has answered its challenge; a sender without a challenge is sent one. If the
+        sender or this agent has left, the message may be processed if the sender is known.
         """
         peer = message.sender
         known_peer = self.peers.get(peer.name)
@@ -315,7 +331,7 @@
         self.verifier.challenge(peer)
 
     def _on_unverified_message(self, sender: str, message: MembershipMessage) -> None:
-        """Read of a sender that is not verified only what concerns this agent, and answer its ping."""
+        """Apply only the items about this agent, and answer a ping, from a sender that is not verified."""
         for item in message.items:
             if item.peer.name == self.name:
                 self.updater.apply_to_self(item.peer)
@@ -323,4 +339,4 @@
             self.gossip.send(sender, Ack, message.number)
 
     def _on_state_push(self, sender: str, message: StatePush) -> None:
-        """Nothing is left to do: its entries have been applied as gossip."""
+        """Do nothing: the entries of the message have been applied as gossip already."""
--- a/cartdeal/fleet/membership/messages.py
+++ b/cartdeal/fleet/membership/messages.py
@@ -1,7 +1,7 @@
-"""The messages of the membership protocol: what an agent tells of itself, gossip, probes and state exchange.
+"""The messages of the membership protocol: an agent's self-description, gossip, probes and state exchange.
 
-Tags and the order of fields are the wire format and must never change. Whether received values are in
-their range is checked by `is_valid_peer` and `are_valid_items`, since a decoder checks types alone.
+Tags and the order of fields are the wire format and must never change. The decoder checks only the types of
+received values; `is_valid_peer` and `are_valid_items` check their ranges.
 """
 
 from enum import IntEnum
@@ -9,14 +9,14 @@
 
 from msgspec import Struct
 
-MAX_NAME_BYTES = 64  # of a name, and of a zone
+MAX_NAME_BYTES = 64  # of an agent's name or a zone's name
 MAX_ADDRESS_BYTES = 128
 MAX_GOSSIP_ITEMS = 64  # in one message
-MAX_ACCUSERS = 4  # remembered and passed on for one suspect
+MAX_ACCUSERS = 4  # accusers stored and disseminated for one suspect
 
 
 class PeerState(IntEnum):
-    """What is held of a peer; of equal versions, the higher state overrides the lower one."""
+    """The state of a peer in an agent's table; at equal versions, the higher state overrides the lower."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,27 +25,27 @@
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """An agent's description of itself, with the state in which others hold it.
+    """An agent's description of itself, with its state as the sender of the description knows it.
 
-    `version` is raised at each change and refutation, `incarnation` at each start of the agent.
+    The agent raises `version` at each change and refutation, and `incarnation` at each start.
     """
 
     name: str
     address: str  # "host:port"
     incarnation: int
     version: int
-    state: int  # a PeerState, unless is_valid_peer() refuses it
+    state: int  # a PeerState; is_valid_peer() rejects other numbers
     zone: str
     capacity: float
     reads: tuple[int, int]  # the lowest and highest schema version that its program can read
-    migrated_version: int  # the schema version of everything that it stores
-    caught_up_epoch: int = 0  # the last epoch for which it has caught up on all its records
+    migrated_version: int  # the schema version of all records that it stores
+    caught_up_epoch: int = 0  # the last epoch for which its catch-up is complete
 
 
 class GossipItem(Struct, frozen=True, array_like=True):
-    """A peer as the sender of the gossip knows it.
+    """A peer's entry in the table of the sender of the gossip.
 
-    `accusers` are those whose own probes of it failed, or who have waited out their own suspicion.
+    `accusers` names the agents whose own probes of the peer failed or whose own suspicion of it timed out.
     """
 
     peer: Peer
@@ -53,7 +53,7 @@
 
 
 class MembershipMessage(Struct, frozen=True, array_like=True, kw_only=True):
-    """The last two fields of each message: its sender's description of itself, and gossip."""
+    """The base of all messages: the last two fields are the sender's description of itself, and gossip."""
 
     DATAGRAM: ClassVar[bool] = True
     sender: Peer
@@ -61,19 +61,19 @@
 
 
 class Ping(MembershipMessage, frozen=True, tag="m.ping"):
-    """A probe, answered by an Ack of the same number."""
+    """A probe; the receiver answers with an Ack of the same number."""
 
     number: int
 
 
 class Ack(MembershipMessage, frozen=True, tag="m.ack"):
-    """Answer to a Ping by its target, or to a PingRequest by a helper that has reached the target."""
+    """The answer to a Ping by its target, or to a PingRequest by a helper whose own ping was answered."""
 
     number: int
 
 
 class Nack(MembershipMessage, frozen=True, tag="m.nack"):
-    """Answer to a PingRequest by a helper that is well, but has not reached the target."""
+    """The answer to a PingRequest by a helper that is reachable but has not reached the target itself."""
 
     number: int
 
@@ -86,9 +86,10 @@
 
 
 class DigestExchange(MembershipMessage, frozen=True, tag="m.compare"):
-    """Digests of the parts of the peer table; the receiver pushes the parts that differ.
+    """The digests of all buckets of the peer table; the receiver pushes the buckets that differ.
 
-    An agent also joins by it. `answer`: whether it answers another one, and is not answered itself.
+    An agent also joins the fleet by sending it to the seeds. `answer` is true if the message answers another
+    DigestExchange; the receiver then sends no digests back.
     """
 
     digests: bytes
@@ -96,14 +97,14 @@
 
 
 class StatePush(MembershipMessage, frozen=True, tag="m.pieces"):
-    """Entries of the peer table, or a warning to a suspect."""
+    """Entries of the peer table, or the entry of the recipient as a warning that it is suspected."""
 
 
 MESSAGE_TYPES = (Ping, Ack, Nack, PingRequest, DigestExchange, StatePush)
 
 
 def is_valid_peer(peer: Peer) -> bool:
-    """Return whether each field is in its range (nan is in none)."""
+    """Return whether each field is in its range; a NaN capacity is not."""
     lowest, highest = peer.reads
     return (
         0 < len(peer.name.encode()) <= MAX_NAME_BYTES
@@ -120,7 +121,7 @@
 
 
 def are_valid_items(items: tuple[GossipItem, ...]) -> bool:
-    """Return whether the gossip of a message is within its bounds and each item is valid."""
+    """Return whether a message's gossip items are valid and neither they nor their accusers are too many."""
     return len(items) <= MAX_GOSSIP_ITEMS and all(
         is_valid_peer(item.peer)
         and len(item.accusers) <= MAX_ACCUSERS
--- a/cartdeal/fleet/membership/peer_table.py
+++ b/cartdeal/fleet/membership/peer_table.py
@@ -1,4 +1,4 @@
-"""The peer table: every agent that this one knows, its state, and what each suspect is accused of."""
+"""The peer table: all agents that this one knows, their states, and the suspicions against them."""
 
 from collections.abc import Callable
 from zlib import crc32
@@ -12,12 +12,12 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-DEAD_RETENTION_S = 60.0  # dead and departed peers are remembered so long: old gossip doesn't revive them
-TABLE_BUCKETS = 16  # parts of the table that are compared and pushed by themselves
+DEAD_RETENTION_S = 60.0  # dead and departed peers stay this long, so that old gossip can't revive them
+TABLE_BUCKETS = 16  # each bucket of the table is compared and pushed on its own
 
 
 class Suspicion(Struct):
-    """Who accuses a peer that is suspect or dead, and since when by this agent's clock (seconds)."""
+    """The accusers of a suspect or dead peer; `since` is the time of the first accusation (local seconds)."""
 
     since: float
     accusers: list[str]
@@ -27,21 +27,21 @@
 
 
 def bucket_of(name: str) -> int:
-    """Return the part of the table that a name belongs to."""
+    """Return the bucket of the table that a name belongs to, from 0 to TABLE_BUCKETS - 1."""
     return crc32(name.encode()) % TABLE_BUCKETS
 
 
 def public_state(peer: Peer | None) -> PublicState | None:
-    """Return what the users of live_peers() depend on; None for a peer that is not live."""
+    """Return the fields of a peer that users of live_peers() depend on, or None if the peer is not live."""
     if peer is None or peer.state > PeerState.SUSPECT:
         return None
     return peer.incarnation, peer.capacity, peer.reads, peer.zone, peer.migrated_version, peer.state
 
 
 class PeerTable:
-    """All known peers by name, this agent included; bounded by `most_agents`.
+    """All known peers by name, including this agent; at most `most_agents`.
 
-    A peer is never removed but by forget(), which also tells the parts in `forget_callbacks`.
+    Only forget() removes a peer, and it then calls the `forget_callbacks` with the peer's name.
     """
 
     def __init__(self, context: NodeContext, settings: FleetSettings):
@@ -50,10 +50,10 @@
         self.name: str = context.name
         self.peers: dict[str, Peer] = {self.name: _describe_self(context, settings)}
         self.suspicions: dict[str, Suspicion] = {}  # of suspect and dead peers
-        self.forget_at: dict[str, float] = {}  # of dead and departed peers: when they are forgotten
-        self.view_version: int = 1  # raised where what live_peers() tells has changed
+        self.forget_at: dict[str, float] = {}  # when each dead or departed peer is removed
+        self.view_version: int = 1  # raised when a public_state() changes
         self.forget_callbacks: list[Callable[[str], None]] = []
-        self._live_peers: dict[str, Peer] | None = None  # cached; None after a change
+        self._live_peers: dict[str, Peer] | None = None  # a cache; None after a change
         self._has_reported_full: bool = False
 
     @property
@@ -62,9 +62,9 @@
         return self.peers[self.name]
 
     def live_peers(self) -> dict[str, Peer]:
-        """Return all that are alive or suspect, this agent included, sorted by name.
+        """Return the peers that are alive or suspect, including this agent, sorted by name.
 
-        The caller must not write to it: the same mapping is returned until the table changes.
+        The caller must not change the mapping: the same one is returned until the table changes.
         """
         if self._live_peers is None:
             self._live_peers = {
@@ -75,7 +75,7 @@
         return self._live_peers
 
     def size(self) -> int:
-        """Return the number of live peers, this agent included."""
+        """Return the number of live peers, including this agent."""
         return len(self.live_peers())
 
     def others(self, worst_state: PeerState) -> list[str]:
@@ -87,34 +87,34 @@
         ]
 
     def gossip_item(self, name: str) -> GossipItem:
-        """Return what is known of a peer, as it is passed on."""
+        """Return a peer's entry and its accusers as a gossip item."""
         accusers = tuple(self.suspicions[name].accusers) if name in self.suspicions else ()
         return GossipItem(self.peers[name], accusers)
 
     def put(self, peer: Peer) -> None:
-        """Add a peer, or replace what is known of it."""
+        """Add a peer's entry or replace it."""
         previous_peer = self.peers.get(peer.name)
         self.peers[peer.name] = peer
         self._live_peers = None
         self.view_version += public_state(previous_peer) != public_state(peer)
 
     def mark_dead(self, name: str, now: float) -> None:
-        """Declare a peer dead; it is remembered for DEAD_RETENTION_S."""
+        """Set a peer's state to dead, and keep its entry for DEAD_RETENTION_S."""
         self.put(replace(self.peers[name], state=PeerState.DEAD))
         self.retain(name, now)
 
     def retain(self, name: str, now: float) -> None:
-        """Remember a dead or departed peer for DEAD_RETENTION_S from now."""
+        """Keep the entry of a dead or departed peer for DEAD_RETENTION_S from `now`."""
         self.forget_at[name] = now + DEAD_RETENTION_S
 
     def forget_expired(self) -> None:
-        """Forget the dead and departed peers whose time is over."""
+        """Remove the dead and departed peers whose retention time is over."""
         now = self.context.now
         for name in [name for name, at in self.forget_at.items() if at <= now]:
             self.forget(name)
 
     def forget(self, name: str) -> None:
-        """Remove a peer and all that is known of it."""
+        """Remove a peer's entry and suspicion, and call the `forget_callbacks`."""
         self.peers.pop(name, None)
         self.suspicions.pop(name, None)
         self.forget_at.pop(name, None)
@@ -122,14 +122,18 @@
             callback(name)
 
     def postpone(self, gap_s: float) -> None:
-        """Move all deadlines by the time for which this agent was stopped."""
+        """Move all times by `gap_s`, the seconds for which this agent's process was stopped."""
         for suspicion in self.suspicions.values():
             suspicion.since += gap_s
         for name in self.forget_at:
             self.forget_at[name] += gap_s
 
     def make_room(self) -> bool:
-        """Return whether another peer may be added; forgets the oldest of the dead and departed for it."""
+        """Return whether another peer may be added.
+
+        If the table is full, this removes the dead or departed peer whose retention ends first. If there is
+        none, the drop is counted, and logged the first time.
+        """
         if len(self.peers) < self.settings.most_agents:
             return True
         if self.forget_at:
--- a/cartdeal/fleet/membership/state_exchange.py
+++ b/cartdeal/fleet/membership/state_exchange.py
@@ -1,6 +1,6 @@
-"""State exchange: peers compare digests of their tables, and push to each other the parts that differ.
+"""State exchange: two peers compare digests of their tables, and push the buckets that differ to each other.
 
-It heals what gossip has lost, brings agents into the fleet, and finds the way back to the dead after a cut.
+The exchange repairs lost gossip, lets agents join the fleet, and reconnects to dead peers after a partition.
 """
 
 from hashlib import blake2b
@@ -18,27 +18,28 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-DIGEST_BYTES = 4  # of one part of the table
+DIGEST_BYTES = 4  # for each bucket of the table
 DIGEST_EXCHANGE_INTERVAL_S = 5.0
 RECONNECT_INTERVAL_S = 2.0  # between two attempts to reach a dead peer or an absent seed
-MIN_JOIN_RETRY_S = 0.25  # between two rounds of calls to the seeds; doubled after each
+MIN_JOIN_RETRY_S = 0.25  # between two attempts to join through the seeds; doubled after each
 MAX_JOIN_RETRY_S = 4.0
-MAX_PENDING_PUSHES = 1024  # peers
+MAX_PENDING_PUSHES = 1024  # recipients
 MAX_PUSHES_PER_TICK = 2
 
 
 class PendingPush(Struct):
-    """What is still to be pushed to one peer.
+    """The entries that are still to be pushed to one peer.
 
-    Only the names of the part that was begun are held, so that the whole table may be due to many peers.
+    Names are stored only for the bucket in progress, so that pushes of the whole table to many peers need
+    little memory.
     """
 
-    buckets: list[int]  # parts of the table that are still whole
-    names: list[str]  # the rest of the part that was begun
+    buckets: list[int]  # the buckets that are not started yet
+    names: list[str]  # the remaining names of the bucket in progress
 
 
 class StateExchange:
-    """Begins and answers comparisons of the peer table, and pushes what differs."""
+    """Starts and answers digest exchanges, and pushes the buckets that differ."""
 
     def __init__(
         self,
@@ -53,18 +54,18 @@
         self.table = table
         self.gossip = gossip
         self.health = health
-        self.pending_pushes: dict[str, PendingPush] = {}  # by name of the recipient, the next one first
+        self.pending_pushes: dict[str, PendingPush] = {}  # by recipient; the next one is first
         self.compare_at: float = inf
         self._reconnect_at: float = inf
         self._join_retry_s: float = MIN_JOIN_RETRY_S
 
     def start(self, now: float) -> None:
-        """Call the seeds at the next tick, and compare tables from then on."""
+        """Contact the seeds at the next tick, and exchange digests periodically from then on."""
         self._reconnect_at = now
         self.compare_at = now + DIGEST_EXCHANGE_INTERVAL_S * jitter(self.context.random)
 
     def tick(self, now: float) -> None:
-        """Call seeds and dead peers, and compare the table with a peer, where it is time."""
+        """Contact seeds and dead peers, and send digests to a random live peer, whichever is due."""
         if now >= self._reconnect_at:
             self._reconnect(now)
         if now >= self.compare_at:
@@ -73,11 +74,11 @@
                 self.send_digests(name)
 
     def send_digests(self, recipient: str) -> None:
-        """Ask a peer to compare tables."""
+        """Send a peer the digests of the table, which it compares with its own."""
         self.gossip.send(recipient, DigestExchange, self._digests(), False)
 
     def on_digest_exchange(self, sender: str, message: DigestExchange) -> None:
-        """Push the parts that differ, and send the own digests where they were not the question."""
+        """Push the buckets that differ, and send the own digests unless the message answers them."""
         if len(message.digests) != TABLE_BUCKETS * DIGEST_BYTES:
             self.context.increment(Metric.DROPPED_OUT_OF_RANGE)
             return
@@ -98,16 +99,16 @@
         self._push_state(sender)
 
     def push_pending(self) -> None:
-        """Push the next entries to the peers that have waited longest, a few in each tick."""
+        """Push the next entries to the peers that have waited longest, MAX_PUSHES_PER_TICK in each tick."""
         for name in list(self.pending_pushes)[:MAX_PUSHES_PER_TICK]:
             self._push_state(name)
 
     def reset_after_pause(self) -> None:
-        """Drop the pushes that are under way: what they would tell is old."""
+        """Drop the pending pushes, because a pause of this agent's process has made them outdated."""
         self.pending_pushes.clear()
 
     def forget(self, name: str) -> None:
-        """Push nothing more to this peer."""
+        """Drop the pending push to this peer."""
         self.pending_pushes.pop(name, None)
 
     def _reconnect(self, now: float) -> None:
@@ -129,7 +130,7 @@
             self.send_digests(name)
 
     def _digests(self) -> bytes:
-        """One digest for each part of the table, over its live peers."""
+        """Return the digests of all buckets, DIGEST_BYTES each, over the live peers in them."""
         bucket_entries: list[list[str]] = [[] for _ in range(TABLE_BUCKETS)]
         for name, peer in self.table.live_peers().items():
             bucket_entries[bucket_of(name)].append(f"{name}\0{peer.incarnation}\0{peer.version}\n")
@@ -139,7 +140,7 @@
         )
 
     def _push_state(self, recipient: str) -> None:
-        """Push as many entries as one message takes; the rest waits at the end of the queue."""
+        """Push as many entries as fit in one message; the rest goes to the end of the queue."""
         pending = self.pending_pushes.pop(recipient)
         packer = ItemPacker(StatePush(sender=self.table.local_peer, items=()))
         while (pending.names or pending.buckets) and len(packer.items) < MAX_GOSSIP_ITEMS:
--- a/cartdeal/fleet/membership/suspicion.py
+++ b/cartdeal/fleet/membership/suspicion.py
@@ -1,7 +1,8 @@
-"""Suspicion: who is accused by whom, and when a suspect counts as dead.
+"""Suspicion: the accusers of each suspect, and the timeout after which a suspect is declared dead.
 
-An agent must never be called dead on one witness while there is another to ask. Suspicions that shorten with
-independent witnesses, and the warning to the suspect, follow Lifeguard (Dadgar, Phillips, Currey, DSN 2018).
+An agent must never be declared dead on one witness while a second one could exist. Suspicions that shorten
+with independent witnesses, and warnings to the suspect, follow Lifeguard (Dadgar, Phillips, Currey, DSN
+2018).
 """
 
 from math import inf, log
@@ -16,24 +17,25 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-INDIRECT_PROBES = 3  # helpers of a probe; as many further witnesses make a suspicion as short as it gets
+# Helpers of a probe. As many witnesses after the first shorten a suspicion to its minimum, suspect_s.
+INDIRECT_PROBES = 3
 MAX_SUSPICION_FACTOR = 3.0  # a suspicion with one witness lasts this many times suspect_s
-WITNESS_PROBATION_S = 15.0  # for so long, an agent that came back from the dead is no witness
-MAX_WARNINGS = 1024  # that wait to be sent
+WITNESS_PROBATION_S = 15.0  # an agent that returned from the dead is no witness for this long
+MAX_WARNINGS = 1024  # warnings that wait to be sent
 MAX_WARNINGS_PER_TICK = 2
 
 
 class SuspicionTracker:
-    """Begins, confirms and ends suspicions, and warns the suspects so that they can refute them."""
+    """Starts, confirms and ends suspicions, and warns the suspects so that they can refute them."""
 
     def __init__(self, context: NodeContext, settings: FleetSettings, table: PeerTable, gossip: Gossip):
         self.context = context
         self.settings = settings
         self.table = table
         self.gossip = gossip
-        self.returned_at: dict[str, float] = {}  # when a peer came back from the dead
-        self.warnings: dict[str, GossipItem] = {}  # to be sent, by name of the suspect
-        self._warned_at: dict[str, float] = {}  # when a suspect was last warned
+        self.returned_at: dict[str, float] = {}  # when each peer returned from the dead
+        self.warnings: dict[str, GossipItem] = {}  # the warnings to be sent, by suspect
+        self._warned_at: dict[str, float] = {}  # when each suspect was last warned
 
     def suspect(
         self,
@@ -43,7 +45,11 @@
         own_probe_failed: bool = False,
         warn: bool = True,
     ) -> None:
-        """Add accusers to the suspicion of a peer, or begin one; those that are no witnesses don't count."""
+        """Add the accusers that are witnesses to the suspicion of a peer, or start a suspicion with them.
+
+        `own_probe_failed` adds this agent as a witness. `warn` queues a warning to the peer if it was not
+        suspect before.
+        """
         suspicion = self.table.suspicions.get(name)
         known_peer = self.table.peers[name]
         witnesses = [accuser for accuser in accusers if self._is_witness(accuser, name)]
@@ -64,27 +70,27 @@
         if known_peer.state == PeerState.ALIVE:
             self.table.put(replace(known_peer, state=PeerState.SUSPECT))
             self.context.increment(Metric.SUSPICIONS)
-            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # this agent's own among them
+            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # only its own probes
         self.gossip.announce(name)
 
     def end(self, name: str) -> None:
-        """Drop the suspicion of a peer that gave a sign of life or has left, and its warning."""
+        """Drop the suspicion of a peer that has refuted it or has left, and the warning to the peer."""
         self.table.suspicions.pop(name, None)
         self.warnings.pop(name, None)
         self._warned_at.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Drop all that is held of a peer; its suspicion is the table's to remove."""
+        """Drop the warning and return time of a peer; the peer table itself removes the suspicion."""
         self.returned_at.pop(name, None)
         self.warnings.pop(name, None)
         self._warned_at.pop(name, None)
 
     def record_return(self, name: str) -> None:
-        """Note that a peer came back from the dead: it is no witness for WITNESS_PROBATION_S."""
+        """Record that a peer returned from the dead, so that it is no witness for WITNESS_PROBATION_S."""
         self.returned_at[name] = self.context.now
 
     def declare_dead(self, now: float) -> None:
-        """Declare the suspects dead that have not refuted their suspicion in time."""
+        """Declare the suspects dead whose suspicion has timed out without a refutation."""
         expired = [
             name
             for name, suspicion in self.table.suspicions.items()
@@ -93,24 +99,27 @@
         ]
         for name in expired:
             suspicion = self.table.suspicions[name]
-            # One witness is enough only where there is nobody left that could be a second.
+            # One witness is enough only if no other live agent could be the second one.
             others = self.table.others(PeerState.ALIVE)
             if len(suspicion.accusers) < 2 and any(other != name for other in others):
                 continue
             if self.table.name not in suspicion.accusers:
-                # Having waited out its own time makes this agent a witness to the others.
+                # This agent's own suspicion has timed out, so other agents may count it as a witness.
                 suspicion.accusers = [self.table.name, *suspicion.accusers][:MAX_ACCUSERS]
             self.table.mark_dead(name, now)
             self.gossip.announce(name)
             self.context.log_event(events.AgentDead(name, tuple(suspicion.accusers)))
 
     def send_warnings(self) -> None:
-        """Send the oldest warnings, a few in each tick."""
+        """Send the oldest warnings, MAX_WARNINGS_PER_TICK in each tick."""
         for name in list(self.warnings)[:MAX_WARNINGS_PER_TICK]:
             self.gossip.send_items(name, (self.warnings.pop(name),))
 
     def _duration_s(self, witness_count: int) -> float:
-        """Lifeguard's dynamic suspicion: from the longest time down to suspect_s as witnesses confirm."""
+        """Return the timeout of a suspicion, in seconds (Lifeguard's dynamic suspicion).
+
+        It falls with the logarithm of the witnesses, from MAX_SUSPICION_FACTOR * suspect_s down to suspect_s.
+        """
         full_confirmation_count = min(INDIRECT_PROBES, self.table.size() - 2)
         if full_confirmation_count < 1:
             return self.settings.suspect_s
--- a/cartdeal/fleet/membership/update.py
+++ b/cartdeal/fleet/membership/update.py
@@ -1,8 +1,8 @@
-"""How gossip changes the peer table.
+"""The rules by which gossip changes the peer table.
 
-A higher incarnation overrides all of a lower one, then a higher version, then the worse state. Two things
-differ from SWIM: that a peer is dead is never taken from hearsay, it counts as an accusation by its
-witnesses; and no agent must ever believe another about its own name.
+A higher incarnation overrides a lower one; of equal incarnations, the higher version counts; of equal
+versions, the worse state. There are two differences from SWIM. Gossip that a peer is dead counts only as an
+accusation by the accusers that it names. An agent must never believe another agent about its own name.
 """
 
 from msgspec.structs import replace
@@ -21,7 +21,7 @@
 
 
 class TableUpdater:
-    """Applies what others tell of peers, and of this agent itself."""
+    """Applies gossip about peers and about this agent itself."""
 
     def __init__(
         self,
@@ -40,11 +40,11 @@
         self.suspicion = suspicion
         self.detector = detector
         self.verifier = verifier
-        self.error: DuplicateNameError | None = None  # the last one
-        self.highest_reported_incarnation: int = 0  # of this agent's name, as peers remember it
+        self.error: DuplicateNameError | None = None  # the last duplicate name reported
+        self.highest_reported_incarnation: int = 0  # for this agent's name, by peers
 
     def apply_gossip(self, item: GossipItem) -> None:
-        """Apply one item of gossip."""
+        """Apply one gossip item to the table, and count its accusers if it reports a suspect or dead peer."""
         peer = item.peer
         if peer.name == self.table.name:
             self.apply_to_self(peer)
@@ -58,7 +58,7 @@
             self.suspicion.suspect(peer.name, item.accusers)
 
     def apply_to_self(self, reported_peer: Peer) -> None:
-        """Refute what is wrongly told of this agent, and find another one that runs under its name."""
+        """Refute a false report about this agent, and detect another agent under the same name."""
         local_peer = self.table.local_peer
         if reported_peer.incarnation < local_peer.incarnation:
             self.context.increment(Metric.DROPPED_OLD_INCARNATION)
@@ -82,7 +82,7 @@
             self.refute(reported_peer.version)
 
     def refute(self, version: int) -> None:
-        """Override all that is told of this agent up to this version."""
+        """Override all reports about this agent up to `version` by announcing the version after it."""
         self.replace_self(replace(self.table.local_peer, version=version + 1))
 
     def replace_self(self, local_peer: Peer) -> None:
@@ -91,11 +91,11 @@
         self.gossip.announce(self.table.name)
 
     def _apply_description(self, peer: Peer) -> bool:
-        """Take over a newer description of a peer; return whether the item's state still counts."""
+        """Store a newer description of a peer, and return whether the item is not outdated."""
         known_peer = self.table.peers.get(peer.name)
         if known_peer is None:
-            # One that is dead or has left isn't added: agents that forget it at different times would pass
-            # it round for ever.
+            # A dead or departed peer isn't added. Agents remove it at different times, so they would add it
+            # again from each other's gossip for ever.
             if peer.state >= PeerState.DEAD or not self.table.make_room():
                 return False
             self._add_peer(peer)
@@ -114,7 +114,7 @@
         return True
 
     def _add_peer(self, peer: Peer) -> None:
-        """Take a peer's description of itself in place of what was known; any suspicion begins anew."""
+        """Replace a peer's entry by its newer description, and end any suspicion of it."""
         name, known_peer = peer.name, self.table.peers.get(peer.name)
         if known_peer and known_peer.state == PeerState.DEAD and known_peer.incarnation == peer.incarnation:
             self.suspicion.record_return(name)
