--- a/cartdeal/fleet/consensus/__init__.py
+++ b/cartdeal/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement on the ring of each epoch, by Paxos."""
+"""Consensus on the ring of each epoch, by Paxos."""
--- a/cartdeal/fleet/consensus/acceptor.py
+++ b/cartdeal/fleet/consensus/acceptor.py
@@ -1,7 +1,7 @@
-"""The acceptor of Paxos (Lamport 1998): what this agent promised and accepted for the next epoch.
+"""The acceptor of Paxos (Lamport 1998): this agent's promise and accepted step for the next epoch.
 
-Its memory is its process: one that restarted is silent for twice lease_s, by when each ballot that it may
-have forgotten is over.
+Both are stored in the process's memory only. A restarted acceptor therefore takes part in no ballot for
+2 * lease_s, after which each ballot that it may have forgotten is over.
 """
 
 from cartdeal.fleet.consensus.messages import Accepted, Nack, Promise, RefusalReason
@@ -11,7 +11,7 @@
 
 
 class Acceptor:
-    """Votes on the step to the next epoch."""
+    """Answers ballots for the step to the next epoch."""
 
     def __init__(self, state: EpochState, backoff: ProposalBackoff) -> None:
         self._state = state
@@ -20,17 +20,17 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what belonged to the epoch before."""
+        """Clear the promise and the accepted step when a new epoch begins."""
         self.promised: tuple[int, str] = (0, "")
         self.accepted: AcceptedStep | None = None
 
     @property
     def has_accepted_next(self) -> bool:
-        """Whether the next epoch may be decided already, so that this one's lease can't be renewed."""
+        """Whether a step is accepted: the next epoch may be decided, so the current lease isn't confirmed."""
         return self.accepted is not None
 
     def prepare(self, sender: str, number: int, removed: tuple[str, ...]) -> Promise | Nack:
-        """The answer to a ballot: a promise, or why not."""
+        """Answer phase 1 of a ballot with a promise, or with a Nack and its reason."""
         state = self._state
         ballot = (number, sender)
         if not state.remembers_promises:
@@ -38,7 +38,7 @@
         if ballot < self.promised:
             return self._nack(number, RefusalReason.OLDER_BALLOT)
         if any(name in state.live and state.live[name].state == 0 for name in removed):
-            # One witness is not enough to remove an agent.
+            # The proposer alone, as a single witness, is not enough to remove an agent that is alive here.
             return self._nack(number, RefusalReason.MEMBER_IS_LIVE)
         self.promised = ballot
         if sender != self._context.name:
@@ -54,7 +54,7 @@
         )
 
     def accept(self, sender: str, number: int, step: RingStep) -> Accepted | Nack | None:
-        """The answer to the step of a ballot; None where the step can't be used."""
+        """Answer phase 2 of a ballot: accept or refuse its step; None if the step leads to no valid ring."""
         state = self._state
         if not state.remembers_promises:
             return self._nack(number, RefusalReason.RECENTLY_STARTED)
--- a/cartdeal/fleet/consensus/bootstrap.py
+++ b/cartdeal/fleet/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""How an agent without a ring finds one, or founds the first with the other seeds."""
+"""Bootstrap: an agent without a ring asks others for theirs, or forms the first ring with the other seeds."""
 
 from math import inf
 
@@ -6,28 +6,31 @@
 from cartdeal.fleet.consensus.state import EpochState
 from cartdeal.fleet.ring.ring import Ring, RingMember, is_valid_ring
 
-MAX_FOUNDERS = 8  # so many of the seeds that are there, by name, ask all seeds for a ring
-QUERIED_PEERS = 3
-FIRST_SEARCH_S = 0.2
+MAX_FOUNDERS = 8  # only this many live seeds, the first by name, query all seeds
+QUERIED_PEERS = 3  # random agents in each search
+FIRST_SEARCH_S = 0.2  # the interval after the first search; each later one is 1.5 times as long
 MAX_SEARCH_S = 2.0
 
 
 class RingSearch:
-    """Asks for a ring; once all seeds say that they know none, it proposes the first."""
+    """Queries other agents for a ring, and composes the first ring once the seeds report having none."""
 
     def __init__(self, state: EpochState) -> None:
         self._state = state
         self._context = state.context
         self._next_search_at = -inf
         self._interval_s = 0.0
-        self._no_ring_at: dict[str, float] = {}  # agent -> when it last said that it knows no ring
+        self._no_ring_at: dict[str, float] = {}  # agent -> when it last reported no ring
 
     def on_no_ring(self, sender: str) -> None:
-        """An agent says that it knows no ring."""
+        """Record an agent's report that it has no ring."""
         self._no_ring_at[sender] = self._context.now
 
     def search_ring(self) -> None:
-        """Asks those who may know a ring, ever more rarely."""
+        """Query a few random agents for a ring if a search is due; intervals grow up to MAX_SEARCH_S.
+
+        The first MAX_FOUNDERS live seeds also query all seeds, to learn whether to propose the first ring.
+        """
         state, context = self._state, self._context
         if context.now < self._next_search_at:
             return
@@ -45,7 +48,11 @@
             state.send(name, RingQuery)
 
     def first_ring(self) -> Ring | None:
-        """The first ring, once all seeds say that they know none; a majority is enough after damp_s more."""
+        """Return the first ring to propose, or None if it may not be proposed yet or this agent is no seed.
+
+        All seeds have to report that they have no ring. A majority of them is enough once this agent has run
+        for 2 * lease_s + damp_s.
+        """
         state, context = self._state, self._context
         if not state.is_member or not state.remembers_promises:
             return None
--- a/cartdeal/fleet/consensus/learner.py
+++ b/cartdeal/fleet/consensus/learner.py
@@ -1,4 +1,4 @@
-"""The learner of Paxos (Lamport 1998): takes over decided rings and passes them on."""
+"""The learner of Paxos (Lamport 1998): it adopts decided rings and sends them to other agents."""
 
 from collections.abc import Callable
 from math import inf
@@ -10,13 +10,13 @@
 from cartdeal.fleet.ring.ring import MAX_EPOCH, Ring, is_valid_ring
 from cartdeal.fleet.ring.steps import RingStep
 
-MAX_EPOCH_LEAD = 1 << 20  # epochs ahead of the own one that are no honest agent's
-MAX_CONFLICTING_RINGS = 64  # rings that are logged
+MAX_EPOCH_LEAD = 1 << 20  # an epoch further ahead of the own one can't come from a correct agent
+MAX_CONFLICTING_RINGS = 64  # conflicting rings that are logged, each once
 MIN_QUERY_INTERVAL_S = 0.1
 
 
 class Learner:
-    """Puts decided rings into force; `on_learned` is called after each."""
+    """Adopts decided rings, and calls `on_learned` after each of them."""
 
     def __init__(self, state: EpochState, on_learned: Callable[[], None]) -> None:
         self._state = state
@@ -27,13 +27,13 @@
 
     @property
     def max_epoch(self) -> int:
-        """The highest epoch that is believed."""
+        """The highest epoch that is accepted from another agent."""
         return self._state.current_ring.epoch + MAX_EPOCH_LEAD if self._state.ring else MAX_EPOCH
 
     def learn(self, previous: Ring, step: RingStep, ring: Ring) -> None:
-        """Takes over a decided ring if it's newer than the own one.
+        """Adopt a decided ring if it is newer than the current one.
 
-        Of two conflicting rings of one epoch, the one of the lower digest is taken.
+        Of two conflicting rings of the same epoch, the one with the lower digest is adopted.
         """
         current_ring = self._state.current_ring
         if ring.epoch < current_ring.epoch or ring.digest == current_ring.digest:
@@ -46,7 +46,13 @@
         self._on_learned()
 
     def announce_decision(self, step: RingStep) -> None:
-        """Learns the ring of a ballot that was won, and tells all that may need it."""
+        """Adopt the ring of this agent's own ballot, which a majority accepted, and send it to others.
+
+        The recipients are the members of the previous and the new ring and all live agents.
+
+        Raises:
+            AssertionError: if the step leads to no valid ring.
+        """
         previous, ring = self._state.current_ring, self._state.next_ring(step)
         if ring is None:
             raise AssertionError("a majority accepted a step that leads to no valid ring")
@@ -56,13 +62,13 @@
             self._context.send(name, RingUpdate(step))
 
     def query_ring(self, name: str) -> None:
-        """Asks an agent for its ring, not too often."""
+        """Query an agent for its ring, at most once in MIN_QUERY_INTERVAL_S."""
         if self._context.now >= self._query_at:
             self._query_at = self._context.now + MIN_QUERY_INTERVAL_S + 0.1 * self._context.random.random()
             self._state.send(name, RingQuery)
 
     def send_ring(self, recipient: str, message: RingMessage) -> None:
-        """Sends the ring in force to one that asked: the step alone if that's all it lacks."""
+        """Send the current ring, or the last step alone if the recipient has the ring that it starts from."""
         step_base, step = self._state.last_step_base, self._state.last_step
         if step is None:
             return
@@ -72,7 +78,11 @@
             self._context.send(recipient, RingSnapshot(step_base, step))
 
     def on_ring_update(self, sender: str, message: RingUpdate) -> None:
-        """A decided step; a step from another ring means that the own one may be old."""
+        """Adopt the ring of a decided step if the step starts from the current ring.
+
+        A step that starts from a different ring means that the current ring may be outdated, so its sender is
+        queried.
+        """
         step, current_ring = message.step, self._state.current_ring
         if step.previous_digest == current_ring.digest:
             ring = self._state.next_ring(step)
@@ -89,7 +99,7 @@
             self._context.increment(Metric.DROPPED_DISTANT_EPOCH)
 
     def on_ring_snapshot(self, message: RingSnapshot) -> None:
-        """A decided ring with the one before it."""
+        """Adopt a decided ring that came with the ring before it."""
         previous = message.previous_ring
         if not 0 <= previous.epoch < self.max_epoch:
             self._context.increment(Metric.DROPPED_DISTANT_EPOCH)
--- a/cartdeal/fleet/consensus/lease.py
+++ b/cartdeal/fleet/consensus/lease.py
@@ -1,6 +1,7 @@
-"""The lease that proves a ring: a majority of its members has confirmed it within lease_s.
+"""The lease on a ring: it is valid while a majority of the ring's members confirmed the epoch within lease_s.
 
-It must never confirm an epoch after this agent accepted the next, or believe an answer not asked for.
+An agent must never confirm an epoch after it accepted the next one, and must never count an answer to a
+renewal that it did not send.
 """
 
 from collections.abc import Collection
@@ -13,20 +14,21 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.ring.ring import Ring
 
-AGE_STEPS = 200  # steps of age in a lease
-AGES_REUSED_S = 0.05  # for which encoded ages are sent again
+AGE_STEPS = 200  # units of age in lease_s
+AGES_REUSED_S = 0.05  # encoded ages are cached and sent for this long
 MAX_UNIT_MS = 10_000
-MAX_PENDING_RENEWALS = 1024  # renewals of one epoch that wait until this agent has learnt it
-MAX_OPEN_ROUNDS = 8
-MAX_UNANSWERED = 2  # renewals to one target, before another takes its place
-FIRST_RETRY_S = 0.1
+MAX_PENDING_RENEWALS = 1024  # renewals that wait until this agent learns their epoch
+MAX_OPEN_ROUNDS = 8  # rounds whose answers are still counted
+MAX_UNANSWERED = 2  # renewals without an answer after which another member replaces the target
+FIRST_RETRY_S = 0.1  # between two rounds while the lease is not valid; doubled after each round
 
 
 class RingLease:
-    """Renews the lease and answers the renewals of others.
+    """Renews this agent's lease and answers the renewals of other agents.
 
-    Each round asks few members, about as many as the square root of all. They pass on whom they heard, with
-    ages: two rounds bring a majority. In a small ring the few are a majority and a spare by themselves.
+    A round asks only a few members, about as many as the square root of the ring's size. Each answer also
+    reports the ages of the confirmations that the member knows of, so two rounds reach a majority. In a small
+    ring, the members asked are a majority and one spare.
     """
 
     def __init__(self, state: EpochState, acceptor: Acceptor) -> None:
@@ -35,33 +37,33 @@
         self._acceptor = acceptor
         self._unit_ms = ceil(state.settings.lease_s * 1000 / AGE_STEPS)
         self._round = 0
-        self._targets: dict[str, int] = {}  # whom to ask -> renewals without an answer
+        self._targets: dict[str, int] = {}  # member to ask -> renewals without an answer
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what belonged to the epoch before."""
+        """Clear all confirmations, rounds and pending renewals when a new epoch begins."""
         self.next_renewal_at = -inf
         self._retry_s = FIRST_RETRY_S
         self._round_started_at: dict[int, float] = {}
         self._heard_at: list[float] = [-inf] * len(self._state.current_ring.members)
-        self._majority_heard_at = -inf  # since when a majority has confirmed; it only grows
+        self._majority_heard_at = -inf  # since when a majority has confirmed; never falls
         self._majority_is_stale = False
         self._encoded_until = -inf
         self._encoded_ages = b""
         self._pending_renewals: dict[str, LeaseRenewal] = {}
 
     def take_pending_renewals(self) -> dict[str, LeaseRenewal]:
-        """The renewals of epochs that weren't known when they came; they are to be answered or dropped."""
+        """Remove and return the renewals for epochs that were unknown when they came, by sender."""
         pending, self._pending_renewals = self._pending_renewals, {}
         return pending
 
     def add_pending_renewal(self, sender: str, message: LeaseRenewal) -> None:
-        """Remembers a renewal of an epoch that isn't known yet."""
+        """Store a renewal for an epoch that is not known yet."""
         if len(self._pending_renewals) < MAX_PENDING_RENEWALS:
             self._pending_renewals[sender] = message
 
     def request_renewals(self, ring: Ring) -> None:
-        """Starts a round."""
+        """Start a round: send a renewal to each target, and schedule the next round."""
         now, max_wait_s = self._context.now, self._state.settings.lease_s / 3
         self.next_renewal_at = now + (max_wait_s if self.is_valid() else min(self._retry_s, max_wait_s))
         self._retry_s *= 2
@@ -74,7 +76,7 @@
             self._state.send(name, LeaseRenewal, self._round)
 
     def on_renewal(self, sender: str, message: LeaseRenewal) -> None:
-        """Answers with the ages of all confirmations, the own one among them."""
+        """Answer a renewal with the ages of all members' confirmations, including this agent's own."""
         ages = bytearray(self._ages())
         own_index = self._state.index_by_name.get(self._context.name)
         if own_index is not None:
@@ -83,7 +85,7 @@
         self._state.send(sender, LeaseRenewalAck, message.round, self._unit_ms, bytes(ages))
 
     def on_renewal_ack(self, sender: str, message: LeaseRenewalAck) -> None:
-        """Takes in the confirmations that a member heard of; ages count from when it was asked."""
+        """Record the confirmations that a member reports; their ages count from the start of the round."""
         started_at = self._round_started_at.get(message.round)
         if (
             started_at is None
@@ -101,9 +103,10 @@
         self._majority_is_stale = True
 
     def is_valid(self) -> bool:
-        """Whether this agent may count on its ring.
+        """Return whether this agent may rely on its ring.
 
-        Asked with every request: in most of a lease what was counted last is enough.
+        It is called for each request, so in the first half of a lease it uses the last count of
+        confirmations.
         """
         if (
             self._context.now < self._majority_heard_at + self._state.settings.lease_s / 2
@@ -114,9 +117,9 @@
 
     @property
     def valid_until(self) -> float:
-        """Local time until which this agent may count on its epoch; -inf: not at all.
+        """The local time (seconds) until which this agent may rely on its epoch; -inf if it may not.
 
-        It is lease_s after the moment since which a majority of the members has confirmed it.
+        It is lease_s after the time since which a majority of the members has confirmed the epoch.
         """
         state = self._state
         if state.ring is None or self._acceptor.has_accepted_next:
@@ -162,7 +165,10 @@
                 self._targets |= dict.fromkeys(new_targets, 0)
 
     def _ages(self) -> bytes:
-        """As they will be when AGES_REUSED_S are over; until then they are sent again."""
+        """Return the encoded ages of all confirmations, a byte for each member.
+
+        They are computed as of the end of AGES_REUSED_S, so they are never too low while they are reused.
+        """
         now, settings = self._context.now, self._state.settings
         if now >= self._encoded_until:
             self._encoded_until = expires_at = now + AGES_REUSED_S
--- a/cartdeal/fleet/consensus/proposer.py
+++ b/cartdeal/fleet/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of Paxos (Lamport 1998): this agent's own ballots for the next epoch."""
+"""The proposer of Paxos (Lamport 1998): it runs this agent's own ballots for the next epoch."""
 
 from cartdeal.fleet.consensus.acceptor import Acceptor
 from cartdeal.fleet.consensus.learner import Learner
@@ -15,14 +15,14 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.ring.steps import RingStep, step_between
 
-CATCH_UP_PATIENCE_LEASES = 5  # for which the next step waits until the members have caught up with this one
-RANKED_PROPOSERS = 8  # members that go one after the other; the rest draw lots
+CATCH_UP_PATIENCE_LEASES = 5  # the next step waits for the members' catch-up for at most this many lease_s
+RANKED_PROPOSERS = 8  # members that propose one after the other, by rank; later ones start at random
 MIN_RESEND_S = 0.3
-RESEND_TICKS = 3
+RESEND_TICKS = 3  # the resend interval in tick_s, if that is longer than MIN_RESEND_S
 
 
 class Proposer:
-    """Starts a ballot when one is needed, and brings it to its end."""
+    """Starts a ballot when one is needed, and runs it until it is won or abandoned."""
 
     def __init__(
         self,
@@ -41,12 +41,12 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what belonged to the epoch before."""
+        """Drop the proposal and the highest ballot number when a new epoch begins."""
         self.proposal: Proposal | None = None
-        self.highest_number = 0  # of the ballots that are known of
+        self.highest_number = 0  # the highest ballot number known to this agent
 
     def start_proposal_if_due(self) -> None:
-        """Starts a ballot when one is needed and no member of lower rank seems to."""
+        """Start a ballot if one is needed, unless a member of lower rank should start it first."""
         state, now, accepted = self._state, self._context.now, self._acceptor.accepted
         if self.proposal or not state.is_member or now < self._backoff.until:
             return
@@ -58,18 +58,18 @@
         rank, slot_s = present_members.index(self._context.name), self._resend_interval_s()
         if accepted is None and now < self._target.wanted_since + slot_s * min(rank, RANKED_PROPOSERS):
             return
-        if rank > RANKED_PROPOSERS or accepted:  # any of them may; they draw lots who goes first
+        if rank > RANKED_PROPOSERS or accepted:  # all these members may propose; each starts at random
             candidates = len(present_members) if accepted else len(present_members) - RANKED_PROPOSERS
             if self._context.random.random() * candidates * slot_s > state.settings.tick_s:
                 return
-        if accepted:  # to be ended, whoever is there: nobody is removed by that
+        if accepted:  # an accepted step has to be decided whoever is live, so `removed` is empty
             self.start_proposal(accepted.step, ())
         elif self._target.ring is not None:
             step = step_between(state.current_ring, self._target.ring)
             self.start_proposal(step, step.removed)
 
     def start_proposal(self, step: RingStep, removed: tuple[str, ...]) -> None:
-        """Starts a ballot; `removed`: the members that acceptors must not see alive."""
+        """Start a ballot for `step`; an acceptor refuses it if a member in `removed` is alive in its view."""
         self.highest_number = max(self.highest_number, self._acceptor.promised[0]) + 1
         now = self._context.now
         self.proposal = Proposal(
@@ -82,7 +82,7 @@
         self.resend_proposal()
 
     def resend_proposal(self) -> None:
-        """Asks the acceptors that are silent, again and again until the ballot is over."""
+        """Resend the ballot to the acceptors without an answer if that is due; abandon it once it is over."""
         now, proposal = self._context.now, self.proposal
         if proposal is None:
             return
@@ -95,13 +95,13 @@
                     self._resend_to(name, proposal)
 
     def on_answer(self, sender: str, message: Promise | Nack | Accepted) -> None:
-        """An acceptor's answer to this agent's ballot."""
+        """Handle an acceptor's answer to this agent's ballot."""
         proposal = self.proposal
         if proposal is None or message.number != proposal.number or sender not in self._state.index_by_name:
             self._context.increment(Metric.DROPPED_UNKNOWN_BALLOT)
             return
         if self._context.now >= proposal.ends_at:
-            # The process was stopped meanwhile, or it is slow: nobody counts on this ballot now.
+            # The process was stopped or is slow. The ballot's time is over, so no agent relies on it now.
             self._abandon_proposal()
         elif isinstance(message, Nack):
             self._on_nack(proposal, sender, message)
@@ -119,10 +119,10 @@
         return state.ring is None or self._context.now >= state.ring_learned_at + state.settings.lease_s
 
     def _is_waiting_for_catch_up(self) -> bool:
-        """Whether some members still catch up with this ring.
+        """Return whether the next step has to wait because some members still catch up with this ring.
 
-        A step that came faster would leave keys whose former owners knew nothing either, and no certain
-        answer for them until their records expire.
+        With an earlier step, even the former owners of some keys would not have all records yet. Requests for
+        these keys would then get no certain answer until the records expire.
         """
         state = self._state
         patience_s = CATCH_UP_PATIENCE_LEASES * state.settings.lease_s
@@ -168,10 +168,10 @@
             self._start_accepting(proposal)
 
     def _start_accepting(self, proposal: Proposal) -> None:
-        """Phase 2: a majority has promised."""
+        """Start phase 2, because a majority has promised."""
         proposal.accepting = True
         accepted_steps = [accepted for accepted in proposal.promises.values() if accepted is not None]
-        if accepted_steps:  # it may be decided already: no other ring may be
+        if accepted_steps:  # the step of the highest ballot may be decided already, so no other is proposed
             proposal.step = max(accepted_steps, key=lambda accepted: accepted.ballot).step
         proposal.resend_at = self._context.now
         name = self._context.name
--- a/cartdeal/fleet/consensus/reconfiguration.py
+++ b/cartdeal/fleet/consensus/reconfiguration.py
@@ -1,4 +1,4 @@
-"""Which ring is to follow the one in force, and the alarm when none can."""
+"""Reconfiguration: the ring that should follow the current one, and the alarm when no majority is present."""
 
 from collections.abc import Callable, Mapping
 from math import inf
@@ -13,16 +13,16 @@
 from cartdeal.fleet.ring.movement import plan_next_ring
 from cartdeal.fleet.ring.ring import Ring
 
-MAJORITY_LOST_ALARM_S = 30.0  # without a majority of the ring's members, and an operator is told
-MAX_EVALUATION_S = 0.5
-MAX_COUNTED_GAP_S = 2.0
+MAJORITY_LOST_ALARM_S = 30.0  # the time without a majority of the ring's members before it is logged
+MAX_EVALUATION_S = 0.5  # between two evaluations of the target ring
+MAX_COUNTED_GAP_S = 2.0  # at most this much of a gap between two checks is counted
 
-# (ring, live) -> (written version, phase) of the epoch after the ring
+# Called with (ring, live agents); returns (written version, phase) of the epoch after the ring.
 NextVersions = Callable[[Ring, Mapping[str, Peer]], tuple[int, str]]
 
 
 class TargetRing:
-    """The ring that this agent wants next, if any, and since when it wants one."""
+    """The ring that this agent would propose next, or None, and the time since when there is one."""
 
     def __init__(self, state: EpochState, search: RingSearch) -> None:
         self._state = state
@@ -34,12 +34,12 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forgets what belonged to the epoch before."""
+        """Drop the target ring."""
         self.ring: Ring | None = None
         self.wanted_since = inf
 
     def evaluate_if_due(self, next_versions: NextVersions) -> None:
-        """Evaluates, several times in damp_s."""
+        """Evaluate the target ring if that is due, several times in damp_s."""
         now, damp_s = self._context.now, self._state.settings.damp_s
         if now >= self._evaluate_at:
             interval_s = min(MAX_EVALUATION_S, damp_s / 8)
@@ -47,7 +47,7 @@
             self.evaluate_target_ring(next_versions)
 
     def evaluate_target_ring(self, next_versions: NextVersions) -> None:
-        """Sees whether another ring is wanted."""
+        """Check for the majority, and set the target ring or drop it if the current ring should stay."""
         self.majority_monitor.check()
         ring = self._state.ring
         target = self._search.first_ring() if ring is None else self._successor_of(ring, next_versions)
@@ -73,7 +73,7 @@
 
 
 class MajorityMonitor:
-    """Tells an operator, once, when a majority of the ring's members has been away for long."""
+    """Logs an error, once for each ring, if a majority of the ring's members has been absent for long."""
 
     def __init__(self, state: EpochState) -> None:
         self._state = state
@@ -82,12 +82,15 @@
         self.reset()
 
     def reset(self) -> None:
-        """Starts anew with another ring."""
+        """Restart the count when a new epoch begins."""
         self._lost_for_s = 0.0
         self._is_logged = False
 
     def check(self) -> None:
-        """Counts the time without a majority; a gap between two calls counts for 2 s at most."""
+        """Count the time without a majority, and log the error once the time is over the limit.
+
+        A gap between two calls counts for at most MAX_COUNTED_GAP_S (2 s).
+        """
         now, current_ring = self._context.now, self._state.current_ring
         present_count = sum(name in self._state.live for name in current_ring.names)
         if present_count < current_ring.majority:
--- a/cartdeal/fleet/consensus/ring_consensus.py
+++ b/cartdeal/fleet/consensus/ring_consensus.py
@@ -1,13 +1,13 @@
-"""Agreement on the ring of each epoch, by Paxos: ties the parts together and dispatches their messages.
+"""Consensus on the ring of each epoch, by Paxos: connects the roles and dispatches their messages.
 
-Each epoch is agreed by a majority of the members of the ring before, and confirmed by a majority of its own.
-The package must never let a minority decide a ring, confirm an epoch after it accepted the next, or believe
-an answer not asked for.
+A majority of the previous ring's members decides the ring of an epoch, and a majority of the new ring's
+members confirms it. The package must never let a minority decide a ring, never confirm an epoch after this
+agent accepted the next one, and never count an answer to a message that this agent did not send.
 
-Epoch e + 1 is one decree of Paxos (Lamport 1998) among the members of ring e; the first is one among the
-seeds. An acceptor's memory is its process (see acceptor.py). What that can't save (acceptors who forget a
-decision that nobody else heard of) ends in conflicting rings of one epoch: the lower digest wins everywhere,
-and both are logged.
+The ring of epoch e + 1 is one decree of Paxos (Lamport 1998) among the members of ring e; the first ring is
+one decree among the seeds. Acceptors store their state in the process's memory only (see acceptor.py). If
+acceptors restart and forget a decision that no other agent has learnt, conflicting rings of one epoch can
+result. All agents then adopt the ring with the lower digest, and both rings are logged.
 """
 
 from collections.abc import Mapping
@@ -43,7 +43,7 @@
 
 
 class RingConsensus:
-    """An agent's part in the agreement on rings."""
+    """One agent's part in the consensus: proposer, acceptor, learner, and the lease on the current ring."""
 
     def __init__(self, context: NodeContext, settings: FleetSettings) -> None:
         self.context = context
@@ -58,30 +58,30 @@
 
     @property
     def ring(self) -> Ring | None:
-        """The ring in force."""
+        """The current ring, or None if this agent has not learnt one yet."""
         return self.state.ring
 
     @property
     def previous_ring(self) -> Ring | None:
-        """The ring of the epoch before; None before the second."""
+        """The ring of the previous epoch, or None before the second epoch."""
         return self.state.previous_ring
 
     @property
     def ring_learned_at(self) -> float:
-        """When this agent learnt the ring in force, in local seconds."""
+        """The time at which this agent learnt the current ring, in local seconds."""
         return self.state.ring_learned_at
 
     def update_settings(self, settings: FleetSettings) -> None:
-        """Takes over the operator's settings."""
+        """Replace the operator's settings."""
         self.state.settings = settings
         self.target.damper.update_settings(settings)
 
     def has_valid_lease(self) -> bool:
-        """Whether this agent may count on its ring."""
+        """Return whether this agent may rely on its ring."""
         return self.lease.is_valid()
 
     def tick(self, live: Mapping[str, Peer], next_versions: NextVersions) -> None:
-        """What is due by time; `live`: the agents that are live, by name."""
+        """Run everything that is due; `live` maps the names of the live agents to their descriptions."""
         self.state.live = live
         if self.state.ring is None:
             self.search.search_ring()
@@ -92,7 +92,7 @@
         self.proposer.start_proposal_if_due()
 
     def on_message(self, sender: str, message: Struct) -> None:
-        """A message of another agent."""
+        """Handle a message of another agent."""
         if isinstance(message, RingUpdate):
             self.learner.on_ring_update(sender, message)
         elif isinstance(message, RingSnapshot):
@@ -117,7 +117,10 @@
                 self.proposer.on_answer(sender, message)
 
     def _is_of_current_ring(self, sender: str, message: RingMessage) -> bool:
-        """Whether the sender's ring is the own one; if not, whoever is behind gets to know."""
+        """Return whether the sender has this agent's current ring.
+
+        If not, the agent with the older ring is informed: the sender by an answer, or this agent by a query.
+        """
         current_ring = self.state.current_ring
         if not 0 <= message.epoch <= self.learner.max_epoch:
             self.context.increment(Metric.DROPPED_DISTANT_EPOCH)
@@ -134,7 +137,7 @@
             if isinstance(message, LeaseRenewal):
                 self.lease.add_pending_renewal(sender, message)
             self.learner.query_ring(sender)
-        elif current_ring.epoch:  # conflicting rings: each asks, each answers
+        elif current_ring.epoch:  # conflicting rings of one epoch: both agents query and answer
             if isinstance(message, RingQuery):
                 self.learner.send_ring(sender, message)
             self.learner.query_ring(sender)
@@ -155,7 +158,7 @@
             self.context.send(sender, answer)
 
     def _on_ring_learned(self) -> None:
-        """Starts the new epoch: all parts forget the old one."""
+        """Start the new epoch: reset all parts, answer pending renewals, and request a lease."""
         pending_renewals = self.lease.take_pending_renewals()
         self.target.majority_monitor.reset()
         self.target.reset()
--- a/cartdeal/fleet/consensus/state.py
+++ b/cartdeal/fleet/consensus/state.py
@@ -1,4 +1,4 @@
-"""What the parts of the consensus share: the ring in force, live agents, proposals and their backoff."""
+"""State that the roles of the consensus share: the current ring, live agents, proposals and their backoff."""
 
 from collections.abc import Mapping
 from math import inf
@@ -19,48 +19,48 @@
 
 
 class Peer(LivePeer, Protocol):
-    """What the consensus reads of a live agent, and the schema's migration through it."""
+    """The fields of a live agent that the consensus and the schema migration read."""
 
     @property
     def name(self) -> str:
-        """Its name in the ring."""
+        """The agent's name in the ring."""
 
     @property
     def state(self) -> int:
-        """The failure detector's state; 0: alive."""
+        """The agent's state in the failure detector; 0 is alive."""
 
     @property
     def reads(self) -> tuple[int, int]:
-        """The lowest and the highest schema version that its program reads."""
+        """The lowest and the highest schema version that the agent's program can read."""
 
     @property
     def migrated_version(self) -> int:
-        """The schema version that all its records are in."""
+        """The schema version of all records that the agent stores."""
 
     @property
     def caught_up_epoch(self) -> int:
-        """The last epoch for which it has caught up on all its records."""
+        """The last epoch for which the agent's catch-up is complete."""
 
 
 class EpochState:
-    """The ring in force, as all parts see it; learner.py alone changes it."""
+    """The current ring and the live agents, for all roles; only learner.py replaces the ring."""
 
     def __init__(self, context: NodeContext, settings: FleetSettings) -> None:
         self.context = context
         self.settings = settings
-        # The names of the seeds vote for epoch 1.
+        # The seeds vote for the ring of epoch 1.
         self.seed_ring = Ring(0, tuple(RingMember(name, "", 1.0) for name in sorted(settings.seeds)))
         self.ring: Ring | None = None
-        self.previous_ring: Ring | None = None  # of the epoch before; None before the second
+        self.previous_ring: Ring | None = None  # of the previous epoch; None before the second
         self.ring_learned_at = context.now
-        self.last_step: RingStep | None = None  # the step that led to the ring in force
-        self.last_step_base = self.seed_ring  # the ring that it started from
+        self.last_step: RingStep | None = None  # the step that led to the current ring
+        self.last_step_base = self.seed_ring  # the ring that the last step started from
         self.started_at = context.now
         self.live: Mapping[str, Peer] = {}
         self.index_by_name = self._index_members()
 
     def adopt(self, previous: Ring, step: RingStep, ring: Ring) -> None:
-        """Puts a decided ring into force."""
+        """Make a decided ring the current one; `step` leads to it from `previous`."""
         self.ring = ring
         self.previous_ring = previous if previous.epoch else None
         self.last_step = step
@@ -70,29 +70,29 @@
 
     @property
     def current_ring(self) -> Ring:
-        """The ring whose members vote for the next epoch: the one in force, or at first the seeds'."""
+        """The ring whose members vote for the next epoch: the last one learnt, or at first the seed ring."""
         return self.ring or self.seed_ring
 
     @property
     def is_member(self) -> bool:
-        """Whether this agent is a member of the ring in force."""
+        """Whether this agent is a member of the current ring."""
         return self.context.name in self.index_by_name
 
     @property
     def remembers_promises(self) -> bool:
-        """Whether this process has been there long enough to say what it promised."""
+        """Whether all ballots that this agent may have answered before its restart are over (2 * lease_s)."""
         return self.context.now - self.started_at >= 2 * self.settings.lease_s
 
     def send(self, recipient: str, message_type: type[RingMessage], *fields: object) -> None:
-        """Sends a message under the header of the ring in force."""
+        """Send a message of this type with the epoch and digest of the current ring."""
         self.context.send(recipient, message_type(self.current_ring.epoch, self.current_ring.digest, *fields))
 
     def next_ring(self, step: RingStep) -> Ring | None:
-        """The ring that a step leads to from the one in force; None where it can't be used."""
+        """Return the ring that a step leads to from the current one, or None if it is not valid."""
         return self.valid_successor(self.current_ring, step)
 
     def valid_successor(self, previous: Ring, step: RingStep) -> Ring | None:
-        """The ring that a step leads to from `previous`; None where it can't be used."""
+        """Return the ring that a step leads to from `previous`, or None if it is not valid."""
         try:
             ring = apply_step(previous, step)
         except ValueError:
@@ -106,45 +106,45 @@
 
 
 class ProposalBackoff:
-    """The time before which this agent starts no ballot of its own."""
+    """The time before which this agent starts no ballot (local seconds), and the next delay."""
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Forgets the ballots of the epoch before."""
+        """Clear the backoff when a new epoch begins."""
         self.until = -inf
         self._delay_s = FIRST_BACKOFF_S
 
     def defer(self, until: float) -> None:
-        """Gives way to another agent's ballot."""
+        """Start no ballot before `until`, because another agent runs one."""
         self.until = max(self.until, until)
 
     def grow(self, now: float, random: Random) -> None:
-        """Waits longer after each ballot that was given up."""
+        """Back off after an abandoned ballot; the delay doubles each time, up to MAX_BACKOFF_S."""
         self.until = now + self._delay_s * (0.5 + random.random())
         self._delay_s = min(2 * self._delay_s, MAX_BACKOFF_S)
 
 
 class Proposal(Struct):
-    """A ballot of this agent's own.
+    """A ballot that this agent runs.
 
-    It ends within lease_s, won or not: an acceptor that restarts counts on that.
+    It ends within lease_s, won or abandoned. Restarted acceptors rely on that.
     """
 
     number: int
     step: RingStep
     removed: tuple[str, ...]
     ends_at: float
-    resend_at: float  # when those that are silent are asked once more
-    promises: dict[str, "AcceptedStep | None"] = {}  # acceptor -> what it had accepted
-    refusals: dict[str, str] = {}  # acceptor -> reason
-    accepting: bool = False  # phase 2
+    resend_at: float  # when the ballot is next sent to the acceptors without an answer
+    promises: dict[str, "AcceptedStep | None"] = {}  # acceptor -> the step that it had accepted, or None
+    refusals: dict[str, str] = {}  # acceptor -> a RefusalReason
+    accepting: bool = False  # true in phase 2
     accepted: dict[str, bool] = {}
 
 
 class AcceptedStep(Struct, frozen=True):
-    """What an acceptor has accepted, and by which ballot."""
+    """The step that an acceptor has accepted, and the ballot of the step."""
 
-    ballot: tuple[int, str]  # number, proposer
+    ballot: tuple[int, str]  # (number, proposer)
     step: RingStep
