--- a/cartdeal/fleet/ring/__init__.py
+++ b/cartdeal/fleet/ring/__init__.py
@@ -1,1 +1,1 @@
-"""The ring of agents: rendezvous placement, damping, and the steps from one ring to the next."""
+"""The ring of agents: placement by rendezvous hashing, damping, and the steps from one ring to the next."""
--- a/cartdeal/fleet/ring/placement.py
+++ b/cartdeal/fleet/ring/placement.py
@@ -1,7 +1,7 @@
 """Placement of keys on a ring's members by weighted rendezvous hashing.
 
-It must never move a key whose owners needn't change, and never order anything by `hash()` or a set: agents
-with the same ring must name the same owners.
+The placement must never move a key whose owners needn't change. It must never order anything by `hash()` or
+by a set's order, because agents with the same ring must compute the same owners.
 """
 
 from hashlib import blake2b
@@ -13,31 +13,32 @@
 if TYPE_CHECKING:
     from cartdeal.fleet.ring.ring import Ring
 
-MAX_CACHED_KEYS = 8192  # keys whose owners a ring caches; the first in goes first out
+MAX_CACHED_KEYS = 8192  # the size of a ring's cache of owners; the oldest entry is evicted first
 HASH_MASK = (1 << 64) - 1
-LANE_BITS = 128  # of the long integer in `scores`, for each member: 64 of its hash and as many for carries
+LANE_BITS = 128  # a member's bits of the long integer in `scores`: 64 for its hash and 64 for carries
 
 
 def owners(ring: "Ring", key: bytes, count: int) -> tuple[str, ...]:
-    """The names of a key's owners, first owner first.
+    """Return the names of a key's owners, the first owner first.
 
-    Of the next owners those of zones not used yet come first, by rank, then the rest by rank. There are fewer
-    than `count` only where the ring has fewer members.
+    After the first owner come the best members of the other zones by score, then the remaining members by
+    score. There are fewer than `count` owners only if the ring has fewer members.
     """
     return ring.placement.owners(key, count)
 
 
 def hash_number(message: bytes) -> int:
-    """64 bits of BLAKE2b, as a number."""
+    """Return a 64-bit BLAKE2b hash as a number."""
     return int.from_bytes(blake2b(message, digest_size=8).digest(), "little")
 
 
 class RendezvousHash:
-    """Assigns owners to keys in one ring.
+    """Assigns owners to keys in one ring by weighted rendezvous hashing.
 
-    A member's score for a key is -ln(u) / capacity, u in (0, 1) drawn from the hash of key and name; the
-    lowest scores own the key (Thaler & Ravishankar 1998; by logarithm: Schindelhauer & Schomaker 2005). A
-    member's score depends on no other member, so a change of one moves keys to or from that one alone.
+    A member's score for a key is -ln(u) / capacity, where u in (0, 1) is drawn from the hash of key and name.
+    The members with the lowest scores own the key (Thaler & Ravishankar 1998; with the logarithm:
+    Schindelhauer & Schomaker 2005). A member's score depends on no other member, so a change of one member
+    moves keys only to it or from it.
     """
 
     def __init__(self, ring: "Ring") -> None:
@@ -55,16 +56,16 @@
         self._cache: dict[tuple[bytes, int], tuple[str, ...]] = {}
 
     def owners(self, key: bytes, count: int) -> tuple[str, ...]:
-        """The names of a key's owners, from the cache where they are in it."""
-        found = self._cache.get((key, count))
-        if found is None:
+        """Return the names of a key's owners, from the cache if possible."""
+        owner_names = self._cache.get((key, count))
+        if owner_names is None:
             if len(self._cache) >= MAX_CACHED_KEYS:
                 del self._cache[next(iter(self._cache))]
-            found = self._cache[key, count] = self.compute_owners(key, count)
-        return found
+            owner_names = self._cache[key, count] = self.compute_owners(key, count)
+        return owner_names
 
     def compute_owners(self, key: bytes, count: int) -> tuple[str, ...]:
-        """The names of a key's owners: the best of each zone by score, then the rest by score."""
+        """Compute the names of a key's owners: the best member of each zone, then the rest, by score."""
         scores = self.scores(key)
         best = [min(range(start, end), key=scores.__getitem__) for start, end in self._zone_bounds]
         best.sort(key=lambda index: (scores[index], self.names[index]))
@@ -77,17 +78,19 @@
         return tuple(self.names[index] for index in best[:count])
 
     def scores(self, key: bytes) -> list[float]:
-        """The score of each member, by zone and name.
+        """Return the score of each member, sorted by zone and name.
 
-        One long integer holds all members' 64 bits, 128 apart, so that mixing them (as choice.py's `mixed`:
-        Stafford's 13th variant) takes a few long operations.
+        One long integer holds the 64-bit hashes of all members, 128 bits apart. Mixing them (with Stafford's
+        13th variant, as the balancer does) thus takes only a few operations on long integers.
         """
         masks = self._lane_masks
         x = self._name_hashes ^ hash_number(key) * self._lane_ones
         x = ((x ^ x >> 30) & masks) * 0xBF58476D1CE4E5B9 & masks
         x = ((x ^ x >> 27) & masks) * 0x94D049BB133111EB & masks
-        bits = ((x ^ x >> 31) & masks).to_bytes(16 * len(self._weights), "little")
+        hash_bytes = ((x ^ x >> 31) & masks).to_bytes(16 * len(self._weights), "little")
         return [
             log((u + 0.5) * 2.0**-64) * weight
-            for u, weight in zip(unpack(f"<{len(bits) // 8}Q", bits)[::2], self._weights, strict=True)
+            for u, weight in zip(
+                unpack(f"<{len(hash_bytes) // 8}Q", hash_bytes)[::2], self._weights, strict=True
+            )
         ]
--- a/cartdeal/fleet/ring/ring.py
+++ b/cartdeal/fleet/ring/ring.py
@@ -1,7 +1,7 @@
-"""The ring of one epoch: its members, the schema version that they write, and what makes a ring valid.
+"""The ring of one epoch: its members, the schema version that they write, and the check of a ring's validity.
 
-The module is pure and owns no ring that is in force (cartdeal.fleet.consensus does). It must never order
-anything by `hash()` or a set: agents with the same ring must name the same owners.
+The module has no state; cartdeal.fleet.consensus holds the current ring. It must never order anything by
+`hash()` or by a set's order, because agents with the same ring must compute the same owners.
 """
 
 from enum import StrEnum
@@ -23,23 +23,23 @@
 
 
 class SchemaPhase(StrEnum):
-    """How far the fleet has come on its way to the next schema version."""
+    """The phase of the fleet's migration to the next schema version."""
 
-    STEADY = "steady"  # one version is written
-    WIDEN = "widen"  # all agents know that the next step may come
+    STEADY = "steady"  # one version is written and no migration runs
+    WIDEN = "widen"  # all agents know that the phase MOVE may follow
     MOVE = "move"  # both versions are written, side by side
-    NARROW = "narrow"  # the next version alone is written; there is no way back
+    NARROW = "narrow"  # only the next version is written; the migration can't be reverted
 
 
 PHASES = tuple(SchemaPhase)
 
 
 class RingMember(Struct, frozen=True, array_like=True):
-    """An agent's place in a ring."""
+    """An agent as a member of a ring."""
 
     name: str
     zone: str
-    capacity: float  # in (0, 1e6], any unit, the same throughout the fleet
+    capacity: float  # in (0, 1e6], in any unit that the whole fleet shares
 
 
 class Ring(Struct, frozen=True, array_like=True, dict=True):
@@ -48,17 +48,17 @@
     epoch: int
     members: tuple[RingMember, ...]  # sorted by name
     written_version: int = 1  # the schema version that the fleet writes
-    phase: str = SchemaPhase.STEADY  # text, so that one that is not known is refused by is_valid_ring
-    founded_ms: int = 0  # wall time at which the first ring was proposed, the same in all that follow
+    phase: str = SchemaPhase.STEADY  # text, so that is_valid_ring can reject an unknown phase
+    founded_ms: int = 0  # wall time at which the first ring was proposed; later rings copy it
 
     @cached_property
     def names(self) -> tuple[str, ...]:
-        """The members' names, in order."""
+        """The members' names, in the order of `members`."""
         return tuple(member.name for member in self.members)
 
     @cached_property
     def member_by_name(self) -> dict[str, RingMember]:
-        """The members under their names."""
+        """The members by name."""
         return {member.name: member for member in self.members}
 
     @cached_property
@@ -68,22 +68,22 @@
 
     @property
     def majority(self) -> int:
-        """How many members are a majority."""
+        """The number of members that form a majority."""
         return len(self.members) // 2 + 1
 
     @cached_property
     def digest(self) -> bytes:
-        """16 bytes; equal for rings that are equal in all their fields."""
+        """The ring's BLAKE2b digest (16 bytes), equal for rings that are equal in all fields."""
         return blake2b(msgspec.msgpack.encode(self), digest_size=DIGEST_BYTES).digest()
 
     @cached_property
     def placement(self) -> RendezvousHash:
-        """The placement of keys on the members, with its cache."""
+        """The placement of keys on the members, with its cache of owners."""
         return RendezvousHash(self)
 
 
 def is_valid_ring(ring: Ring, max_members: int) -> bool:
-    """Whether a ring that came from outside can be used."""
+    """Return whether a ring is in range: epoch, phase, version, and at most `max_members` sorted members."""
     return (
         0 < ring.epoch < MAX_EPOCH
         and 0 < len(ring.members) <= max_members
@@ -96,9 +96,9 @@
 
 
 def is_valid_member(member: RingMember) -> bool:
-    """Whether a member's name, zone and capacity are within their limits."""
+    """Return whether a member's name, zone and capacity are within their limits."""
     return (
         0 < len(member.name) <= MAX_NAME_LENGTH
         and len(member.zone) <= MAX_NAME_LENGTH
-        and 0 < member.capacity <= MAX_CAPACITY  # NaN is not over 0
+        and 0 < member.capacity <= MAX_CAPACITY  # NaN is not greater than 0
     )
--- a/cartdeal/fleet/ring/steps.py
+++ b/cartdeal/fleet/ring/steps.py
@@ -1,4 +1,4 @@
-"""Steps: a ring as what differs from the ring before, as agents send it to each other."""
+"""Ring steps: the difference between a ring and the previous one, as agents send it to each other."""
 
 from msgspec import Struct
 
@@ -6,19 +6,19 @@
 
 
 class RingStep(Struct, frozen=True, array_like=True):
-    """A ring by what differs from the ring before: small where few members change."""
+    """The difference between a ring and the previous one, which is small if few members change."""
 
     epoch: int
-    previous_digest: bytes  # of the ring before
-    removed: tuple[str, ...]
-    members: tuple[RingMember, ...]  # those that are new or differ
+    previous_digest: bytes  # the digest of the previous ring
+    removed: tuple[str, ...]  # the names of the members that leave
+    members: tuple[RingMember, ...]  # the new and changed members
     written_version: int
     phase: str
-    founded_ms: int = 0  # in the first one
+    founded_ms: int = 0  # set only in the step to the first ring
 
 
 def step_between(old: Ring, new: Ring) -> RingStep:
-    """The step that leads from `old` to `new`."""
+    """Return the step that leads from `old` to `new`."""
     old_members = old.member_by_name
     return RingStep(
         new.epoch,
@@ -32,13 +32,13 @@
 
 
 def apply_step(old: Ring, step: RingStep) -> Ring:
-    """The ring that `step` leads to from `old`.
+    """Return the ring that `step` leads to from `old`.
 
     Raises:
-        ValueError: where the step starts from another ring.
+        ValueError: if the step starts from a different ring.
     """
     if step.previous_digest != old.digest:
-        raise ValueError("a step from another ring")
+        raise ValueError("the step starts from a different ring")
     members = old.member_by_name | {member.name: member for member in step.members}
     for name in step.removed:
         members.pop(name, None)
