--- a/cartdeal/fleet/consensus/lease.py
+++ b/cartdeal/fleet/consensus/lease.py
@@ -45,6 +45,7 @@
         self.next_renewal_at = -inf
         self._retry_s = FIRST_RETRY_S
         self._round_started_at: dict[int, float] = {}
+        # When each member last confirmed the epoch, in the ring's order, as far as this agent knows.
         self._heard_at: list[float] = [-inf] * len(self._state.current_ring.members)
         self._majority_heard_at = -inf  # since when a majority has confirmed; never falls
         self._majority_is_stale = False
--- a/cartdeal/fleet/membership/peer_table.py
+++ b/cartdeal/fleet/membership/peer_table.py
@@ -49,7 +49,7 @@
         self.settings = settings
         self.name: str = context.name
         self.peers: dict[str, Peer] = {self.name: _describe_self(context, settings)}
-        self.suspicions: dict[str, Suspicion] = {}  # of suspect and dead peers
+        self.suspicions: dict[str, Suspicion] = {}  # by name of the suspect or dead peer
         self.forget_at: dict[str, float] = {}  # when each dead or departed peer is removed
         self.view_version: int = 1  # raised when a public_state() changes
         self.forget_callbacks: list[Callable[[str], None]] = []
--- a/cartdeal/fleet/membership/suspicion.py
+++ b/cartdeal/fleet/membership/suspicion.py
@@ -70,7 +70,7 @@
         if known_peer.state == PeerState.ALIVE:
             self.table.put(replace(known_peer, state=PeerState.SUSPECT))
             self.context.increment(Metric.SUSPICIONS)
-            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # only its own probes
+            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # by own probes
         self.gossip.announce(name)
 
     def end(self, name: str) -> None:
--- a/cartdeal/fleet/membership/update.py
+++ b/cartdeal/fleet/membership/update.py
@@ -44,7 +44,7 @@
         self.highest_reported_incarnation: int = 0  # for this agent's name, by peers
 
     def apply_gossip(self, item: GossipItem) -> None:
-        """Apply one gossip item to the table, and count its accusers if it reports a suspect or dead peer."""
+        """Apply one gossip item; its accusers count if it reports the peer as suspect or dead."""
         peer = item.peer
         if peer.name == self.table.name:
             self.apply_to_self(peer)
@@ -91,7 +91,7 @@
         self.gossip.announce(self.table.name)
 
     def _apply_description(self, peer: Peer) -> bool:
-        """Store a newer description of a peer, and return whether the item is not outdated."""
+        """Store a peer's description if it is newer, and return whether its reported state still counts."""
         known_peer = self.table.peers.get(peer.name)
         if known_peer is None:
             # A dead or departed peer isn't added. Agents remove it at different times, so they would add it
--- a/cartdeal/fleet/membership/verification.py
+++ b/cartdeal/fleet/membership/verification.py
@@ -30,7 +30,7 @@
 
     def __init__(self, context: NodeContext, ping_numbers: Iterator[int], gossip: Gossip):
         self.context = context
-        self.ping_numbers = ping_numbers  # of pings, shared with the failure detector
+        self.ping_numbers = ping_numbers  # shared with the failure detector
         self.gossip = gossip
         self.unverified_peers: dict[str, UnverifiedPeer] = {}  # by name
 
--- a/cartdeal/fleet/ring/damping.py
+++ b/cartdeal/fleet/ring/damping.py
@@ -48,9 +48,7 @@
         self._observed_s = 0.0  # the observed time so far
         self._last_call_at: float | None = None
         self._observations: dict[str, Observation] = {}
-        self._absent_since: dict[
-            str, float
-        ] = {}  # absent member -> observed time at which it was first absent
+        self._absent_since: dict[str, float] = {}  # absent member -> observed time of its first absence
 
     def update_settings(self, settings: FleetSettings) -> None:
         """Replace the operator's settings, and keep the observations."""
@@ -60,7 +58,7 @@
     def target_members(self, live: Mapping[str, LivePeer], ring: Ring, now: float) -> dict[str, RingMember]:
         """Return the target members by name; `now` is in local seconds.
 
-        A new agent is added, and a changed capacity or zone is taken over, once it is steady for damp_s. An
+        A new agent is added, and a changed capacity or zone is adopted, once it is steady for damp_s. An
         absent member stays until it has been absent for damp_s.
         """
         if self._last_call_at is not None:
--- a/cartdeal/fleet/ring/ring.py
+++ b/cartdeal/fleet/ring/ring.py
@@ -83,7 +83,7 @@
 
 
 def is_valid_ring(ring: Ring, max_members: int) -> bool:
-    """Return whether a ring is in range: epoch, phase, version, and at most `max_members` sorted members."""
+    """Return whether a received ring is usable: fields in range, members sorted, at most `max_members`."""
     return (
         0 < ring.epoch < MAX_EPOCH
         and 0 < len(ring.members) <= max_members
--- a/tests/fleet/test_ring_consensus.py
+++ b/tests/fleet/test_ring_consensus.py
@@ -444,7 +444,7 @@
     network.start("b")
     network.sent_messages.clear(), network.sent_bytes.clear()
     assert network.run(20, lambda: "b" in network.agents["a05"].ring.member_by_name)
-    assert sum(network.sent_bytes.values()) < 61 * 20 * 4000  # only the new agent got the whole ring
+    assert sum(network.sent_bytes.values()) < 61 * 20 * 4000  # only the new agent got a RingSnapshot
 
 
 class ForgetfulAcceptor(Acceptor):
