--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -1,29 +1,29 @@
 """Catch-up: which keys an agent may answer reads for, after a change of ring or a restart.
 
-This module owns the argument why a copy may be read. It must never count a source that may itself lack what
-is asked for: reads then stay uncertain until every attempt record that could be missing has expired.
+This module decides when a copy may be read. It must never count a source that may itself lack the requested
+records: reads then stay uncertain until every attempt record that could be missing has expired.
 
-The argument. An attempt record counts as written when W of the N owners of its key hold it, all in
-one epoch. So at most N - W owners that have caught up lack it, and any R > N - W of them that answer show it.
-Each change has to keep that true:
+Why this is safe: an attempt record counts as written when W of the N owners of its key hold it, all in one
+epoch. At most N - W owners that have caught up lack it, so any R > N - W of them that answer include one that
+holds it. Every change of ring and every restart has to preserve this:
 
-- An agent that owns a key in two successive epochs stays caught up with it: the W owners held what it lacks.
-  This fails where the ring shrinks until a key has fewer owners; then all owners fetch again.
+- An agent that owns a key in two successive epochs stays caught up with it: W owners hold any record that it
+  lacks. This fails if the ring shrinks until a key has fewer owners; then all owners fetch again.
 - An agent that gains a key has caught up with it once N - W + 1 of its owners in the former ring, each caught
-  up in that ring, have reported all that they held. A source reports only in the asker's epoch, so it accepts
-  no write of the former epoch afterwards. An owner in the current ring that has caught up lacks no more than
-  these do, and counts as one of them.
+  up in that ring, have reported all records that they held. A source reports only in the requester's epoch,
+  so it accepts no write of the former epoch afterwards. An owner in the current ring that has caught up lacks
+  no more than these sources do, and counts as one of them.
 - An agent that restarted with an empty store may itself have been one of the W. For it, only owners in the
-  current ring count, asked once a lease has passed since its start, when no write is pending that its former
-  incarnation acknowledged. It counts as restarted until its lease on a ring was renewed once: no former
-  incarnation can have been a member of a later ring before that.
-- In the first ring of all, an agent of which no other owner knows an earlier incarnation has nothing to catch
-  up with. As many owners have to confirm this as would have to report to a restarted agent.
-- After the longest lifetime of an attempt record, twice the tolerated clock skew and one lease, all that
-  could be missing has expired.
-
-Owners are found by key, ranges by the key's hash. A whole range counts as caught up when so few members have
-yet to report on it that they can't be too many of the owners of any key.
+  current ring count, and only once a lease has passed since its start: by then, no write is pending that its
+  former incarnation acknowledged. It counts as restarted until its lease on a ring was renewed once: no
+  former incarnation can have been a member of a later ring before that.
+- In the fleet's first ring, an agent has nothing to catch up with if no other owner knows an earlier
+  incarnation of it. As many owners have to confirm this as would have to report to a restarted agent.
+- After the longest lifetime of an attempt record, twice the tolerated clock skew and one lease, every attempt
+  record that could be missing has expired.
+
+The ring maps a key to its owners; the key's hash selects its range. A whole range counts as caught up once so
+many members have reported on it that every key in it has enough reports, whichever members own the key.
 """
 
 from collections.abc import Container, Iterable
@@ -37,9 +37,9 @@
 
 RANGE_COUNT = 64  # ranges of hashed keys; a set of ranges is an int with one bit for each
 ALL_RANGES = (1 << RANGE_COUNT) - 1
-MAX_DEPTH = 8  # successive epochs through which a key is followed back
-MAX_SINGLE_KEYS = 10_000  # caught up with one by one, ahead of their range; the oldest is dropped
-RANGES_CACHE_S = 1.0  # how long the computed set of complete ranges is used again
+MAX_DEPTH = 8  # successive former rings whose catch-up is remembered
+MAX_SINGLE_KEYS = 10_000  # keys caught up with one by one, ahead of their range; the oldest is dropped
+RANGES_CACHE_S = 1.0  # seconds for which the computed set of complete ranges is reused
 
 
 class CatchUpReason(StrEnum):
@@ -51,7 +51,7 @@
 
 
 class Quorum(NamedTuple):
-    """How many agents own a key, how many of them have to write, and how many have to answer a read."""
+    """The numbers of owners of a key: all of them, those that must write, those that must answer a read."""
 
     owners: int
     writes: int
@@ -59,7 +59,7 @@
 
 
 def key_bytes(key: str) -> bytes:
-    """The bytes of a record's key that are hashed, also for names that aren't valid Unicode."""
+    """The bytes of a record's key to hash, defined also for keys that aren't valid Unicode."""
     return key.encode("utf-8", "surrogatepass")
 
 
@@ -78,17 +78,17 @@
 
 
 class CatchUp:
-    """Progress of one ring's transfer, from when the ring was learnt until its members change.
+    """An agent's progress in catching up by one ring, from when it learns the ring until the members change.
 
     Times are monotonic seconds of this agent.
 
     Attributes:
-        reason: Why there is something to catch up with.
-        previous: The progress by the ring before, where this one follows it directly.
-        reports_valid_at: From when on reports to a restarted agent count.
-        expires_at: When all that could be missing has expired.
-        former_ring_reports: By source, the ranges for which it has sent all that it held as an owner that had
-            caught up in the former ring.
+        reason: Why the agent has to catch up.
+        previous: The progress by the former ring, if this ring follows it directly; else None.
+        reports_valid_at: The time from which reports to a restarted agent count.
+        expires_at: The time at which every attempt record that could be missing has expired.
+        former_ring_reports: By source, a bit mask of the ranges whose records it has sent completely, as an
+            owner that had caught up in the former ring.
         current_ring_reports: The same for the current ring.
         fresh_start_confirmations: Members that know no other incarnation of this agent, in order of arrival.
         caught_up_keys: Keys caught up with one by one, oldest first.
@@ -105,7 +105,19 @@
         started_at: float,
         previous: "CatchUp | None",
     ) -> None:
-        """Begins the catch-up of agent `name`, which started at `started_at`, with a ring learnt later."""
+        """Begins the catch-up of agent `name`.
+
+        Args:
+            name: This agent.
+            settings: The fleet's settings.
+            ring: The current ring.
+            former_ring: The ring before it, if its owners are sources; else None.
+            reason: Why the agent has to catch up.
+            learned_at: When the agent learnt the current ring, in monotonic seconds.
+            started_at: When the agent started, or lost its progress, in monotonic seconds. Reports to a
+                restarted agent count one lease later.
+            previous: The progress by the former ring, if the current ring follows it directly; else None.
+        """
         drift = 1 + settings.clock_drift
         longest_s = settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
         self.name = name
@@ -124,13 +136,13 @@
         self.current_ring_reports: dict[str, int] = {}
         self.fresh_start_confirmations: dict[str, None] = {}
         self.caught_up_keys: dict[str, None] = {}
-        alone = reason == CatchUpReason.FIRST_RING and not self.other_members
-        self._complete_ranges = ALL_RANGES if alone else 0
+        is_only_member = reason == CatchUpReason.FIRST_RING and not self.other_members
+        self._complete_ranges = ALL_RANGES if is_only_member else 0
         self._complete_ranges_until = 0.0
 
     @property
     def sources(self) -> tuple[str, ...]:
-        """The agents whose reports are wanted, in the ring's order."""
+        """The other agents whose reports count, in the ring's order."""
         if self.reason == CatchUpReason.OWNERSHIP_CHANGED and self.former_ring is not None:
             return tuple(member for member in self.former_ring.names if member != self.name)
         return self.other_members
@@ -140,13 +152,19 @@
         return self.former_ring is not None and self.name in self.former_ring.member_by_name
 
     def record_report(self, source: str, former_ranges: int, current_ranges: int) -> None:
-        """Notes that a source has sent all that it held in these ranges, as an owner in each of the rings."""
+        """Records that a source has sent all of its records in some ranges.
+
+        Args:
+            source: The agent that sent its records.
+            former_ranges: Bit mask of the ranges that it had caught up with in the former ring.
+            current_ranges: Bit mask of the ranges that it has caught up with in the current ring.
+        """
         self._complete_ranges_until = 0.0
         self.former_ring_reports[source] = self.former_ring_reports.get(source, 0) | former_ranges
         self.current_ring_reports[source] = self.current_ring_reports.get(source, 0) | current_ranges
 
     def mark_restarted(self) -> None:
-        """Notes that a member of the first ring knows another incarnation of this agent."""
+        """Treats this agent as restarted, as a member of the first ring knows another incarnation of it."""
         if self.reason == CatchUpReason.FIRST_RING:
             self.reason = CatchUpReason.RESTARTED
             self._complete_ranges = 0
@@ -159,20 +177,20 @@
         return self.complete_ranges(now) == ALL_RANGES
 
     def complete_ranges(self, now: float) -> int:
-        """The set of ranges that have been caught up with as a whole, one bit for each."""
+        """Bit mask of the ranges that have been caught up with as a whole."""
         if self._complete_ranges == ALL_RANGES or now >= self.expires_at:
             return ALL_RANGES
         if self.reason == CatchUpReason.FIRST_RING:
             if len(self.sources) - len(self.fresh_start_confirmations) <= self.quorum.writes - 2:
                 self._complete_ranges = ALL_RANGES
         elif self._complete_ranges_until <= now:
-            # Reports change it, and so does time, by way of the progress by the former ring.
+            # The set grows with reports, and with time through the progress by the former ring.
             self._complete_ranges_until = now + RANGES_CACHE_S
             self._complete_ranges |= self._reported_ranges(now)
         return self._complete_ranges
 
     def _reported_ranges(self, now: float) -> int:
-        """The ranges on which so many sources have reported that every key in them has enough."""
+        """Bit mask of the ranges in which every key has enough sources that have reported."""
         if self.reason == CatchUpReason.OWNERSHIP_CHANGED:
             reports, max_missing = self.former_ring_reports, self.former_quorum.writes - 1
         else:
@@ -198,22 +216,29 @@
     def has_enough_sources(
         self, key: str, former_sources: Container[str], current_sources: Container[str], now: float
     ) -> bool:
-        """Whether it is enough that these sources have reported on a key, as owners in each of the rings."""
+        """Whether enough sources have reported on a key for its copy to be read.
+
+        Args:
+            key: The record's key.
+            former_sources: Agents that have reported as owners in the former ring.
+            current_sources: Agents that have reported as owners in the current ring.
+            now: Monotonic seconds.
+        """
         current_owners = owners(self.ring, key_bytes(key), self.copies)
         if self.reason != CatchUpReason.OWNERSHIP_CHANGED or self.former_ring is None:
             reported = sum(owner in current_sources for owner in current_owners if owner != self.name)
             return reported >= self.quorum.owners - self.quorum.writes + 1
         former_owners = owners(self.former_ring, key_bytes(key), self.copies)
-        self_counts = self._had_caught_up_as_one_of(former_owners, key, now)
-        if self_counts and self.quorum.owners >= self.former_quorum.owners:
+        is_former_source = self._had_caught_up_as_one_of(former_owners, key, now)
+        if is_former_source and self.quorum.owners >= self.former_quorum.owners:
             return True
         sources = {owner for owner in former_owners if owner in former_sources}
         sources |= {owner for owner in current_owners if owner in current_sources}
         needed = self.former_quorum.owners - self.former_quorum.writes + 1
-        return self_counts + len(sources - {self.name}) >= needed
+        return is_former_source + len(sources - {self.name}) >= needed
 
     def had_caught_up(self, key: str, now: float) -> bool:
-        """Whether this agent counts as a source for what was written to the key by the former ring."""
+        """Whether this agent counts as a source for writes to the key in the former ring."""
         if self.previous is None or self.former_ring is None:
             return False
         return self._had_caught_up_as_one_of(owners(self.former_ring, key_bytes(key), self.copies), key, now)
@@ -224,19 +249,19 @@
         )
 
     def former_complete_ranges(self, now: float) -> int:
-        """The set of ranges for which this agent counts as a source for the former ring, one bit for each."""
+        """Bit mask of the ranges in which this agent counts as a source for the former ring."""
         return self.previous.complete_ranges(now) if self.previous and self._was_member else 0
 
     def add_key(self, key: str) -> None:
-        """Notes that a single key has been caught up with, ahead of its range."""
+        """Records that a single key has been caught up with, ahead of its range."""
         self.caught_up_keys[key] = None
         if len(self.caught_up_keys) > MAX_SINGLE_KEYS:
             del self.caught_up_keys[next(iter(self.caught_up_keys))]
 
 
 def _ranges_in_more_than(range_sets: list[int], limit: int) -> int:
-    """The set of ranges that are in more than `limit` of the sets, counted for all ranges at once."""
-    in_at_least = [ALL_RANGES] + [0] * (limit + 1)  # by count: the ranges that are in so many sets
+    """Bit mask of the ranges that are in more than `limit` of the masks, counted for all ranges at once."""
+    in_at_least = [ALL_RANGES] + [0] * (limit + 1)  # in_at_least[n]: ranges that are in at least n bit masks
     for ranges in range_sets:
         for count in range(limit, -1, -1):
             in_at_least[count + 1] |= in_at_least[count] & ranges
