--- a/cartdeal/fleet/replication/__init__.py
+++ b/cartdeal/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated records: quorum operations, hinted handoff, anti-entropy, catch-up, schema."""
+"""Replicated records: quorum operations, hinted handoff, anti-entropy, catch-up and schema migration."""
--- a/cartdeal/fleet/replication/anti_entropy.py
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -1,7 +1,8 @@
-"""Anti-entropy: two owners compare digests by range, then keys, and fetch the records that differ.
+"""Anti-entropy: two owners compare digests by range, then by key, and fetch the records that differ.
 
-It owns the sessions with peers. It must never let a message grow with what is stored where it could with
-what differs, or count a session as catch-up whose records weren't all taken in.
+This module owns the sessions with peers. Wherever possible the size of a message must grow with the number of
+records that differ, not with the number that are stored. A session must never count as catch-up unless all of
+its records were merged.
 """
 
 from cartdeal.fleet.metrics import Metric
@@ -23,15 +24,15 @@
 
 MAX_KEYS_IN_MESSAGE = 400
 RETRY_PAUSE_S = 0.25
-MAX_RETRY_PAUSE_S = 5.0  # between two sessions with one source; longer in a large ring
+MAX_RETRY_PAUSE_S = 5.0  # seconds between two sessions with one source; multiplied in a large ring
 COMPARISON_INTERVAL_S = 1.0
-MAX_ATTEMPTS = 4  # of one request in a session
+MAX_ATTEMPTS = 4  # times that a session sends the same request
 MAX_SESSIONS = 8
-NO_RANGE = -1
+NO_RANGE = -1  # value of range_index before the first range is compared
 
 
 class AntiEntropySession:
-    """A comparison with one peer, one request at a time."""
+    """A comparison with one peer; at most one request is in flight."""
 
     __slots__ = (
         "attempts",
@@ -53,18 +54,18 @@
         self.request: ReplicationMessage | None = None
         self.sent_at = 0.0
         self.attempts = 0
-        self.former_ranges = 0  # masks of the ranges for which the peer counts as a source
-        self.current_ranges = 0
+        self.former_ranges = 0  # bit mask: ranges in which the peer counts as a source for the former ring
+        self.current_ranges = 0  # the same for the current ring
         self.ranges_to_compare: list[int] = []
         self.range_index = 0
-        self.last_key = ""  # of the pages compared so far
+        self.last_key = ""  # last key of the range that has been compared
         self.range_is_complete = False
         self.keys_to_fetch: list[str] = []
-        self.peer_digests: dict[str, bytes] = {}  # of the keys to fetch
+        self.peer_digests: dict[str, bytes] = {}  # key to fetch -> digest of the peer's record
 
 
 class AntiEntropy:
-    """Sessions with co-owners, with sources of catch-up, and with all before a shutdown."""
+    """Runs sessions with random co-owners, with sources of catch-up, and with all co-owners at shutdown."""
 
     def __init__(self, view: RingView, store: RecordStore, guard: EpochGuard) -> None:
         self.view = view
@@ -72,14 +73,14 @@
         self.store = store
         self.guard = guard
         self.sessions: dict[str, AntiEntropySession] = {}
-        self.next_catch_up: dict[str, tuple[float, float]] = {}  # source -> when to ask again, and the pause
+        self.next_catch_up: dict[str, tuple[float, float]] = {}  # source -> next session, next pause
         self.next_comparison_at = view.started_at + COMPARISON_INTERVAL_S * self.context.random.random()
-        self.shutdown_peers: dict[str, None] | None = None  # to compare with before the end
+        self.shutdown_peers: dict[str, None] | None = None  # None until shutdown begins
 
-    # When sessions begin and end
+    # Session lifecycle
 
     def tick(self, now: float) -> None:
-        """Retries, and begins sessions that are due."""
+        """Repeats unanswered requests and begins the sessions that are due."""
         self._retry(now)
         self._request_catch_up(now)
         for peer in list(self.shutdown_peers or ()):
@@ -89,11 +90,15 @@
             self._compare_with_random_peer()
 
     def start_shutdown(self) -> None:
-        """Compares with all co-owners once, so that they get what they lack."""
+        """Compares with each co-owner once, so that it gets the records that it lacks."""
         self.shutdown_peers = dict.fromkeys(sorted(self.store.peer_digests))
 
     def begin_session(self, peer: str) -> None:
-        """Compares with a peer, unless a session with it is open or there are too many."""
+        """Begins a session with a peer.
+
+        Does nothing while a session with the peer is open, MAX_SESSIONS are open, or the owners of some
+        records are unknown.
+        """
         if peer in self.sessions or len(self.sessions) >= MAX_SESSIONS or self.store.unplaced_ranges:
             return
         catch_up = self.view.catch_up
@@ -146,7 +151,7 @@
             if catch_up.reason == CatchUpReason.RESTARTED and now < catch_up.reports_valid_at:
                 retry_at = max(
                     catch_up.reports_valid_at, now + RETRY_PAUSE_S
-                )  # its records now, its word then
+                )  # its records are fetched now; its report counts only in a session begun at that time
             else:
                 retry_at = now + pause * self.view.jitter()
             self.next_catch_up[source] = (retry_at, pause)
@@ -160,12 +165,12 @@
         if self.view.has_many_sources:
             return (
                 source in catch_up.current_ring_reports
-            )  # the records; who counts as a source is asked key by key
+            )  # the session fetches records; read repair asks key by key which sources count
         if catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED:
             return catch_up.former_ring_reports.get(source, 0) == ALL_RANGES
         return catch_up.current_ring_reports.get(source, 0) == ALL_RANGES
 
-    # The requester's part
+    # Requester
 
     def _send_request(self, peer: str, session: AntiEntropySession, request: ReplicationMessage) -> None:
         session.request = request
@@ -176,7 +181,7 @@
     def _session_of(
         self, sender: str, message: ReplicationMessage, request_type: type[ReplicationMessage]
     ) -> AntiEntropySession | None:
-        """The session whose open request a response is to; None, and counted, where there is none."""
+        """The session whose open request this message answers; None, with a counter, if there is none."""
         session = self.sessions.get(sender)
         if (
             session is None
@@ -191,7 +196,7 @@
         return session
 
     def on_digest_response(self, sender: str, message: DigestResponse) -> None:
-        """Compares the digests by range."""
+        """Compares the peer's digests by range with this agent's, and begins with the ranges that differ."""
         session = self._session_of(sender, message, DigestRequest)
         if session is None or len(message.range_digests) not in (0, RANGE_DIGEST_BYTES * RANGE_COUNT):
             return
@@ -200,7 +205,7 @@
         if message.knows_other_incarnation and catch_up.reason == CatchUpReason.FIRST_RING:
             catch_up.mark_restarted()
             for each in self.sessions.values():
-                each.counts_as_catch_up = False  # begun before a lease was over
+                each.counts_as_catch_up = False  # it began before one lease had passed since the start
         elif catch_up.reason == CatchUpReason.FIRST_RING and sender in catch_up.other_members:
             catch_up.fresh_start_confirmations[sender] = None
         is_same_former = (
@@ -215,6 +220,7 @@
         self._continue(sender, session)
 
     def _differing_ranges(self, peer: str, session: AntiEntropySession, message: DigestResponse) -> list[int]:
+        """The ranges to compare key by key; all other ranges count as caught up with."""
         catch_up = self.view.catch_up
         assert catch_up is not None
         own_digests = self.store.range_digests(peer)
@@ -237,7 +243,10 @@
             )
 
     def _continue(self, peer: str, session: AntiEntropySession) -> None:
-        """The next request: the records that differ, the next page of keys, the next range."""
+        """Sends the next request: for records that differ, else for the next page of keys or the next range.
+
+        Ends the session if no range is left.
+        """
         incarnation, epoch = self.view.incarnation, self.view.epoch
         if session.keys_to_fetch:
             keys = tuple(session.keys_to_fetch[:MAX_KEYS_IN_MESSAGE])
@@ -258,7 +267,7 @@
         self._send_request(peer, session, key_list)
 
     def on_key_list_response(self, sender: str, message: KeyListResponse) -> None:
-        """Compares a page of keys: fetches what differs here, gives what the peer lacks."""
+        """Compares a page of keys: fetches the records that differ and sends those that the peer lacks."""
         session = self._session_of(sender, message, KeyListRequest)
         is_empty = not message.entries and not message.is_last_page
         if session is None or len(message.entries) > MAX_KEYS_IN_MESSAGE or is_empty:
@@ -283,37 +292,37 @@
             for key in self.store.keys_owned_with(sender, session.range_index, session.last_key)
             if key not in peer_digests and (message.is_last_page or key <= last_key)
         ]
-        self._give(sender, missing)
+        self._send_records(sender, missing)
         session.last_key = last_key
         session.range_is_complete = message.is_last_page
         self._continue(sender, session)
 
     def on_fetch_response(self, sender: str, message: FetchResponse) -> None:
-        """Merges fetched records, and gives back those that differ from the peer's afterwards."""
+        """Merges fetched records, and sends back those that differ from the peer's after the merge."""
         session = self._session_of(sender, message, FetchRequest)
         if session is None or not 0 < message.count <= len(session.keys_to_fetch):
             return
         keys = session.keys_to_fetch[: message.count]
         session.keys_to_fetch = session.keys_to_fetch[message.count :]
         fetched = dict(message.records[:MAX_KEYS_IN_MESSAGE])
-        newer_here = []
+        keys_to_return = []
         for key in keys:
             if key not in fetched:
                 continue
             record = self.store.decode_received(key, fetched[key])
             if record is None or not self.store.merge(key, record):
-                session.former_ranges = session.current_ranges = 0  # it can't count as caught up with
+                session.former_ranges = session.current_ranges = 0  # a record is missing: no catch-up
                 continue
             stored = self.store.records.get(key)
             if stored is None or self.store.key_digest(key) == session.peer_digests[key]:
                 continue
             if {sender, self.view.name} <= set(stored.owners):
-                newer_here.append(key)
-        self._give(sender, newer_here)
+                keys_to_return.append(key)
+        self._send_records(sender, keys_to_return)
         self._continue(sender, session)
 
-    def _give(self, peer: str, keys: list[str]) -> None:
-        """Records that a co-owner lacks; if they get lost, the next comparison finds them again."""
+    def _send_records(self, peer: str, keys: list[str]) -> None:
+        """Sends records that a co-owner lacks. The next comparison finds records that were lost."""
         batch: list[tuple[str, bytes]] = []
         size = 0
         for key in keys:
@@ -333,10 +342,10 @@
         delivery = HintDelivery(0, self.view.incarnation, self.view.epoch, tuple(batch))
         self.context.send(peer, delivery)
 
-    # The responder's part
+    # Responder
 
     def on_digest_request(self, sender: str, message: DigestRequest) -> None:
-        """Tells a peer the digests by range, and for which ranges this agent counts as a source."""
+        """Sends a peer the digests by range, and the ranges in which this agent counts as a source."""
         if self.store.unplaced_ranges:
             self.context.increment(Metric.NOT_PLACED_YET)
             return
@@ -357,7 +366,7 @@
         self.context.send(sender, response)
 
     def on_key_list_request(self, sender: str, message: KeyListRequest) -> None:
-        """Tells a peer a page of the keys that it owns."""
+        """Sends a peer a page of the keys that it owns, with their digests."""
         if self.store.unplaced_ranges or not 0 <= message.range_index < RANGE_COUNT:
             return
         keys = self.store.keys_owned_by(sender, message.range_index, message.after)
@@ -369,7 +378,7 @@
         self.context.send(sender, response)
 
     def on_fetch_request(self, sender: str, message: FetchRequest) -> None:
-        """Sends a peer the records of keys that it owns, as many as one message takes."""
+        """Sends a peer the records of keys that it owns, as many as fit into one message."""
         batch: list[tuple[str, bytes]] = []
         size = count = 0
         for key in message.keys[:MAX_KEYS_IN_MESSAGE]:
@@ -383,7 +392,7 @@
             if data:
                 batch.append((key, data))
                 size += len(data) + len(key)
-        if count:  # else it can't have that record: it must not take it for an expired one
+        if count:  # no response if the first record can't be sent: the peer would take it for expired
             response = FetchResponse(
                 message.request_id, message.incarnation, message.epoch, count, tuple(batch)
             )
--- a/cartdeal/fleet/replication/epoch_guard.py
+++ b/cartdeal/fleet/replication/epoch_guard.py
@@ -1,7 +1,7 @@
-"""Admits requests that go by the present ring, and remembers the incarnations of those who ask.
+"""Admits requests that carry the epoch of the present ring, and remembers their senders' incarnations.
 
-It owns the newest epoch heard of. It must never admit a request by another epoch: quorums of two rings need
-not overlap.
+This module owns the newest epoch that any message has named. It must never admit a request of another epoch:
+quorums of two rings need not overlap.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 
 class PeerIncarnation(NamedTuple):
-    """One incarnation of a peer, and whether another was met, too."""
+    """The first incarnation of a peer that sent a request, and whether another one did, too."""
 
     incarnation: int
-    met_another: bool
+    has_another: bool
 
 
 class EpochGuard:
-    """Compares the epoch of requests with that of the present ring."""
+    """Rejects requests whose epoch isn't that of the present ring."""
 
     def __init__(self, view: RingView) -> None:
         self.view = view
@@ -27,7 +27,7 @@
         self.peer_incarnations: dict[str, PeerIncarnation] = {}
 
     def admits(self, sender: str, message: ReplicationMessage) -> bool:
-        """Whether a request goes by our epoch; the sender of an older one learns that there is a newer."""
+        """Whether a request carries the present epoch; the sender of an older one is sent StaleEpoch."""
         self._remember_incarnation(sender, message.incarnation)
         context, ring = self.view.context, self.view.ring
         if ring is not None and message.epoch == ring.epoch:
@@ -41,18 +41,18 @@
         return False
 
     def on_epoch(self, epoch: int) -> None:
-        """A peer goes by this epoch."""
+        """Records an epoch that a peer's message names."""
         self.newest_epoch = max(self.newest_epoch, epoch)
 
     def knows_other_incarnation(self, peer: str) -> bool:
-        """Whether a peer was met under two incarnations; of an unknown one it can't be excluded."""
+        """Whether a peer may have had another incarnation; for an unknown peer this can't be excluded."""
         known = self.peer_incarnations.get(peer)
-        return known is None or known.met_another
+        return known is None or known.has_another
 
     def _remember_incarnation(self, sender: str, incarnation: int) -> None:
         known = self.peer_incarnations.get(sender)
         if known is None:
             if len(self.peer_incarnations) < 2 * self.view.settings.most_agents:
                 self.peer_incarnations[sender] = PeerIncarnation(incarnation, False)
-        elif not known.met_another and incarnation != known.incarnation:
+        elif not known.has_another and incarnation != known.incarnation:
             self.peer_incarnations[sender] = PeerIncarnation(known.incarnation, True)
--- a/cartdeal/fleet/replication/hinted_handoff.py
+++ b/cartdeal/fleet/replication/hinted_handoff.py
@@ -1,9 +1,9 @@
-"""Hinted handoff: what this agent wrote, until all owners have it, and records handed to new owners.
+"""Hinted handoff: keeps this agent's writes until all owners have them, and hands records to new owners.
 
-It owns the hints. It must never lose one and not say so, or have more than one delivery on its way to an
-owner.
+This module owns the hints. It must never drop a hint without reporting it, or have more than one delivery in
+flight to an owner.
 
-After Dynamo (DeCandia and others, 2007), section 4.6, without its sloppy quorums.
+Source: Dynamo (DeCandia and others, 2007), section 4.6, without its sloppy quorums.
 """
 
 from itertools import islice
@@ -18,19 +18,22 @@
 from cartdeal.fleet.replication.usage_counters import UsageCounters
 from cartdeal.fleet.ring.ring import Ring
 
-MAX_DELIVERY_BYTES = 32 * 1024  # of records in one message; a single record may have more
-MAX_RECEIVED_RECORDS = 2_000  # in one delivery
+MAX_DELIVERY_BYTES = 32 * 1024  # bytes of records in one message; a single record may be larger
+MAX_RECEIVED_RECORDS = 2_000  # records accepted from one delivery
 MAX_SENT_RECORDS = MAX_RECEIVED_RECORDS // 2
 FIRST_RETRY_PAUSE_S = 0.25
-MAX_RETRY_PAUSE_S = 5.0  # of an owner that doesn't answer
-MAX_REJECTED_PAUSE_S = 1.0  # of an owner that rejects records
-MIN_CONTACT_PAUSE_S = 1.0  # between two deliveries to an owner that is heard of again
+MAX_RETRY_PAUSE_S = 5.0  # seconds, for an owner that doesn't answer
+MAX_REJECTED_PAUSE_S = 1.0  # seconds, for an owner that rejects records
+MIN_CONTACT_PAUSE_S = 1.0  # seconds between two deliveries to an owner that sends messages again
 
 
 class Hint:
-    """What this agent wrote under a key and not all owners have yet.
+    """A record that this agent wrote and that not all owners have yet.
 
-    `version`: of the last write; `missing`: owner -> the version that it needs.
+    Attributes:
+        record: All writes of this agent under the key, merged.
+        version: The version of the last write.
+        missing: The owners that lack the record, each with the version that it needs.
     """
 
     __slots__ = ("missing", "record", "version")
@@ -42,26 +45,26 @@
 
 
 class HintQueue:
-    """What is to be sent to one owner: one delivery at a time is on its way."""
+    """The keys of the records to send to one owner; at most one delivery is in flight."""
 
     __slots__ = ("in_flight", "keys", "next_send_at", "request_id", "retry_pause_s", "sent_at")
 
     def __init__(self) -> None:
         self.keys: dict[str, None] = {}
-        self.in_flight: dict[str, int] = {}  # key -> version of the hint, 0 for a handoff alone
+        self.in_flight: dict[str, int] = {}  # key -> version of its hint, 0 for a handoff without one
         self.request_id = 0
         self.sent_at = 0.0
         self.next_send_at = 0.0
         self.retry_pause_s = FIRST_RETRY_PAUSE_S
 
     def reset_pause(self, now: float) -> None:
-        """The next delivery may go at once."""
+        """Lets the next delivery be sent at once."""
         self.retry_pause_s = FIRST_RETRY_PAUSE_S
         self.next_send_at = now
 
 
 class HintedHandoff:
-    """Hints and handoffs, and a queue of them for each owner."""
+    """Keeps hints and handoffs, and delivers them through one queue for each owner."""
 
     def __init__(self, view: RingView, store: RecordStore, usage: UsageCounters) -> None:
         self.view = view
@@ -70,19 +73,19 @@
         self.usage = usage
         self.hints: dict[str, Hint] = {}
         self.queues: dict[str, HintQueue] = {}
-        self.handoffs: dict[str, dict[str, None]] = {}  # key no longer owned -> new owners to be given it
+        self.handoffs: dict[str, dict[str, None]] = {}  # key of a stored record -> its new owners
         self._reported_full = False
 
     # Hints
 
     def publish(self, key: str, record: Record) -> None:
-        """Merges a record into all owners' copies, whenever they can be reached."""
+        """Merges a record into the copies of all owners; those out of reach get it later."""
         self.add(key, record)
         self.enqueue(key)
         self.apply_locally(key)
 
     def add(self, key: str, record: Record) -> None:
-        """Keeps what this agent writes under a key until all owners have it."""
+        """Keeps a record that this agent writes until all owners have it."""
         hint = self.hints.get(key)
         if hint is None:
             if len(self.hints) >= self.view.settings.most_hints:
@@ -94,7 +97,7 @@
         hint.missing = {owner: hint.version for owner in self.view.owners(key) if owner != self.view.name}
 
     def enqueue(self, key: str) -> None:
-        """Sends a hint to the owners that lack it, or queues it."""
+        """Queues a hint for the owners that lack it, and sends it where no delivery is in flight."""
         hint = self.hints.get(key)
         if hint:
             for owner in hint.missing:
@@ -103,21 +106,21 @@
                 self._deliver(owner, queue)
 
     def apply_locally(self, key: str) -> None:
-        """Takes a hint into the store, where this agent is an owner."""
+        """Merges a hint into the store if this agent is an owner of its key."""
         hint = self.hints.get(key)
         if hint and self.view.owns(key):
-            self.usage.take_in(key, hint.record)
+            self.usage.merge_received(key, hint.record)
             self.forget_if_delivered(key)
 
     def confirm(self, key: str, owner: str, version: int) -> None:
-        """An owner has a version of a hint."""
+        """Records that an owner has a version of a hint."""
         hint = self.hints.get(key)
         if hint and hint.missing.get(owner, version + 1) <= version:
             del hint.missing[owner]
             self.forget_if_delivered(key)
 
     def forget_if_delivered(self, key: str) -> None:
-        """Forgets a hint that all owners have."""
+        """Forgets a hint if all owners have it."""
         hint = self.hints.get(key)
         if self.view.ring and hint and not hint.missing:
             del self.hints[key]
@@ -134,7 +137,10 @@
     # Changes of the ring
 
     def on_ring_changed(self, former: Ring | None) -> None:
-        """Who had a hint by the former ring still has it; the new owners lack it."""
+        """Marks hints as missing at owners that the former ring didn't have, and sends them.
+
+        Owners by both rings that have a hint already need no second delivery.
+        """
         ring, now = self.view.ring, self.view.now
         assert ring is not None
         self.queues = {owner: queue for owner, queue in self.queues.items() if owner in ring.member_by_name}
@@ -158,11 +164,11 @@
             self._queue(owner).keys[key] = None
 
     def cancel_handoff(self, key: str) -> None:
-        """The record is no longer stored."""
+        """Cancels the handoff of a record that is no longer stored."""
         self.handoffs.pop(key, None)
 
     def cancel_all_handoffs(self) -> None:
-        """The owners of all records are found anew, or no handoff is needed any more."""
+        """Cancels all handoffs: the owners of all records are recomputed, or need no handoff any more."""
         self.handoffs = {}
 
     def _finish_handoff(self, key: str, owner: str) -> None:
@@ -175,19 +181,19 @@
     # Delivery
 
     def flush(self) -> None:
-        """Sends what is due, also to owners that haven't answered yet."""
+        """Sends the deliveries that are due, also to owners that haven't answered the last one."""
         for owner in sorted(self.queues):
             queue = self.queues.get(owner)
             if queue and self.view.now >= queue.next_send_at:
                 self._deliver(owner, queue, retry=True)
 
     def reset_pauses(self) -> None:
-        """Each owner may be tried again at once."""
+        """Lets each owner be sent its next delivery at once."""
         for queue in self.queues.values():
             queue.reset_pause(self.view.now)
 
     def on_peer_contact(self, peer: str) -> None:
-        """An owner that was silent is heard of: it gets what waits for it, once a second at most."""
+        """Brings the next delivery forward when a silent owner sends a message, to once a second at most."""
         queue = self.queues.get(peer)
         if queue and queue.retry_pause_s > 2 * FIRST_RETRY_PAUSE_S:
             queue.next_send_at = min(queue.next_send_at, queue.sent_at + MIN_CONTACT_PAUSE_S)
@@ -199,7 +205,7 @@
         return queue
 
     def _deliver(self, owner: str, queue: HintQueue, retry: bool = False) -> None:
-        """Sends the next records for an owner, unless some are on their way."""
+        """Sends the next records to an owner, unless a delivery is in flight or the pause isn't over."""
         if (queue.in_flight and not retry) or not self.view.ring or self.view.now < queue.next_send_at:
             return
         batch = self._next_batch(owner, queue)
@@ -232,7 +238,7 @@
         return batch
 
     def _record_for(self, owner: str, key: str) -> tuple[Record | None, int]:
-        """What an owner lacks under a key, and the version of the hint, 0 where it lacks none."""
+        """The record that an owner lacks, or None, and the version of its hint, or 0 if it has none."""
         hint = self.hints.get(key)
         record, version = None, 0
         if hint and hint.missing.get(owner, 0):
@@ -244,7 +250,7 @@
         return record, version
 
     def on_ack(self, sender: str, message: HintAck) -> None:
-        """An owner took in a delivery."""
+        """Removes the records that an owner has accepted from its queue, and sends the next."""
         queue = self.queues.get(sender)
         if (
             queue is None
@@ -262,11 +268,11 @@
         for key, version in delivered.items():
             if key in rejected:
                 queue.keys.pop(key, None)
-                queue.keys[key] = None  # after all others
+                queue.keys[key] = None  # to the end of the queue
             else:
                 self._on_delivered(sender, queue, key, version)
         if rejected:
-            # No room there, or a clock is wrong: the pause grows as if it were absent, but less.
+            # The owner is full, or a clock is wrong: the pause grows as for a silent owner, to a lower limit.
             self.context.increment(Metric.HINTS_REJECTED)
             queue.retry_pause_s = min(queue.retry_pause_s, MAX_REJECTED_PAUSE_S)
         else:
@@ -281,11 +287,11 @@
             queue.keys.pop(key, None)
 
     def on_delivery(self, sender: str, message: HintDelivery) -> None:
-        """Takes in the records that a peer delivers."""
+        """Merges the records that a peer delivers, and acknowledges them."""
         rejected = []
         for key, data in message.records[:MAX_RECEIVED_RECORDS]:
             record = self.store.decode_received(key, data)
-            if record is None or (self.view.owns(key) and not self.usage.take_in(key, record)):
+            if record is None or (self.view.owns(key) and not self.usage.merge_received(key, record)):
                 rejected.append(key)
         if message.request_id:
             ack = HintAck(message.request_id, message.incarnation, message.epoch, tuple(rejected))
@@ -294,7 +300,7 @@
     # Expiry and shutdown
 
     def drop_expired(self) -> None:
-        """Forgets hints that have expired, and empty queues."""
+        """Drops expired hints and empty queues."""
         for key, hint in list(self.hints.items()):
             hint.record = self.store.without_expired(hint.record)
             if records.is_empty(hint.record):
@@ -306,7 +312,7 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether all hints are on as many other owners as a write takes, and all handoffs are done."""
+        """Whether a write quorum of other owners has each hint, and all handoffs are done."""
         if self.handoffs:
             return False
         assert self.view.catch_up is not None
--- a/cartdeal/fleet/replication/usage_counters.py
+++ b/cartdeal/fleet/replication/usage_counters.py
@@ -1,6 +1,7 @@
-"""What this agent served of each tenant, and the counts of others that are merged once a second.
+"""Counts of the requests that this agent served for each tenant, and received counts to merge once a second.
 
-It owns this agent's own counts. It must never lose a count but the oldest tenant's when there are too many.
+This module owns this agent's own counts. It must never lose one, unless there are too many tenants: then it
+drops the count of the tenant that was served longest ago.
 """
 
 from cartdeal.fleet.replication import records
@@ -8,21 +9,21 @@
 from cartdeal.fleet.replication.records import Record, Session, UsageCounter
 from cartdeal.fleet.replication.ring_view import RingView
 
-OWN_PERIODS = 3  # of this agent's own counts
+OWN_PERIODS = 3  # periods for which this agent keeps its own counts
 
 
 class UsageCounters:
-    """Counts of use, by tenant."""
+    """Counts of served requests by tenant."""
 
     def __init__(self, view: RingView, store: RecordStore) -> None:
         self.view = view
         self.store = store
         self.own: dict[str, UsageCounter] = {}  # by tenant
-        self.changed: dict[str, None] = {}  # tenants whose own count grew since it was published
+        self.changed: dict[str, None] = {}  # tenants with unpublished counts
         self.received: dict[str, UsageCounter] = {}  # by key, to be merged into the store
 
     def count(self, tenant: str, period: int, served: int) -> None:
-        """So many more requests were served in a period."""
+        """Adds requests that this agent served for a tenant in a period."""
         counter_id = (self.view.name, self.view.incarnation, period)
         former = self.own.pop(tenant, UsageCounter()).served_counts
         counts = {each: count for each, count in former.items() if each[2] > period - OWN_PERIODS}
@@ -32,8 +33,12 @@
             del self.own[next(iter(self.own))]
         self.changed[tenant] = None
 
-    def take_in(self, key: str, record: Record) -> bool:
-        """Merges a record into the store, or later where it is a known tenant's; False: there is no room."""
+    def merge_received(self, key: str, record: Record) -> bool:
+        """Merges a received record into the store; a known tenant's counter is merged by flush_received.
+
+        Returns:
+            False if the store has no room for the record.
+        """
         is_new = key not in self.store.records
         if isinstance(record, Session) or is_new or len(self.received) >= self.view.settings.most_waiting:
             return self.store.merge(key, record)
@@ -44,13 +49,13 @@
         return True
 
     def flush_received(self) -> None:
-        """Merges what was received into the store."""
+        """Merges the counters received since the last call into the store."""
         received, self.received = self.received, {}
         for key, counter in received.items():
             if self.view.owns(key):
                 self.store.merge(key, counter)
 
     def take_changed(self) -> list[str]:
-        """The tenants whose counts are to be published."""
+        """The tenants whose counts have grown since the last call."""
         changed, self.changed = self.changed, {}
         return [tenant for tenant in changed if tenant in self.own]
