--- a/cartdeal/fleet/replication/messages.py
+++ b/cartdeal/fleet/replication/messages.py
@@ -1,9 +1,9 @@
 """Messages of the replication protocol: quorum operations, hinted handoff, anti-entropy and read repair.
 
-It owns the messages' layout. Tags and the order of fields are on the wire and must never change; the names
-of the fields aren't.
+This module owns the layout of the messages. Tags and the order of fields are on the wire and must never
+change; the names of the fields aren't on the wire.
 
-Record values are bytes as record_codec.py writes them. Sets of ranges are bit masks, one bit for each of the
+Records are bytes as record_codec.py writes them. Sets of ranges are bit masks, one bit for each of the
 `catch_up.RANGE_COUNT` ranges of hashed keys.
 """
 
@@ -13,128 +13,128 @@
 
 
 class ReplicationMessage(Struct, frozen=True, array_like=True):
-    """The header of each request, which its response repeats."""
+    """The header of each request; the response repeats it."""
 
     DATAGRAM: ClassVar[bool] = False
     request_id: int
-    """Unique within an incarnation of the requester; 0 where no response is wanted."""
+    """A number that is unique within an incarnation of the requester; 0 if it wants no response."""
     incarnation: int
-    """Of the requester."""
+    """The requester's incarnation."""
     epoch: int
-    """Of the ring by which the requester chose the recipient."""
+    """The epoch of the ring by which the requester chose the recipient."""
 
 
 class WriteRequest(ReplicationMessage, frozen=True, tag="r.claim"):
-    """Writes an attempt record at an owner, or only reads, and asks what the owner had before."""
+    """Writes an attempt record at an owner, or only reads, and requests the attempts stored before."""
 
     key: str
     attempt_id: str
-    """Identifies the attempt record that is written; "" for a read."""
+    """The identifier of the attempt record to write; "" for a read."""
     record: bytes
-    """What the owner merges; b"" for a read."""
+    """The record that the owner merges; b"" for a read."""
 
 
 class WriteResponse(ReplicationMessage, frozen=True, tag="r.told"):
-    """What the owner had; the record counts as known whatever the flags say."""
+    """The attempts that the owner had stored before. The requester merges them whatever the flags are."""
 
     written: bool
     """Whether the owner has the attempt record now."""
     caught_up: bool
-    """Whether the owner counts as one that answers, so that the record may count for the read quorum."""
+    """Whether the owner has caught up with the key, so that its response counts for the read quorum."""
     full: bool
-    """Whether a limit of the owner kept it from writing."""
+    """Whether a limit of the owner prevented the write."""
     record: bytes
-    """Without the attempt record that was written; b"" for none."""
+    """The session without the attempt record that was written; b"" if that leaves nothing."""
 
 
 class HintDelivery(ReplicationMessage, frozen=True, tag="r.give"):
     """Records for the recipient to merge."""
 
     records: tuple[tuple[str, bytes], ...]
-    """Key and record."""
+    """Pairs of key and record."""
 
 
 class HintAck(ReplicationMessage, frozen=True, tag="r.took"):
-    """All records of a delivery were taken in, but for some."""
+    """Acknowledges a delivery."""
 
     rejected: tuple[str, ...]
-    """Keys whose records weren't taken in."""
+    """The keys of the records that the recipient couldn't merge."""
 
 
 class DigestRequest(ReplicationMessage, frozen=True, tag="r.look"):
     """Begins an anti-entropy session."""
 
     combined_digest: bytes
-    """Over the requester's digests, by range, of the records that both own."""
+    """A digest over the requester's digests, by range, of the records that both agents own."""
 
 
 class DigestResponse(ReplicationMessage, frozen=True, tag="r.seen"):
-    """The recipient's digests, and for which ranges it counts as a source of catch-up."""
+    """The responder's digests, and the ranges in which it counts as a source of catch-up."""
 
     former_epoch: int
-    """Epoch of the ring before the recipient's, if it knows it; else 0."""
+    """The epoch of the ring before the responder's present one; 0 if it doesn't know that ring."""
     former_ranges: int
-    """Mask of the ranges that it had caught up with by the ring of `former_epoch`."""
+    """Bit mask of the ranges that the responder had caught up with by the ring of `former_epoch`."""
     current_ranges: int
-    """Mask of the ranges that it has caught up with by the present ring."""
+    """Bit mask of the ranges that the responder has caught up with by the present ring."""
     unowned_ranges: int
-    """Mask of the ranges in which it has records that it no longer owns and the requester does."""
+    """Bit mask of the ranges with records that the requester owns and the responder only stores."""
     knows_other_incarnation: bool
-    """Whether it has met another incarnation of the requester."""
+    """Whether the requester may have had another incarnation, as far as the responder knows."""
     range_digests: bytes
-    """Digests by range, 8 bytes each; b"" where the combined digests are equal."""
+    """Digests by range, 8 bytes each; b"" if the combined digests are equal."""
 
 
 class KeyListRequest(ReplicationMessage, frozen=True, tag="r.list"):
-    """Asks for a page of the keys of one range that the requester owns."""
+    """Requests a page of the keys of one range that the requester owns."""
 
     range_index: int
     after: str
-    """The last key of the page before; "" for the first page."""
+    """The last key of the previous page; "" for the first page."""
 
 
 class KeyListResponse(ReplicationMessage, frozen=True, tag="r.listed"):
-    """A page of keys, in order."""
+    """A page of keys in ascending order."""
 
     entries: tuple[tuple[str, bytes], ...]
-    """Key and the first 8 bytes of its record's digest."""
+    """Pairs of a key and the first 8 bytes of its record's digest."""
     is_last_page: bool
 
 
 class FetchRequest(ReplicationMessage, frozen=True, tag="r.fetch"):
-    """Asks for the records of these keys."""
+    """Requests the records of keys."""
 
     keys: tuple[str, ...]
 
 
 class FetchResponse(ReplicationMessage, frozen=True, tag="r.brought"):
-    """The records of the first of the keys asked for; keys without a record have expired."""
+    """The records of the first requested keys; a key that is missing here has expired."""
 
     count: int
-    """How many keys, from the first, this responds to."""
+    """The number of requested keys, from the first, that this responds to."""
     records: tuple[tuple[str, bytes], ...]
-    """Key and record."""
+    """Pairs of key and record."""
 
 
 class ReadRepairRequest(ReplicationMessage, frozen=True, tag="r.know"):
-    """An owner that hasn't caught up with a key asks its former owners, and the others."""
+    """Requests a key's record from its other owners and former owners, for an owner that hasn't caught up."""
 
     key: str
 
 
 class ReadRepairResponse(ReplicationMessage, frozen=True, tag="r.known"):
-    """What the recipient has under the key, and by which rings it counts as a source for it."""
+    """The responder's record under the key, and the rings by which it counts as a source for the key."""
 
     former_epoch: int
-    """Epoch of the ring before the recipient's, if it knows it; else 0."""
+    """The epoch of the ring before the responder's present one; 0 if it doesn't know that ring."""
     caught_up_by_former: bool
     caught_up_by_current: bool
     record: bytes
-    """b"" for none."""
+    """The record; b"" if the responder stores none."""
 
 
 class StaleEpoch(Struct, frozen=True, array_like=True, tag="r.past"):
-    """Tells one that asks by an older epoch that there is a newer ring."""
+    """Tells the sender of a request of an older epoch that there is a newer ring."""
 
     DATAGRAM: ClassVar[bool] = False
     epoch: int
