--- a/cartdeal/fleet/replication/migration.py
+++ b/cartdeal/fleet/replication/migration.py
@@ -1,16 +1,16 @@
 """Migration: the steps by which a running fleet goes from one schema version of its records to the next.
 
-The module owns `next_step`, a pure function of a ring and of what is known of the live agents. It must never
-let a step depend on the agent that proposes it: all that the next proposer needs is in the ring.
+This module owns `next_step`, a pure function of a ring and of the state of the live agents. A step must never
+depend on the agent that proposes it: the ring holds all that the next proposer needs.
 
-    written_version, phase      versions written      why
+    written_version, phase      versions written      meaning
     1, steady                   1
     1, widen                    1                     all agents know that the next step may come
     1, move                     1 and 2               agents of both versions can read every record
-    1, narrow                   2                     there is no way back from here
+    1, narrow                   2                     a step back is no longer possible
     2, steady                   2
 
-This is the expand-and-contract pattern (parallel change); what each version's bytes are, says record_codec.
+This is the expand-and-contract pattern (parallel change). record_codec defines the bytes of each version.
 """
 
 from collections.abc import Mapping
@@ -20,34 +20,34 @@
 from cartdeal.fleet.ring.ring import Ring, SchemaPhase
 from cartdeal.fleet.settings import FleetSettings
 
-MAX_LIVE_STATE = 1  # of a peer's states, in order of growing suspicion: alive and suspected count as live
+MAX_LIVE_STATE = 1  # states are in order of growing suspicion; alive (0) and suspected (1) count as live
 
 
 class SchemaStep(NamedTuple):
-    """The version that the fleet writes, and how far it has come on the way to the next one."""
+    """The version that the fleet writes, and its phase of the migration to the next version."""
 
     written_version: int
     phase: str
 
 
 class PeerSchema(Protocol):
-    """What has to be known of a peer; membership's Peer has it."""
+    """The attributes of a peer that `next_step` reads; implemented by Peer in membership."""
 
     @property
     def state(self) -> int:
-        """The failure detector's state, MAX_LIVE_STATE at most where the peer counts as live."""
+        """The failure detector's state of the peer; at most MAX_LIVE_STATE if the peer counts as live."""
 
     @property
     def reads(self) -> tuple[int, int]:
-        """The lowest and the highest schema version that its program reads."""
+        """The lowest and the highest schema version that the peer's program reads."""
 
     @property
     def migrated_version(self) -> int:
-        """The version that all records in its store are in."""
+        """The schema version in which all records in the peer's store are written."""
 
 
 def written_versions(written_version: int, phase: str) -> tuple[int, ...]:
-    """The versions that agents write in a step, ascending."""
+    """The schema versions that agents write in a step, ascending."""
     if phase == SchemaPhase.MOVE:
         return (written_version, written_version + 1)
     if phase == SchemaPhase.NARROW:
@@ -56,31 +56,36 @@
 
 
 def governing_version(written_version: int, phase: str) -> int:
-    """The version that an agent has to read to be a member, and by whose rules limits are leased."""
+    """The version that an agent must be able to read to be a member; its rules also apply to limit leases."""
     return written_versions(written_version, phase)[0]
 
 
 def migrated_version(ring: Ring, unmigrated_count: int) -> int:
-    """The version that all records of an agent's store are in, with so many yet to be rewritten."""
+    """The version in which all records of an agent's store are written.
+
+    Args:
+        ring: The ring in force.
+        unmigrated_count: How many records of the store have yet to be rewritten.
+    """
     versions = written_versions(ring.written_version, ring.phase)
     return versions[0] if unmigrated_count else versions[-1]
 
 
 def next_step(ring: Ring, peers: Mapping[str, PeerSchema], settings: FleetSettings) -> SchemaStep:
-    """The step of the epoch after `ring`: the same, one forward or one back.
+    """The step of the epoch after `ring`: the same step, one step forward or one step back.
 
-    Whoever proposes next goes on where a proposer that died stopped. Two agents that see different peers may
-    answer differently; the consensus on the ring's epoch decides.
+    If a proposer dies, the next one continues from the ring. Two agents that see different peers may get
+    different results; the consensus on the ring's epoch decides between them.
 
-    A step forward needs that every live agent reads the next version and that a majority of the members is
-    live; the step to NARROW also needs that every member, live or not, has migrated its store. Until then
-    there is a step back as soon as a live agent can't read the next version (also one that isn't a member,
-    which may become one in the same epoch), or the operator holds the version.
+    A step forward requires that every live agent reads the next version and that a majority of the members is
+    live; the step to NARROW also requires that every member, live or not, has migrated its store. Before
+    NARROW, the fleet steps back as soon as a live agent can't read the next version or the operator holds the
+    version. This includes a live agent that isn't a member, as it may become one in the same epoch.
 
     Args:
         ring: The ring in force.
-        peers: What is known of agents by name, absent ones among them.
-        settings: The proposer's settings; `hold_version` is the operator's.
+        peers: The state of all known agents by name, including absent ones.
+        settings: The proposer's settings, with the operator's `hold_version`.
     """
     current = SchemaStep(ring.written_version, ring.phase)
     target = ring.written_version + 1
@@ -107,9 +112,9 @@
 
 
 def downgrade_error(ring: Ring, settings: FleetSettings) -> SchemaDowngradeError | None:
-    """What to tell an operator who holds a version that the fleet has left for good; None if it hasn't.
+    """The error for an operator who holds a version that the fleet can't return to; None if it can.
 
-    `next_step` doesn't raise it: a fleet that could agree on no further ring would lose more.
+    `next_step` doesn't raise it: otherwise the fleet could agree on no further ring, which is worse.
     """
     version = governing_version(ring.written_version, ring.phase)
     if 0 < settings.hold_version < version:
@@ -119,10 +124,14 @@
 
 
 def unsupported_error(reads: tuple[int, int], ring: Ring) -> UnsupportedSchemaError | None:
-    """Why an agent that reads the versions from `reads[0]` to `reads[1]` can't be a member; None if it can.
+    """The error that keeps an agent from being a member; None if it can be one.
 
-    The agent asks this of itself, too, and then answers no read. Its records aren't lost: whoever receives
-    them decodes and merges them as ever.
+    The agent also checks itself, and answers no reads if there is an error. Its records aren't lost: agents
+    that receive them decode and merge them as usual.
+
+    Args:
+        reads: The lowest and the highest schema version that the agent reads.
+        ring: The ring in force.
     """
     version = governing_version(ring.written_version, ring.phase)
     if reads[0] <= version <= reads[1]:
--- a/cartdeal/fleet/replication/quorum.py
+++ b/cartdeal/fleet/replication/quorum.py
@@ -1,7 +1,7 @@
 """Writes and reads by quorum: the coordinator asks all owners of a key, and each owner answers.
 
-It owns the operations that are pending. It must never call one certain that not enough owners answered, all
-of one epoch and caught up.
+This module owns the pending operations. It must never report an operation as certain unless enough owners
+answered it, all of them in one epoch and caught up.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,18 +20,18 @@
 SESSION_PREFIX = "s/"
 
 OperationCallback = Callable[[int, tuple[AttemptRecord, ...], bool], None]
-"""Called with the ticket, the earlier attempts known, and whether the answer is certain."""
+"""Called with the operation's ticket, the earlier attempts that are known, and whether they are certain."""
 
 
 class RequiredResponses(NamedTuple):
-    """How many owners have to write, and how many that have caught up have to answer."""
+    """How many owners have to write, and how many owners that have caught up have to answer."""
 
     writes: int
     reads: int
 
 
 class PendingOperation:
-    """A write or read that has not been answered, or not by all owners; `attempt` is None for a read."""
+    """A write or read that not all owners have answered yet; `attempt` is None for a read."""
 
     __slots__ = (
         "answered_by",
@@ -62,11 +62,11 @@
         self.written_by: dict[str, None] = {}
         self.answered_by: dict[str, None] = {}
         self.sent_at = 0.0
-        self.version = 0  # of the hint that was sent
+        self.version = 0  # version of the hint that was sent; 0 if none was
 
     @property
     def attempt_id(self) -> str:
-        """Of the attempt record that is written; "" for a read."""
+        """The identifier of the attempt record to write; "" for a read."""
         return self.attempt.attempt_id if self.attempt else ""
 
     @property
@@ -77,19 +77,19 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether no owner is waited for any more."""
+        """Whether the operation is decided and all owners have written or, for a read, answered."""
         responses = self.written_by if self.attempt else self.answered_by
         return self.is_decided and len(responses) == len(self.owners)
 
     def is_missing(self, owner: str) -> bool:
-        """Whether an owner has to be asked again."""
+        """Whether an owner has to be sent the request again."""
         return owner not in self.answered_by or (self.attempt is not None and owner not in self.written_by)
 
 
 class QuorumOwner:
-    """The owner's part.
+    """Answers write requests as an owner.
 
-    `respond(requester, response)` sends what was answered anew after a read repair.
+    After a read repair, `respond(requester, response)` sends the new response to a requester that waits.
     """
 
     def __init__(
@@ -102,13 +102,17 @@
         self.read_repair = ReadRepair(view, store, self._on_repaired)
 
     def on_write_request(self, sender: str, message: WriteRequest) -> None:
-        """Writes what a peer asks for, and answers it."""
+        """Serves a peer's request and sends the response."""
         response = self.serve(sender, message)
         if response:
             self.context.send(sender, response)
 
     def serve(self, requester: str, message: WriteRequest) -> WriteResponse | None:
-        """Writes and answers; None, and counted, where this agent can't as an owner."""
+        """Serves a request and returns the response.
+
+        Returns None, with a counter, if this agent has no valid lease or doesn't own the key, or if it can't
+        read the record.
+        """
         if not self.view.has_valid_lease():
             self.context.increment(Metric.NO_VALID_LEASE)
             return None
@@ -136,9 +140,9 @@
         return self._response(header, key, message.attempt_id, former, written, full)
 
     def _write(self, message: WriteRequest, former: Session, update: Session) -> bool:
-        """Merges an attempt record; False, and counted, where a limit is reached."""
-        most_attempts = self.view.settings.most_marks_a_session
-        is_full = message.attempt_id not in former.attempts and former.is_full(most_attempts)
+        """Merges an attempt record; False, with a counter, if a limit is reached."""
+        max_attempts = self.view.settings.most_marks_a_session
+        is_full = message.attempt_id not in former.attempts and former.is_full(max_attempts)
         if is_full or not self.store.merge(message.key, update):
             self.context.increment(Metric.ATTEMPTS_FULL)
             return False
@@ -166,7 +170,7 @@
 
 
 class QuorumCoordinator:
-    """The requester's part; `on_done` is called once for each write and read."""
+    """Sends writes and reads to all owners of a key; `on_done` is called once for each operation."""
 
     def __init__(
         self,
@@ -185,7 +189,15 @@
         self.pending: dict[int, PendingOperation] = {}
 
     def write(self, ticket: int, key: str, attempt: AttemptRecord, deadline: float) -> None:
-        """Writes an attempt record at all owners and asks what they had before."""
+        """Writes an attempt record at all owners and requests the attempts that they stored before.
+
+        Args:
+            ticket: The caller's number of the operation, passed to `on_done`.
+            key: The session's key.
+            attempt: The attempt record to write.
+            deadline: When an undecided operation ends as uncertain, in monotonic seconds; at most one lease
+                from now.
+        """
         hint = self.hints.hints.get(key)
         if hint and hint.record.is_full(self.view.settings.most_marks_a_session):
             self.context.increment(Metric.ATTEMPTS_FULL)
@@ -196,7 +208,7 @@
             self._begin(ticket, key, attempt, deadline)
 
     def read(self, ticket: int, key: str, deadline: float) -> None:
-        """Asks all owners what they have."""
+        """Requests the attempts that all owners store; the arguments are those of `write`."""
         if self._has_room(ticket):
             self._begin(ticket, key, None, deadline)
 
@@ -213,14 +225,14 @@
         return True
 
     def _begin(self, ticket: int, key: str, attempt: AttemptRecord | None, deadline: float) -> None:
-        # An owner that restarted counts on it that no write is open for longer than a lease.
+        # An owner that restarted relies on no write being pending for longer than a lease.
         deadline = min(deadline, self.view.now + self.view.settings.lease_s)
         request_id = self.view.next_request_id()
         self.pending[request_id] = PendingOperation(ticket, key, attempt, deadline)
         self._start_round(request_id)
 
     def _start_round(self, request_id: int) -> None:
-        """Asks all owners by the present ring."""
+        """Sends the request to all owners by the present ring, and discards earlier responses."""
         operation = self.pending[request_id]
         operation.written_by = {}
         operation.answered_by = {}
@@ -259,7 +271,7 @@
             return b""
         hint = self.hints.hints.get(operation.key)
         data: bytes | None = b""
-        if hint:  # earlier attempts that not all owners have yet go along
+        if hint:  # the hint also contains earlier attempts that not all owners have yet
             data = self.store.encode_to_send(operation.key, hint.record)
             operation.version = hint.version
         if not data:
@@ -268,10 +280,10 @@
         return data or b""
 
     def on_response(self, sender: str, message: WriteResponse) -> None:
-        """Counts an owner's answer."""
+        """Counts an owner's response."""
         operation = self.pending.get(message.request_id)
-        is_ours = message.incarnation == self.view.incarnation
-        if operation is None or not is_ours or sender not in operation.owners:
+        is_own_incarnation = message.incarnation == self.view.incarnation
+        if operation is None or not is_own_incarnation or sender not in operation.owners:
             self.context.increment(Metric.DROPPED_LATE_ANSWER)
             return
         if message.epoch != operation.epoch:
@@ -294,7 +306,7 @@
         if message.caught_up:
             operation.answered_by[sender] = None
         if self.view.now > operation.deadline:
-            self._close(message.request_id)  # we were stopped: what came in meanwhile may be of any age
+            self._close(message.request_id)  # this process was paused: the response may be of any age
             return
         if not operation.is_decided and operation.has_quorum:
             self._decide(operation, certain=True)
@@ -308,14 +320,14 @@
         self.on_done(operation.ticket, attempts, certain)
 
     def _earlier_attempts(self, key: str, attempt_id: str, known: Session) -> tuple[AttemptRecord, ...]:
-        """What is known of a session, our own hints included, without the attempt that is written."""
+        """The known attempts of a session, this agent's hint included, without the attempt to write."""
         hint = self.hints.hints.get(key)
         session = self.store.without_expired(records.merge(known, hint.record) if hint else known)
         assert isinstance(session, Session)
         return tuple(attempt for each, attempt in sorted(session.attempts.items()) if each != attempt_id)
 
     def _close(self, request_id: int) -> None:
-        """Its time is over: what not all owners have goes on as a hint."""
+        """Ends an operation, as uncertain if it is undecided; owners that lack the hint are sent it."""
         operation = self.pending.pop(request_id, None)
         if operation is None:
             return
@@ -324,7 +336,7 @@
         self.hints.enqueue(operation.key)
 
     def on_ring_changed(self) -> None:
-        """Operations that are not decided begin anew."""
+        """Closes the decided operations and sends the others to the owners by the new ring."""
         for request_id, operation in list(self.pending.items()):
             if operation.is_decided:
                 self._close(request_id)
@@ -332,7 +344,7 @@
                 self._start_round(request_id)
 
     def close_first_overdue(self) -> None:
-        """Closes the oldest operations as long as their time is over."""
+        """Closes overdue operations, oldest first, up to the first that isn't overdue."""
         while self.pending:
             request_id = next(iter(self.pending))
             if self.pending[request_id].deadline > self.view.now:
@@ -340,12 +352,12 @@
             self._close(request_id)
 
     def close_overdue(self, now: float) -> None:
-        """Closes all operations whose time is over."""
+        """Closes all operations whose deadline has passed."""
         for request_id in [each for each, operation in self.pending.items() if now >= operation.deadline]:
             self._close(request_id)
 
     def retry(self, now: float) -> None:
-        """Asks the owners that haven't answered again."""
+        """Sends undecided operations again to the owners that haven't answered."""
         for request_id, operation in list(self.pending.items()):
             if not operation.is_decided and now >= operation.sent_at + RETRY_PAUSE_S:
                 operation.sent_at = now
--- a/cartdeal/fleet/replication/read_repair.py
+++ b/cartdeal/fleet/replication/read_repair.py
@@ -1,7 +1,7 @@
-"""Read repair: an owner that hasn't caught up with a key asks the key's former owners and the others.
+"""Read repair: an owner that hasn't caught up with a key requests it from the other owners and former owners.
 
-It owns the keys that are being asked about, and the requests that wait for them. It must never let a key
-count as caught up with before enough others have answered.
+This module owns the pending repairs, and the requests that wait for them. A key must never count as caught up
+with before enough sources have answered.
 """
 
 from collections.abc import Callable
@@ -15,11 +15,11 @@
 
 REPAIR_TIMEOUT_S = 1.0
 RETRY_PAUSE_S = 0.25
-MAX_WAITING_REQUESTS = 16  # of one key
+MAX_WAITING_REQUESTS = 16  # requests that may wait for one key; further ones aren't answered again
 
 
 class WaitingRequest(NamedTuple):
-    """A write or read that is answered once more when its key has been caught up with."""
+    """A write or read that is answered a second time when its key has been caught up with."""
 
     requester: str
     request_id: int
@@ -28,7 +28,10 @@
 
 
 class PendingRepair:
-    """A key that an owner asks about; the sources are those that had caught up by the former or this ring."""
+    """The repair of one key.
+
+    `former_sources` and `current_sources` have answered, and had caught up by the former or the current ring.
+    """
 
     __slots__ = ("current_sources", "deadline", "former_sources", "request_id", "sent_at", "waiting")
 
@@ -42,7 +45,7 @@
 
 
 class ReadRepair:
-    """Single keys that this agent catches up with; `on_repaired(key, waiting)` answers who waits for one."""
+    """Catches up with single keys; `on_repaired(key, waiting)` answers the requests that wait for one."""
 
     def __init__(
         self,
@@ -57,7 +60,7 @@
         self.pending: dict[str, PendingRepair] = {}
 
     def request(self, key: str, waiting: WaitingRequest) -> None:
-        """Asks those who may have a key's record, unless they are asked already."""
+        """Begins the repair of a key; if one is pending, adds the request to those that wait for it."""
         repair = self.pending.get(key)
         if repair is not None:
             if waiting not in repair.waiting and len(repair.waiting) < MAX_WAITING_REQUESTS:
@@ -77,7 +80,7 @@
         self._send(key, repair)
 
     def tick(self, now: float) -> None:
-        """Asks again, and gives up what took too long."""
+        """Repeats unanswered requests, and drops repairs that have reached REPAIR_TIMEOUT_S."""
         for key, repair in list(self.pending.items()):
             if now >= repair.deadline:
                 del self.pending[key]
@@ -85,7 +88,7 @@
                 self._send(key, repair)
 
     def cancel_all(self) -> None:
-        """The ring changed: requests by the former one are void."""
+        """Drops all repairs, as the ring has changed."""
         self.pending = {}
 
     def _send(self, key: str, repair: PendingRepair) -> None:
@@ -102,7 +105,7 @@
                 self.context.send(source, message)
 
     def on_request(self, sender: str, message: ReadRepairRequest) -> None:
-        """Tells an owner what is stored under a key, and whether this agent counts as a source for it."""
+        """Sends an owner the record stored under a key, and whether this agent counts as a source for it."""
         if not self.view.has_valid_lease():
             return
         catch_up, now, key = self.view.catch_up, self.view.now, message.key
@@ -125,7 +128,7 @@
         self.context.send(sender, response)
 
     def on_response(self, sender: str, message: ReadRepairResponse) -> None:
-        """Merges a source's record; when enough sources have answered, those who wait are answered."""
+        """Merges a source's record, and completes the repair once enough sources have answered."""
         key = self._key_of(message)
         if key is None:
             self.context.increment(Metric.DROPPED_LATE_ANSWER)
