--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -1,9 +1,9 @@
 """The records that a fleet shares, and how two copies of one are merged.
 
-They are state-based CRDTs (Shapiro and others, 2011). The module owns what attempt records and usage counters
-mean in memory, whatever version they were written by. It must never depend on the order, grouping or number
-of arrivals: `merge` is commutative, associative and idempotent, and what it drops depends on the merged state
-alone. Fields that a program doesn't know are kept and merged as unknown_fields says.
+Records are state-based CRDTs (Shapiro and others, 2011). This module owns the meaning of attempt records and
+usage counters in memory, whatever schema version wrote them. A result must never depend on the order,
+grouping or number of arrivals: `merge` is commutative, associative and idempotent, and what it drops depends
+only on the merged state. Fields that a program doesn't know are kept and merged by unknown_fields.
 """
 
 from enum import IntEnum, StrEnum
@@ -16,17 +16,17 @@
 from cartdeal.fleet.errors import ClockAheadError, InvalidRecordError
 from cartdeal.fleet.replication.unknown_fields import encoder, is_too_large, merge_fields, rank
 
-MAX_LOCATIONS = 32  # of one attempt record; beyond them, UNKNOWN_LOCATION says that some are forgotten
+MAX_LOCATIONS = 32  # in one attempt record; UNKNOWN_LOCATION replaces those beyond
 UNKNOWN_LOCATION = ("*", -1)  # the request may have been sent to any zone and cell
-RETAINED_PERIODS = 16  # of a tenant's usage; older ones are dropped: at 250 agents a record is full
-MAX_USAGE_COUNTS = 4096  # of a tenant's usage; the newest are kept
-MAX_LEASES = 1024  # of a tenant's limit; those that last longest are kept
+RETAINED_PERIODS = 16  # of a tenant's usage; older ones are dropped, as 250 agents' counts fill a record
+MAX_USAGE_COUNTS = 4096  # of one tenant; the newest are kept
+MAX_LEASES = 1024  # of one tenant's limit; those that end last are kept
 DIGEST_BYTES = 16
 DEDUPLICATION_GROUPS = ("all", "zone", "cell")  # from the widest to the narrowest
 
-# Fields of a session that repeat, in another form, what its attempt records say. Version 1 has reserved
-# these names: old agents, which can't read them, leave them out of digests, and keep one copy, so that it
-# can't grow.
+# Fields of a session that repeat its attempt records in another form. Version 1 has reserved these names: old
+# agents, which can't read the fields, leave them out of digests, and keep only one copy's value when they
+# merge, so that the fields can't grow.
 REDUNDANT_FIELDS = ("by",)
 
 Location = tuple[str, int]  # zone and cell
@@ -34,33 +34,34 @@
 
 
 class Certainty(IntEnum):
-    """What is known of the request that an attempt record stands for; it only ever grows."""
+    """What is known of the request that an attempt record stands for. The value never decreases."""
 
-    CLAIMED = 0  # may be sent at any moment
-    SENT = 1  # may have run
-    NEVER_RAN = 2  # certainly not run; sending it again takes a new attempt record
+    CLAIMED = 0  # the request may be sent at any moment
+    SENT = 1  # the request may have run
+    NEVER_RAN = 2  # the request has certainly not run; sending it again needs a new attempt record
     ANSWERED = 3
 
 
 class RepeatMode(StrEnum):
     """What a server does with a repeat of the request."""
 
-    DEDUPLICATED = "d"  # servers recognise and drop it, within a window
-    NON_IDEMPOTENT = "u"  # it would run twice
+    DEDUPLICATED = "d"  # servers recognise and drop a repeat within a window
+    NON_IDEMPOTENT = "u"  # a repeat would run the request twice
 
 
 class AttemptRecord(Struct, frozen=True):
-    """One request of a session. A single agent writes it; copies of it may be of any age.
+    """One attempt to send a request of a session.
 
-    `fields` gives the names in stored bytes, where they differ from these.
+    Only one agent writes an attempt record; copies of it may be of any age. STORED_NAMES has the names of the
+    fields in stored bytes.
     """
 
     attempt_id: str  # "name/incarnation/number" of the agent that writes it
     key: str  # the request's idempotency key
     repeat: str  # a RepeatMode's value
-    group: str  # where servers deduplicate together: one of DEDUPLICATION_GROUPS
-    window_ms: int  # how long they do
-    locations: tuple[Location, ...] = ()  # of each time it was sent, sorted
+    group: str  # the servers that deduplicate together: one of DEDUPLICATION_GROUPS
+    window_ms: int  # how long servers deduplicate the request
+    locations: tuple[Location, ...] = ()  # where the request was sent, sorted
     certainty: int = Certainty.CLAIMED
     sent_ms: int = 0  # wall clock
     expires_ms: int = 0  # wall clock; the attempt record is dropped then
@@ -73,12 +74,12 @@
             force_setattr(self, "locations", locations)
 
     def fields(self) -> dict[str, Any]:
-        """The form that every version writes, and that digests are made of."""
+        """The fields by stored name, as every schema version writes them and as digests cover them."""
         known = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
         return {**self.unknown_fields, **known, "certainty": int(self.certainty)}
 
 
-# Python's name of each field -> its name in stored bytes and in digests
+# Name of each field of AttemptRecord -> its name in stored bytes and in digests
 STORED_NAMES = {
     name: {"attempt_id": "by", "locations": "places", "expires_ms": "until_ms"}.get(name, name)
     for name in AttemptRecord.__struct_fields__
@@ -87,14 +88,16 @@
 
 
 class Session(Struct):
-    """The requests of a client's session, and where each was sent."""
+    """The attempts of a client's session."""
 
     attempts: dict[str, AttemptRecord] = {}  # by attempt_id
     unknown_fields: dict[str, Any] = {}
-    required_version: int = 0  # the schema version it takes to read all of it, if this program's won't do
+    required_version: int = 0  # the schema version needed to read all of it; 0 if this program's is enough
 
     def open_attempts(self, key: str, wall_ms: int, slack_ms: int = 0) -> tuple[AttemptRecord, ...]:
-        """The attempts of a request that still bind a repeat: not expired by the slowest clock, may have run.
+        """The attempts of a request that restrict a repeat of it.
+
+        They may have run, and haven't expired by the slowest tolerated clock.
 
         Args:
             key: The request's idempotency key.
@@ -110,12 +113,12 @@
         )
 
     def is_full(self, max_attempts: int) -> bool:
-        """Whether it can take no further attempt. Merging takes it all the same: no copy loses one."""
+        """Whether owners should accept no further attempt. Merging ignores this, so no copy loses one."""
         return len(self.attempts) >= max_attempts or is_too_large(self.unknown_fields)
 
 
 class LimitLease(NamedTuple):
-    """The part of a tenant's limit that a holder has on lease."""
+    """The part of a tenant's limit that is leased to one holder."""
 
     until_period: int
     rate: float  # requests per second
@@ -123,19 +126,19 @@
 
 
 class UsageCounter(Struct):
-    """What a tenant was served, by whom and when, and the parts of its limit that are on lease."""
+    """The requests served for a tenant, by agent and period, and the leases of its limit."""
 
-    served_counts: dict[CounterKey, int] = {}  # each written by one agent only
+    served_counts: dict[CounterKey, int] = {}  # each count is written by one agent only
     leases: dict[str, LimitLease] = {}  # by holder
     unknown_fields: dict[str, Any] = {}
     required_version: int = 0  # as in Session
 
     def is_full(self, max_attempts: int = 0) -> bool:
-        """Whether it can take no further unknown fields; counts and leases are bounded by merging."""
+        """Whether the unknown fields are too large; merging bounds counts and leases."""
         return is_too_large(self.unknown_fields)
 
     def total_served(self, period: int) -> int:
-        """The requests served in a period, by all agents."""
+        """The number of requests that all agents served in a period."""
         return sum(count for (_, _, counted), count in self.served_counts.items() if counted == period)
 
 
@@ -146,12 +149,12 @@
 
 
 def record_kind(record: Record) -> str:
-    """The letter for the record's type: in its key, and in its bytes."""
+    """The letter for the record's type, used in its key and in its bytes."""
     return SESSION_KIND if isinstance(record, Session) else USAGE_KIND
 
 
 def session_key(session_id: str) -> str:
-    """The key under which a session's record is stored; the client's identifier can't be read out of it."""
+    """The key under which a session's record is stored: a hash, which hides the client's identifier."""
     return "s/" + blake2b(session_id.encode("utf-8", "surrogateescape"), digest_size=DIGEST_BYTES).hexdigest()
 
 
@@ -161,10 +164,10 @@
 
 
 def merge(a: Record, b: Record) -> Record:
-    """All that either copy knows; neither is changed.
+    """Merges two copies of a record into a new one; neither copy is modified.
 
     Raises:
-        InvalidRecordError: The copies are of two types.
+        InvalidRecordError: The copies are of different types.
     """
     if isinstance(a, Session) and isinstance(b, Session):
         return _merge_sessions(a, b)
@@ -195,7 +198,10 @@
 
 
 def merge_attempts(a: AttemptRecord, b: AttemptRecord) -> AttemptRecord:
-    """One from two copies. Where fixed fields differ, a writer broke the rules: the careful value wins."""
+    """Merges two copies of an attempt record.
+
+    Fields that never change can differ only if a writer broke the rules; the safer value then wins.
+    """
     if a is b or (a == b and not (a.unknown_fields or b.unknown_fields)):
         return a
     return AttemptRecord(
@@ -214,15 +220,15 @@
 
 
 def advance(attempt: AttemptRecord, **changes: Any) -> AttemptRecord:
-    """The writer's next copy of its own attempt record: like `replace`, but knowledge can only grow."""
+    """The writer's next copy of its attempt record: like `replace`, but merged with the present copy."""
     return merge_attempts(attempt, replace(attempt, **changes))
 
 
 def bounded(usage: UsageCounter) -> UsageCounter:
-    """The usage without what exceeds a bound.
+    """The usage without the counts and leases beyond RETAINED_PERIODS, MAX_USAGE_COUNTS and MAX_LEASES.
 
-    The result is the same in any order of merging: the newest of all are among the newest of each copy that
-    had them, so no copy has dropped them before.
+    The result is the same in any order of merging: the newest entries of the merged copies are among the
+    newest of each copy that contained them, so no copy has dropped them before.
     """
     counts, leases = usage.served_counts, usage.leases
     if counts:
@@ -238,9 +244,9 @@
 
 
 def without_expired(record: Record, wall_ms: int, slack_ms: int) -> Record:
-    """The record without attempts that have expired by every tolerated clock.
+    """The record without the attempts that have expired by every tolerated clock.
 
-    Apply it to what arrives, too: an old agent may pass on expired attempts, in a form that it can't read.
+    Received records need this, too: an old agent may pass on expired attempts in a form that it can't read.
     """
     if isinstance(record, UsageCounter) or all(
         attempt.expires_ms + slack_ms > wall_ms for attempt in record.attempts.values()
@@ -255,7 +261,10 @@
 
 
 def is_empty(record: Record) -> bool:
-    """Whether it may be dropped. A session's unknown fields go with its last attempt, if all were read."""
+    """Whether the record may be dropped.
+
+    A session's unknown fields are dropped with its last attempt, unless only a newer program reads all of it.
+    """
     if isinstance(record, Session):
         return not record.attempts and not record.required_version
     return not (record.served_counts or record.leases or record.unknown_fields)
@@ -264,24 +273,24 @@
 def clock_error(
     record: Record, wall_ms: int, longest_ms: int, slack_ms: int, period_s: float = 1.0
 ) -> ClockAheadError | None:
-    """Why the record must not be merged: the clock of an agent that wrote in it is ahead. None if it is not.
+    """The error if a writer's clock is ahead, so that the record must not be merged; else None.
 
-    An attempt then lasts longer than any may, or a count is of a period to come. One period far ahead would
-    push out all that was counted until then.
+    In such a record, an attempt lasts longer than the longest lifetime, or a count is of a future period. One
+    count of a period far ahead would push all earlier counts out of the record.
 
     Args:
-        record: A record that has arrived.
+        record: A received record.
         wall_ms: This agent's wall clock.
         longest_ms: The longest lifetime of an attempt record.
         slack_ms: How far another clock may be ahead.
-        period_s: The length of a period of usage.
+        period_s: The length of a usage period.
     """
     if isinstance(record, Session):
         for attempt_id, attempt in sorted(record.attempts.items()):
             if attempt.expires_ms > wall_ms + longest_ms + slack_ms:
-                lasts_s = (attempt.expires_ms - wall_ms) / 1000
+                lifetime_s = (attempt.expires_ms - wall_ms) / 1000
                 return ClockAheadError(
-                    f"an attempt record of {attempt_id}", f"lasts {lasts_s:.3f} s from now"
+                    f"an attempt record of {attempt_id}", f"lasts {lifetime_s:.3f} s from now"
                 )
         return None
     newest = int((wall_ms + slack_ms) / 1e3 // period_s) + 1
@@ -292,7 +301,7 @@
 
 
 def digest(record: Record) -> bytes:
-    """DIGEST_BYTES, the same for equal records whatever order, version or program they came by."""
+    """A digest of DIGEST_BYTES, equal for equal records whatever order, version or program wrote them."""
     unknown = record.unknown_fields
     content: list[Any]
     if isinstance(record, Session):
@@ -308,14 +317,14 @@
 
 
 def lease_fields(usage: UsageCounter) -> dict[str, list[float]]:
-    """The form of leases that every version writes, and that digests are made of."""
+    """The leases by holder, as every schema version writes them and as digests cover them."""
     return {
         holder: [until, float(rate), float(burst)] for holder, (until, rate, burst) in usage.leases.items()
     }
 
 
 def delta(record: Record, other: Record) -> Record:
-    """What `other` lacks: merged into it, it gives the same as the whole record would."""
+    """The part of `record` that `other` lacks: merging it into `other` gives the same as merging `record`."""
     merged = merge(other, record)
     if isinstance(merged, Session) and isinstance(record, Session) and isinstance(other, Session):
         attempts = {
@@ -337,7 +346,7 @@
 
 
 def encodes_differently(a: Any, b: Any) -> bool:
-    """Whether two plain values have different bytes: 1, 1.0 and true do, though they are equal."""
+    """Whether two plain values encode to different bytes, as 1, 1.0 and true do, though they are equal."""
     return encoder.encode(a) != encoder.encode(b)
 
 
--- a/cartdeal/fleet/replication/unknown_fields.py
+++ b/cartdeal/fleet/replication/unknown_fields.py
@@ -1,7 +1,7 @@
-"""Fields that this program doesn't know, and the one rule by which every version merges them.
+"""The rule by which every version merges fields that it doesn't know.
 
-Maps are merged key by key; of anything else the greater by `rank` wins. It must never change: a later version
-that adds a field has to live with it, since old agents merge the field by this rule.
+Maps are merged key by key; of any other two values the greater by `rank` wins. The rule must never change: a
+later version that adds a field relies on it, since old agents merge the field by this rule.
 """
 
 from math import copysign
@@ -9,13 +9,13 @@
 
 import msgspec
 
-MAX_UNKNOWN_BYTES = 32 * 1024  # bytes of unknown fields in a record; more makes it full
+MAX_UNKNOWN_BYTES = 32 * 1024  # bytes of unknown fields in a record; with more, the record is full
 
 encoder = msgspec.msgpack.Encoder(order="deterministic")
 
 
 def rank(value: Any) -> tuple[Any, ...]:
-    """A sort key that orders all plain values totally: numbers by value, lists item by item."""
+    """A sort key that is a total order of all plain values: numbers by value, lists item by item."""
     if value is None:
         return (0,)
     if isinstance(value, bool):
@@ -32,14 +32,17 @@
 
 
 def merge_values(a: Any, b: Any) -> Any:
-    """The rule for two values that nobody here understands."""
+    """Merges two values of an unknown field."""
     if isinstance(a, dict) and isinstance(b, dict):
         return merge_fields(a, b)
     return max(a, b, key=rank)
 
 
 def merge_fields(a: dict[str, Any], b: dict[str, Any], redundant: tuple[str, ...] = ()) -> dict[str, Any]:
-    """The fields of both. Of a field in `redundant` one copy is kept whole, so that it can't grow."""
+    """Merges the fields of two copies; of a field in `redundant`, one copy's value is kept unmerged.
+
+    A redundant field therefore can't grow.
+    """
     if not (a and b):
         return dict(a or b)
     merged = dict(a)
