--- a/cartdeal/fleet/replication/migration.py
+++ b/cartdeal/fleet/replication/migration.py
@@ -118,7 +118,7 @@
     """
     version = governing_version(ring.written_version, ring.phase)
     if 0 < settings.hold_version < version:
-        observed = f"{settings.hold_version}, the fleet writes {version} alone"
+        observed = f"{settings.hold_version}, the fleet writes only {version}"
         return SchemaDowngradeError(f"hold_version of {settings.name}", observed)
     return None
 
--- a/cartdeal/fleet/replication/record_codec.py
+++ b/cartdeal/fleet/replication/record_codec.py
@@ -1,14 +1,14 @@
-"""The bytes of records in each schema version.
+"""Encodes and decodes records in each schema version.
 
-The module owns the stored and sent form of records. It must never drop a field that it doesn't know, nor
-trust a byte (record_validation checks them).
+This module owns the form of records in storage and in messages. It must never drop a field that it doesn't
+know, nor use bytes that record_validation hasn't checked.
 
 Version 1: a session has one list of attempt records, "marks"; a usage counter has "counts" by period.
 Version 2: a session has "by", its attempt records by deduplication group and window; a usage counter also has
 "parts", the leased parts of a limit.
 
-`supported_version` is the version that a program knows: 1 plays the old program with this code, in tests and
-in simulations. Which versions are written in a step of the migration, says migration.written_versions.
+`supported_version` is the version that a program knows; with 1, this code acts as the old program in tests
+and in simulations. migration.written_versions gives the versions that are written in a migration step.
 """
 
 from collections.abc import Iterator
@@ -41,12 +41,12 @@
 VERSIONS = (1, 2)
 LATEST_VERSION = VERSIONS[-1]
 
-MAX_ATTEMPTS = 1024  # of one session: far more than an owner accepts, as copies of many agents merge
+MAX_ATTEMPTS = 1024  # in one session; far above an owner's limit, as the copies of many agents are merged
 MAX_ATTEMPT_FIELDS = 64
 MAX_INCARNATION = 1 << 63
-MAX_WINDOW_DIGITS = 16  # of the milliseconds in a group's name
+MAX_WINDOW_DIGITS = 16  # digits of the milliseconds in a group's name
 
-# Names in stored bytes
+# Names of fields in stored bytes
 ATTEMPTS_FIELD = "marks"
 GROUPED_ATTEMPTS_FIELD = "by"
 COUNTS_FIELD = "counts"
@@ -61,12 +61,19 @@
 def encode(
     kind: str, record: Record, written_version: int, phase: str, supported_version: int = LATEST_VERSION
 ) -> bytes:
-    """The record in the form that the fleet writes now, as far as this program supports it.
+    """The record's bytes in the form that the fleet writes now, as far as this program supports it.
 
     Equal records give equal bytes.
 
+    Args:
+        kind: The letter for the record's type.
+        record: The record to encode.
+        written_version: The ring's schema version.
+        phase: The ring's phase of the migration.
+        supported_version: The highest schema version that the program knows.
+
     Raises:
-        RecordTooLargeError: No agent would read the bytes.
+        RecordTooLargeError: The record is so large that no agent would read it.
     """
     versions = [
         version for version in written_versions(written_version, phase) if version <= supported_version
@@ -85,7 +92,7 @@
     else:
         counts = record.served_counts
         fields[COUNTS_FIELD] = [[*counter, counts[counter]] for counter in sorted(counts)]
-        if record.leases:  # whatever is written now: a step back must not lose what is on lease
+        if record.leases:  # in every version: a step back must not lose leases
             fields[LEASES_FIELD] = records.lease_fields(record)
     raw = encoder.encode(fields)
     if len(raw) > MAX_RECORD_BYTES:
@@ -94,17 +101,17 @@
 
 
 def decode(kind: str, raw: bytes, supported_version: int = LATEST_VERSION) -> Record:
-    """The record, from bytes of any version.
+    """Decodes a record from bytes of any version.
 
-    `required_version` is set in it where it takes a newer program to read all of it. Where a session has both
-    forms and they differ, both count: an old agent adds to its own form only.
+    The record's `required_version` is set if only a newer program can read all of it. If a session contains
+    both forms and they differ, the attempts of both are merged: an old agent adds only to its own form.
 
     Raises:
-        InvalidRecordError: Whatever the bytes are, nothing else is raised.
+        InvalidRecordError: The bytes aren't a valid record of this kind. No other error is raised.
     """
     fields = decode_fields(raw, KINDS)
     if fields.pop("kind") != kind:
-        raise InvalidRecordError(f"a record under {kind}/", "one of another kind")
+        raise InvalidRecordError(f"a record under {kind}/", "a record of another kind")
     fields.pop("v")
     needs = fields.pop("needs")
     required_version = needs if needs > supported_version else 0
@@ -116,10 +123,10 @@
 def needs_rewrite(
     raw: bytes, written_version: int, phase: str, supported_version: int = LATEST_VERSION
 ) -> bool:
-    """Whether bytes differ from what would be written now.
+    """Whether a record's bytes differ from those that would be written now.
 
     Raises:
-        InvalidRecordError: The bytes are no record, so that rewriting can't mend them.
+        InvalidRecordError: The bytes aren't a valid record, so they can't be rewritten.
     """
     kind = decode_fields(raw, KINDS)["kind"]
     record = decode(kind, raw, supported_version)
@@ -131,14 +138,14 @@
 
 def _decode_session(fields: dict[str, Any], required_version: int, supported_version: int) -> Session:
     session = Session({}, {}, required_version)
-    listed = check_list(fields.pop(ATTEMPTS_FIELD, []), ATTEMPTS_FIELD, MAX_ATTEMPTS)
-    for value in listed:
+    ungrouped = check_list(fields.pop(ATTEMPTS_FIELD, []), ATTEMPTS_FIELD, MAX_ATTEMPTS)
+    for value in ungrouped:
         _add_attempt(session, _decode_attempt(value))
     if supported_version >= 2:
         value = fields.pop(GROUPED_ATTEMPTS_FIELD, {})
         grouped = check_map(value, GROUPED_ATTEMPTS_FIELD, MAX_ATTEMPTS)
-        # Where both forms say the same, reading one will do.
-        if grouped and records.encodes_differently(grouped, _group_attempts(listed)):
+        # If both forms contain the same attempts, it is enough to read one.
+        if grouped and records.encodes_differently(grouped, _group_attempts(ungrouped)):
             for group_name, attempt in _ungroup_attempts(grouped):
                 _add_attempt(session, _decode_attempt(attempt, group_name))
     session.unknown_fields = fields
@@ -154,7 +161,7 @@
 
 
 def _ungroup_attempts(grouped: dict[str, Any]) -> Iterator[tuple[str, Any]]:
-    """The name of the group and the other fields of each attempt record, in version 2's form."""
+    """Yields the group's name and the remaining fields of each attempt record in the form of version 2."""
     remaining = MAX_ATTEMPTS
     for group_name, attempts in sorted(grouped.items()):
         remaining -= len(check_list(attempts, "attempt records of a group", remaining))
@@ -186,7 +193,7 @@
 
 
 def _decode_group(group_name: str, attempt: dict[str, Any]) -> dict[str, Any]:
-    """The fields that a group's name, "group/milliseconds", stands for."""
+    """Decodes a group's name, "group/milliseconds", to the fields that it replaces in attempt records."""
     group, _, window = group_name.partition("/")
     if not (window.isascii() and window.isdigit() and len(window) <= MAX_WINDOW_DIGITS):
         raise InvalidRecordError("a group's name", f"{len(group_name)} characters")
@@ -198,7 +205,7 @@
 def _decode_locations(value: Any) -> tuple[tuple[str, int], ...]:
     locations = []
     for location in check_list(value, "places", records.MAX_LOCATIONS + 1):
-        zone, cell = check_length(location, "a place", 2, "parts")
+        zone, cell = check_length(location, "a location", 2, "items")
         if location != list(records.UNKNOWN_LOCATION):
             check_integer(cell, "cell")
         locations.append((check_text(zone, "zone"), cell))
@@ -230,9 +237,9 @@
 def _decode_leases(value: Any) -> dict[str, LimitLease]:
     leases = {}
     for holder, lease in check_map(value, LEASES_FIELD, records.MAX_LEASES).items():
-        until, rate, burst = check_length(lease, "a part", 3, "numbers")
-        for share in (rate, burst):
-            if type(share) is not float or not 0 <= share <= MAX_NUMBER:
-                raise InvalidRecordError("a part's rate or burst", type(share).__name__)
+        until, rate, burst = check_length(lease, "a lease", 3, "numbers")
+        for number in (rate, burst):
+            if type(number) is not float or not 0 <= number <= MAX_NUMBER:
+                raise InvalidRecordError("a lease's rate or burst", type(number).__name__)
         leases[check_text(holder, "holder", 1)] = LimitLease(check_integer(until, "until"), rate, burst)
     return leases
--- a/cartdeal/fleet/replication/record_validation.py
+++ b/cartdeal/fleet/replication/record_validation.py
@@ -1,6 +1,6 @@
-"""Checks of stored and received bytes: no value of a peer is used before it has passed them.
+"""Validates stored and received bytes before any of their values is used.
 
-It must never trust a byte, nor put a value that it refuses into an error's text, which may be logged. Every
+This module must never trust a byte, nor quote a rejected value in an error's text, which may be logged. Every
 check raises InvalidRecordError.
 """
 
@@ -22,7 +22,7 @@
 
 
 def decode_fields(raw: bytes, kinds: tuple[str, ...]) -> dict[str, Any]:
-    """The fields of a record of any version, with "kind", "v" and "needs" checked."""
+    """Decodes the fields of a record of any version, and checks "kind", "v" and "needs"."""
     if len(raw) > MAX_RECORD_BYTES:
         raise InvalidRecordError("a record", f"{len(raw)} bytes")
     try:
@@ -35,15 +35,18 @@
     check_choice(fields.get("kind"), "a record's kind", kinds)
     needs = check_integer(fields.get("needs"), "needs", MAX_SCHEMA_VERSION)
     if not 1 <= needs <= check_integer(fields.get("v"), "v", MAX_SCHEMA_VERSION):
-        raise InvalidRecordError("a record's version", f"needs {needs}, is of {fields['v']}")
+        raise InvalidRecordError("a record's version", f"needs version {needs}, is version {fields['v']}")
     return fields
 
 
 def check_plain(fields: dict[Any, Any]) -> None:
-    """Lets through only what programs of every version can order, store and write back alike."""
+    """Checks that fields contain only values that every program version orders and writes in the same way.
+
+    These are maps with text keys, lists and PLAIN_TYPES other than NaN, at most MAX_DEPTH levels deep.
+    """
     level: list[Any] = [fields]
     for _ in range(MAX_DEPTH):
-        below = []
+        next_level = []
         for container in level:
             if type(container) is dict:
                 for name in container:
@@ -53,12 +56,12 @@
             for value in container:
                 kind = type(value)
                 if kind is dict or kind is list:
-                    below.append(value)
+                    next_level.append(value)
                 elif kind not in PLAIN_TYPES or value != value:  # noqa: PLR0124 - NaN alone differs from itself
                     raise InvalidRecordError("a value", "nan" if kind is float else kind.__name__)
-        if not below:
+        if not next_level:
             return
-        level = below
+        level = next_level
     raise InvalidRecordError("a value", f"more than {MAX_DEPTH} deep")
 
 
@@ -82,7 +85,7 @@
     """The value, if it is a list of at most `max_length` items."""
     if type(value) is not list or len(value) > max_length:
         raise InvalidRecordError(
-            subject, f"{len(value)} of them" if type(value) is list else type(value).__name__
+            subject, f"{len(value)} items" if type(value) is list else type(value).__name__
         )
     return value
 
@@ -98,7 +101,7 @@
     """The value, if it is a map of at most `max_length` entries."""
     if type(value) is not dict or len(value) > max_length:
         raise InvalidRecordError(
-            subject, f"{len(value)} of them" if type(value) is dict else type(value).__name__
+            subject, f"{len(value)} entries" if type(value) is dict else type(value).__name__
         )
     return value
 
@@ -106,5 +109,5 @@
 def check_choice(value: Any, subject: str, choices: tuple[str, ...]) -> str:
     """The value, if it is one of the choices."""
     if value not in choices:
-        raise InvalidRecordError(subject, "none of " + ", ".join(choices))
+        raise InvalidRecordError(subject, "not one of " + ", ".join(choices))
     return value  # type: ignore[no-any-return]
