--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -1,7 +1,8 @@
 """The records that this agent stores: bytes, a cache of decoded records, owners, expiry and schema migration.
 
-It owns the copies. It must never store what no agent could read, or more records than the settings allow;
-and digests by range must always be those of the records whose owners by the present ring are known.
+This module owns the copies. It must never store a record that no agent could read, or more records than the
+settings allow. The digests by range must always cover exactly the records whose owners by the present ring
+are known.
 """
 
 from collections.abc import Callable
@@ -20,20 +21,25 @@
 MAX_SENT_RECORD_BYTES = 200 * 1024
 MAX_KEY_CHARACTERS = 600
 KEY_PREFIXES = ("s/", "u/")
-PLACED_PER_TICK = 2_000  # records whose owners are found anew; fewer where the ring has many members
+PLACED_PER_TICK = 2_000  # records whose owners are recomputed; fewer if the ring has many members
 MIGRATED_PER_TICK = 200
 EXPIRED_PER_TICK = 1_000
-CACHED_RECORDS = 4_096  # decoding one takes longer than all else
+CACHED_RECORDS = 4_096  # decoded records; decoding is the slowest part of an operation
 RANGE_DIGEST_BYTES = 8
-KEY_DIGEST_BYTES = 8  # of a record's digest in lists of keys
+KEY_DIGEST_BYTES = 8  # leading bytes of a record's digest that a list of keys contains
 
 
 class StoredRecord:
-    """A copy, as bytes.
-
-    `digest` is the record's; `range_term` is XORed into the digests of its range. `placed_by` is the catch-up
-    of the ring by which `owners` were found, None before. `expires_ms`: when its next attempt record expires,
-    0 for none. `form`: the schema version and phase that `data` is written in.
+    """This agent's copy of one record.
+
+    Attributes:
+        data: The encoded record.
+        digest: The record's digest.
+        range_term: A hash of key and digest that is XORed into the digests of the record's range.
+        owners: The names of the key's owners.
+        placed_by: The catch-up of the ring by which `owners` were computed; None before.
+        expires_ms: The wall clock at which the next attempt record expires; 0 if none does.
+        form: The schema version and the phase in which `data` is written.
     """
 
     __slots__ = ("data", "digest", "expires_ms", "form", "owners", "placed_by", "range_term")
@@ -49,10 +55,10 @@
 
 
 class RecordStore:
-    """Records by key.
+    """Stores records by key.
 
-    `on_owners_gained(key, owners)`: a record has new owners that its first former owner, this agent, hands it
-    to. `on_dropped(key)`: a record is no longer stored.
+    `on_owners_gained(key, owners)` is called when a record has new owners and this agent, as the first of its
+    former owners that remain, has to hand it to them. `on_dropped(key)` is called when a record is dropped.
     """
 
     def __init__(
@@ -67,19 +73,19 @@
         self.on_dropped = on_dropped
         self.records: dict[str, StoredRecord] = {}
         self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGE_COUNT)]
-        self.cache: dict[str, Record] = {}  # never changed in place
-        self.peer_digests: dict[str, list[int]] = {}  # peer -> digest by range of what both own
-        self.unowned_counts: dict[str, list[int]] = {}  # peer -> by range, records it owns and we only store
-        self.unplaced_ranges: list[int] = []  # whose owners by the present ring are yet to be found
+        self.cache: dict[str, Record] = {}  # decoded records; never modified in place
+        self.peer_digests: dict[str, list[int]] = {}  # peer -> digest by range of records both own
+        self.unowned_counts: dict[str, list[int]] = {}  # peer -> count by range of records only the peer owns
+        self.unplaced_ranges: list[int] = []  # ranges whose records' owners have yet to be recomputed
         self.expiries: list[tuple[int, str]] = []  # a heap of (expires_ms, key)
-        self.form = (1, "steady")  # schema version and phase that records are written in
+        self.form = (1, "steady")  # schema version and phase in which records are written
         self.old_form_count = 0
         self.ranges_to_migrate: list[int] = []
 
     # Reading and writing
 
     def get(self, key: str) -> Record | None:
-        """The record under a key, or None."""
+        """The record under a key, or None if none is stored."""
         record = self.cache.get(key)
         if record is None and key in self.records:
             record = record_codec.decode(key[0], self.records[key].data, self.view.settings.reads[1])
@@ -87,21 +93,25 @@
         return record
 
     def get_session(self, key: str) -> Session:
-        """The session under a key without its expired attempt records; an empty one where there is none."""
+        """The session under a key without its expired attempt records; empty if none is stored."""
         session = self.without_expired(self.get(key) or Session())
         assert isinstance(session, Session)
         return session
 
     def without_expired(self, record: Record) -> Record:
-        """The record without what has expired by the slowest clock."""
+        """The record without the attempt records that have expired by the slowest tolerated clock."""
         return records.without_expired(record, self.view.wall_ms, self.view.slack_ms)
 
     def encode(self, key: str, record: Record) -> bytes:
-        """The record in the form written now. Raises RecordTooLargeError."""
+        """The record's bytes in the form that is written now.
+
+        Raises:
+            RecordTooLargeError: The record is so large that no agent would read it.
+        """
         return record_codec.encode(key[0], record, *self.form, supported_version=self.view.settings.reads[1])
 
     def encode_to_send(self, key: str, record: Record) -> bytes | None:
-        """The record in the form written now; None, and counted, where it is too large for a message."""
+        """The record's bytes in the form written now; None, with a counter, if too large for a message."""
         try:
             data = self.encode(key, record)
         except RecordTooLargeError:
@@ -112,7 +122,10 @@
         return None
 
     def decode_received(self, key: str, data: bytes) -> Record | None:
-        """A record from a peer; None, and counted, where it can't be taken in."""
+        """Decodes a peer's record, without its expired attempt records.
+
+        Returns None, with a counter, if the key or the record is invalid or the writer's clock is ahead.
+        """
         settings = self.view.settings
         if not (2 <= len(key) <= MAX_KEY_CHARACTERS and key[:2] in KEY_PREFIXES):
             self.context.increment(Metric.DROPPED_BAD_KEY)
@@ -133,7 +146,7 @@
         return self.without_expired(record)
 
     def merge(self, key: str, record: Record) -> bool:
-        """Merges a record into the stored one; False where there is no room."""
+        """Merges a record into the stored one; returns False if it can't be stored for lack of room."""
         stored = self.records.get(key)
         if stored:
             current = self.get(key)
@@ -152,7 +165,7 @@
         return self.put(key, record)
 
     def put(self, key: str, record: Record) -> bool:
-        """Stores a record in place of the one before; False where it is too large."""
+        """Stores a record in place of the previous one; returns False if it is too large."""
         stored = self.records.get(key)
         digest = records.digest(record)
         if stored and stored.digest == digest and stored.form == self.form:
@@ -184,7 +197,7 @@
         return True
 
     def drop(self, key: str) -> None:
-        """Forgets a record."""
+        """Drops a stored record."""
         stored = self.records.pop(key)
         self.cache.pop(key, None)
         del self.ranges[range_of(key)][key]
@@ -193,7 +206,7 @@
         self.on_dropped(key)
 
     def migrate_if_old_form(self, key: str, record: Record) -> None:
-        """Writes a record that is read in the present form."""
+        """Rewrites a stored record, which the caller has decoded, if it isn't in the present form."""
         if key in self.records and self.records[key].form != self.form:
             self.put(key, record)
 
@@ -206,7 +219,10 @@
     # Expiry
 
     def drop_expired(self) -> None:
-        """Drops some of the attempt records that have expired by the slowest clock allowed."""
+        """Drops attempt records that have expired by the slowest tolerated clock.
+
+        Rewrites at most EXPIRED_PER_TICK records in a call.
+        """
         wall_ms = self.view.wall_ms
         budget = EXPIRED_PER_TICK
         while self.expiries and budget and self.expiries[0][0] <= wall_ms:
@@ -220,7 +236,7 @@
             record = records.without_expired(current, wall_ms, self.view.slack_ms)
             stored.expires_ms = 0
             if isinstance(record, Session) and not record.attempts:
-                self.drop(key)  # what a newer program wrote and this one can't read has expired, too
+                self.drop(key)  # fields that only a newer program can read have expired, too
             else:
                 self.put(key, record)
 
@@ -236,7 +252,7 @@
     # Schema migration
 
     def set_form(self, ring: Ring) -> None:
-        """Records are written as a ring says; those written otherwise are migrated in the background."""
+        """Sets the form in which records are written to the ring's; `migrate` rewrites the stored records."""
         form = (ring.written_version, ring.phase)
         if form != self.form:
             self.form = form
@@ -244,7 +260,7 @@
             self.ranges_to_migrate = list(range(RANGE_COUNT))
 
     def migrate(self) -> None:
-        """Writes some of the records that are in an older form in the present one."""
+        """Rewrites records in the present form, about MIGRATED_PER_TICK in a call."""
         budget = MIGRATED_PER_TICK
         while self.ranges_to_migrate and budget > 0:
             stored_range = self.ranges[self.ranges_to_migrate[-1]]
@@ -253,14 +269,14 @@
                 record = self.get(key)
                 assert record is not None
                 if not self.put(key, record):
-                    self.drop(key)  # no agent would read it
+                    self.drop(key)  # too large in the present form: no agent would read it
             budget -= len(keys)
             if budget > 0:
                 self.ranges_to_migrate.pop()
 
     @property
     def migrated_version(self) -> int:
-        """The schema version that all stored records are written in."""
+        """The schema version in which all stored records are written."""
         if self.view.ring is None:
             return self.view.settings.reads[0]
         return migration.migrated_version(self.view.ring, self.old_form_count)
@@ -268,14 +284,14 @@
     # Placement by range
 
     def restart_placement(self) -> None:
-        """The members of the ring changed: the owners of all records are found anew."""
+        """Begins to recompute the owners of all records, as the members of the ring have changed."""
         self.peer_digests = {}
         self.unowned_counts = {}
         self.unplaced_ranges = list(range(RANGE_COUNT))
         self.place()
 
     def place(self) -> None:
-        """Finds some records' owners by the present ring, by whole ranges."""
+        """Recomputes the owners of records by the present ring, one range at a time up to a budget."""
         ring = self.view.ring
         assert ring is not None
         budget = min(PLACED_PER_TICK, 50 * PLACED_PER_TICK // len(ring.members))
@@ -307,7 +323,7 @@
             self._count_in_ranges(key, stored, -1)
 
     def _count_in_ranges(self, key: str, stored: StoredRecord, change: int) -> None:
-        """Counts a record in or out of what is compared by range."""
+        """Adds a record to the digests and counts by range (`change` 1), or removes it (`change` -1)."""
         index = range_of(key)
         is_owner = self.view.name in stored.owners
         by_peer = self.peer_digests if is_owner else self.unowned_counts
@@ -323,15 +339,15 @@
                 values[index] += change
 
     def drop_unowned(self) -> None:
-        """Forgets the records that this agent stores and doesn't own."""
+        """Drops the records that this agent stores but doesn't own."""
         for key in [key for key, stored in self.records.items() if self.view.name not in stored.owners]:
             self.drop(key)
         self.unowned_counts = {}
 
-    # What is compared with peers
+    # Comparison with peers
 
     def range_digests(self, peer: str) -> bytes:
-        """Digests by range of what a peer and this agent own, 8 bytes each."""
+        """Digests by range, 8 bytes each, of the records that both a peer and this agent own."""
         values = self.peer_digests.get(peer, [0] * RANGE_COUNT)
         return b"".join(value.to_bytes(RANGE_DIGEST_BYTES) for value in values)
 
@@ -340,17 +356,17 @@
         return blake2b(self.range_digests(peer), digest_size=16).digest()
 
     def unowned_ranges(self, peer: str) -> int:
-        """Mask of the ranges with records that a peer owns and this agent only stores."""
+        """Bit mask of the ranges with records that a peer owns and this agent only stores."""
         return sum((count > 0) << index for index, count in enumerate(self.unowned_counts.get(peer, ())))
 
     def keys_owned_by(self, peer: str, range_index: int, after: str) -> list[str]:
-        """Keys of a range that a peer owns, in order."""
+        """Keys of a range that a peer owns, after the key `after`, in ascending order."""
         return sorted(
             key for key, stored in self.ranges[range_index].items() if key > after and peer in stored.owners
         )
 
     def keys_owned_with(self, peer: str, range_index: int, after: str) -> list[str]:
-        """Keys of a range that a peer and this agent own, in order."""
+        """Keys of a range that both a peer and this agent own, after the key `after`, in ascending order."""
         return sorted(
             key
             for key, stored in self.ranges[range_index].items()
@@ -358,18 +374,18 @@
         )
 
     def key_digest(self, key: str) -> bytes:
-        """The first bytes of a stored record's digest; b"" where there is none."""
+        """The first KEY_DIGEST_BYTES of a stored record's digest; b"" if none is stored."""
         stored = self.records.get(key)
         return stored.digest[:KEY_DIGEST_BYTES] if stored else b""
 
-    # What is looked at
+    # Inspection
 
     def all_records(self) -> dict[str, Record]:
-        """All that is stored, by key, in order of keys."""
+        """All stored records by key, in ascending order of keys."""
         return {key: record for key in sorted(self.records) if (record := self.get(key)) is not None}
 
     def owned_digest(self, peer: str = "") -> bytes:
-        """Over all records that this agent owns, and `peer` does, too, if one is named."""
+        """A digest over all records that this agent owns; with `peer`, over those that both own."""
         total = blake2b(digest_size=16)
         for key, record in self.all_records().items():
             names = self.view.owners(key)
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -1,11 +1,14 @@
-"""Replicated records: ties the parts of a replica together, and tells them of messages, rings and time.
+"""Replicated records: connects the parts of a replica and passes messages, rings and time to them.
 
-It owns this agent's copies and what it wrote until all owners have it. It must never call an answer certain
-that not enough owners gave, all of one epoch and caught up; lose an own attempt record and not say so; or
-let a message, a table or an event grow with what is stored where it could with what differs.
+This module owns this agent's copies, and its writes until all owners have them. It must never
 
-After Dynamo (DeCandia and others, 2007): preference lists, hinted handoff, anti-entropy; without its sloppy
-quorums, as two that ask different agents would not see each other.
+- report an operation as certain unless enough owners answered it, all of them in one epoch and caught up;
+- drop one of this agent's own attempt records without reporting it;
+- let a message, a table or the work of an event grow with the number of stored records, where it can grow
+  with the number that differ.
+
+Source: Dynamo (DeCandia and others, 2007), its preference lists, hinted handoff and anti-entropy; without its
+sloppy quorums, as two writers that reach different agents would not see each other's attempts.
 """
 
 from collections.abc import Callable
@@ -48,8 +51,8 @@
 class Replica:
     """The records that this agent stores, writes and reads.
 
-    `on_done(ticket, attempts, certain)` is called once for each write and read. `has_valid_lease()`: whether
-    this agent may answer as an owner by its ring.
+    `on_done(ticket, attempts, certain)` is called once for each write and read. `has_valid_lease()` returns
+    whether this agent may answer as an owner by its ring.
     """
 
     def __init__(
@@ -89,43 +92,46 @@
 
     @property
     def settings(self) -> FleetSettings:
-        """What the operator asks; it may change while the agent runs."""
+        """The operator's settings, which may change while the agent runs."""
         return self.view.settings
 
     @settings.setter
     def settings(self, settings: FleetSettings) -> None:
-        """Takes over what the operator asks now."""
+        """Replaces the settings."""
         self.view.settings = settings
 
     @property
     def catch_up(self) -> CatchUp | None:
-        """What was caught up with by the present ring; None while there is none."""
+        """The progress of catching up by the present ring; None while there is no ring."""
         return self.view.catch_up
 
     # Operations
 
     def write(self, ticket: int, key: str, attempt: AttemptRecord, deadline: float) -> None:
-        """Writes an attempt record at all owners and asks what they had before."""
+        """Writes an attempt record at all owners and requests the attempts that they stored before."""
         self.coordinator.write(ticket, key, attempt, deadline)
 
     def read(self, ticket: int, key: str, deadline: float) -> None:
-        """Asks all owners what they have under a key."""
+        """Requests the attempts that all owners store under a key."""
         self.coordinator.read(ticket, key, deadline)
 
     def update(self, key: str, attempt: AttemptRecord) -> None:
-        """More is known of an own attempt; all owners get it, whenever they can be reached."""
+        """Updates one of this agent's attempt records at all owners; those out of reach get it later."""
         self.hints.publish(key, Session({attempt.attempt_id: attempt}))
 
     def count_usage(self, tenant: str, period: int, served: int) -> None:
-        """So many more requests were served; published about once a second."""
+        """Adds requests served for a tenant in a period; the counts are published about once a second."""
         self.usage.count(tenant, period, served)
 
     # Rings
 
-    def on_ring_changed(self, ring: Ring, former: Ring | None, since: float | None = None) -> None:
-        """Takes over a new epoch.
+    def on_ring_changed(self, ring: Ring, former: Ring | None, learned_at: float | None = None) -> None:
+        """Switches to the ring of a new epoch.
 
-        `former`: the ring before it, if known; `since`: `context.now` when the new one was learnt.
+        Args:
+            ring: The new ring.
+            former: The ring before it, if known.
+            learned_at: `context.now` when the new ring was learnt; the present if None.
         """
         view = self.view
         previous = view.ring
@@ -137,7 +143,7 @@
             assert view.catch_up is not None
             view.ring = view.catch_up.ring = ring
         else:
-            view.catch_up = self._catch_up_with(ring, former, view.now if since is None else since)
+            view.catch_up = self._catch_up_with(ring, former, view.now if learned_at is None else learned_at)
             view.ring = ring
             self.anti_entropy.next_catch_up = {}
             self.hints.cancel_all_handoffs()
@@ -148,32 +154,32 @@
         self.coordinator.on_ring_changed()
         self.hints.flush()
 
-    def _catch_up_with(self, ring: Ring, former: Ring | None, since: float) -> CatchUp:
+    def _catch_up_with(self, ring: Ring, former: Ring | None, learned_at: float) -> CatchUp:
         view = self.view
         previous = view.ring
         started_at = view.started_at
-        follows = former is not None and former.epoch == ring.epoch - 1
+        is_successor = former is not None and former.epoch == ring.epoch - 1
         if previous is None:
             is_first = ring.epoch == 1 and former is None
             reason = CatchUpReason.FIRST_RING if is_first else CatchUpReason.RESTARTED
         elif ring.epoch <= previous.epoch:
-            # The same epoch twice: what was caught up by the other ring is worth nothing by this one.
+            # Another ring of the same epoch: progress by the one doesn't count for the other.
             reason, started_at = CatchUpReason.RESTARTED, view.now
         else:
-            can_follow = view.had_valid_lease and follows
+            can_follow = view.had_valid_lease and is_successor
             reason = CatchUpReason.OWNERSHIP_CHANGED if can_follow else CatchUpReason.RESTARTED
-        before = None
+        former_catch_up = None
         if reason == CatchUpReason.OWNERSHIP_CHANGED and former == previous:
-            before = view.catch_up
+            former_catch_up = view.catch_up
         return CatchUp(
             view.name,
             view.settings,
             ring,
             former if reason == CatchUpReason.OWNERSHIP_CHANGED else None,
             reason,
-            since,
+            learned_at,
             started_at,
-            before,
+            former_catch_up,
         )
 
     def _start_handoff(self, key: str, new_owners: list[str]) -> None:
@@ -206,13 +212,13 @@
 
     @property
     def newest_epoch(self) -> int:
-        """The newest that any peer goes by."""
+        """The newest epoch that any peer's message has named; 0 if none has."""
         return self.guard.newest_epoch
 
     # Time
 
     def tick(self) -> None:
-        """Retries, expires and migrates what is due."""
+        """Does the periodic work that is due: retries, expiry, migration and comparisons."""
         now = self.context.now
         self.coordinator.close_overdue(now)
         if self.view.ring is None:
@@ -234,7 +240,7 @@
         self.hints.flush()
 
     def _drop_obsolete(self, now: float) -> None:
-        """Forgets hints that have expired, and records stored for others that need them no more."""
+        """Drops expired hints, and, once catch-up has expired, records that this agent doesn't own."""
         catch_up = self.view.catch_up
         assert catch_up is not None
         self.hints.drop_expired()
@@ -249,48 +255,48 @@
         for tenant in self.usage.take_changed():
             self.hints.publish(f"u/{tenant}", self.usage.own[tenant])
 
-    # The end of the process
+    # Shutdown
 
     def start_shutdown(self) -> None:
-        """The agent is about to end: it compares with all co-owners once, and sends what they lack."""
+        """Compares with each co-owner once before the agent ends, and sends the records that it lacks."""
         self.anti_entropy.start_shutdown()
         self.hints.reset_pauses()
         self.hints.flush()
 
     @property
     def is_drained(self) -> bool:
-        """Whether enough others have all that this agent stores."""
+        """Whether enough other owners have all records that this agent stores."""
         if self.view.ring is None:
             return True
         return self.hints.is_drained and not self.anti_entropy.shutdown_peers
 
-    # What is looked at
+    # Inspection
 
     def has_caught_up(self, key: str) -> bool:
-        """Whether this agent may answer for a key."""
+        """Whether this agent's copy of a key may be read."""
         return self.view.has_caught_up(key)
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether this agent may answer for all keys that it owns."""
+        """Whether this agent's copies of all keys that it owns may be read."""
         catch_up = self.view.catch_up
         return catch_up is not None and catch_up.complete_ranges(self.context.now) == ALL_RANGES
 
     @property
     def migrated_version(self) -> int:
-        """The schema version that all stored records are written in."""
+        """The schema version in which all stored records are written."""
         return self.store.migrated_version
 
     def all_records(self) -> dict[str, Record]:
-        """All that is stored, by key, in order of keys."""
+        """All stored records by key, in ascending order of keys."""
         return self.store.all_records()
 
     def owned_digest(self, peer: str = "") -> bytes:
-        """Over all records that this agent owns, and `peer` does, too, if one is named."""
+        """A digest over all records that this agent owns; with `peer`, over those that both own."""
         return self.store.owned_digest(peer)
 
     def metrics(self) -> dict[str, int]:
-        """How much there is of what, by the names of the admin answer."""
+        """The sizes of the replica's tables, by their names in the response of the admin port."""
         catch_up = self.view.catch_up
         pending = self.coordinator.pending.values()
         return {
