--- a/cartdeal/fleet/replication/anti_entropy.py
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -103,8 +103,10 @@
             return
         catch_up = self.view.catch_up
         assert catch_up is not None
-        counts = catch_up.reason != CatchUpReason.RESTARTED or self.view.now >= catch_up.reports_valid_at
-        session = self.sessions[peer] = AntiEntropySession(counts)
+        counts_as_catch_up = (
+            catch_up.reason != CatchUpReason.RESTARTED or self.view.now >= catch_up.reports_valid_at
+        )
+        session = self.sessions[peer] = AntiEntropySession(counts_as_catch_up)
         request_id = self.view.next_request_id()
         digest = self.store.combined_digest(peer)
         request = DigestRequest(request_id, self.view.incarnation, self.view.epoch, digest)
@@ -224,16 +226,20 @@
         catch_up = self.view.catch_up
         assert catch_up is not None
         own_digests = self.store.range_digests(peer)
-        differing = []
+        differing_ranges = []
         for index in range(RANGE_COUNT):
-            part = slice(RANGE_DIGEST_BYTES * index, RANGE_DIGEST_BYTES * (index + 1))
-            known = catch_up.former_ring_reports.get(peer, 0) | catch_up.current_ring_reports.get(peer, 0)
-            has_unowned = message.unowned_ranges & ~known & 1 << index
-            if has_unowned or (message.range_digests and message.range_digests[part] != own_digests[part]):
-                differing.append(index)
+            digest_slice = slice(RANGE_DIGEST_BYTES * index, RANGE_DIGEST_BYTES * (index + 1))
+            known_ranges = catch_up.former_ring_reports.get(peer, 0) | catch_up.current_ring_reports.get(
+                peer, 0
+            )
+            has_unowned = message.unowned_ranges & ~known_ranges & 1 << index
+            if has_unowned or (
+                message.range_digests and message.range_digests[digest_slice] != own_digests[digest_slice]
+            ):
+                differing_ranges.append(index)
             else:
                 self._count_as_caught_up(peer, session, 1 << index)
-        return differing
+        return differing_ranges
 
     def _count_as_caught_up(self, peer: str, session: AntiEntropySession, ranges: int) -> None:
         if session.counts_as_catch_up:
@@ -287,12 +293,12 @@
             if key not in self.store.records or self.store.key_digest(key) != digest
         ]
         session.peer_digests = {key: peer_digests[key] for key in session.keys_to_fetch}
-        missing = [
+        missing_keys = [
             key
             for key in self.store.keys_owned_with(sender, session.range_index, session.last_key)
             if key not in peer_digests and (message.is_last_page or key <= last_key)
         ]
-        self._send_records(sender, missing)
+        self._send_records(sender, missing_keys)
         session.last_key = last_key
         session.range_is_complete = message.is_last_page
         self._continue(sender, session)
@@ -304,12 +310,12 @@
             return
         keys = session.keys_to_fetch[: message.count]
         session.keys_to_fetch = session.keys_to_fetch[message.count :]
-        fetched = dict(message.records[:MAX_KEYS_IN_MESSAGE])
+        fetched_records = dict(message.records[:MAX_KEYS_IN_MESSAGE])
         keys_to_return = []
         for key in keys:
-            if key not in fetched:
+            if key not in fetched_records:
                 continue
-            record = self.store.decode_received(key, fetched[key])
+            record = self.store.decode_received(key, fetched_records[key])
             if record is None or not self.store.merge(key, record):
                 session.former_ranges = session.current_ranges = 0  # a record is missing: no catch-up
                 continue
--- a/cartdeal/fleet/replication/hinted_handoff.py
+++ b/cartdeal/fleet/replication/hinted_handoff.py
@@ -263,15 +263,15 @@
         if self.view.ring is None or message.epoch != self.view.ring.epoch:
             self.context.increment(Metric.DROPPED_OLD_EPOCH)
             return
-        delivered, queue.in_flight = queue.in_flight, {}
-        rejected = set(message.rejected)
-        for key, version in delivered.items():
-            if key in rejected:
+        delivered_versions, queue.in_flight = queue.in_flight, {}
+        rejected_keys = set(message.rejected)
+        for key, version in delivered_versions.items():
+            if key in rejected_keys:
                 queue.keys.pop(key, None)
                 queue.keys[key] = None  # to the end of the queue
             else:
                 self._on_delivered(sender, queue, key, version)
-        if rejected:
+        if rejected_keys:
             # The owner is full, or a clock is wrong: the pause grows as for a silent owner, to a lower limit.
             self.context.increment(Metric.HINTS_REJECTED)
             queue.retry_pause_s = min(queue.retry_pause_s, MAX_REJECTED_PAUSE_S)
@@ -288,13 +288,13 @@
 
     def on_delivery(self, sender: str, message: HintDelivery) -> None:
         """Merges the records that a peer delivers, and acknowledges them."""
-        rejected = []
+        rejected_keys = []
         for key, data in message.records[:MAX_RECEIVED_RECORDS]:
             record = self.store.decode_received(key, data)
             if record is None or (self.view.owns(key) and not self.usage.merge_received(key, record)):
-                rejected.append(key)
+                rejected_keys.append(key)
         if message.request_id:
-            ack = HintAck(message.request_id, message.incarnation, message.epoch, tuple(rejected))
+            ack = HintAck(message.request_id, message.incarnation, message.epoch, tuple(rejected_keys))
             self.context.send(sender, ack)
 
     # Expiry and shutdown
@@ -317,7 +317,9 @@
             return False
         assert self.view.catch_up is not None
         for key, hint in self.hints.items():
-            others = sum(owner != self.view.name for owner in self.view.owners(key))
-            if others - len(hint.missing) < min(self.view.catch_up.quorum.writes, others):
+            other_owner_count = sum(owner != self.view.name for owner in self.view.owners(key))
+            if other_owner_count - len(hint.missing) < min(
+                self.view.catch_up.quorum.writes, other_owner_count
+            ):
                 return False
         return True
--- a/cartdeal/fleet/replication/migration.py
+++ b/cartdeal/fleet/replication/migration.py
@@ -96,13 +96,13 @@
     if ring.phase == SchemaPhase.NARROW:
         return SchemaStep(target, SchemaPhase.STEADY)
     if not _all_live_read(peers, target) or 0 < settings.hold_version < target:
-        back = SchemaPhase.WIDEN if ring.phase == SchemaPhase.MOVE else SchemaPhase.STEADY
-        return SchemaStep(ring.written_version, back)
+        previous_phase = SchemaPhase.WIDEN if ring.phase == SchemaPhase.MOVE else SchemaPhase.STEADY
+        return SchemaStep(ring.written_version, previous_phase)
     if ring.phase == SchemaPhase.MOVE:
-        migrated = all(member is not None and member.migrated_version >= target for member in members)
-        return SchemaStep(ring.written_version, SchemaPhase.NARROW) if migrated else current
-    forward = SchemaPhase.WIDEN if ring.phase == SchemaPhase.STEADY else SchemaPhase.MOVE
-    return SchemaStep(ring.written_version, forward)
+        is_migrated = all(member is not None and member.migrated_version >= target for member in members)
+        return SchemaStep(ring.written_version, SchemaPhase.NARROW) if is_migrated else current
+    next_phase = SchemaPhase.WIDEN if ring.phase == SchemaPhase.STEADY else SchemaPhase.MOVE
+    return SchemaStep(ring.written_version, next_phase)
 
 
 def _all_live_read(peers: Mapping[str, PeerSchema], version: int) -> bool:
@@ -118,7 +118,7 @@
     """
     version = governing_version(ring.written_version, ring.phase)
     if 0 < settings.hold_version < version:
-        observed = f"{settings.hold_version}, the fleet writes only {version}"
+        observed = f"{settings.hold_version}, the fleet writes version {version} only"
         return SchemaDowngradeError(f"hold_version of {settings.name}", observed)
     return None
 
--- a/cartdeal/fleet/replication/quorum.py
+++ b/cartdeal/fleet/replication/quorum.py
@@ -20,7 +20,7 @@
 SESSION_PREFIX = "s/"
 
 OperationCallback = Callable[[int, tuple[AttemptRecord, ...], bool], None]
-"""Called with the operation's ticket, the earlier attempts that are known, and whether they are certain."""
+"""Called with the operation's ticket, the known earlier attempts, and whether the answer is certain."""
 
 
 class RequiredResponses(NamedTuple):
@@ -154,8 +154,8 @@
         attempts = {each: attempt for each, attempt in former.attempts.items() if each != attempt_id}
         data: bytes | None = b""
         if attempts or former.required_version:
-            others = Session(attempts, former.unknown_fields, former.required_version)
-            data = self.store.encode_to_send(key, others)
+            earlier_session = Session(attempts, former.unknown_fields, former.required_version)
+            data = self.store.encode_to_send(key, earlier_session)
         caught_up = data is not None and self.view.has_caught_up(key)
         return WriteResponse(*header, self.view.epoch, written, caught_up, full, data or b"")
 
@@ -215,8 +215,8 @@
     def _has_room(self, ticket: int) -> bool:
         if len(self.pending) < self.view.settings.most_waiting:
             return True
-        decided = (request_id for request_id, each in self.pending.items() if each.is_decided)
-        request_id = next(decided, None)
+        decided_ids = (request_id for request_id, each in self.pending.items() if each.is_decided)
+        request_id = next(decided_ids, None)
         if request_id is None:
             self.context.increment(Metric.PENDING_OPERATIONS_FULL)
             self.on_done(ticket, (), False)
@@ -293,9 +293,9 @@
             record = self.store.decode_received(operation.key, message.record)
             if record is None:
                 return
-            known = records.merge(operation.known, record)
-            assert isinstance(known, Session)
-            operation.known = known
+            known_session = records.merge(operation.known, record)
+            assert isinstance(known_session, Session)
+            operation.known = known_session
         if message.full:
             self.context.increment(Metric.OWNED_LIMITS_FULL)
         if message.written and operation.attempt:
@@ -319,10 +319,14 @@
         attempts = self._earlier_attempts(operation.key, operation.attempt_id, operation.known)
         self.on_done(operation.ticket, attempts, certain)
 
-    def _earlier_attempts(self, key: str, attempt_id: str, known: Session) -> tuple[AttemptRecord, ...]:
+    def _earlier_attempts(
+        self, key: str, attempt_id: str, known_session: Session
+    ) -> tuple[AttemptRecord, ...]:
         """The known attempts of a session, this agent's hint included, without the attempt to write."""
         hint = self.hints.hints.get(key)
-        session = self.store.without_expired(records.merge(known, hint.record) if hint else known)
+        session = self.store.without_expired(
+            records.merge(known_session, hint.record) if hint else known_session
+        )
         assert isinstance(session, Session)
         return tuple(attempt for each, attempt in sorted(session.attempts.items()) if each != attempt_id)
 
--- a/cartdeal/fleet/replication/read_repair.py
+++ b/cartdeal/fleet/replication/read_repair.py
@@ -154,5 +154,7 @@
     def _key_of(self, message: ReadRepairResponse) -> str | None:
         if message.incarnation != self.view.incarnation or message.epoch != self.view.epoch:
             return None
-        requested = (key for key, repair in self.pending.items() if repair.request_id == message.request_id)
-        return next(requested, None)
+        matching_keys = (
+            key for key, repair in self.pending.items() if repair.request_id == message.request_id
+        )
+        return next(matching_keys, None)
--- a/cartdeal/fleet/replication/record_codec.py
+++ b/cartdeal/fleet/replication/record_codec.py
@@ -138,33 +138,33 @@
 
 def _decode_session(fields: dict[str, Any], required_version: int, supported_version: int) -> Session:
     session = Session({}, {}, required_version)
-    ungrouped = check_list(fields.pop(ATTEMPTS_FIELD, []), ATTEMPTS_FIELD, MAX_ATTEMPTS)
-    for value in ungrouped:
+    attempts = check_list(fields.pop(ATTEMPTS_FIELD, []), ATTEMPTS_FIELD, MAX_ATTEMPTS)
+    for value in attempts:
         _add_attempt(session, _decode_attempt(value))
     if supported_version >= 2:
         value = fields.pop(GROUPED_ATTEMPTS_FIELD, {})
-        grouped = check_map(value, GROUPED_ATTEMPTS_FIELD, MAX_ATTEMPTS)
+        attempts_by_group = check_map(value, GROUPED_ATTEMPTS_FIELD, MAX_ATTEMPTS)
         # If both forms contain the same attempts, it is enough to read one.
-        if grouped and records.encodes_differently(grouped, _group_attempts(ungrouped)):
-            for group_name, attempt in _ungroup_attempts(grouped):
+        if attempts_by_group and records.encodes_differently(attempts_by_group, _group_attempts(attempts)):
+            for group_name, attempt in _ungroup_attempts(attempts_by_group):
                 _add_attempt(session, _decode_attempt(attempt, group_name))
     session.unknown_fields = fields
     return session
 
 
 def _group_attempts(attempts: list[dict[str, Any]]) -> dict[str, list[dict[str, Any]]]:
-    grouped: dict[str, list[dict[str, Any]]] = {}
+    attempts_by_group: dict[str, list[dict[str, Any]]] = {}
     for attempt in attempts:
         rest = {name: value for name, value in attempt.items() if name not in GROUP_FIELDS}
-        grouped.setdefault(f"{attempt['group']}/{attempt['window_ms']}", []).append(rest)
-    return grouped
+        attempts_by_group.setdefault(f"{attempt['group']}/{attempt['window_ms']}", []).append(rest)
+    return attempts_by_group
 
 
-def _ungroup_attempts(grouped: dict[str, Any]) -> Iterator[tuple[str, Any]]:
+def _ungroup_attempts(attempts_by_group: dict[str, Any]) -> Iterator[tuple[str, Any]]:
     """Yields the group's name and the remaining fields of each attempt record in the form of version 2."""
-    remaining = MAX_ATTEMPTS
-    for group_name, attempts in sorted(grouped.items()):
-        remaining -= len(check_list(attempts, "attempt records of a group", remaining))
+    max_remaining = MAX_ATTEMPTS
+    for group_name, attempts in sorted(attempts_by_group.items()):
+        max_remaining -= len(check_list(attempts, "attempt records of a group", max_remaining))
         for attempt in attempts:
             yield group_name, attempt
 
@@ -173,9 +173,9 @@
     unknown = dict(check_map(value, "an attempt record", MAX_ATTEMPT_FIELDS))
     if group_name:
         unknown |= _decode_group(group_name, unknown)
-    missing = [name for name in ATTEMPT_FIELDS if name not in unknown]
-    if missing:
-        raise InvalidRecordError("an attempt record", "no " + ", ".join(missing))
+    missing_names = [name for name in ATTEMPT_FIELDS if name not in unknown]
+    if missing_names:
+        raise InvalidRecordError("an attempt record", "no " + ", ".join(missing_names))
     known = {name: unknown.pop(name) for name in ATTEMPT_FIELDS}
     return AttemptRecord(
         check_text(known["by"], "by", 1),
--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -312,11 +312,11 @@
         assert view.catch_up is not None
         assert view.ring is not None
         former = view.owners_by(view.catch_up.former_ring, key)
-        remaining = [owner for owner in former if owner in view.ring.member_by_name]
-        if remaining[:1] == [view.name]:
-            gained = [owner for owner in stored.owners if owner not in remaining]
-            if gained:
-                self.on_owners_gained(key, gained)
+        remaining_owners = [owner for owner in former if owner in view.ring.member_by_name]
+        if remaining_owners[:1] == [view.name]:
+            new_owners = [owner for owner in stored.owners if owner not in remaining_owners]
+            if new_owners:
+                self.on_owners_gained(key, new_owners)
 
     def _remove_from_ranges(self, key: str, stored: StoredRecord) -> None:
         if self.view.catch_up is not None and stored.placed_by is self.view.catch_up:
@@ -386,12 +386,12 @@
 
     def owned_digest(self, peer: str = "") -> bytes:
         """A digest over all records that this agent owns; with `peer`, over those that both own."""
-        total = blake2b(digest_size=16)
+        hasher = blake2b(digest_size=16)
         for key, record in self.all_records().items():
             names = self.view.owners(key)
             if self.view.name not in names or (peer and peer not in names):
                 continue
             current = self.without_expired(record)
             if not records.is_empty(current):
-                total.update(key_bytes(key) + records.digest(current))
-        return total.digest()
+                hasher.update(key_bytes(key) + records.digest(current))
+        return hasher.digest()
--- a/cartdeal/fleet/replication/record_validation.py
+++ b/cartdeal/fleet/replication/record_validation.py
@@ -54,11 +54,11 @@
                         raise InvalidRecordError("a field's name", type(name).__name__)
                 container = container.values()
             for value in container:
-                kind = type(value)
-                if kind is dict or kind is list:
+                value_type = type(value)
+                if value_type is dict or value_type is list:
                     next_level.append(value)
-                elif kind not in PLAIN_TYPES or value != value:  # noqa: PLR0124 - NaN alone differs from itself
-                    raise InvalidRecordError("a value", "nan" if kind is float else kind.__name__)
+                elif value_type not in PLAIN_TYPES or value != value:  # noqa: PLR0124 - NaN alone differs from itself
+                    raise InvalidRecordError("a value", "nan" if value_type is float else value_type.__name__)
         if not next_level:
             return
         level = next_level
--- a/cartdeal/fleet/replication/replica.py
+++ b/cartdeal/fleet/replication/replica.py
@@ -252,8 +252,8 @@
 
     def _publish_usage(self) -> None:
         self.usage.flush_received()
-        for tenant in self.usage.take_changed():
-            self.hints.publish(f"u/{tenant}", self.usage.own[tenant])
+        for tenant in self.usage.pop_changed_tenants():
+            self.hints.publish(f"u/{tenant}", self.usage.own_counters[tenant])
 
     # Shutdown
 
