--- a/cartdeal/fleet/replication/anti_entropy.py
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -222,7 +222,7 @@
         self._continue(sender, session)
 
     def _differing_ranges(self, peer: str, session: AntiEntropySession, message: DigestResponse) -> list[int]:
-        """The ranges to compare key by key; all other ranges count as caught up with."""
+        """The ranges to compare key by key; reports the others as caught up with if the session counts."""
         catch_up = self.view.catch_up
         assert catch_up is not None
         own_digests = self.store.range_digests(peer)
--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -75,7 +75,7 @@
         self.ranges: list[dict[str, StoredRecord]] = [{} for _ in range(RANGE_COUNT)]
         self.cache: dict[str, Record] = {}  # decoded records; never modified in place
         self.peer_digests: dict[str, list[int]] = {}  # peer -> digest by range of records both own
-        self.unowned_counts: dict[str, list[int]] = {}  # peer -> count by range of records only the peer owns
+        self.unowned_counts: dict[str, list[int]] = {}  # peer -> by range, its records only stored here
         self.unplaced_ranges: list[int] = []  # ranges whose records' owners have yet to be recomputed
         self.expiries: list[tuple[int, str]] = []  # a heap of (expires_ms, key)
         self.form = (1, "steady")  # schema version and phase in which records are written
--- a/cartdeal/fleet/replication/records.py
+++ b/cartdeal/fleet/replication/records.py
@@ -50,10 +50,10 @@
 
 
 class AttemptRecord(Struct, frozen=True):
-    """One attempt to send a request of a session.
+    """One request of a session, and where one agent has sent it.
 
-    Only one agent writes an attempt record; copies of it may be of any age. STORED_NAMES has the names of the
-    fields in stored bytes.
+    Only that agent writes the attempt record; copies of it may be of any age. STORED_NAMES has the names of
+    the fields in stored bytes.
     """
 
     attempt_id: str  # "name/incarnation/number" of the agent that writes it
@@ -61,7 +61,7 @@
     repeat: str  # a RepeatMode's value
     group: str  # the servers that deduplicate together: one of DEDUPLICATION_GROUPS
     window_ms: int  # how long servers deduplicate the request
-    locations: tuple[Location, ...] = ()  # where the request was sent, sorted
+    locations: tuple[Location, ...] = ()  # where the request was sent each time, sorted
     certainty: int = Certainty.CLAIMED
     sent_ms: int = 0  # wall clock
     expires_ms: int = 0  # wall clock; the attempt record is dropped then
@@ -88,7 +88,7 @@
 
 
 class Session(Struct):
-    """The attempts of a client's session."""
+    """The attempt records of a client's session."""
 
     attempts: dict[str, AttemptRecord] = {}  # by attempt_id
     unknown_fields: dict[str, Any] = {}
