--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -93,7 +93,7 @@
 class ClientConnection(Connection):
     """A client's connection. While it `awaits_answer`, `request_number` is the request being handled.
 
-    All times are monotonic seconds.
+    Spans are seconds, and times are monotonic seconds.
     """
 
     def __init__(self, sock, on_close, budget, on_half_close, on_written, stalls):
@@ -112,7 +112,7 @@
         self.last_active_at = monotonic()
         self.last_read_at = self.last_active_at
         self.message_began_at = self.last_active_at  # when the first byte of the current message was read
-        self.read_timeout_s = REQUEST_READ_TIMEOUT_S  # for the whole current message
+        self.read_timeout = REQUEST_READ_TIMEOUT_S  # seconds; for the whole current message
         self.unread_since = None  # time since which input may be unread; None if all was read
         self.message_dequeued = Event()  # set when a request is taken from `messages`
         self.peer_has_ended = False  # whether the client closed or reset the connection
@@ -136,7 +136,7 @@
     def on_message_begin(self):
         """Starts the time limit of the request."""
         super().on_message_begin()
-        self.message_began_at, self.read_timeout_s = monotonic(), REQUEST_READ_TIMEOUT_S
+        self.message_began_at, self.read_timeout = monotonic(), REQUEST_READ_TIMEOUT_S
         if self.is_identified:  # the time of an unidentified client runs from the accept, whatever it sends
             self.last_active_at = self.message_began_at
 
@@ -144,7 +144,7 @@
         """Extends the time limit to a longer X-Timeout, and confirms `Expect: 100-continue`."""
         super().on_headers_complete()
         stated_timeout_s = parse_timeout(self.message.headers)
-        self.read_timeout_s = max(REQUEST_READ_TIMEOUT_S, stated_timeout_s or 0.0)
+        self.read_timeout = max(REQUEST_READ_TIMEOUT_S, stated_timeout_s or 0.0)
         if self.message.headers.get(b"expect", b"").lower() == b"100-continue" and not self.awaits_answer:
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -180,7 +180,7 @@
             return False
         if self.is_lingering:
             return now > self.last_active_at + LINGER_TIMEOUT_S
-        if self.mid_message and now > self.message_began_at + self.read_timeout_s:
+        if self.mid_message and now > self.message_began_at + self.read_timeout:
             return True
         if self.mid_message:
             ends_at = self.last_read_at + READ_STALL_TIMEOUT_S
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -73,7 +73,10 @@
 
 
 class UpstreamPool:
-    """Sends attempts and probes, each in a greenlet of its own, on connections that it keeps for reuse."""
+    """Sends attempts and probes, each in a greenlet of its own, on connections that it keeps for reuse.
+
+    Spans are seconds, and times are monotonic seconds.
+    """
 
     def __init__(self, config, dispatch, budget: ConnectionBudget, may_send, on_attempt_started):
         """`may_send(request, attempt, server)` tells whether an attempt may still be sent.
@@ -84,8 +87,8 @@
         self.may_send, self.on_attempt_started = may_send, on_attempt_started
         permissions = config.settings.permissions
         self.dispatch, self.budget = dispatch, budget
-        self.connect_timeout_s = seconds(permissions.connect_timeout_us) or DEFAULT_CONNECT_TIMEOUT_S
-        self.max_idle_s = MAX_IDLE_SHARE * (seconds(permissions.idle_timeout_us) or 10.0)
+        self.connect_timeout = seconds(permissions.connect_timeout_us) or DEFAULT_CONNECT_TIMEOUT_S
+        self.max_idle_time = MAX_IDLE_SHARE * (seconds(permissions.idle_timeout_us) or 10.0)
         self.report_settings = config.settings.load_reports
         self.probe_path = b"/health/live" if self.report_settings.source == "none" else b"/stats"
         # By server, not by address: another server at the same address inherits no connection.
@@ -177,7 +180,7 @@
     def run_probe(self, server, address):
         """Performs a probe and dispatches its result; runs in a greenlet of its own."""
         attempt = Attempt()
-        deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout_s
+        deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout
         request_bytes = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
         result = self.exchange(attempt, server, address, deadline, lambda: request_bytes)
         if result.reason in (FailureReason.CONNECTION_BROKEN, FailureReason.TIMED_OUT):
@@ -310,7 +313,7 @@
         closed.
         """
         now = monotonic()
-        idle, newest, oldest = self.idle.get(server, []), now - REUSABLE_AFTER_S, now - self.max_idle_s
+        idle, newest, oldest = self.idle.get(server, []), now - REUSABLE_AFTER_S, now - self.max_idle_time
         for connection in [each for each in reversed(idle) if each.last_active_at <= newest]:
             idle.remove(connection)
             self.remove_if_empty(server)
@@ -340,7 +343,7 @@
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.settimeout(min(self.connect_timeout_s, time_left(deadline)))
+            sock.settimeout(min(self.connect_timeout, time_left(deadline)))
             host, _, port = address.rpartition(":")
             sock.connect((host, int(port)))
         except BaseException as error:
@@ -385,7 +388,7 @@
         """Closes connections that have been idle too long, at each SWEEP_INTERVAL_S, forever."""
         while True:
             gevent.sleep(SWEEP_INTERVAL_S)
-            oldest = monotonic() - self.max_idle_s
+            oldest = monotonic() - self.max_idle_time
             for server, idle in list(self.idle.items()):
                 while idle and idle[0].last_active_at < oldest:
                     idle.pop(0).close()
