--- a/cartdeal/agent/connection.py
+++ b/cartdeal/agent/connection.py
@@ -1,9 +1,9 @@
 """A connection: its socket, its receive buffer and its HTTP parser; and the budget for all connections.
 
 Only this module decides whether bytes form a valid message, for requests and responses alike. The buffer
-grows as needed, and the bytes of a body are moved down over their framing, so that the body lies in the
-buffer in one piece. The module must never interpret a message, continue to parse after invalid bytes, or send
-anything on its own.
+grows as needed, and the bytes of a body are moved down over their framing, so that the body is contiguous in
+the buffer. The module must never interpret a message, continue to parse after invalid bytes, or send anything
+on its own.
 """
 
 import os
@@ -19,7 +19,7 @@
 from cartdeal.agent.system_errors import RETRY_PAUSE_S, is_transient
 
 MAX_HEAD_BYTES = 16384  # the head of a message, including interim responses before it
-MAX_FRAMING_BYTES_PER_BODY_BYTE = 8  # allowed overhead of a chunked message
+MAX_FRAMING_BYTES_PER_BODY_BYTE = 8  # for chunk headers, extensions and trailers
 MAX_BODY_BYTES = 65536
 MIN_READ_SPACE_BYTES = 4096  # free space in the buffer before each read
 MAX_BODY_COPIES = 3  # copies of a long body: in the buffer, on its own, and behind its head
@@ -197,7 +197,7 @@
         try:
             self.parser.feed_data(self.view[self.body_end : self.input_end])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not (self.reads_responses and self.messages):  # surplus bytes are no error of a response
+            if not (self.reads_responses and self.messages):  # surplus bytes don't invalidate a response
                 raise self.parse_error or MalformedMessageError(400, f"no HTTP: {error}") from None
             self.has_surplus_input = True
         finally:
@@ -311,7 +311,7 @@
             raise self.record_error(400, "a transfer coding other than chunked")
         if self.reads_responses and coding is length is None and message.status not in BODILESS_STATUSES:
             if not self.allows_close_delimited:
-                raise self.record_error(502, "an answer whose end can't be told")
+                raise self.record_error(502, "an answer with neither a length nor chunks")
             self.is_close_delimited = True
         self.check_size(int(length or 0))
 
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -47,7 +47,7 @@
 
 
 class ServerLoad(msgspec.Struct):
-    """A server's report of its load, as JSON; a value out of range makes the whole report invalid."""
+    """A server's report of its load, as JSON. A value out of range makes the whole report invalid."""
 
     outstanding: ReportedValue | None = None
     throughput: ReportedValue | None = None
@@ -239,7 +239,7 @@
         except gevent.GreenletExit:
             return attempt.make_result(FailureReason.CANCELLED)
         except AttemptNotSentError:
-            return attempt.make_result(FailureReason.NOT_SENT, "no longer wanted there")
+            return attempt.make_result(FailureReason.NOT_SENT, "no longer allowed to be sent")
         except NoConnectionError as error:
             return attempt.make_result(FailureReason.NO_CONNECTION, str(error))
         except MalformedMessageError as error:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -55,19 +55,19 @@
     process.wait()
 
 
-# `held`: how many of the 32 connections the clients hold at once, at least.
-@pytest.mark.parametrize("clients, held", [("asked", 15), ("silent", 6), ("midway", 28)])
-def test_idle_clients_leave_descriptors_for_discovery_and_servers(agent, clients, held):
+# `held_count`: how many of the 32 connections the clients hold at once, at least.
+@pytest.mark.parametrize("clients, held_count", [("identified", 15), ("silent", 6), ("midway", 28)])
+def test_idle_clients_leave_descriptors_for_discovery_and_servers(agent, clients, held_count):
     process, front, port, log = agent
     descriptors = Path(f"/proc/{process.pid}/fd")
-    before, idle = len(list(descriptors.iterdir())), []
+    count_before, idle = len(list(descriptors.iterdir())), []
     for _ in range(2 * MIN_DESCRIPTOR_COUNT):
         idle.append(Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True))
         if clients != "silent":
             idle[-1].sock.sendall(worded("/health/ready"))
         if clients == "midway":
             idle[-1].sock.sendall(worded()[:20])
-    until(lambda: len(list(descriptors.iterdir())) >= before + held)
+    until(lambda: len(list(descriptors.iterdir())) >= count_before + held_count)
     server, service = Server("s0"), DiscoveryService(port)
     service.lines = {"s0": server.line()}
     until(lambda: b"1 lines in all" in log.read_bytes())
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,14 +88,14 @@
 
 
 @pytest.mark.parametrize(
-    "more", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
+    "changes", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
 )
 @pytest.mark.parametrize("path", ["/once/x", "/read/x"])
-def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, more, path):
+def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, changes, path):
     client = deployment.connect()
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
     until(lambda: late.sockets)
-    deployment.service.tell(deployment.servers[0].line(**more))
+    deployment.service.tell(deployment.servers[0].line(**changes))
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: the answer must say so (503, not 502).
@@ -176,8 +176,8 @@
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
         client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
-    held = deployment.agent.reducer.balancer.queued_requests
-    until(lambda: len(held) == len(clients))
+    queued_requests = deployment.agent.reducer.balancer.queued_requests
+    until(lambda: len(queued_requests) == len(clients))
     for client in clients:
         how(client.sock)
     wait_for_unread_ends(
@@ -214,19 +214,19 @@
 
 
 def test_repeat_is_sent_only_within_the_repeat_window(tmp_path):
-    for kind, within in ((READ, True), (MARK, False)):
+    for request_class, is_sent in ((READ, True), (MARK, False)):
         context = Desk(tmp_path)
-        context.take(kind, wait=6.0)
+        context.take(request_class, wait=6.0)
         context.end(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
         server = context.at[1, 1]
         assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
-        assert context.reducer.may_send(1, 1, server) is within
+        assert context.reducer.may_send(1, 1, server) is is_sent
         context.reducer.now += 2.0  # the deadline
         assert not context.reducer.may_send(1, 1, server)
         context.end(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
         # A request that may have run is rejected (503) only if a repeat does no harm.
-        assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
+        assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if is_sent else "502"]
 
 
 def test_non_idempotent_request_is_sent_again_if_it_never_ran(tmp_path):
@@ -248,15 +248,15 @@
     assert not context.reducer.may_send(1, 0, server)
 
 
-@pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
-def test_attempts_keep_the_scope_of_a_server_that_moves(tmp_path, place):
+@pytest.mark.parametrize("location", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
+def test_attempts_keep_the_scope_of_a_server_that_moves(tmp_path, location):
     context = Desk(tmp_path)
     context.take(MARK)
     balancer, server = context.reducer.balancer, context.at[1, 0]
     trace, _ = balancer.requests[1].possible_executions[0]
     before = trace.zone, trace.cell
     name = next(name for name, index in context.reducer.server_indices.items() if index == server)
-    entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
+    entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **location)
     context.play(0.0, "on_server_list", ServerList(4, False, (entry,)))
     assert (trace.zone, trace.cell) == before and not context.reducer.may_send(1, 0, server)
     assert context.reducer.server_indices[name] != server and server not in context.reducer.servers
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -241,22 +241,22 @@
 class Effects(start.Effects):
     def __init__(self, *args):
         super().__init__(*args)
-        here["client"] = socket.create_connection(("127.0.0.1", self.front.port))
-        here["client"].sendall(b"GET /health/ready HTTP/1.1\\r\\nConnection: close\\r\\n\\r\\n")
+        state["client"] = socket.create_connection(("127.0.0.1", self.front.port))
+        state["client"].sendall(b"GET /health/ready HTTP/1.1\\r\\nConnection: close\\r\\n\\r\\n")
         os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
 
     def reload(self):
-        here["reread"] = True
+        state["reloaded"] = True
 
     def begin_handover(self):
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)
 
-here, start.Effects = {}, Effects
+state, start.Effects = {}, Effects
 status = start.main()
-here["client"].settimeout(5)
-print(status, here["client"].recv(4096).split()[1].decode())
+state["client"].settimeout(5)
+print(status, state["client"].recv(4096).split()[1].decode())
 """
 
 
@@ -279,12 +279,12 @@
     assert process.stdout.split() in ([b"0", b"200"], [b"0", b"503"])
 
 
-def test_sighup_during_the_start_rereads_the_configuration(tmp_path):
+def test_sighup_during_the_start_reloads_the_configuration(tmp_path):
     program = SIGNALLED_AGENT.replace(
         "os.kill(os.getpid(), signal.SIGTERM)\n\n    def reload", "\n    def reload"
     )
     program = program.replace("= True", "= True; os.kill(os.getpid(), signal.SIGTERM)")
-    process = run(tmp_path, ["-c", program + "assert here['reread']"])
+    process = run(tmp_path, ["-c", program + "assert state['reloaded']"])
     assert process.returncode == 0, process
 
 
