--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -502,9 +502,8 @@
     deployment = deploy()
     budget, idle, busy = deployment.agent.budget, *(deployment.connect() for _ in "ib")
     assert deployment.ask(connection=idle)[0] == 200
-    budget.max_connections = (
-        budget.connection_count + 1
-    )  # two clients, an idle server connection, the next client
+    # Two clients, the reservation for the next one, and an idle connection to the server.
+    budget.max_connections = budget.connection_count + 1
     assert deployment.ask(connection=busy) == (200, b"s0 ")
     busy.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(lambda: "/once/1?do=wait" in deployment.seen())
