--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -21,11 +21,11 @@
     """What can't be used gets one line and status 2, whichever command met it."""
 
     def invoke(self, context):
-        from cartdeal.emulator.world import Unusable
+        from cartdeal.emulator.world import InvalidInputError
 
         try:
             return super().invoke(context)
-        except Unusable as trouble:
+        except InvalidInputError as trouble:
             click.echo(str(trouble).replace("\n", " "), err=True)
             sys.exit(2)
 
@@ -108,11 +108,11 @@
     """Play the world in FILE; exit status 1 if a rule was broken."""
     from cartdeal.emulator import play, report, world
 
-    found = world.read(file)
+    found = world.read_world(file)
     if cut:
-        from cartdeal.emulator.cut import cut_down
+        from cartdeal.emulator.shrink import shrink
 
-        left = cut_down(found, seeds[0])
+        left = shrink(found, seeds[0])
         if left is None:
             return click.echo(f"seed {seeds[0]}: no rule was broken")
         click.echo(f"{left.violation}\nneeds {len(left.arrivals)} arrivals (agent, which): {left.arrivals}")
@@ -121,9 +121,9 @@
         sys.exit(1)
 
     def played(seed):
-        return play.Fleet(found, seed, trace=[] if trace else None).play()
+        return play.Fleet(found, seed, trace=[] if trace else None).run()
 
-    sys.exit(report.play(played, seeds, trace))
+    sys.exit(report.run_seeds(played, seeds, trace))
 
 
 @main.command()
@@ -136,9 +136,9 @@
     from cartdeal.emulator import report, world
     from cartdeal.rig import play
 
-    found, run = world.read(file), run or play.command(deploy)
+    found, run = world.read_world(file), run or play.command(deploy)
     interruptible()
-    sys.exit(report.play(lambda seed: play.Rig(found, seed, run).play(), seeds))
+    sys.exit(report.run_seeds(lambda seed: play.Rig(found, seed, run).play(), seeds))
 
 
 @main.command()
@@ -210,11 +210,13 @@
 
 
 def columns(table, figures):
-    from cartdeal.emulator.world import Unusable
+    from cartdeal.emulator.world import InvalidInputError
     from cartdeal.lab.experiment import kept
 
     words, rows = kept(table)
     for figure in figures:
         if figure not in rows[0]:
-            raise Unusable(f"{table}: found no column {figure!r}, wanted one of {', '.join(rows[0])}")
+            raise InvalidInputError(
+                f"{table}: found no column {figure!r}, wanted one of {', '.join(rows[0])}"
+            )
     return words, rows
--- a/cartdeal/emulator/servers.py
+++ b/cartdeal/emulator/servers.py
@@ -6,92 +6,105 @@
 from collections import deque
 
 
-def warmth(terms, started, now) -> float:
+def capacity_share(settings, started, now) -> float:
     """Share of its capacity that a server has; one that started long ago (0) has all."""
-    age = (now - started) / terms.cold_s
-    return min(1.0, terms.cold_from + (1 - terms.cold_from) * age) if started else 1.0
+    age = (now - started) / settings.cold_s
+    return min(1.0, settings.cold_from + (1 - settings.cold_from) * age) if started else 1.0
 
 
 class Job:
     """Work at a server; `done` is called with a status once, `began` when it starts to run."""
 
-    __slots__ = ("work", "done", "began", "request_class", "running", "dropped")
+    __slots__ = ("work", "on_done", "on_started", "request_class", "is_running", "is_cancelled")
 
-    def __init__(self, work, done, began=lambda: None, request_class=""):
-        self.work, self.done, self.began, self.request_class = work, done, began, request_class
-        self.running = self.dropped = False
+    def __init__(self, work, on_done, on_started=lambda: None, request_class=""):
+        self.work, self.on_done, self.on_started, self.request_class = (
+            work,
+            on_done,
+            on_started,
+            request_class,
+        )
+        self.is_running = self.is_cancelled = False
 
 
 class Server:
-    def __init__(self, clock, terms, name, zone, speed, random, started=0.0):
-        self.clock, self.terms, self.name, self.zone, self.speed = clock, terms, name, zone, speed
+    def __init__(self, clock, settings, name, zone, speed, random, started=0.0):
+        self.clock, self.settings, self.name, self.zone, self.speed = clock, settings, name, zone, speed
         self.random = random
         self.started = started  # 0: long ago
-        self.up, self.draining, self.life = True, False, 0
-        self.slow, self.silent, self.errors, self.resets = 1.0, False, 0.0, 0.0
-        self.spoilt = {}  # request class -> share that fails
-        self.waiting, self.running, self.open = deque(), 0, 0
-        self.busy, self.served, self.turned_away, self.handshakes, self.probes = 0.0, 0, 0, 0, 0
-
-    def warmth(self) -> float:
-        return warmth(self.terms, self.started, self.clock.now)
+        self.is_up, self.is_draining, self.generation = True, False, 0
+        self.slowdown, self.is_silent, self.error_rate, self.reset_rate = 1.0, False, 0.0, 0.0
+        self.error_rates_by_class = {}  # request class -> share that fails
+        self.queue, self.running_count, self.open_connections = deque(), 0, 0
+        self.busy_s, self.served_count, self.rejected_count, self.handshake_count, self.probe_count = (
+            0.0,
+            0,
+            0,
+            0,
+            0,
+        )
+
+    def capacity_share(self) -> float:
+        return capacity_share(self.settings, self.started, self.clock.now)
 
     def capacity(self) -> float:
         """Seconds of work that it does in a second."""
-        return self.terms.cores * self.speed * self.warmth() / self.slow
+        return self.settings.cores * self.speed * self.capacity_share() / self.slowdown
 
     @property
-    def held(self) -> int:
-        return self.running + len(self.waiting)
+    def job_count(self) -> int:
+        return self.running_count + len(self.queue)
 
-    def take(self, job: Job) -> bool:
+    def accept(self, job: Job) -> bool:
         """False where there is no room, or it drains: then it has not run and never will."""
-        if self.draining or self.held >= self.terms.cores + self.terms.waiting:
-            self.turned_away += 1
+        if self.is_draining or self.job_count >= self.settings.cores + self.settings.waiting:
+            self.rejected_count += 1
             return False
-        self.waiting.append(job)
-        self.begin()
+        self.queue.append(job)
+        self.start_jobs()
         return True
 
-    def begin(self):
-        while self.waiting and self.running < self.terms.cores:
-            job = self.waiting.popleft()
-            if job.dropped:
+    def start_jobs(self):
+        while self.queue and self.running_count < self.settings.cores:
+            job = self.queue.popleft()
+            if job.is_cancelled:
                 continue
-            job.running = True
-            self.running += 1
-            job.began()
-            crowd = 1 + self.terms.crowded_by * max(0.0, self.held - self.terms.crowded_from)
-            takes = job.work * crowd * self.terms.cores / self.capacity()
-            self.busy += takes
-            self.clock.after(takes, self.finish, job, self.life)
-
-    def finish(self, job, life):
-        if life != self.life:
+            job.is_running = True
+            self.running_count += 1
+            job.on_started()
+            crowding_factor = 1 + self.settings.crowded_by * max(
+                0.0, self.job_count - self.settings.crowded_from
+            )
+            duration = job.work * crowding_factor * self.settings.cores / self.capacity()
+            self.busy_s += duration
+            self.clock.after(duration, self.finish, job, self.generation)
+
+    def finish(self, job, generation):
+        if generation != self.generation:
             return
-        self.running -= 1
-        if not self.silent and not job.dropped:
-            failing = max(self.errors, self.spoilt.get(job.request_class, 0.0))
-            failed = failing and self.random.random() < failing
-            self.served += not failed
-            job.done(500 if failed else 200)
-        self.begin()
+        self.running_count -= 1
+        if not self.is_silent and not job.is_cancelled:
+            failure_rate = max(self.error_rate, self.error_rates_by_class.get(job.request_class, 0.0))
+            is_failed = failure_rate and self.random.random() < failure_rate
+            self.served_count += not is_failed
+            job.on_done(500 if is_failed else 200)
+        self.start_jobs()
 
     def cancel(self, job):
-        if not job.running and self.terms.on_cancel == "waiting":
-            job.dropped = True
-            if job in self.waiting:
-                self.waiting.remove(job)
-
-    def shake(self):
-        self.handshakes += 1
-        self.waiting.appendleft(Job(self.terms.handshake_s, lambda status: None))
-        self.begin()
-
-    def die(self):
-        self.up, self.life = False, self.life + 1
-        self.waiting.clear()
-        self.running = self.open = 0
-
-    def rise(self):
-        self.up, self.started = True, self.clock.now
+        if not job.is_running and self.settings.on_cancel == "waiting":
+            job.is_cancelled = True
+            if job in self.queue:
+                self.queue.remove(job)
+
+    def start_handshake(self):
+        self.handshake_count += 1
+        self.queue.appendleft(Job(self.settings.handshake_s, lambda status: None))
+        self.start_jobs()
+
+    def stop(self):
+        self.is_up, self.generation = False, self.generation + 1
+        self.queue.clear()
+        self.running_count = self.open_connections = 0
+
+    def restart(self):
+        self.is_up, self.started = True, self.clock.now
--- a/cartdeal/emulator/world.py
+++ b/cartdeal/emulator/world.py
@@ -12,73 +12,73 @@
 import msgspec
 from msgspec import Meta
 
-Share = Annotated[float, Meta(ge=0, le=1)]
-More = Annotated[float, Meta(gt=0, le=1e6)]
-Some = Annotated[float, Meta(ge=0, le=1e6)]
-Count = Annotated[int, Meta(ge=1, le=100_000)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+Positive = Annotated[float, Meta(gt=0, le=1e6)]
+NonNegative = Annotated[float, Meta(ge=0, le=1e6)]
+PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
 
 
-class Unusable(Exception):
+class InvalidInputError(Exception):
     """A world can't be used; the message names the file and the key."""
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True):
     pass
 
 
-class Servers(Strict):
-    per_zone: Count = 6
-    cores: Count = 2
+class Servers(StrictStruct):
+    per_zone: PositiveCount = 6
+    cores: PositiveCount = 2
     waiting: Annotated[int, Meta(ge=0, le=100_000)] = 16  # room beyond the cores
-    connections: Count = 400  # held at most
-    handshake_s: Some = 0.001  # work of a new connection
-    probe_s: Some = 0.001
-    cold_from: Share = 0.4
-    cold_s: More = 8.0
-    spread: Share = 0.0  # of their speeds
+    connections: PositiveCount = 400  # held at most
+    handshake_s: NonNegative = 0.001  # work of a new connection
+    probe_s: NonNegative = 0.001
+    cold_from: Fraction = 0.4
+    cold_s: Positive = 8.0
+    spread: Fraction = 0.0  # of their speeds
     on_cancel: Literal["nothing", "waiting"] = "waiting"  # what a cancel takes back
-    crowded_from: More = 1e6  # requests held from which on work takes longer ...
-    crowded_by: Some = 0.0  # ... by this share for each further one
+    crowded_from: Positive = 1e6  # requests held from which on work takes longer ...
+    crowded_by: NonNegative = 0.0  # ... by this share for each further one
 
 
-class Network(Strict):
-    same_s: Some = 0.0002  # one way, inside a zone
-    cross_s: Some = 0.001
-    jitter: Share = 0.1
-    connect_s: More = 0.25  # a connection that is not up by then isn't
-    loss: Share = 0.0  # of connections reset after the last byte of a request
+class Network(StrictStruct):
+    same_s: NonNegative = 0.0002  # one way, inside a zone
+    cross_s: NonNegative = 0.001
+    jitter: Fraction = 0.1
+    connect_s: Positive = 0.25  # a connection that is not up by then isn't
+    loss: Fraction = 0.0  # of connections reset after the last byte of a request
 
 
-class DiscoveryService(Strict):
-    late_s: Some = 1.0  # from a change to when it is told
-    calls_per_s: More = 200.0
-    timeout_s: More = 1.0  # a call that would wait longer is turned away
-    deemed_s: More = 10.0  # told by then, whether it came or not
+class DiscoveryService(StrictStruct):
+    late_s: NonNegative = 1.0  # from a change to when it is told
+    calls_per_s: Positive = 200.0
+    timeout_s: Positive = 1.0  # a call that would wait longer is turned away
+    deemed_s: Positive = 10.0  # told by then, whether it came or not
 
 
-class Clients(Strict):
-    per_s: More = 100.0  # requests of all agents together
-    unevenness: Some = 0.5  # spread of agents' shares, as a deviation over the mean
-    keys: Count = 500
-    popularity: Some = 0.9  # exponent by which keys differ
+class Clients(StrictStruct):
+    per_s: Positive = 100.0  # requests of all agents together
+    unevenness: NonNegative = 0.5  # spread of agents' shares, as a deviation over the mean
+    keys: PositiveCount = 500
+    popularity: NonNegative = 0.9  # exponent by which keys differ
     retries: Annotated[int, Meta(ge=0, le=10)] = 0
-    pause_s: More = 0.1
+    pause_s: Positive = 0.1
 
 
-class RequestClass(Strict, rename={"priority": "importance"}):
+class RequestClass(StrictStruct, rename={"priority": "importance"}):
     name: str
     repeat: Literal["safe", "keyed", "unsafe"] = "safe"
     group: Literal["all", "zone", "cell"] = "all"
-    window_s: More = 4.0
-    goal_s: More = 0.6
-    limit_s: More = 2.0
-    share: More = 1.0
-    priority: More = 1.0
-    work_s: More = 0.05
+    window_s: Positive = 4.0
+    goal_s: Positive = 0.6
+    limit_s: Positive = 2.0
+    share: Positive = 1.0
+    priority: Positive = 1.0
+    work_s: Positive = 0.05
     spread: Literal["fixed", "exponential"] = "exponential"
 
 
-KINDS = (
+FAULT_KINDS = (
     "crash",
     "slow",
     "silent",
@@ -95,30 +95,30 @@
 )
 
 
-class Fault(Strict, rename={"request_class": "workload"}):
+class Fault(StrictStruct, rename={"request_class": "workload"}):
     """`part` of the servers (or agents), those of `zone` alone where it is named, meet it."""
 
-    kind: Literal[KINDS]
-    begins_s: Some
-    lasts_s: More = 5.0
-    part: Share = 0.2
+    kind: Literal[FAULT_KINDS]
+    begins_s: NonNegative
+    lasts_s: Positive = 5.0
+    part: Fraction = 0.2
     zone: str = ""
-    size: Some = 1.0  # times slower or busier, seconds later, or a share, by kind
+    size: NonNegative = 1.0  # times slower or busier, seconds later, or a share, by kind
     request_class: str = ""
 
 
-class World(Strict, rename={"request_class": "workload", "most_attempts": "most_shots"}):
+class World(StrictStruct, rename={"request_class": "workload", "most_attempts": "most_shots"}):
     seconds: Annotated[float, Meta(gt=0, le=86400)] = 20.0
     zones: tuple[str, ...] = ("a", "b")
-    agents: Count = 20
-    drain_grace_s: More = 0.5
-    fall_multiple: More = 3.0
-    fall_s: More = 2.0
-    crossing_fee: Some = 0.1
-    probing_fee: Some = 0.0
+    agents: PositiveCount = 20
+    drain_grace_s: Positive = 0.5
+    fall_multiple: Positive = 3.0
+    fall_s: Positive = 2.0
+    crossing_fee: NonNegative = 0.1
+    probing_fee: NonNegative = 0.0
     probes: bool = True
     cancels: bool = True
-    most_attempts: Count = 5
+    most_attempts: PositiveCount = 5
     servers: Servers = msgspec.field(default_factory=Servers)
     network: Network = msgspec.field(default_factory=Network)
     list: DiscoveryService = msgspec.field(default_factory=DiscoveryService)
@@ -166,22 +166,24 @@
     }
 
 
-def read(path) -> World:
+def read_world(path) -> World:
     try:
-        return made(tomllib.loads(Path(path).read_text()))
-    except OSError as trouble:
-        raise Unusable(f"{path}: found no readable file ({trouble.strerror}), wanted a world") from None
-    except (tomllib.TOMLDecodeError, UnicodeError, Unusable) as trouble:
-        raise Unusable(f"{path}: {trouble}") from None
+        return world_from_dict(tomllib.loads(Path(path).read_text()))
+    except OSError as error:
+        raise InvalidInputError(
+            f"{path}: found no readable file ({error.strerror}), wanted a world"
+        ) from None
+    except (tomllib.TOMLDecodeError, UnicodeError, InvalidInputError) as error:
+        raise InvalidInputError(f"{path}: {error}") from None
 
 
-def made(found: dict) -> World:
+def world_from_dict(found: dict) -> World:
     try:
         world = msgspec.convert(found, World)
-    except msgspec.ValidationError as trouble:
-        raise Unusable(str(trouble)) from None
+    except msgspec.ValidationError as error:
+        raise InvalidInputError(str(error)) from None
     names = [each.name for each in world.request_class]
-    wrong = [
+    checks = [
         (
             "workload",
             names,
@@ -197,7 +199,7 @@
     ]
     for place, each in enumerate(world.fault):
         at = f"fault[{place}]"
-        wrong += [
+        checks += [
             (
                 f"{at}.begins_s",
                 each.begins_s,
@@ -223,7 +225,7 @@
                 each.kind in ("errors", "hot_key", "resets", "one_workload") and each.size > 1,
             ),
         ]
-    for key, found_there, wanted, is_wrong in wrong:
+    for key, found_there, wanted, is_wrong in checks:
         if is_wrong:
-            raise Unusable(f"{key}: found {found_there!r}, wanted {wanted}")
+            raise InvalidInputError(f"{key}: found {found_there!r}, wanted {wanted}")
     return world
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -19,7 +19,7 @@
 from hdrh.histogram import HdrHistogram
 
 from cartdeal.agent.connection import Connection
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.rig.stands import HOST, Listener, said
 
 AGENTS = 3  # with the fleet; as many without
@@ -104,10 +104,12 @@
             start_new_session=True,
         )
         pairs.agents.append(self)
-        with gevent.Timeout(READY, Unusable(f"{self.name}: found none that serves within {READY:g} s")):
+        with gevent.Timeout(
+            READY, InvalidInputError(f"{self.name}: found none that serves within {READY:g} s")
+        ):
             while not (found := PORT.search(line := self.process.stderr.readline())):
                 if not line:
-                    raise Unusable(f"{self.name}: found an agent that ended, {self.process.wait()}")
+                    raise InvalidInputError(f"{self.name}: found an agent that ended, {self.process.wait()}")
         self.port = int(found[1])
         self.reader = gevent.spawn(self.drain)
 
@@ -181,7 +183,7 @@
             for agent in self.on:
                 while agent.ask(self.head("close"))[0] != 200:
                     if monotonic() > until:
-                        raise Unusable(f"found no fleet that knows its sessions within {READY:g} s")
+                        raise InvalidInputError(f"found no fleet that knows its sessions within {READY:g} s")
                     gevent.sleep(0.2)
         except BaseException:
             self.__exit__()
--- a/cartdeal/lab/experiment.py
+++ b/cartdeal/lab/experiment.py
@@ -19,18 +19,18 @@
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.report import percentiles
-from cartdeal.emulator.world import Strict, Unusable
+from cartdeal.emulator.world import InvalidInputError, StrictStruct
 from cartdeal.lab import fleets
 from cartdeal.lab.baselines import POLICIES
 
 
-class Variant(Strict):
+class Variant(StrictStruct):
     name: str
     policy: str = "cartdeal"
     set: dict = msgspec.field(default_factory=dict)  # dotted keys of the world; keys of the play
 
 
-class Experiment(Strict):
+class Experiment(StrictStruct):
     seeds: tuple[int, ...]
     variant: tuple[Variant, ...]
     world: str = ""
@@ -89,7 +89,7 @@
         ]
         for key, found_there, wanted, is_wrong in wrong:
             if is_wrong:
-                raise Unusable(f"{key}: found {found_there!r}, wanted {wanted}")
+                raise InvalidInputError(f"{key}: found {found_there!r}, wanted {wanted}")
         if experiment.play:
             return experiment, [
                 fleets.made(experiment.play, each.set, f"variant[{place}].set")
@@ -99,9 +99,11 @@
         base = tomllib.loads(file.read_text())
         return experiment, [varied(base, each, place) for place, each in enumerate(experiment.variant)]
     except OSError as trouble:
-        raise Unusable(f"{path}: found no readable file {trouble.filename} ({trouble.strerror})") from None
-    except (tomllib.TOMLDecodeError, UnicodeError, msgspec.ValidationError, Unusable) as trouble:
-        raise Unusable(f"{path}: {trouble}") from None
+        raise InvalidInputError(
+            f"{path}: found no readable file {trouble.filename} ({trouble.strerror})"
+        ) from None
+    except (tomllib.TOMLDecodeError, UnicodeError, msgspec.ValidationError, InvalidInputError) as trouble:
+        raise InvalidInputError(f"{path}: {trouble}") from None
 
 
 def varied(base: dict, variant: Variant, place: int) -> worlds.World:
@@ -112,17 +114,17 @@
         for part in reversed(path):
             there = there.setdefault(part, {})
             if not isinstance(there, dict):
-                raise Unusable(f"variant[{place}].set: found {key!r}, wanted a key of a world")
+                raise InvalidInputError(f"variant[{place}].set: found {key!r}, wanted a key of a world")
         there[at] = value
     try:
-        return worlds.made(whole)
-    except Unusable as trouble:
-        raise Unusable(f"variant[{place}]: {trouble}") from None
+        return worlds.world_from_dict(whole)
+    except InvalidInputError as trouble:
+        raise InvalidInputError(f"variant[{place}]: {trouble}") from None
 
 
 def one(name: str, world: worlds.World, policy: str, seed: int) -> dict:
-    fleet = Fleet(world, seed, POLICIES[policy]).play()
-    return {"variant": name, "seed": seed} | fleet.figures() | percentiles(fleet.took)
+    fleet = Fleet(world, seed, POLICIES[policy]).run()
+    return {"variant": name, "seed": seed} | fleet.figures() | percentiles(fleet.latencies)
 
 
 def run(path, to, workers: int) -> list[dict]:
@@ -183,7 +185,7 @@
         words, *lines = Path(path).read_text().splitlines()
         rows = list(csv.DictReader(lines))
     except (OSError, ValueError) as trouble:
-        raise Unusable(f"{path}: found no table ({trouble})") from None
+        raise InvalidInputError(f"{path}: found no table ({trouble})") from None
     if not rows or not {"variant", "seed"} <= rows[0].keys() or not words.startswith("# "):
-        raise Unusable(f"{path}: found no table, wanted one that `lab run` wrote")
+        raise InvalidInputError(f"{path}: found no table, wanted one that `lab run` wrote")
     return words[2:], rows
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from cartdeal.emulator.world import Strict, Unusable
+from cartdeal.emulator.world import InvalidInputError, StrictStruct
 from cartdeal.simulated_time import seeded_random
 
 Seconds = Annotated[float, Meta(gt=0, le=3600)]
@@ -21,12 +21,12 @@
 FOUNDERS = 5
 
 
-class Ring(Strict):
+class Ring(StrictStruct):
     agents: Annotated[int, Meta(ge=4, le=10_000)] = 10
     way: Literal["cartdeal", "circle", "undamped"] = "cartdeal"
 
 
-class Copies(Strict):
+class Copies(StrictStruct):
     agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 5
     rate: Rate = 1.0  # requests an agent and second, each with a mark and of a tenant with a limit
     rest_s: Seconds = 10.0
@@ -35,7 +35,7 @@
     most_s: Seconds = 90.0  # waited for one ring, for answers with marks, and for equal copies
 
 
-class Days(Strict, rename={"requests": "lookups"}):
+class Days(StrictStruct, rename={"requests": "lookups"}):
     agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 6
     seconds: Seconds = 60.0
     quiet: Seconds = 90.0
@@ -45,7 +45,7 @@
     apart: Annotated[float, Meta(ge=0, le=0.01)] = 0.001
 
 
-class Upgrade(Strict, rename={"requests": "lookups"}):
+class Upgrade(StrictStruct, rename={"requests": "lookups"}):
     agents: Annotated[int, Meta(ge=3, le=MOST_AGENTS)] = 20
     every_s: Seconds = 4.0  # between two restarts at least; each waits until the last has caught up
     cut: Literal["none", "halves", "zone"] = "none"
@@ -55,7 +55,7 @@
     most_s: Seconds = 90.0
 
 
-class Added(Strict, rename={"requests": "lookups"}):
+class Added(StrictStruct, rename={"requests": "lookups"}):
     kind: Literal["read", "limited", "submit", "close"] = "read"
     requests: Annotated[int, Meta(ge=10, le=1_000_000)] = 2000  # with the fleet, and as many without
 
@@ -67,14 +67,14 @@
     given = {}
     for key, value in found.items():
         if key not in kinds:
-            raise Unusable(f"{at}.{key}: found {value!r}, wanted one of {', '.join(kinds)}")
+            raise InvalidInputError(f"{at}.{key}: found {value!r}, wanted one of {', '.join(kinds)}")
         try:
             given[known[key].name] = msgspec.convert(value, kinds[key])
         except msgspec.ValidationError as trouble:
             wanted = str(trouble).removeprefix("Expected ")
             if get_origin(kinds[key]) is Literal:
                 wanted = f"one of {', '.join(get_args(kinds[key]))}"
-            raise Unusable(f"{at}.{key}: found {value!r}, wanted {wanted}") from None
+            raise InvalidInputError(f"{at}.{key}: found {value!r}, wanted {wanted}") from None
     return PLAYS[play][0](**given)
 
 
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -21,8 +21,8 @@
 from gevent import socket, subprocess
 
 from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.emulator.judge import Judge
-from cartdeal.emulator.world import Unusable, World, agent_settings
+from cartdeal.emulator.rule_checker import RuleChecker
+from cartdeal.emulator.world import InvalidInputError, World, agent_settings
 from cartdeal.rig.stands import HOST, DiscoveryService, Server
 from cartdeal.simulated_time import seeded_random
 
@@ -44,16 +44,20 @@
     try:
         return tomllib.loads(Path(deploy).read_text())["run"]
     except (OSError, KeyError, tomllib.TOMLDecodeError) as trouble:
-        raise Unusable(f"{deploy}: run: found none ({trouble!r}), wanted the command of an agent") from None
+        raise InvalidInputError(
+            f"{deploy}: run: found none ({trouble!r}), wanted the command of an agent"
+        ) from None
 
 
 def check(world: World):
     for place, fault in enumerate(world.fault):
         if fault.kind in UNPLAYABLE:
-            raise Unusable(f"fault[{place}].kind: found {fault.kind!r}, wanted one that loopback can play")
+            raise InvalidInputError(
+                f"fault[{place}].kind: found {fault.kind!r}, wanted one that loopback can play"
+            )
     for key, found, most in (("agents", world.agents, MOST_AGENTS), ("seconds", world.seconds, MOST_SECONDS)):
         if found > most:
-            raise Unusable(f"{key}: found {found!r}, wanted {most} at most on sockets")
+            raise InvalidInputError(f"{key}: found {found!r}, wanted {most} at most on sockets")
 
 
 def agent_seed(seed: int, number: int, life: int) -> int:
@@ -96,7 +100,9 @@
         with gevent.Timeout(READY):
             while not (found := PORT.search(line := self.process.stderr.readline())):
                 if not line:
-                    raise Unusable(f"run: found {rig.run!r}, which ended with status {self.process.wait()}")
+                    raise InvalidInputError(
+                        f"run: found {rig.run!r}, which ended with status {self.process.wait()}"
+                    )
         self.port = int(found[1])
         gevent.spawn(self.drain, self.process.stderr)
 
@@ -106,7 +112,7 @@
             self.rig.count["faults logged"] += b"level=ERROR" in line
 
     def kill(self):
-        self.rig.judge.agent_died(self.number)
+        self.rig.rule_checker.on_agent_killed(self.number)
         self.port = 0
         self.stop()
         for connection in self.idle:
@@ -127,9 +133,9 @@
         check(world)
         self.world, self.seed, self.run = world, seed, run
         self.began, self.offset = monotonic(), time()
-        self.judge, self.count = Judge(world), Counter()
+        self.rule_checker, self.count = RuleChecker(world), Counter()
         self.offered = self.served = 0.0
-        self.rush, self.hot, self.took, self.named, self.requests = 1.0, 0.0, [], 0, 0
+        self.rush, self.hot, self.latencies, self.named, self.requests = 1.0, 0.0, [], 0, 0
         self.request_classes = list(accumulate(each.share for each in world.request_class))
         self.popular = list(
             accumulate((1 + place) ** -world.clients.popularity for place in range(world.clients.keys))
@@ -180,7 +186,7 @@
         longest = max(each.limit_s for each in self.world.request_class)
         gevent.sleep(self.world.seconds + longest + TAIL)
         gevent.killall(works)
-        self.judge.close(self.now)
+        self.rule_checker.check_unanswered(self.now)
 
     # Servers
 
@@ -200,13 +206,13 @@
     def attempt_came(self, request, attempt, server):
         self.count["shots"] += 1
         agent = self.asked_by.get(request)
-        case = self.judge.cases.get(request)
+        case = self.rule_checker.requests.get(request)
         if case:
             # Whether an earlier one is still out is known to the agent alone: its close takes a while.
             for each in case.attempts.values():
                 each[4] = False
             self.count["crossings"] += agent.zone != server.zone
-        self.judge.attempt_sent(
+        self.rule_checker.on_attempt_sent(
             self.now,
             agent.number if agent else None,
             request,
@@ -218,8 +224,10 @@
     def told(self, line):
         for agent in self.agents:
             if not self.list.down:
-                self.judge.agent_told(self.now, agent.number, line["uid"], line["state"] == "active")
-        self.judge.list_changed(self.now, line["uid"], line["state"] == "active")
+                self.rule_checker.on_server_state_received(
+                    self.now, agent.number, line["uid"], line["state"] == "active"
+                )
+        self.rule_checker.on_server_list_changed(self.now, line["uid"], line["state"] == "active")
 
     # Clients
 
@@ -246,7 +254,9 @@
             + "\r\n"
         )
         self.asked_by[request] = agent
-        self.judge.request_taken(self.now, agent.number, request, kind.name, self.now + kind.limit_s)
+        self.rule_checker.on_request_accepted(
+            self.now, agent.number, request, kind.name, self.now + kind.limit_s
+        )
         connection, message = self.kept(agent), None
         if connection:
             message = self.exchange(connection, head, kind)
@@ -260,17 +270,19 @@
             message = self.exchange(connection, head, kind)
         if not message:
             return  # unanswered: the judge says so, unless the agent was killed
-        self.judge.request_answered(self.now, request, message.status)
+        self.rule_checker.on_answer(self.now, request, message.status)
         self.count[message.status] += 1
         if message.status not in ANSWERS:  # 409: it had read the request when it closed, and so had taken it
-            self.judge.break_(1, self.now, request, f"answered {message.status}, which is no answer to it")
+            self.rule_checker.add_violation(
+                1, self.now, request, f"answered {message.status}, which is no answer to it"
+            )
         if message.status == 200:
             if message.body != b"done " + request.encode():
-                self.judge.break_(
+                self.rule_checker.add_violation(
                     1, self.now, request, f"no server made this answer for it: {message.body!r}"
                 )
             took = self.now - due
-            self.took.append(took)
+            self.latencies.append(took)
             self.served += kind.priority * (took <= kind.goal_s)
         self.count["late clients"] += late > 0.05
         if message.keep_alive and agent.port and life == agent.life:
@@ -368,6 +380,6 @@
             "terminated": self.count[502],
             "served": round(self.served / max(self.offered, 1e-9), 4),
             **{each: self.count[each] for each in COUNTED},
-            "lost with killed agents": self.judge.excused,
-            "violations": len(self.judge.violations),
+            "lost with killed agents": self.rule_checker.excused_count,
+            "violations": len(self.rule_checker.violations),
         }
--- a/cartdeal/rig/soak/play.py
+++ b/cartdeal/rig/soak/play.py
@@ -13,7 +13,7 @@
 
 import gevent
 
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.rig.soak import troubles
 from cartdeal.rig.soak.agents import Agent
 from cartdeal.rig.soak.clients import UsualClients
@@ -38,9 +38,9 @@
         """`fault_chance`: of each system call of every other agent."""
         self.fault_chance = fault_chance
         if not 1 <= agents <= MOST_AGENTS:
-            raise Unusable(f"agents: found {agents}, wanted 1 to {MOST_AGENTS}")
+            raise InvalidInputError(f"agents: found {agents}, wanted 1 to {MOST_AGENTS}")
         if not 0 < seconds <= MOST_SECONDS:
-            raise Unusable(f"seconds: found {seconds}, wanted up to {MOST_SECONDS:g}")
+            raise InvalidInputError(f"seconds: found {seconds}, wanted up to {MOST_SECONDS:g}")
         self.seed, self.size, self.seconds = seed, agents, seconds
         self.random, self.judge, self.begun = Random(seed), Judge(), monotonic()
         self.ids = self.named = 0
--- a/cartdeal/rig/stands.py
+++ b/cartdeal/rig/stands.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.emulator.servers import warmth
+from cartdeal.emulator.servers import capacity_share
 from cartdeal.simulated_time import seeded_random
 
 HOST = "127.0.0.1"
@@ -93,7 +93,7 @@
         super().__init__()
 
     def warmth(self) -> float:
-        return warmth(self.terms, self.started, self.rig.now)
+        return capacity_share(self.terms, self.started, self.rig.now)
 
     def capacity(self) -> float:
         return self.terms.cores * self.warmth() / self.slow
@@ -110,9 +110,9 @@
         self.rig.attempt_came(request, attempt, self)
         work = self.rig.work(kind, self.random)
         if self.started and self.warmth() < 1:
-            self.rig.judge.work_reached(self.rig.now, self, work)
+            self.rig.rule_checker.on_work_at_cold_server(self.rig.now, self, work)
         if self.draining or self.running + len(self.waiting) >= self.terms.cores + self.terms.waiting:
-            self.rig.judge.attempt_ended(request, attempt, True)
+            self.rig.rule_checker.on_attempt_ended(request, attempt, True)
             return connection.sock.sendall(said(503, extra=b"X-Not-Processed: 1\r\n"))
         self.run(work)
         if life != self.life or connection.closed:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -11,8 +11,8 @@
 
 from cartdeal.agent.reducer import Reducer
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.judge import Judge
 from cartdeal.emulator.play import Fleet
+from cartdeal.emulator.rule_checker import RuleChecker
 
 ALL_OF_A = {"kind": "replace", "zone": "a", "part": 1.0, "begins_s": 3.0, "lasts_s": 0.1}
 SIX_IN_TEN = {"kind": "replace", "part": 0.6, "begins_s": 3.0, "lasts_s": 1.0}
@@ -52,20 +52,20 @@
         "workload": [{"name": "read", "work_s": 0.05, "spread": "fixed"}],
         **more,
     }
-    return Fleet(worlds.made(world), seed, make).play().judge
+    return Fleet(worlds.world_from_dict(world), seed, make).run().rule_checker
 
 
-def margin(judge):
+def margin(rule_checker):
     """Most requests in a span at any cold server, as a share of what is allowed."""
-    return max(judge.closest.values(), default=0.0)
+    return max(rule_checker.max_cold_load_ratios.values(), default=0.0)
 
 
 @pytest.mark.parametrize("agents, seed", [(20, 1), (30, 2), (200, 3)])
 @pytest.mark.parametrize("faults", FAULTS.values(), ids=FAULTS)
 def test_the_sum_of_all_agents_stays_under_what_a_cold_server_is_allowed(faults, agents, seed):
-    judge = play(agents, faults, seed)
-    print(f"at most {margin(judge):.2f} of what is allowed")
-    assert not judge.violations and 0 < margin(judge) <= 1
+    rule_checker = play(agents, faults, seed)
+    print(f"at most {margin(rule_checker):.2f} of what is allowed")
+    assert not rule_checker.violations and 0 < margin(rule_checker) <= 1
 
 
 @pytest.mark.parametrize("agents", [20, 30, 200])
@@ -108,15 +108,15 @@
     print(*found, sep="\n")
     assert found and {each.rule for each in found} == {4}
     # Among few agents their limits hold the sum to what chance may add, and the work alone is over.
-    assert agents < 200 or [each for each in found if "requests" in each.words]
+    assert agents < 200 or [each for each in found if "requests" in each.text]
 
 
 # The judge
 
 
 def judged(requests, agent, work=0.0, told=5.0):
-    judge = Judge(
-        worlds.made(
+    rule_checker = RuleChecker(
+        worlds.world_from_dict(
             {
                 "fall_multiple": 2.0,
                 "fall_s": 2.0,
@@ -128,10 +128,10 @@
         )
     )
     server = SimpleNamespace(name="s", started=5.0, capacity=lambda: 0.8)
-    judge.agent_told(5.0, 1, "s", True, told)
+    rule_checker.on_server_state_received(5.0, 1, "s", True, told)
     for turn in range(requests):
-        judge.work_reached(6.0 + turn / 1000, server, work, agent)
-    return [each.rule for each in judge.violations]
+        rule_checker.on_work_at_cold_server(6.0 + turn / 1000, server, work, agent)
+    return [each.rule for each in rule_checker.violations]
 
 
 def test_judge_counts_requests_of_agents_that_were_told_of_the_start():
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,9 +11,9 @@
 from cartdeal.agent.reducer import Reducer
 from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.cut import cut_down
 from cartdeal.emulator.play import Fleet
 from cartdeal.emulator.servers import Job, Server
+from cartdeal.emulator.shrink import shrink
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 HARD = {
@@ -46,7 +46,7 @@
 
 
 def play(world, seed=5, make=Reducer, **more):
-    return Fleet(worlds.made(world), seed, make, **more).play()
+    return Fleet(worlds.world_from_dict(world), seed, make, **more).run()
 
 
 # Theory
@@ -54,22 +54,22 @@
 
 def waits(cores, load, count=60_000):
     """Times from arrival to the start of work, at one server with Poisson arrivals and exponential work."""
-    clock, terms = SimulatedClock(), worlds.Servers(cores=cores, waiting=100_000)
+    clock, settings = SimulatedClock(), worlds.Servers(cores=cores, waiting=100_000)
     server, random, found = (
-        Server(clock, terms, "s", 0, 1.0, seeded_random(1, "s")),
+        Server(clock, settings, "s", 0, 1.0, seeded_random(1, "s")),
         seeded_random(3, f"{cores}"),
         [],
     )
     area, last = [0.0], [0.0]
 
     def count_held():
-        area[0] += server.held * (clock.now - last[0])
+        area[0] += server.job_count * (clock.now - last[0])
         last[0] = clock.now
 
     def arrive(left):
         count_held()
         came = clock.now
-        server.take(
+        server.accept(
             Job(
                 random.expovariate(1.0),
                 lambda status: times.append(clock.now - came),
@@ -103,12 +103,19 @@
 
 def test_requests_in_equal_requests_out_and_the_rules_are_kept():
     fleet = play(HARD)
-    judge = fleet.judge
-    assert not judge.violations and judge.excused  # agents were killed with requests open
-    assert judge.taken == judge.answered + judge.excused == fleet.count["requests"] > 1000
-    assert fleet.count[200] + fleet.count[503] + fleet.count[502] == judge.answered
-    assert min(fleet.count[each] for each in (200, 502, 503, "crossings", "handshakes", "list calls")) > 0
-    assert not [each for each in fleet.servers.values() if each.open < 0 or each.running < 0]
+    rule_checker = fleet.rule_checker
+    assert not rule_checker.violations and rule_checker.excused_count  # agents were killed with requests open
+    assert (
+        rule_checker.accepted_count
+        == rule_checker.answered_count + rule_checker.excused_count
+        == fleet.counts["requests"]
+        > 1000
+    )
+    assert fleet.counts[200] + fleet.counts[503] + fleet.counts[502] == rule_checker.answered_count
+    assert min(fleet.counts[each] for each in (200, 502, 503, "crossings", "handshakes", "list calls")) > 0
+    assert not [
+        each for each in fleet.servers.values() if each.open_connections < 0 or each.running_count < 0
+    ]
 
 
 def test_same_seed_same_trace_in_another_process_with_another_hash_seed():
@@ -216,9 +223,9 @@
     ],
 )
 def test_judge_finds_a_planted_fault_and_names_its_rule(breakage, world, rule):
-    found = play(world, make=breakage).judge.violations
+    found = play(world, make=breakage).rule_checker.violations
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
-    assert all(each.words and each.about for each in found)
+    assert all(each.text and each.subject for each in found)
 
 
 @pytest.mark.parametrize(
@@ -230,27 +237,33 @@
 )
 def test_agents_find_a_planted_fault_by_their_own_checks(breakage, invariant):
     """By a record of their own, whatever their decisions believe."""
-    assert invariant in {each["invariant"] for each in play(HARD, make=breakage).judge.agents_said}
+    assert invariant in {
+        each["invariant"] for each in play(HARD, make=breakage).rule_checker.agent_violations
+    }
 
 
 @pytest.mark.parametrize("world", [HARD, COLD])
 def test_agents_that_keep_the_rules_find_nothing_by_their_own_checks(world):
-    assert not play(world).judge.agents_said
+    assert not play(world).rule_checker.agent_violations
 
 
 def test_a_run_is_cut_down_to_what_its_violation_needs():
-    left = cut_down(worlds.made(HARD), 5, DrainIgnored)
+    left = shrink(worlds.world_from_dict(HARD), 5, DrainIgnored)
     assert left.violation.rule == 3 and len(left.arrivals) <= 3
     assert [each.kind for each in left.world.fault] == ["replace"]
-    again = Fleet(left.world, 5, DrainIgnored, only=set(left.arrivals)).play().judge.violations
+    again = (
+        Fleet(left.world, 5, DrainIgnored, included_arrivals=set(left.arrivals)).run().rule_checker.violations
+    )
     assert left.violation in again
-    assert cut_down(worlds.made(HARD), 5) is None
+    assert shrink(worlds.world_from_dict(HARD), 5) is None
 
 
 @pytest.mark.parametrize("seed", [5, 6])
 def test_cold_world_keeps_the_rules_unbroken(seed):
     fleet = play(COLD, seed)
-    assert not fleet.judge.violations and any(each.started and each.served for each in fleet.servers.values())
+    assert not fleet.rule_checker.violations and any(
+        each.started and each.served_count for each in fleet.servers.values()
+    )
 
 
 # The command
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.play import Fleet
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.lab import experiment, fleets
 from cartdeal.lab.baselines import POLICIES
 from cartdeal.lab.compare import compared, interval
@@ -53,7 +53,7 @@
     words, rows = experiment.kept(table)
     assert words.startswith("commit ") and words.endswith("plan.toml, w.toml, seeds 1 2 3")
     assert [(row["variant"], row["seed"]) for row in rows] == [(v, s) for v in "ab" for s in "123"]
-    alone = experiment.one("a", worlds.made({"seconds": 2.0, "agents": 4}), "cartdeal", 2)
+    alone = experiment.one("a", worlds.world_from_dict({"seconds": 2.0, "agents": 4}), "cartdeal", 2)
     assert rows[1] == {key: str(value) for key, value in alone.items()}
     (tmp_path / "w.toml").unlink()
     for chart in charts:
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("policy", [name for name in POLICIES if name != "cartdeal"])
 def test_baselines_keep_the_rules(policy):
-    assert not Fleet(worlds.made(HARD), 3, POLICIES[policy]).play().judge.violations
+    assert not Fleet(worlds.world_from_dict(HARD), 3, POLICIES[policy]).run().rule_checker.violations
 
 
 @pytest.mark.parametrize(
@@ -134,13 +134,13 @@
 def test_play_that_cannot_be_used_is_named(tmp_path, play, words, wrong):
     file = tmp_path / "f.toml"
     file.write_text(f"play = '{play}'\nseeds = [1, 2]\n[[variant]]\nname = 'a'\nset = {{{words}}}\n")
-    with pytest.raises(Unusable) as caught:
+    with pytest.raises(InvalidInputError) as caught:
         experiment.read(file)
     assert f"{file}: {wrong}" in str(caught.value)
 
 
 def test_a_file_that_is_no_table_is_refused(plan):
-    with pytest.raises(Unusable, match="plan.toml"):
+    with pytest.raises(InvalidInputError, match="plan.toml"):
         experiment.kept(plan)
 
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,7 +12,7 @@
 
 from cartdeal.agent.connection import Connection
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.rig.play import Rig, command
 
 AGENT = f"exec {sys.executable} -m cartdeal"
@@ -46,9 +46,13 @@
 
 
 def test_real_agents_keep_the_rules_while_answers_break_off_at_every_place():
-    rig = Rig(worlds.made(BAD), 1, AGENT).play()
-    assert not rig.judge.violations and not rig.count["faults logged"]
-    assert rig.judge.taken == rig.judge.answered + rig.judge.excused > 200
+    rig = Rig(worlds.world_from_dict(BAD), 1, AGENT).play()
+    assert not rig.rule_checker.violations and not rig.count["faults logged"]
+    assert (
+        rig.rule_checker.accepted_count
+        == rig.rule_checker.answered_count + rig.rule_checker.excused_count
+        > 200
+    )
     assert all(rig.count[f"broken off: {way}"] for way in ("nothing", "head", "body", "noise", "reset"))
     assert rig.count[200] and rig.count[502]
     assert all(agent.process.poll() is not None for agent in rig.agents)
@@ -67,19 +71,19 @@
     ],
 )
 def test_judge_finds_a_broken_agent_on_sockets(words, rule):
-    found = Rig(worlds.made(BAD), 1, broken(words)).play().judge.violations
+    found = Rig(worlds.world_from_dict(BAD), 1, broken(words)).play().rule_checker.violations
     assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
 
 
 def test_request_that_a_close_crossed_is_sent_once_more():
-    rig = Rig(worlds.made({"seconds": 1.0, "agents": 1, "zones": ["a"]}), 1, AGENT)
+    rig = Rig(worlds.world_from_dict({"seconds": 1.0, "agents": 1, "zones": ["a"]}), 1, AGENT)
     kept = rig.kept
     rig.kept = lambda agent: crossed.pop() if crossed else kept(agent)
     ours, theirs = socket.socketpair()
     theirs.close()
     crossed = [Connection(ours, answers=True)]
     rig.play()
-    assert rig.count["sent again"] == 1 and not rig.judge.violations
+    assert rig.count["sent again"] == 1 and not rig.rule_checker.violations
 
 
 @pytest.mark.parametrize(
@@ -91,14 +95,14 @@
     ],
 )
 def test_world_that_sockets_cannot_play_is_refused(more, words):
-    with pytest.raises(Unusable, match=words.replace("[", r"\[")):
-        Rig(worlds.made(more), 1, AGENT)
+    with pytest.raises(InvalidInputError, match=words.replace("[", r"\[")):
+        Rig(worlds.world_from_dict(more), 1, AGENT)
 
 
 def test_command_of_an_agent_that_ends_or_is_not_there_is_named(tmp_path):
-    with pytest.raises(Unusable, match="exit 3"):
-        Rig(worlds.made({"agents": 2}), 1, "exit 3").play()
-    with pytest.raises(Unusable, match="run: found none"):
+    with pytest.raises(InvalidInputError, match="exit 3"):
+        Rig(worlds.world_from_dict({"agents": 2}), 1, "exit 3").play()
+    with pytest.raises(InvalidInputError, match="run: found none"):
         command(tmp_path / "none.toml")
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -20,7 +20,7 @@
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, Prepare, RingSnapshot
@@ -161,9 +161,9 @@
 
 
 def test_bounds_of_rig_and_lab():
-    play.check(worlds.made({"agents": MANY}))
-    with pytest.raises(Unusable, match="agents: found 1025, wanted 1024 at most"):
-        play.check(worlds.made({"agents": MANY + 1}))
+    play.check(worlds.world_from_dict({"agents": MANY}))
+    with pytest.raises(InvalidInputError, match="agents: found 1025, wanted 1024 at most"):
+        play.check(worlds.world_from_dict({"agents": MANY + 1}))
     starts = list(product(range(3), range(MANY), range(play.LIVES)))
     assert len({play.agent_seed(*start) for start in starts}) == len(starts)
     for kind in ("ring", "copies", "days", "upgrade"):
@@ -171,7 +171,7 @@
 
 
 def test_rig_starts_its_agents_a_bounded_number_at_a_time(monkeypatch):
-    rig, starting, most = play.Rig(worlds.made({"agents": MANY}), 1, "true"), set(), []
+    rig, starting, most = play.Rig(worlds.world_from_dict({"agents": MANY}), 1, "true"), set(), []
 
     def start(self):
         starting.add(self)
@@ -286,7 +286,7 @@
 
 
 def test_1024_agents_may_wait_to_be_accepted_by_a_peer_and_by_the_rigs_stand_ins(make_transport):
-    service = DiscoveryService(play.Rig(worlds.made({}), 1, "true"))
+    service = DiscoveryService(play.Rig(worlds.world_from_dict({}), 1, "true"))
     most = int(Path("/proc/sys/net/core/somaxconn").read_text())
     for listener in (make_transport("a", start=False).listener, service.socket):
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 import pytest
 from gevent import socket
 
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.rig.soak import clients, play, troubles
 from cartdeal.rig.soak.judge import Judge, Rule, SoakRequest
 
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("agents, seconds", [(0, 10.0), (1000, 10.0), (3, 0.0), (3, 1e6)])
 def test_soak_of_no_sensible_size_is_refused(agents, seconds):
-    with pytest.raises(Unusable, match="wanted"):
+    with pytest.raises(InvalidInputError, match="wanted"):
         play.Soak(1, agents, seconds)
 
 
