--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests on real connections, and what is done with tests of known failures."""
+"""Fixtures for tests with real connections, and the handling of tests that are known to fail."""
 
 import gevent
 import pytest
@@ -8,35 +8,36 @@
 
 
 def pytest_collection_modifyitems(items):
-    """A test that KNOWN-RED.txt lists has to fail; every other one has to pass."""
-    listed = known_red.read()
+    """Expects each test that KNOWN-RED.txt lists to fail, and each other one to pass."""
+    known_failures = known_red.read()
     for item in items:
-        for failure in listed:
+        for failure in known_failures:
             if failure.names(item.nodeid):
                 item.add_marker(pytest.mark.xfail(strict=True, reason=f"{failure.cause} ({failure.issue})"))
 
 
 def pytest_terminal_summary(terminalreporter):
+    """Lists the known failures at the end of the run."""
     for failure in known_red.read():
         terminalreporter.write_line(f"KNOWN RED: {failure.test}: {failure.cause} ({failure.issue})")
 
 
 @pytest.fixture
 def bounded():
-    """What waits for ever fails after 20 s."""
+    """Fails a test that takes longer than 20 s."""
     with gevent.Timeout(20):
         yield
 
 
 @pytest.fixture
 def deploy(tmp_path):
-    """Makes deployments, and stops them at the test's end."""
-    made = []
+    """Creates deployments and stops them when the test ends."""
+    deployments = []
 
-    def make(**more):
-        made.append(Deployment(tmp_path, **more))
-        return made[-1]
+    def create(**more):
+        deployments.append(Deployment(tmp_path, **more))
+        return deployments[-1]
 
-    yield make
-    for deployment in made:
+    yield create
+    for deployment in deployments:
         deployment.stop()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,14 +1,14 @@
-"""The list of tests that fail for a known fault which is not mended yet: KNOWN-RED.txt at the root.
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault that is not fixed yet.
 
-One line each: `tests/FILE.py::TEST | cause | issue`. A listed test still runs and has to fail: one that
-passes fails the run until its line is taken off, so the list never hides more than it says.
+Each line is `tests/FILE.py::TEST | cause | issue`. A listed test still runs and has to fail: if it
+passes, the run fails until its line is removed, so the list never hides more than it says.
 """
 
 from pathlib import Path
 from typing import NamedTuple
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 class KnownFailure(NamedTuple):
@@ -19,22 +19,28 @@
     issue: str
 
     def names(self, node_id: str) -> bool:
+        """Whether the line lists the test with this node id."""
         return node_id == self.test or node_id.startswith(self.test + "[")
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """Raises ValueError for a line of another form, or for more lines than are allowed."""
+    """Parses the list.
+
+    Raises:
+        ValueError: a line has another form, or there are more lines than MAX_LINES.
+    """
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
-    if len(lines) > MOST_LINES:
-        raise ValueError(f"{FILE.name}: found {len(lines)} tests, wanted {MOST_LINES} at most")
-    found = []
+    if len(lines) > MAX_LINES:
+        raise ValueError(f"{FILE.name}: found {len(lines)} tests, wanted {MAX_LINES} at most")
+    failures = []
     for line in lines:
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields) or "::" not in fields[0]:
             raise ValueError(f"{FILE.name}: found {line!r}, wanted 'FILE::TEST | cause | issue'")
-        found.append(KnownFailure(*fields))
-    return found
+        failures.append(KnownFailure(*fields))
+    return failures
 
 
 def read() -> list[KnownFailure]:
+    """The known failures; none if there is no list."""
     return parse(FILE.read_text()) if FILE.exists() else []
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,7 @@
-"""A host that prints what an agent decides, for comparison with the traces kept beside the tests."""
+"""Test hosts: one that traces the balancer's decisions, and a deployment of an agent with toy servers.
+
+The traces are compared with the files in tests/traces. With TRACES=write in the environment they are written.
+"""
 
 import json
 import os
@@ -33,12 +36,14 @@
     deduplication_window=2.0,
 )
 MARKED_ALL = MARKED._replace(deduplication_scope=DeduplicationScope.ALL)
-IDS = count(1)  # every request has an id of its own
+IDS = count(1)  # request ids
+
 
+class TracingHost:
+    """A balancer's host that traces each decision as a line of text. Its clock starts at 100 s."""
 
-class Scene:
-    def __init__(self, servers="a0 b0 c1 d1", seed=7, number=0, **terms):
-        base = dict(
+    def __init__(self, servers="a0 b0 c1 d1", seed=7, number=0, **settings):
+        defaults = dict(
             seed=seed,
             agent_number=number,
             agent_count=2,
@@ -63,98 +68,108 @@
             has_live_weights=False,
             worst_class_weight=0.0,
         )
-        self.now, self.lines, self.due, self.quiet, self.attempts = 100.0, [], [], False, {}
-        self.timers, self.asked, self.prompt = 0, [], True
-        self.balancer = Balancer(self, BalancerSettings(**base | terms))
+        # The trace, the times of the timers, whether the trace is paused, and the attempts by request.
+        self.now, self.lines, self.due_timers, self.is_trace_paused, self.attempts = 100.0, [], [], False, {}
+        # The number of timers set, the probes without a response, and whether probes are answered at once.
+        self.timer_count, self.pending_probes, self.answers_probes = 0, [], True
+        self.balancer = Balancer(self, BalancerSettings(**defaults | settings))
         self.names = {}
-        self.list(servers)
+        self.update_list(servers)
 
-    def list(self, servers, state=ServerState.READY, started=0.0, whole=True, weight=1.0):
-        """Servers are written as a letter for the name and a digit for the zone."""
+    def update_list(self, servers, state=ServerState.READY, started=0.0, is_complete=True, weight=1.0):
+        """Applies a server list. A server is written as a letter for its name and a digit for its zone."""
         lines = [
             ListedServer(ord(name), name.encode(), int(zone), 0, 0, state, weight, started)
             for name, zone in servers.split()
         ]
-        self.balancer.on_server_list(lines, whole)
+        self.balancer.on_server_list(lines, is_complete)
 
-    def say(self, text):
-        if not self.quiet:
+    def trace(self, text):
+        """Adds a line with the time to the trace."""
+        if not self.is_trace_paused:
             self.lines.append(f"{self.now - 100:6.2f}  {text}")
 
-    def send_attempt(self, request, server, until):
+    def send_attempt(self, request, server, deadline):
         attempt = self.attempts[request][1] + 1 if request in self.attempts else 0
         self.attempts[request] = (server, attempt, self.now)
-        self.say(f"send {request} at {chr(server)}")
+        self.trace(f"send {request} at {chr(server)}")
 
-    def reject(self, request, wait):
-        self.say(f"reject {request}")
+    def reject(self, request, retry_after):
+        self.trace(f"reject {request}")
 
     def fail(self, request):
-        self.say(f"terminate {request}")
+        self.trace(f"terminate {request}")
 
     def cancel(self, request, attempt):
-        self.say(f"cancel attempt {attempt} of {request}")
+        self.trace(f"cancel attempt {attempt} of {request}")
 
     def probe(self, server):
-        if self.balancer.servers[server].is_circuit_closed and self.prompt:
-            self.asked.append(server)
+        if self.balancer.servers[server].is_circuit_closed and self.answers_probes:
+            self.pending_probes.append(server)
         else:
-            self.say(f"probe {chr(server)}")
+            self.trace(f"probe {chr(server)}")
 
-    def answer(self):
-        """Servers that are asked before an attempt answer at once, unless a scene makes them slow."""
-        while self.asked:
-            self.balancer.on_probe_ended(self.asked.pop(), Outcome.COMPLETED, 0.001, None)
+    def answer_probes(self):
+        """Answers the pending probes."""
+        while self.pending_probes:
+            self.balancer.on_probe_ended(self.pending_probes.pop(), Outcome.COMPLETED, 0.001, None)
 
     def watch(self):
-        self.say("watch")
+        self.trace("watch")
 
     def set_timer(self, token, delay):
-        self.timers += 1
-        insort(self.due, self.now + delay)
-
-    def wait(self, time):
-        end = self.now + time
-        while self.due and self.due[0] <= end:
-            self.now = self.due.pop(0)
+        self.timer_count += 1
+        insort(self.due_timers, self.now + delay)
+
+    def wait(self, duration):
+        """Advances the clock and fires the timers that become due."""
+        end = self.now + duration
+        while self.due_timers and self.due_timers[0] <= end:
+            self.now = self.due_timers.pop(0)
             self.balancer.on_timer(0)
-            self.answer()
+            self.answer_probes()
         self.now = end
 
-    def take(self, request, request_class=0, key=0, limit=2.0, repeat=False):
-        self.balancer.on_request(request, request_class, 0, key or request, self.now + limit, repeat)
-        self.answer()
+    def submit(self, request, request_class=0, key=0, timeout=2.0, repeat=False):
+        """Submits a request; returns the server of its attempt, or nothing if none was sent."""
+        self.balancer.on_request(request, request_class, 0, key or request, self.now + timeout, repeat)
+        self.answer_probes()
         return chr(self.attempts[request][0]) if request in self.attempts else ""
 
-    def end(self, request, outcome=Outcome.COMPLETED, load=None):
+    def end_attempt(self, request, outcome=Outcome.COMPLETED, load=None):
+        """Ends the request's latest attempt."""
         server, attempt, sent = self.attempts[request]
         finished = outcome is Outcome.COMPLETED
         self.balancer.on_attempt_ended(request, server, outcome, attempt, self.now - sent, finished, load)
-        self.answer()
+        self.answer_probes()
 
-    def serve(self, requests, outcomes=None, took=0.05):
-        """Plays requests one after the other; servers named in `outcomes` end their attempts so."""
+    def serve(self, requests, outcomes=None, duration=0.05):
+        """Serves requests one after the other; `outcomes` has the attempts' outcome by server."""
         for request in requests:
-            self.take(request)
-            self.wait(took)
+            self.submit(request)
+            self.wait(duration)
             while request in self.balancer.requests:
                 if request in self.balancer.queued_requests:
-                    self.wait(took)
+                    self.wait(duration)
                     continue
-                self.end(request, (outcomes or {}).get(chr(self.attempts[request][0]), Outcome.COMPLETED))
+                self.end_attempt(
+                    request, (outcomes or {}).get(chr(self.attempts[request][0]), Outcome.COMPLETED)
+                )
 
-    def kept(self, name):
+    def check_trace(self, name):
+        """Compares the trace with its file."""
         kept(name, self.lines)
 
 
 def kept(name, lines):
+    """Compares the lines with a trace file, or writes them to it if TRACES=write."""
     file, trace = TRACES / f"{name}.txt", "\n".join(lines) + "\n"
     if os.environ.get("TRACES") == "write":
         file.write_text(trace)
     assert trace == file.read_text()
 
 
-# The agent: stations to start it at, and a deployment of toys round it.
+# An agent with toy servers and a toy discovery service.
 
 SETTINGS = {
     "areas": ["a", "b"],
@@ -188,6 +203,7 @@
 
 
 def config_file(**more):
+    """An agent's configuration; `more` replaces top-level keys."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -199,16 +215,17 @@
 
 
 def agent_config(folder, **more):
+    """Writes an agent's configuration to the folder and reads it back."""
     file = folder / "config.json"
     file.write_text(json.dumps(config_file(**more)))
     return configuration.read({"PROXY_CONFIG": str(file)})
 
 
 class Deployment:
-    """Toy servers, a toy discovery service and an agent in one process; requests go in by `ask`."""
+    """Toy servers, a toy discovery service and an agent in one process; `ask` sends a request."""
 
     def __init__(self, folder, servers=1, fleet=None, **more):
-        self.servers = [Server(f"s{place}") for place in range(servers)]
+        self.servers = [Server(f"s{index}") for index in range(servers)]
         self.service = DiscoveryService()
         self.service.lines = {server.name: server.line() for server in self.servers}
         known = {"rev": 1, "all": True, "targets": list(self.service.lines.values())}
@@ -217,18 +234,21 @@
         self.agent.start()
 
     def connect(self):
+        """Opens a client connection to the agent."""
         return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), answers=True)
 
     def ask(self, path="/read/x", method="GET", body=b"", connection=None, **headers):
-        """One request from first byte to last; gives the answer's status and body."""
+        """Sends a request and returns the status and body of its answer."""
         connection = connection or self.connect()
         connection.sock.sendall(worded(path, method, body, **headers))
         return answered(connection)
 
     def seen(self):
+        """The paths of the requests that the servers received."""
         return [message.path.decode() for server in self.servers for message in server.seen]
 
     def stop(self):
+        """Stops the agent, the servers and the discovery service."""
         gevent.killall(self.agent.works)
         if self.agent.admission:
             self.agent.admission.stop()
@@ -239,13 +259,15 @@
 
 
 def worded(path="/read/x", method="GET", body=b"", **headers):
-    named = {"X-Request-ID": str(next(IDS)), "Content-Length": str(len(body))}
-    named |= {name.replace("_", "-"): value for name, value in headers.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in named.items() if value is not None)
+    """The bytes of a request; a header of None is left out, and `_` in its name stands for `-`."""
+    fields = {"X-Request-ID": str(next(IDS)), "Content-Length": str(len(body))}
+    fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value is not None)
     return f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 def answered(connection):
+    """Waits for an answer; returns its status and body, or None if the connection ends."""
     while not connection.messages:
         if not connection.receive(5.0):
             return None
@@ -253,6 +275,7 @@
     return message.status, message.body
 
 
-def until(true):
-    while not true():
+def until(condition):
+    """Waits until the condition is true."""
+    while not condition():
         gevent.sleep(0.002)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,8 +1,8 @@
-"""Rule 4 under the sum of all agents: worlds that press the cold ramp, and breakages that they must find.
+"""Rule 4 for all agents together: worlds that stress slow start, and defects that these worlds must find.
 
-A cold server is allowed N requests in a span, N by the settings, and what chance adds. The worlds allow once
-its present capacity, not three times as is usual, in a short span: here the agents' limits do not hold the
-sum in the ramp's stead.
+A server in slow start is allowed N requests in a window, with N given by the settings, and a margin for
+chance. The worlds allow once its present capacity, not three times as is usual, in a short window: otherwise
+the agents' concurrency limits would bound the sum instead of slow start.
 """
 
 from types import SimpleNamespace
@@ -18,11 +18,11 @@
 SIX_IN_TEN = {"kind": "replace", "part": 0.6, "begins_s": 3.0, "lasts_s": 1.0}
 ALL_KILLED = [{"kind": "kill", "part": 1.0, "begins_s": at} for at in (3.9, 6.0)]
 FAULTS = {
-    "many cold at once": [SIX_IN_TEN],
-    "restarted right before and during the ramp": [SIX_IN_TEN, *ALL_KILLED],
-    "a zone all cold": [ALL_OF_A],
-    "a zone all cold, its agents restarted": [ALL_OF_A, *ALL_KILLED],
-    "a zone all cold, the other lost": [
+    "many in slow start at once": [SIX_IN_TEN],
+    "agents restarted right before and during slow start": [SIX_IN_TEN, *ALL_KILLED],
+    "a zone all in slow start": [ALL_OF_A],
+    "a zone all in slow start, its agents restarted": [ALL_OF_A, *ALL_KILLED],
+    "a zone all in slow start, the other lost": [
         ALL_OF_A,
         {"kind": "zone_cut", "zone": "b", "begins_s": 5.0, "lasts_s": 3.0},
     ],
@@ -32,7 +32,7 @@
         {"kind": "list_down", "begins_s": 5.0, "lasts_s": 2.0},
         {"kind": "kill", "part": 0.5, "begins_s": 4.5},
     ],
-    "one key busy, and more of it": [
+    "one popular key, and more load": [
         SIX_IN_TEN,
         {"kind": "hot_key", "begins_s": 7.0, "lasts_s": 3.0, "size": 0.9},
         {"kind": "jump", "begins_s": 7.0, "lasts_s": 3.0, "size": 3.0},
@@ -40,7 +40,8 @@
 }
 
 
-def play(agents, faults, seed, make=Reducer, per_s=250.0, **more):
+def run_world(agents, faults, seed, make=Reducer, per_s=250.0, **more):
+    """Runs a world with these faults; returns its rule checker."""
     world = {
         "seconds": 10.0,
         "agents": agents,
@@ -55,35 +56,37 @@
     return Fleet(worlds.made(world), seed, make).play().judge
 
 
-def margin(judge):
-    """Most requests in a span at any cold server, as a share of what is allowed."""
-    return max(judge.closest.values(), default=0.0)
+def max_share(checker):
+    """The most requests in a window at any server in slow start, as a share of what is allowed."""
+    return max(checker.closest.values(), default=0.0)
 
 
 @pytest.mark.parametrize("agents, seed", [(20, 1), (30, 2), (200, 3)])
 @pytest.mark.parametrize("faults", FAULTS.values(), ids=FAULTS)
-def test_the_sum_of_all_agents_stays_under_what_a_cold_server_is_allowed(faults, agents, seed):
-    judge = play(agents, faults, seed)
-    print(f"at most {margin(judge):.2f} of what is allowed")
-    assert not judge.violations and 0 < margin(judge) <= 1
+def test_all_agents_together_keep_to_what_a_server_in_slow_start_is_allowed(faults, agents, seed):
+    checker = run_world(agents, faults, seed)
+    print(f"at most {max_share(checker):.2f} of what is allowed")
+    assert not checker.violations and 0 < max_share(checker) <= 1
 
 
 @pytest.mark.parametrize("agents", [20, 30, 200])
-def test_agents_with_less_than_a_request_a_span_keep_to_the_sum(agents):
-    kind = {"name": "read", "work_s": 0.5, "goal_s": 2.0, "limit_s": 5.0, "spread": "fixed"}
-    judges = [
-        play(agents, [SIX_IN_TEN], seed, per_s=10.0, fall_s=2.0, fall_multiple=3.0, workload=[kind])
+def test_agents_with_less_than_one_request_per_window_keep_to_the_sum(agents):
+    request_class = {"name": "read", "work_s": 0.5, "goal_s": 2.0, "limit_s": 5.0, "spread": "fixed"}
+    checkers = [
+        run_world(
+            agents, [SIX_IN_TEN], seed, per_s=10.0, fall_s=2.0, fall_multiple=3.0, workload=[request_class]
+        )
         for seed in (1, 2, 3)
     ]
-    print("at most", [f"{margin(each):.2f}" for each in judges], "of what is allowed")
-    assert not any(each.violations for each in judges) and 0 < max(map(margin, judges)) <= 1
+    print("at most", [f"{max_share(each):.2f}" for each in checkers], "of what is allowed")
+    assert not any(each.violations for each in checkers) and 0 < max(map(max_share, checkers)) <= 1
 
 
-# What the worlds must find
+# Defects that the worlds must find
 
 
-class WholeTokens(Reducer):
-    """Every agent may send a cold server a request at once."""
+class FullTokens(Reducer):
+    """Each agent may send a request at once to a server in slow start."""
 
     def listed(self, server_list, fresh=True):
         known = set(self.balancer.servers)
@@ -92,30 +95,33 @@
             self.balancer.servers[index].slow_start_tokens = 1.0
 
 
-class FleetsRate(Reducer):
-    """Every agent takes what the fleet may send for its own."""
+class FleetRate(Reducer):
+    """Each agent sends at the rate that the whole fleet is allowed."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        like = self.balancer.warm_send_rate
-        self.balancer.warm_send_rate = lambda zone, now: like(zone, now) * self.balancer.settings.agent_count
+        own_rate = self.balancer.warm_send_rate
+        self.balancer.warm_send_rate = (
+            lambda zone, now: own_rate(zone, now) * self.balancer.settings.agent_count
+        )
 
 
-@pytest.mark.parametrize("breakage", [WholeTokens, FleetsRate])
+@pytest.mark.parametrize("defect", [FullTokens, FleetRate])
 @pytest.mark.parametrize("agents", [20, 30, 200])
-def test_a_ramp_that_forgets_the_fleet_is_found(breakage, agents):
-    found = play(agents, [SIX_IN_TEN], 1, breakage).violations
-    print(*found, sep="\n")
-    assert found and {each.rule for each in found} == {4}
-    # Among few agents their limits hold the sum to what chance may add, and the work alone is over.
-    assert agents < 200 or [each for each in found if "requests" in each.words]
+def test_slow_start_that_ignores_the_other_agents_is_found(defect, agents):
+    violations = run_world(agents, [SIX_IN_TEN], 1, defect).violations
+    print(*violations, sep="\n")
+    assert violations and {each.rule for each in violations} == {4}
+    # With few agents, their limits keep the sum within the margin for chance; only the work exceeds it.
+    assert agents < 200 or [each for each in violations if "requests" in each.words]
 
 
-# The judge
+# The rule checker
 
 
-def judged(requests, agent, work=0.0, told=5.0):
-    judge = Judge(
+def violations(requests, agent, work=0.0, known_start=5.0):
+    """The rules that requests at a server in slow start break."""
+    checker = Judge(
         worlds.made(
             {
                 "fall_multiple": 2.0,
@@ -128,19 +134,20 @@
         )
     )
     server = SimpleNamespace(name="s", started=5.0, capacity=lambda: 0.8)
-    judge.agent_told(5.0, 1, "s", True, told)
-    for turn in range(requests):
-        judge.work_reached(6.0 + turn / 1000, server, work, agent)
-    return [each.rule for each in judge.violations]
+    checker.agent_told(5.0, 1, "s", True, known_start)
+    for index in range(requests):
+        checker.work_reached(6.0 + index / 1000, server, work, agent)
+    return [each.rule for each in checker.violations]
 
 
-def test_judge_counts_requests_of_agents_that_were_told_of_the_start():
-    # 2 x 0.8 x 2 s of work, at 0.2 s a request: 16, and 2 x 4 + 2 more by chance.
-    assert judged(26, agent=1) == [] and judged(27, agent=1) == [4]
-    assert judged(99, agent=2) == [] and judged(99, agent=1, told=0.0) == []  # knew nothing of it
-    assert judged(99, agent=None) == []  # probes
+def test_checker_counts_requests_of_agents_that_know_of_the_start():
+    # 2 x 0.8 x 2 s of work at 0.2 s per request: 16 requests, and 2 x 4 + 2 more as a margin for chance.
+    assert violations(26, agent=1) == [] and violations(27, agent=1) == [4]
+    # The last agent does not know of the start.
+    assert violations(99, agent=2) == [] and violations(99, agent=1, known_start=0.0) == []
+    assert violations(99, agent=None) == []  # probes
 
 
-def test_judge_counts_work_whoever_sent_it():
-    assert judged(16, agent=None, work=0.1999) == [] and judged(17, agent=None, work=0.1999) == [4]
-    assert judged(17, agent=2, work=0.1999) == [4]
+def test_checker_counts_the_work_of_any_sender():
+    assert violations(16, agent=None, work=0.1999) == [] and violations(17, agent=None, work=0.1999) == [4]
+    assert violations(17, agent=2, work=0.1999) == [4]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures is short, well-formed and names tests that there are."""
+"""The list of known failures is short and well-formed, and names existing tests."""
 
 import re
 
@@ -25,12 +25,16 @@
         "tests/test_x.py::test_y | cause | 1\n" * 4,
     ],
 )
-def test_line_of_another_form_and_a_fourth_line_are_refused(text):
+def test_malformed_line_and_a_fourth_line_are_refused(text):
     with pytest.raises(ValueError, match="wanted"):
         known_red.parse(text)
 
 
-def test_line_names_a_test_with_all_of_its_parameters_or_one_of_them():
-    every, one = known_red.parse("t.py::test_a | cause | 1\nt.py::test_b[x] | cause | 1")
-    assert every.names("t.py::test_a") and every.names("t.py::test_a[x]") and not every.names("t.py::test_ab")
-    assert one.names("t.py::test_b[x]") and not one.names("t.py::test_b[y]")
+def test_line_lists_a_test_with_all_its_parameters_or_one_of_them():
+    all_cases, one_case = known_red.parse("t.py::test_a | cause | 1\nt.py::test_b[x] | cause | 1")
+    assert (
+        all_cases.names("t.py::test_a")
+        and all_cases.names("t.py::test_a[x]")
+        and not all_cases.names("t.py::test_ab")
+    )
+    assert one_case.names("t.py::test_b[x]") and not one_case.names("t.py::test_b[y]")
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""How an attempt's answer may be cut, and what its request's further attempts may then be."""
+"""Answers that are cut off in different ways, and the retries that are then allowed."""
 
 import struct
 from time import monotonic
@@ -24,121 +24,123 @@
 
 @pytest.fixture
 def deployment(tmp_path):
-    made = Deployment(tmp_path, servers=2)
-    yield made
-    made.stop()
+    """A deployment with two servers."""
+    new_deployment = Deployment(tmp_path, servers=2)
+    yield new_deployment
+    new_deployment.stop()
 
 
-def pair(until_close=True):
-    """An upstream connection and the server's end of it."""
+def connection_pair(until_close=True):
+    """An upstream connection and the server's socket."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(1)
-    ours = socket.create_connection(listener.getsockname())
-    theirs, _ = listener.accept()
+    client_socket = socket.create_connection(listener.getsockname())
+    server_socket, _ = listener.accept()
     listener.close()
-    return Connection(ours, answers=True, until_close=until_close), theirs
+    return Connection(client_socket, answers=True, until_close=until_close), server_socket
 
 
 def reset(sock):
+    """Closes the connection with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-def read(connection):
-    """The body of the answer; None where the stream ends before that is whole."""
+def read_body(connection):
+    """The body of the answer; None if the stream ends before the body is complete."""
     while not connection.messages:
         if not connection.receive(5.0) and not connection.messages:
             return None
     return connection.messages[0].body
 
 
-def cut(text, end):
-    """Plays an answer whose bytes are all read before its connection ends."""
-    connection, theirs = pair()
-    theirs.sendall(text)
-    came = 0
-    while came < len(text):
+def received_answer(text, end):
+    """A connection that has read all bytes of an answer before the server ends it."""
+    connection, server_socket = connection_pair()
+    server_socket.sendall(text)
+    received_bytes = 0
+    while received_bytes < len(text):
         before = connection.kept
         assert connection.receive(5.0)
-        came += connection.came - before
-    end(theirs)
+        received_bytes += connection.came - before
+    end(server_socket)
     return connection
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset], ids=["close", "reset"])
 @pytest.mark.parametrize("text", [OPEN[:10], OPEN[:-4], SIZED[:-1], CHUNKED[:-9], CHUNKED[:-2]], ids=repr)
-def test_answer_cut_before_its_end_is_none_however_it_is_cut(text, end):
-    connection = cut(text, end)
+def test_answer_cut_off_by_a_close_or_a_reset_is_not_returned(text, end):
+    connection = received_answer(text, end)
     try:
-        assert read(connection) is None
+        assert read_body(connection) is None
     except ConnectionResetError:
         assert end is reset
 
 
 @pytest.mark.parametrize("text", [HEAD + b"\r\n", OPEN, OPEN + bytes(50000)], ids=["empty", "short", "long"])
-def test_only_an_orderly_end_ends_an_answer_without_a_length(text):
-    connection = cut(text, socket.socket.close)
-    assert read(connection) == text.partition(b"\r\n\r\n")[2] and not connection.messages[0].keep_alive
+def test_answer_without_a_length_ends_only_with_an_orderly_close(text):
+    connection = received_answer(text, socket.socket.close)
+    assert read_body(connection) == text.partition(b"\r\n\r\n")[2] and not connection.messages[0].keep_alive
     with pytest.raises(ConnectionResetError):
-        read(cut(text, reset))
-    strict, theirs = pair(until_close=False)
-    theirs.sendall(text)
-    with pytest.raises(Malformed):  # who has not asked for such answers gets none
-        read(strict)
+        read_body(received_answer(text, reset))
+    strict, server_socket = connection_pair(until_close=False)
+    server_socket.sendall(text)
+    with pytest.raises(Malformed):  # this connection does not accept such answers
+        read_body(strict)
 
 
 @pytest.mark.parametrize("text", [SIZED, CHUNKED])
-def test_reset_behind_a_whole_answer_takes_nothing_from_it(text):
-    assert read(cut(text, reset)) == b"one"
+def test_reset_after_a_complete_answer_leaves_it_valid(text):
+    assert read_body(received_answer(text, reset)) == b"one"
 
 
 def test_answer_without_a_length_is_bounded():
-    connection, theirs = pair()
-    sending = gevent.spawn(theirs.sendall, HEAD + b"\r\n" + bytes(10 * BODY_LIMIT))
+    connection, server_socket = connection_pair()
+    sender = gevent.spawn(server_socket.sendall, HEAD + b"\r\n" + bytes(10 * BODY_LIMIT))
     with pytest.raises(Malformed):
-        read(connection)
+        read_body(connection)
     assert len(connection.buffer) <= 4 * BODY_LIMIT
-    sending.kill()
+    sender.kill()
 
 
 @pytest.mark.parametrize(
-    "does, outcome",
+    "behaviour, answer",
     [("open", (200, b"one")), ("empty", (200, b"")), ("torn", (502, b"")), ("unending", (502, b""))],
 )
-def test_non_idempotent_request_whose_answer_has_no_length(deployment, does, outcome):
-    assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == outcome
+def test_non_idempotent_request_whose_answer_has_no_length(deployment, behaviour, answer):
+    assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m") == answer
     assert len(deployment.seen()) == 1
-    until(lambda: not any(server.open for server in deployment.servers))  # and its connection is not kept
+    until(lambda: not any(server.open for server in deployment.servers))  # the connection is closed
 
 
-def test_request_that_never_ran_by_an_answer_without_a_length_goes_on(deployment, monkeypatch):
+def test_not_processed_answer_without_a_length_is_retried_only_if_complete(deployment, monkeypatch):
     refusal = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n\r\nfull"
-    for does in ("open", "torn"):
-        monkeypatch.setitem(Server.DOES, does, refusal)
-        # The mark counts once its answer is whole; where that is torn nobody can tell what else it said.
-        seen = len(deployment.seen())
-        assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m")[0] == (
-            503 if does == "open" else 502
+    for behaviour in ("open", "torn"):
+        monkeypatch.setitem(Server.DOES, behaviour, refusal)
+        # The not-processed header counts once the answer is complete: a cut-off answer may have said more.
+        received_count = len(deployment.seen())
+        assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m")[0] == (
+            503 if behaviour == "open" else 502
         )
-        assert len(deployment.seen()) - seen == (2 if does == "open" else 1)
+        assert len(deployment.seen()) - received_count == (2 if behaviour == "open" else 1)
 
 
-@pytest.mark.parametrize("left", [-1.0, 0.0, 0.0009])
-@pytest.mark.parametrize("kept", [False, True])
-def test_deadline_that_ends_before_the_first_byte_is_an_attempt_that_never_ran(deployment, left, kept):
+@pytest.mark.parametrize("time_left", [-1.0, 0.0, 0.0009])
+@pytest.mark.parametrize("is_reused", [False, True])
+def test_attempt_whose_deadline_passes_before_its_first_byte_never_ran(deployment, time_left, is_reused):
     upstream, address = deployment.agent.upstream, deployment.servers[0].address
     request = Request(2, True, 0, 0, 1.0, False, b"POST", b"/once/x", b"late", b"", b"", b"")
-    if kept:
+    if is_reused:
         connection = upstream.connect(0, address, monotonic() + 1.0)
         upstream.pool(0, connection)
         connection.since -= 1.0
-    deadline = monotonic() + left
+    deadline = monotonic() + time_left
 
-    def text():
+    def request_bytes():
         return written(request, milliseconds_left(deadline))
 
-    result = upstream.exchange(Attempt(), 0, address, deadline, text)
+    result = upstream.exchange(Attempt(), 0, address, deadline, request_bytes)
     assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
     assert result.outcome().never_ran and not deployment.seen()
     until(lambda: not any(server.open for server in deployment.servers))
