--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -1,8 +1,8 @@
 """Admission control: asks the fleet about each request and turns its decision into an event of the reducer.
 
-Owns the transport to the fleet's peers and the requests that wait for a decision. It must never decide in the
-fleet's place: where no decision comes at all it applies the fleet's own rule for what is unknown. Without a
-fleet nobody imports it.
+Owns the transport to the fleet's peers and the requests that wait for a decision. It never decides instead of
+the fleet: if no decision arrives, it applies the fleet's own rule for unknown outcomes. Without a fleet this
+module is not imported.
 """
 
 import hashlib
@@ -33,49 +33,49 @@
     AdmissionDecision.REJECT: 503,
     AdmissionDecision.FAIL: 502,
 }
-DECISION_GRACE_S = 0.3  # beyond the fleet's own bound, until a request is decided as unknown
+DECISION_GRACE_S = 0.3  # beyond the fleet's own bound; after it the outcome counts as unknown
 OVERDUE_CHECK_INTERVAL_S = 0.1
 HANDOVER_CHECK_INTERVAL_S = 0.02
-FINAL_FLUSH_S = 0.15  # how long the last messages may take to be written
-DESCRIPTORS_PER_STREAM = 8  # one in so many is for streams to peers, and as many for those from them
-MEMORY_SHARE = 0.1  # of the limit, for messages that wait for peers, and as much for partial ones from them
+FINAL_FLUSH_S = 0.15  # time limit for writing the last messages
+DESCRIPTORS_PER_STREAM = 8  # one in 8 is for outgoing streams to peers, and one in 8 for incoming ones
+MEMORY_SHARE = 0.1  # of the limit, for messages queued for peers, and as much for partly received ones
 
 log = logging.getLogger("cartdeal.fleet")
 
 
 class AdmissionControl:
-    """The agent's side of the fleet: one method for each effect of the reducer, and one for its decision."""
+    """The agent's interface to the fleet: a method for each effect of the reducer, and one for decisions."""
 
     def __init__(self, config, fleet, queue_event):
-        """`after(event, *args)` brings an event to the reducer. Raises BindError."""
-        self.config, self.queue_event, self.listen = config, queue_event, fleet.listen
-        streams, share = (
+        """`queue_event(event, *args)` passes an event to the reducer. Raises BindError."""
+        self.config, self.queue_event, self.listen_address = config, queue_event, fleet.listen
+        stream_count, memory_mb = (
             config.limits.descriptors // DESCRIPTORS_PER_STREAM,
             MEMORY_SHARE * config.limits.memory_mb,
         )
-        self.reserved_descriptors, self.reserved_memory_mb = 2 * streams + 2, 2 * share
+        self.reserved_descriptors, self.reserved_memory_mb = 2 * stream_count + 2, 2 * memory_mb
         self.transport = PeerTransport(
             fleet.settings,
             fleet.listen,
             Node,
             self.on_decision,
-            TransportLimits(streams, int(share * 1e6), int(share * 1e6)),
+            TransportLimits(stream_count, int(memory_mb * 1e6), int(memory_mb * 1e6)),
         )
-        # By ticket, until when (monotonic seconds) a decision has to come; in that order.
+        # By ticket: the time (monotonic seconds) by which a decision is due, and the request. Sorted by time.
         self.pending: dict[int, tuple[float, AdmissionRequest]] = {}
         settings = config.settings
         self.class_requirements = [
             (
-                IDEMPOTENCY[REPEATS.get(kind.repeat, Repeat.NON_IDEMPOTENT)],
-                kind.group or Group.CELL.value,
-                seconds(kind.window),
-                kind.name,
+                IDEMPOTENCY[REPEATS.get(each.repeat, Repeat.NON_IDEMPOTENT)],
+                each.group or Group.CELL.value,
+                seconds(each.window),
+                each.name,
             )
-            for kind in settings.request_classes
+            for each in settings.request_classes
         ]
-        longest = fleet.settings.longest_mark_s
+        max_record_s = fleet.settings.longest_mark_s
         self.max_request_durations = tuple(
-            {"i": inf, "d": longest - window, "u": longest}[repeat]
+            {"i": inf, "d": max_record_s - window, "u": max_record_s}[repeat]
             for repeat, _, window, _ in self.class_requirements
         )
         self.effect_handlers = {
@@ -85,7 +85,7 @@
         }
 
     def start(self):
-        """Listen for peers; returns the background tasks."""
+        """Listen for peers, and return the background tasks."""
         self.transport.start()
         log.info(
             "in a fleet",
@@ -110,22 +110,23 @@
         """An attempt of an admitted request is being sent to a server of `zone` and `cell`."""
         self.transport.dispatch("on_attempt_sent", number, zone, cell)
 
-    def on_request_ended(self, number: int, ran: str):
-        """A request is over; `ran` is a value of RanOutcome."""
+    def on_request_ended(self, number: int, outcome: str):
+        """A request is over; `outcome` is a value of RanOutcome."""
         self.pending.pop(number, None)
-        self.transport.dispatch("on_request_ended", number, RanOutcome(ran))
+        self.transport.dispatch("on_request_ended", number, RanOutcome(outcome))
 
     def admission_request(self, request, remaining_s: float) -> AdmissionRequest:
-        """What the fleet has to know of a request that has `remaining_s` until its deadline."""
+        """Describe to the fleet a request that has `remaining_s` until its deadline."""
         repeat, group, window, request_class = self.class_requirements[request.request_class]
         if request.non_idempotent:
             repeat, window = Idempotency.NON_IDEMPOTENT.value, 0.0
         if request.idempotency_key and repeat == Idempotency.DEDUPLICATED:
             key = request.idempotency_key.decode()
         else:
-            key = "" if repeat == Idempotency.IDEMPOTENT else digest(request)
+            key = "" if repeat == Idempotency.IDEMPOTENT else request_digest(request)
         return AdmissionRequest(
-            # By name: who names none, or one that is not known, must not use up the first one's limit.
+            # By name and not by index: requests without a tenant have index 0, and neither they nor those of
+            # an unknown tenant may use up the first tenant's limit.
             tenant=request.tenant_name.decode("latin-1"),
             session=f"{request.session_hash:016x}" if request.session_hash else "",
             key=key,
@@ -143,15 +144,15 @@
         """Pass a decision on to the reducer."""
         ticket = effect.ticket
         if self.pending.pop(ticket, None) is None:
-            return  # answered, or its client has disconnected, before the decision
+            return  # it was answered, or its client disconnected, before the decision
         if effect.decision is AdmissionDecision.ADMIT:
             node = self.transport.node
-            shift = node.now - node.wall  # from the fleet's time to the agent's own
+            clock_offset_s = node.now - node.wall  # from the fleet's time to the agent's own
             self.queue_event(
                 "on_admitted",
                 ticket,
                 tuple(
-                    (zone, cell, group, until_ms / 1e3 + shift)
+                    (zone, cell, group, until_ms / 1e3 + clock_offset_s)
                     for zone, cell, group, until_ms in effect.earlier_attempts
                 ),
             )
@@ -159,7 +160,7 @@
             self.queue_event("on_declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
 
     def check_overdue_decisions(self):
-        """Decide what is overdue: a fault kept the fleet from deciding in time."""
+        """Decide requests whose decision is overdue because a fault kept the fleet from deciding in time."""
         while True:
             gevent.sleep(OVERDUE_CHECK_INTERVAL_S)
             now, fleet_settings = monotonic(), self.transport.settings
@@ -178,22 +179,22 @@
     # The agent's lifecycle
 
     def reload(self):
-        """Adopt what the fleet's file changes; one that can't be used changes nothing."""
+        """Apply the changes of the fleet's file; an invalid file changes nothing."""
         try:
-            found = fleet_configuration.read(self.config)
+            fleet_file = fleet_configuration.read(self.config)
         except InvalidConfigurationError as error:
             log.error("fleet file refused", extra={"reason": str(error)})
             return
-        transport, new = self.transport, found.settings
-        settings, restart = fleet_configuration.merge_reloadable(transport.settings, new)
-        restart = [key for key in restart if key != "address" or found.listen[1]]
-        restart += ["listen"] * (found.listen != self.listen)
+        transport, new_settings = self.transport, fleet_file.settings
+        settings, changed_keys = fleet_configuration.merge_reloadable(transport.settings, new_settings)
+        changed_keys = [key for key in changed_keys if key != "address" or fleet_file.listen[1]]
+        changed_keys += ["listen"] * (fleet_file.listen != self.listen_address)
         transport.settings = settings
         transport.dispatch("apply_settings", settings)
-        log.info("fleet file read", extra={"needs_restart": " ".join(restart)})
+        log.info("fleet file read", extra={"needs_restart": " ".join(changed_keys)})
 
     def begin_handover(self):
-        """Begin to hand over what this agent holds."""
+        """Begin to hand over the records and leases of this agent."""
         self.transport.dispatch("begin_shutdown")
 
     def leave_fleet(self, until: float):
@@ -212,8 +213,8 @@
         self.transport.stop()
 
 
-def digest(request) -> str:
-    """The key of a non-idempotent request, in hex: its id differs with every try."""
+def request_digest(request) -> str:
+    """Return a hex key by method, path and body. The request's id differs in every retry."""
     hasher = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.path, request.body):
         hasher.update(len(part).to_bytes(4, "big") + part)
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -1,7 +1,7 @@
-"""Reads what the agent is told, at its start and on SIGHUP, checks it and fills in defaults.
+"""Reads and validates the agent's configuration, at startup and on SIGHUP, and fills in defaults.
 
-The one place that looks at the environment and the configuration file, and the one that knows their names. It
-must never guess around a wrong value: a fault names its key, what was found and what is wanted.
+No other module reads the environment or the configuration file, or knows their key names. An invalid value is
+never replaced by a guess: the error names the key, the value found and the value expected.
 """
 
 import errno
@@ -15,15 +15,19 @@
 from cartdeal.settings import Settings
 
 Address = tuple[str, int]
-RELOADABLE_KEYS = ("discovery", "seed", "initial_servers")  # on SIGHUP; the last two matter at a start only
+# Attributes whose change needs no restart. `seed` and `initial_servers` are used at startup only.
+RELOADABLE_KEYS = ("discovery", "seed", "initial_servers")
 
 
 class ConfigurationError(Exception):
-    """A value of the configuration can't be used; the message names its key."""
+    """The configuration has an invalid value; the message names its key."""
 
 
 class UnreadableFileError(ConfigurationError):
-    """The file can't be read; `is_passing`: for want of what the machine may have again in a moment."""
+    """The configuration file can't be read.
+
+    `is_transient`: the machine lacked a resource that may be available again in a moment.
+    """
 
     def __init__(self, path: str, error: OSError):
         super().__init__(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({error.strerror})")
@@ -31,7 +35,7 @@
 
 
 class ServerEntry(msgspec.Struct):
-    """One line of the server list, as the discovery service writes it."""
+    """One entry of the server list, in the form that the discovery service sends."""
 
     name: str = field(name="uid")
     address: str = field(default="", name="endpoint")
@@ -43,7 +47,7 @@
 
 
 class ServerList(msgspec.Struct):
-    """A server list, whole or the lines that changed."""
+    """A server list: all entries if `is_complete`, otherwise the entries that changed."""
 
     version: int = field(default=0, name="rev")
     is_complete: bool = field(default=False, name="all")
@@ -51,12 +55,14 @@
 
 
 class Limits(msgspec.Struct):
+    """The resources that the agent may use."""
+
     memory_mb: float = field(default=192.0, name="memory_mb")
     descriptors: int = field(default=1024, name="sockets")
 
 
 class ConfigurationFile(msgspec.Struct):
-    """The file as it is written; `Station` is what the agent goes by."""
+    """The configuration file as written; `AgentConfiguration` is its validated form."""
 
     name: str | None = None
     listen: str | None = None
@@ -71,7 +77,7 @@
 
 
 class AgentConfiguration(msgspec.Struct):
-    """All that an agent is told of itself."""
+    """The validated configuration of an agent."""
 
     name: str
     listen: Address
@@ -86,6 +92,7 @@
 
 
 def parse_address(key: str, text: str | None) -> Address:
+    """Parse `host:port`. Raises ConfigurationError, which names `key`."""
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigurationError(f"{key}: found {text!r}, wanted an address such as '127.0.0.1:8080'")
@@ -93,6 +100,7 @@
 
 
 def parse_number(key: str, text: str, base: int) -> int:
+    """Parse an integer in `base`. Raises ConfigurationError, which names `key`."""
     try:
         return int(text, base)
     except ValueError:
@@ -100,18 +108,19 @@
 
 
 def validate(settings: Settings, limits: Limits):
-    # Where a word of the settings decides what the balancer does, another word is a fault and no guess.
-    words = [
+    """Raise ConfigurationError for the first invalid value."""
+    # These values select what the balancer does: an unknown one is an error, not a default.
+    enumerated_settings = [
         ("family", settings.family, ("mesh", "proxy")),
         ("discovery", settings.discovery_mode, ("pushed", "on_request")),
         ("weightKind", settings.weights, ("none", "nominal", "rough", "live")),
         ("feedback.how", settings.reports.how, ("none", "probe", "answers")),
     ]
-    wrong = [
-        (f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
-        for key, word, known in words
+    checks = [
+        (f"settings.{key}", value, f"one of {', '.join(allowed)}", value not in allowed)
+        for key, value, allowed in enumerated_settings
     ]
-    wrong += [
+    checks += [
         (
             "settings.feedback.how",
             "probe",
@@ -133,7 +142,7 @@
         (
             "settings.az",
             settings.own_zone,
-            f"a place in areas, under {max(1, len(settings.zones))}",
+            f"an index into areas, less than {max(1, len(settings.zones))}",
             not 0 <= settings.own_zone < max(1, len(settings.zones)),
         ),
         ("settings.groupSize", settings.agents, "1 or more", settings.agents < 1),
@@ -152,31 +161,35 @@
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
         ("limits.memory_mb", limits.memory_mb, "24 or more", limits.memory_mb < 24),
     ]
-    for place, kind in enumerate(settings.request_classes):
-        wrong.append(
+    for index, request_class in enumerate(settings.request_classes):
+        checks.append(
             (
-                f"settings.workloads[{place}].name",
-                kind.name,
-                "a name of its own",
-                not kind.name or any(other.name == kind.name for other in settings.request_classes[:place]),
+                f"settings.workloads[{index}].name",
+                request_class.name,
+                "a unique name",
+                not request_class.name
+                or any(other.name == request_class.name for other in settings.request_classes[:index]),
             )
         )
-        for key, micros in (("goalTimeUs", kind.latency_target), ("timeLimitUs", kind.timeout_us)):
-            wrong.append(
+        for key, duration_us in (
+            ("goalTimeUs", request_class.latency_target),
+            ("timeLimitUs", request_class.timeout_us),
+        ):
+            checks.append(
                 (
-                    f"settings.workloads[{place}].{key}",
-                    micros,
+                    f"settings.workloads[{index}].{key}",
+                    duration_us,
                     "more than 0",
-                    micros is not None and micros <= 0,
+                    duration_us is not None and duration_us <= 0,
                 )
             )
-    for key, found, wanted, is_wrong in wrong:
-        if is_wrong:
+    for key, found, wanted, is_invalid in checks:
+        if is_invalid:
             raise ConfigurationError(f"{key}: found {found!r}, wanted {wanted}")
 
 
 def restart_keys(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
-    """The keys that differ and that a running agent can't take over."""
+    """The outer names of the changed keys that take effect only after a restart."""
     return [
         key.encode_name
         for key in msgspec.structs.fields(ConfigurationFile)
@@ -185,6 +198,7 @@
 
 
 def read(environment=os.environ) -> AgentConfiguration:
+    """Read the file that PROXY_CONFIG names. Raises ConfigurationError."""
     path = environment.get("PROXY_CONFIG")
     if not path:
         raise ConfigurationError("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
@@ -196,6 +210,7 @@
 
 
 def decode(text: bytes, path: str, environment) -> AgentConfiguration:
+    """Decode and validate the file's text; `path` is for error messages. Raises ConfigurationError."""
     try:
         found = msgspec.json.decode(text, type=ConfigurationFile)
     except (msgspec.MsgspecError, UnicodeError) as error:
@@ -203,8 +218,8 @@
     if found.settings is None:
         raise ConfigurationError("settings: found nothing, wanted the settings of the deployment")
     validate(found.settings, found.limits)
-    for line in found.initial_servers.entries:
-        parse_address("known.targets[].endpoint", line.address)
+    for entry in found.initial_servers.entries:
+        parse_address("known.targets[].endpoint", entry.address)
     return AgentConfiguration(
         name=found.name or environment.get("PROXY_NAME", "agent"),
         listen=parse_address("listen", found.listen or environment.get("PROXY_LISTEN")),
--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -1,7 +1,7 @@
-"""The client of the discovery service: one watch on the server list, and whole lists when asked for.
+"""The client of the discovery service: one watch on the server list, and complete lists on request.
 
-Every call ends in an event for the reducer: a list, or a failed watch. The client must never call again by
-itself: when to call is the balancer's to say.
+Every call ends in an event for the reducer: a server list or a failed watch. The client never calls again by
+itself; the balancer decides when to call.
 """
 
 import logging
@@ -17,94 +17,94 @@
 from cartdeal.agent.system_errors import is_silence
 
 SERVER_LIST_PATH = "/registry/instances"
-MAX_LIST_BYTES = 4 << 20  # bytes of the longest list, or line of one: 3,200 entries with long names, indented
-# TCP does not tell that a service is gone. A watch has a whole line every 2 s, and what a silent one misses
-# counts as told 6 s after it fell silent. From its last line on, two calls have to fit into these: 3.0 of
-# silence, 0.75 for the longest first pause, 1.0 for a call that is accepted and not answered, 0.75 for the
-# pause after it, and half a second is left for the second call. Under 3.0 a line that is late by half its
-# time would cost a call in calm weather; under 1.0 a service with 200 callers at once would work for some
-# that have hung up. Only that one call is short: after it CALL_TIMEOUT holds, and the pauses grow.
-# From the moment a service that was away can be reached again 6 s are left, too: CALL_TIMEOUT for a call that
-# just missed it, 2.0 for the longest pause after it (CALL_TO_CALL of the schedule), 1.0 for the next answer.
-SILENCE_TIMEOUT_S = 3.0  # seconds from one whole line to the next, the first one from the head
-CALL_TIMEOUT_S = 3.0  # seconds that a call may take to the head of its answer, a list to its end
+MAX_LIST_BYTES = 4 << 20  # of a list or one line of it; enough for 3,200 entries with long names, indented
+# TCP does not report that a service is gone. A watch receives a complete line every 2 s, and a change that a
+# silent watch misses counts as known to the agent 6 s after the silence began. Two calls must fit into the
+# time from the last line on: 3.0 s of silence, 0.75 s for the longest first pause, 1.0 s for a call that is
+# accepted and not answered, and 0.75 s for the pause after it leave half a second for the second call. With a
+# silence timeout under 3.0 s, a line that is late by half its interval would cost a call without need. With a
+# short call timeout under 1.0 s, a service with 200 callers at once would work for some that have hung up.
+# Only that one call is short: after it CALL_TIMEOUT_S applies, and the pauses grow.
+# When a service that was unreachable can be reached again, 6 s remain as well: CALL_TIMEOUT_S for a call that
+# was made just before, 2.0 s for the longest pause after it (CALL_TO_CALL of the schedule), and 1.0 s for the
+# next answer.
+SILENCE_TIMEOUT_S = 3.0  # from one complete line to the next; for the first line, from the response head
+CALL_TIMEOUT_S = 3.0  # until the head of a watch's response, or the end of a list's response
 SHORT_CALL_TIMEOUT_S = 1.0  # the same for the call after a watch that fell silent, or after a move
 
-READS_PER_TURN = 16  # reads of a watch before others have their turn
+READS_PER_TURN = 16  # reads of a watch before it yields to other greenlets
 
-SILENCE_REASON = "silent"  # why a watch failed, where nothing came in time
+SILENCE_REASON = "silent"  # the logged reason of a watch that received nothing in time
 
-CALL_ERRORS = (
-    OSError,
-    Malformed,
-    ConfigurationError,
-    msgspec.MsgspecError,
-    UnicodeError,
-)  # what may be wrong with a call
+# The ways in which a call may fail.
+CALL_ERRORS = (OSError, Malformed, ConfigurationError, msgspec.MsgspecError, UnicodeError)
 
 log = logging.getLogger("cartdeal.discovery")
 
 
 class DiscoveryClient:
-    """Runs the watch and single calls in greenlets of their own.
+    """Runs the watch and single calls, each in its own greenlet.
 
-    While the service moves there may be two watches: the one at the address before goes on until the one at
-    the new address has brought a list.
+    While the service moves there may be two watches: the one at the previous address continues until the one
+    at the new address has received a list.
     """
 
-    def __init__(self, config, dispatch, version):
-        """`dispatch` takes an event and its arguments; `version()` is that of the list that the agent has."""
+    def __init__(self, config, dispatch, list_version):
+        """`dispatch` takes an event and its arguments; `list_version()` returns the agent's list version."""
         self.address = config.discovery
         self.dispatch = dispatch
-        self.version = version
+        self.list_version = list_version
         self.current_watch = None
-        self.previous_watch = None  # at the address before
-        self.first_at_address = False  # whether the next watch is the first at its address
-        self.next_call_is_short = False
-        self.lists_told = 0  # by watches
+        self.previous_watch = None  # at the previous address
+        self.is_first_watch_at_address = False  # whether the next watch is the first at its address
+        self.use_short_timeout = False
+        self.lists_received = 0  # by the watches
 
     def move(self, address):
-        """The service has another address from now on."""
-        heard, unheard = self.current_watch, self.previous_watch
-        if unheard and self.first_at_address:  # nothing came from the current one: the one before still tells
-            heard, unheard = unheard, heard
-        if unheard:
-            unheard.kill(block=False)
+        """Use a new address of the service from now on."""
+        last_active, obsolete = self.current_watch, self.previous_watch
+        if obsolete and self.is_first_watch_at_address:  # only the previous watch has received lists
+            last_active, obsolete = obsolete, last_active
+        if obsolete:
+            obsolete.kill(block=False)
         self.address = address
-        self.previous_watch = heard
+        self.previous_watch = last_active
         self.current_watch = None
-        self.first_at_address = True
-        # What the new service has to tell counts 4 s later: a second call has to fit in, as after silence.
-        self.next_call_is_short = True
+        self.is_first_watch_at_address = True
+        # A change at the new service counts as known 4 s later: as after silence, a second call must fit in.
+        self.use_short_timeout = True
 
     # Effects
 
-    def watch(self, on: bool):
-        if not on and self.current_watch:
+    def watch(self, is_wanted: bool):
+        """Start the watch, or stop it if `is_wanted` is false."""
+        if not is_wanted and self.current_watch:
             self.current_watch.kill(block=False)
-        elif on and not self.current_watch:
+        elif is_wanted and not self.current_watch:
             self.current_watch = gevent.spawn(self.run_watch)
 
     def fetch_servers(self):
+        """Start a call for a complete list."""
         gevent.spawn(self.run_fetch)
 
     # Greenlets
 
     def run_watch(self):
+        """Run one watch to its end and report its failure, unless it was stopped."""
         reason = "ended"
         try:
-            self.follow()
+            self.run_call()
         except gevent.GreenletExit:
             reason = ""
-        except CALL_ERRORS as trouble:
-            reason = str(trouble) or repr(trouble)  # no reason would mean that it was let go
-            if isinstance(trouble, OSError) and is_silence(trouble):
+        except CALL_ERRORS as error:
+            reason = str(error) or repr(error)  # an empty reason means that the watch was stopped
+            if isinstance(error, OSError) and is_silence(error):
                 reason = SILENCE_REASON
         except Exception:
             log.exception("watch died")
         watch = gevent.getcurrent()
         if self.previous_watch is watch:
-            self.previous_watch = None  # its service was left: no failure of the one in its place
+            self.previous_watch = None  # its service was replaced: this is no failure of the current watch
         elif self.current_watch is watch:
             self.current_watch = None
             if reason:
@@ -112,78 +112,82 @@
                 self.dispatch("on_watch_failed", reason == SILENCE_REASON)
 
     def run_fetch(self):
-        connection, due = None, monotonic() + CALL_TIMEOUT_S
-        called_at = self.address, self.lists_told
+        """Fetch one complete list and deliver it, or report the failure."""
+        connection, deadline = None, monotonic() + CALL_TIMEOUT_S
+        state_at_call = self.address, self.lists_received
         try:
             connection = self.call(SERVER_LIST_PATH, CALL_TIMEOUT_S)
             while not connection.messages:
-                if not receive_until(connection, due):
+                if not receive_until(connection, deadline):
                     raise Malformed(400, "ended early")
             if connection.messages[0].status != 200:
                 raise Malformed(400, f"status {connection.messages[0].status}")
-            found = decode_list(connection.messages[0].body)
-            # A watch has told what is newer, or another service has: this list would take it back.
-            if called_at == (self.address, self.lists_told):
-                self.dispatch("on_server_list", found, False)
-        except CALL_ERRORS as trouble:
-            log.warning("list not had", extra={"reason": str(trouble)})
-            if not self.current_watch:  # else a watch that stands would be told as failed
+            server_list = decode_list(connection.messages[0].body)
+            # A watch or another service may have delivered a newer list, which this one would revert.
+            if state_at_call == (self.address, self.lists_received):
+                self.dispatch("on_server_list", server_list, False)
+        except CALL_ERRORS as error:
+            log.warning("list not had", extra={"reason": str(error)})
+            if not self.current_watch:  # an established watch must not be reported as failed
                 self.dispatch("on_watch_failed")
         finally:
             if connection:
                 connection.close()
 
-    def follow(self):
-        """Calls for a watch and tells what comes on it, to its end. Raises what is wrong with it."""
-        timeout = SHORT_CALL_TIMEOUT_S if self.next_call_is_short else CALL_TIMEOUT_S
-        self.next_call_is_short = False
-        due, watch, has_stood = monotonic() + timeout, gevent.getcurrent(), False
-        # Another service may number its lists otherwise: the first call there asks for all there is.
-        after = 0 if self.first_at_address else self.version()
-        stream = ListStream(self.call(f"{SERVER_LIST_PATH}?watch=1&after={after}", timeout), due)
+    def run_call(self):
+        """Call for a watch and deliver its lists until it ends. Raises one of CALL_ERRORS."""
+        timeout = SHORT_CALL_TIMEOUT_S if self.use_short_timeout else CALL_TIMEOUT_S
+        self.use_short_timeout = False
+        deadline, watch, is_established = monotonic() + timeout, gevent.getcurrent(), False
+        # Another service may number its lists differently: the first call to it asks for the complete list.
+        after_version = 0 if self.is_first_watch_at_address else self.list_version()
+        stream = ListStream(self.call(f"{SERVER_LIST_PATH}?watch=1&after={after_version}", timeout), deadline)
         try:
-            for reads in count(1):
+            for read_count in count(1):
                 if not stream.receive():
                     return
-                if not reads % READS_PER_TURN:
-                    gevent.sleep(0)  # a read of what is there does not yield
-                for text in stream.whole_texts():
-                    # Lines of one that was let go may be read before its end: they would go on top of the
-                    # other service's list, and leave its version to ask after.
+                if not read_count % READS_PER_TURN:
+                    gevent.sleep(0)  # a read of available bytes does not yield
+                for text in stream.complete_texts():
+                    # A stopped watch may still read lines before it ends. They would modify the list of the
+                    # other service, and their version would be used in the next call.
                     if watch not in (self.current_watch, self.previous_watch):
                         return
-                    self.tell(text, watch is self.current_watch, has_stood)
-                    has_stood = True
-                if stream.ended:
+                    self.deliver_list(text, watch is self.current_watch, is_established)
+                    is_established = True
+                if stream.has_ended:
                     return
-        except TimeoutError as trouble:
-            if self.current_watch is watch and is_silence(trouble):
-                self.next_call_is_short = has_stood
+        except TimeoutError as error:
+            if self.current_watch is watch and is_silence(error):
+                self.use_short_timeout = is_established
             raise
         finally:
             stream.connection.close()
 
-    def tell(self, text: bytearray, is_current: bool, has_stood: bool):
-        """One whole list of a watch, or an empty line."""
-        found = decode_list(text) if text.strip() else None
-        if is_current and (found or not self.first_at_address):  # an empty line brings nothing to go by
-            self.let_previous_go()
-        if found:
-            self.lists_told += 1
-            # The previous one's say nothing of the watch in its place, which may have failed.
-            self.dispatch("on_server_list", found, is_current)
-        elif is_current and not has_stood:
+    def deliver_list(self, text: bytearray, is_current: bool, is_established: bool):
+        """Dispatch the event for one list of a watch, or for an empty line."""
+        server_list = decode_list(text) if text.strip() else None
+        # An empty line at a new address is no list that could replace the previous watch's.
+        if is_current and (server_list or not self.is_first_watch_at_address):
+            self.stop_previous_watch()
+        if server_list:
+            self.lists_received += 1
+            # A list of the previous watch says nothing about the current one, which may have failed.
+            self.dispatch("on_server_list", server_list, is_current)
+        elif is_current and not is_established:
             self.dispatch("on_watch_established")
         else:
             self.dispatch("on_watch_heartbeat")
 
-    def let_previous_go(self):
-        self.first_at_address = False
+    def stop_previous_watch(self):
+        """Stop the watch at the previous address."""
+        self.is_first_watch_at_address = False
         if self.previous_watch:
             self.previous_watch.kill(block=False)
             self.previous_watch = None
 
     def call(self, path: str, timeout: float) -> Connection:
+        """Connect and send a request within `timeout` seconds. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         connection = Connection(sock, answers=True, body_limit=MAX_LIST_BYTES)
         try:
@@ -197,78 +201,79 @@
 
 
 class ListStream:
-    """The answer to a call for a watch, put together to whole lists; they may come indented, over many lines.
+    """The response to a call for a watch, assembled into complete lists.
 
-    Nothing but a whole list or an empty line puts off when the next is due.
+    A list may be indented over many lines. Only a complete list or an empty line extends the deadline.
     """
 
-    def __init__(self, connection: Connection, due: float):
-        """`due`: when the head of the answer has to be whole."""
+    def __init__(self, connection: Connection, deadline: float):
+        """`deadline`: when the head of the response must be complete."""
         self.connection = connection
-        self.due = due
+        self.deadline = deadline
         self.has_head = False
-        self.part = bytearray()  # of the list that is coming
+        self.partial_list = bytearray()  # the received part of the next list
 
     @property
-    def ended(self) -> bool:
+    def has_ended(self) -> bool:
+        """Whether the response is complete."""
         return bool(self.connection.messages)
 
     def receive(self) -> bool:
-        """Waits for more; false at the end of the stream. Raises TimeoutError where nothing is in time."""
-        if not receive_until(self.connection, self.due):
+        """Wait for bytes; return false at the end of the stream. Raises TimeoutError after the deadline."""
+        if not receive_until(self.connection, self.deadline):
             return False
         status = self.connection.message.status
         if status and status != 200:
             raise Malformed(400, f"status {status}")
         if status and not self.has_head:
             self.has_head = True
-            self.due = monotonic() + SILENCE_TIMEOUT_S
+            self.deadline = monotonic() + SILENCE_TIMEOUT_S
         return True
 
-    def whole_texts(self):
-        """The lists and empty lines that came, each as one text."""
-        for line in self.arrived_lines():
-            self.part += line
-            if line.strip() and not self.is_whole(line):
+    def complete_texts(self):
+        """Yield the received lists and empty lines, each as one text."""
+        for line in self.take_lines():
+            self.partial_list += line
+            if line.strip() and not self.is_complete(line):
                 continue
-            yield self.part
-            self.part = bytearray()
-            self.due = monotonic() + SILENCE_TIMEOUT_S
+            yield self.partial_list
+            self.partial_list = bytearray()
+            self.deadline = monotonic() + SILENCE_TIMEOUT_S
 
-    def arrived_lines(self) -> list[bytes]:
-        """Takes the whole lines that came; of an answer that has ended, all that was not taken before."""
+    def take_lines(self) -> list[bytes]:
+        """Take the complete lines received so far; of a complete response, all remaining lines."""
         if self.connection.messages:
             return self.connection.messages[0].body.splitlines()
         return self.connection.lines()
 
-    def is_whole(self, last_line: bytes) -> bool:
-        """Whether the part is a list to its end, or can't become one.
+    def is_complete(self, last_line: bytes) -> bool:
+        """Whether the partial list is complete, or can't become a list.
 
-        Only the last line is looked at as long as it can't be the end: a list may have thousands.
+        It is parsed only if its last line can be the end, because a list may have thousands of lines.
         """
-        if len(self.part) > MAX_LIST_BYTES:
+        if len(self.partial_list) > MAX_LIST_BYTES:
             raise Malformed(413, f"a list of over {MAX_LIST_BYTES} bytes")
         if not last_line.rstrip().endswith(b"}"):
             return False
         try:
-            msgspec.json.decode(self.part, type=msgspec.Raw)
-        except msgspec.DecodeError as trouble:
-            return "truncated" not in str(trouble)
+            msgspec.json.decode(self.partial_list, type=msgspec.Raw)
+        except msgspec.DecodeError as error:
+            return "truncated" not in str(error)
         return True
 
 
-def receive_until(connection: Connection, due: float) -> bool:
-    """Waits for bytes until `due`, and after it takes only what is there. False at the end of the stream.
+def receive_until(connection: Connection, deadline: float) -> bool:
+    """Wait for bytes until `deadline`; after it, take only available bytes. False at the end of the stream.
 
-    So an agent that runs late still finds its lines, and bytes that come one by one put nothing off.
+    An agent that runs late still reads the lines that arrived, and single bytes don't extend the deadline.
     """
-    while (wait := due - monotonic()) > 0:
+    while (remaining := deadline - monotonic()) > 0:
         try:
-            return connection.receive(wait)
-        except TimeoutError as trouble:
-            if not is_silence(trouble):
+            return connection.receive(remaining)
+        except TimeoutError as error:
+            if not is_silence(error):
                 raise
-            # Else the loop's own clock may lag, and its timers come early then.
+            # Otherwise wait again: the clock of the event loop may lag, and then its timers fire early.
     try:
         return connection.receive(0.0)
     except BlockingIOError:
@@ -276,9 +281,9 @@
 
 
 def decode_list(text: bytes | bytearray) -> ServerList:
-    """A list as the service writes it. Raises Fault for what is no address, MsgspecError for another form."""
-    found = msgspec.json.decode(text, type=ServerList)
-    for entry in found.entries:
+    """Decode a server list. Raises ConfigurationError for an invalid address, or MsgspecError."""
+    server_list = msgspec.json.decode(text, type=ServerList)
+    for entry in server_list.entries:
         if entry.state != "left":
             parse_address("endpoint", entry.address)
-    return found
+    return server_list
--- a/cartdeal/agent/invariants.py
+++ b/cartdeal/agent/invariants.py
@@ -1,9 +1,8 @@
-"""Checks at run time that an agent keeps the rules, by a record of its own of what really went out.
+"""Runtime checks that an agent keeps the rules, based on an independent record of what was sent.
 
-It decides nothing, and shares nothing with the code that does but the moments in which a first byte goes, an
-attempt ends, an answer is written and a connection is closed. A violation is a fault of the agent: it is
-counted and logged, and the agent goes on. It must never do I/O, and holds no more than the requests that are
-open.
+The monitor makes no decisions. Its only inputs are the moments at which the first byte of an attempt is sent,
+an attempt ends, an answer is written and a connection is closed. A violation is a bug in the agent: it is
+counted and logged, and the agent continues. The monitor does no I/O and keeps a record of open requests only.
 """
 
 from dataclasses import dataclass, field
@@ -11,13 +10,13 @@
 
 from cartdeal.terms import Group, Repeat, RequestClass
 
-ANSWER_GRACE_S = 0.07  # seconds after a request's deadline within which its answer counts as in time
-TIMEOUT_SLACK_S = 0.15  # seconds by which the time told to a server may exceed what the client has left
-REJECTION_STATUSES = (429, 503)  # statuses that promise that nothing ran
+ANSWER_GRACE_S = 0.07  # an answer that is late by no more than this counts as in time
+TIMEOUT_SLACK_S = 0.15  # the X-Timeout sent to a server may exceed the client's remaining time by this
+REJECTION_STATUSES = (429, 503)  # they promise the client that the request did not run
 
 
 class Invariant(StrEnum):
-    """The rules, as far as one agent alone can break them."""
+    """The rules that a single agent can break by itself."""
 
     ONE_ANSWER = "one_answer"
     ANSWER_IN_TIME = "answer_in_time"
@@ -31,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Destination:
-    """Where an attempt goes, as the server list has it at that moment."""
+    """The server of an attempt, as the server list describes it when the first byte is sent."""
 
     zone: int
     cell: int
@@ -40,13 +39,17 @@
 
 @dataclass(slots=True)
 class SentAttempt:
+    """An attempt whose first byte was sent."""
+
     destination: Destination
-    started_at: float  # when its first byte went
-    may_have_run: bool = True  # until its end proves that it never did
+    started_at: float  # when the first byte was sent
+    may_have_run: bool = True  # false once its result proves that it did not run
 
 
 @dataclass(slots=True)
 class RequestRecord:
+    """What the monitor knows of one open request."""
+
     id: bytes
     request_class: RequestClass
     deadline: float
@@ -54,39 +57,43 @@
     attempts: dict[int, SentAttempt] = field(default_factory=dict)
 
     def may_have_run(self) -> list[SentAttempt]:
+        """Return the attempts that may have run."""
         return [each for each in self.attempts.values() if each.may_have_run]
 
 
 class InvariantMonitor:
-    """Times are seconds of the host's clock; `report(invariant, id, detail)` is told of each violation."""
+    """Calls `report(invariant, id, detail)` for each violation. Times are seconds of the host's clock."""
 
     def __init__(self, report):
         self.report = report
         self.requests: dict[int, RequestRecord] = {}
 
     def on_request(self, number: int, id: bytes, request_class: RequestClass, deadline: float):
+        """A request has been accepted."""
         self.requests[number] = RequestRecord(id, request_class, deadline)
 
     def on_attempt_started(
         self, number: int, attempt: int, destination: Destination | None, timeout_sent: float, now: float
     ):
-        """The first byte goes now.
+        """The first byte of an attempt is being sent.
 
-        `destination`: None where the list no longer has the server. `timeout_sent`: the seconds for which the
-        server hears that it is waited for.
+        `destination`: None if the server is no longer listed. `timeout_sent`: the timeout in seconds that
+        the server receives.
         """
         record = self.requests.get(number)
         if record is None or not record.is_client_waiting:
-            return self.report(Invariant.NO_SEND_WITHOUT_CLIENT, record.id if record else b"", "nobody waits")
+            return self.report(
+                Invariant.NO_SEND_WITHOUT_CLIENT, record.id if record else b"", "no client waits"
+            )
         if destination is None or not destination.is_ready:
-            self.report(Invariant.NO_SEND_TO_DRAINING, record.id, "not ready by the list")
+            self.report(Invariant.NO_SEND_TO_DRAINING, record.id, "server is not listed as ready")
             destination = destination or Destination(-1, -1, False)
         if timeout_sent > record.deadline - now + TIMEOUT_SLACK_S:
-            left = record.deadline - now
+            remaining = record.deadline - now
             self.report(
                 Invariant.TIMEOUT_WITHIN_DEADLINE,
                 record.id,
-                f"told {timeout_sent:.3f} s where {left:.3f} s are left",
+                f"told {timeout_sent:.3f} s where {remaining:.3f} s are left",
             )
         for earlier in record.may_have_run():
             if not repeats_safely(record.request_class, earlier, destination, now):
@@ -94,50 +101,61 @@
         record.attempts[attempt] = SentAttempt(destination, now)
 
     def on_attempt_ended(self, number: int, attempt: int, never_ran: bool):
+        """An attempt has ended; `never_ran` if its result proves that it did not run."""
         record = self.requests.get(number)
-        sent = record and record.attempts.get(attempt)
-        if sent:
-            sent.may_have_run = not never_ran
+        sent_attempt = record and record.attempts.get(attempt)
+        if sent_attempt:
+            sent_attempt.may_have_run = not never_ran
 
     def on_answer(self, number: int, status: int, now: float):
+        """An answer is being written to the client."""
         record = self.requests.get(number)
         if record is None or not record.is_client_waiting:
             return self.report(Invariant.ONE_ANSWER, record.id if record else b"", f"answered {status} again")
         record.is_client_waiting = False
         if now > record.deadline + ANSWER_GRACE_S:
-            late = now - record.deadline
-            self.report(Invariant.ANSWER_IN_TIME, record.id, f"{late:.3f} s after its deadline")
+            delay = now - record.deadline
+            self.report(Invariant.ANSWER_IN_TIME, record.id, f"{delay:.3f} s after its deadline")
         if status in REJECTION_STATUSES:
             self.check_rejection(record, now)
 
     def check_rejection(self, record: RequestRecord, now: float):
-        """A client may come again after it, at any server, and at once."""
+        """Report a rejection after an attempt that may have run.
+
+        After a rejection the client may retry at once, and the retry may reach any server.
+        """
         repeat, group = record.request_class.repeat, record.request_class.group
         for earlier in record.may_have_run():
-            within = now <= earlier.started_at + record.request_class.window
-            if repeat is Repeat.IDEMPOTENT or repeat is Repeat.DEDUPLICATED and group is Group.ALL and within:
+            is_within_window = now <= earlier.started_at + record.request_class.window
+            if (
+                repeat is Repeat.IDEMPOTENT
+                or repeat is Repeat.DEDUPLICATED
+                and group is Group.ALL
+                and is_within_window
+            ):
                 continue
             self.report(Invariant.NO_UNSAFE_REJECTION, record.id, "an attempt may have run")
 
     def on_client_disconnected(self, number: int):
+        """The client of a request has disconnected."""
         record = self.requests.get(number)
         if record:
             record.is_client_waiting = False
 
     def on_connection_closed(self, unanswered: int, peer_ended: bool):
-        """A client's connection is closed. `unanswered`: requests of which something was read on it."""
+        """A client's connection is closed; `unanswered` requests on it were read at least in part."""
         if unanswered and not peer_ended:
             self.report(Invariant.ANSWER_BEFORE_CLOSE, b"", f"{unanswered} requests read and not answered")
 
     def forget(self, number: int):
-        """The request is answered, or nobody waits, and no attempt is out."""
+        """Drop a request that is answered or without a client, and has no attempt in flight."""
         self.requests.pop(number, None)
 
 
 def repeats_safely(
     request_class: RequestClass, earlier: SentAttempt, destination: Destination, now: float
 ) -> bool:
-    """Whether an attempt that begins there, now, is harmless beside an earlier one that may have run."""
+    """Whether an attempt at `destination` is harmless although an earlier attempt may have run."""
     if request_class.repeat is Repeat.IDEMPOTENT:
         return True
     if request_class.repeat is Repeat.NON_IDEMPOTENT or now > earlier.started_at + request_class.window:
--- a/cartdeal/agent/log_output.py
+++ b/cartdeal/agent/log_output.py
@@ -1,8 +1,8 @@
-"""The agent's log: what is written of it, and how, so that no log can hold the agent up or end it.
+"""Log output that can neither block nor end the agent.
 
-The agent has one thread. A write to a pipe that nobody reads would block all of it, so a line goes only where
-it can be written at once; those that can't are counted, and the count is told once the log takes lines again.
-A full disk and a reader that has gone lose lines, too, and nothing else.
+The agent has one thread, and a write to a pipe that nobody reads would block all of it. A line is therefore
+written only if that is possible at once. Dropped lines are counted, and the count is logged with the next
+line that can be written. A full disk or a closed reader loses lines, too, and nothing else.
 """
 
 import logging
@@ -13,92 +13,98 @@
 
 from logfmter import Logfmter
 
-MAX_LINES_PER_SECOND = 20  # of one kind
-MAX_LINE_BYTES = select.PIPE_BUF  # of a line: a pipe that poll says is writable takes so many at once
-OMISSION_MARK = b" ... "  # in place of the middle of a longer one, such as a long traceback
+MAX_LINES_PER_SECOND = 20  # per logger and message
+MAX_LINE_BYTES = select.PIPE_BUF  # a pipe that poll reports as writable accepts this many at once
+OMISSION_MARK = b" ... "  # replaces the middle of a line that is too long, such as a long traceback
 
 STANDARD_ERROR = 2
 
 
 def reserve_standard_descriptors():
-    """Opens those of 0 to 2 that are closed: a connection that had one of them would be written the log."""
+    """Open the closed descriptors among 0 to 2, so that no connection gets one and receives the log."""
     for number in range(STANDARD_ERROR + 1):
         try:
             os.fstat(number)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # the lowest number that is free
+            os.open(os.devnull, os.O_RDWR)  # gets the lowest free number
 
 
 class RateLimitFilter(logging.Filter):
-    """What a peer does at full speed must not be logged at full speed. How many were left out is told later.
+    """Limits the lines per second of each message, so that a fast peer can't flood the log.
 
-    Kinds are the messages in the code, so there are few of them. Seconds are counted on the monotonic clock:
-    the wall clock, by which records are stamped, may be stepped back.
+    The number of suppressed lines is added to the next line that passes. Messages are literals in the code,
+    so there are few of them. Seconds are counted on the monotonic clock, because the wall clock, which stamps
+    the records, may be stepped back.
     """
 
     def __init__(self):
         super().__init__()
-        self.kinds: dict[tuple, list] = {}  # since when, how many lines, how many left out
+        # By logger and message: start of the current second, its lines, and the suppressed lines.
+        self.message_states: dict[tuple, list] = {}
 
     def filter(self, record) -> bool:
-        kind = self.kinds.setdefault((record.name, record.msg), [-inf, 0, 0])
+        """Return whether the record is logged; `left_out` is set on one that follows suppressed lines."""
+        state = self.message_states.setdefault((record.name, record.msg), [-inf, 0, 0])
         now = monotonic()
-        if now >= kind[0] + 1.0:
-            kind[:2] = now, 0
-        kind[1] += 1
-        if kind[1] > MAX_LINES_PER_SECOND:
-            kind[2] += 1
+        if now >= state[0] + 1.0:
+            state[:2] = now, 0
+        state[1] += 1
+        if state[1] > MAX_LINES_PER_SECOND:
+            state[2] += 1
             return False
-        if kind[2]:
-            record.left_out, kind[2] = kind[2], 0
+        if state[2]:
+            record.left_out, state[2] = state[2], 0
         return True
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes a line where the descriptor takes it at once, and drops it where not."""
+    """Writes a line if the descriptor accepts it at once, and drops it otherwise."""
 
     def __init__(self, descriptor: int):
         super().__init__()
         self.descriptor = descriptor
-        self.lost = 0  # lines since one was written
-        self.is_mid_line = False  # whether the end of the last line did not go out
+        self.lost_lines = 0  # lines dropped since the last one was written
+        self.is_mid_line = False  # whether the last line was written only in part
 
     def emit(self, record: logging.LogRecord):
-        if self.lost:
-            record.lines_lost = self.lost
+        """Format and write a record, or count it as lost."""
+        if self.lost_lines:
+            record.lines_lost = self.lost_lines
         try:
             line = shorten(self.format(record).encode(errors="replace"), MAX_LINE_BYTES - 2)
         except Exception:
             return self.handleError(record)
         self.write(b"\n" * self.is_mid_line + line + b"\n")
 
-    def write(self, text: bytes):
+    def write(self, data: bytes):
+        """Write what the descriptor accepts at once."""
         try:
-            written = os.write(self.descriptor, text) if self.is_writable() else 0
+            written = os.write(self.descriptor, data) if self.is_writable() else 0
         except OSError:
             written = 0
         if not written:
-            self.lost += 1
+            self.lost_lines += 1
             return
-        self.lost = 0
-        self.is_mid_line = written < len(text)
+        self.lost_lines = 0
+        self.is_mid_line = written < len(data)
 
     def is_writable(self) -> bool:
-        look = select.poll()
-        look.register(self.descriptor, select.POLLOUT)
-        return any(events & select.POLLOUT for _, events in look.poll(0))
+        """Whether a write would not block."""
+        poller = select.poll()
+        poller.register(self.descriptor, select.POLLOUT)
+        return any(events & select.POLLOUT for _, events in poller.poll(0))
 
 
-def shorten(line: bytes, most: int) -> bytes:
-    """The line, or its two ends where it is longer than `most` bytes."""
-    if len(line) <= most:
+def shorten(line: bytes, max_bytes: int) -> bytes:
+    """Return the line, or only its start and end if it is longer than `max_bytes`."""
+    if len(line) <= max_bytes:
         return line
-    end = (most - len(OMISSION_MARK)) // 2
-    return line[:end] + OMISSION_MARK + line[-end:]
+    end_bytes = (max_bytes - len(OMISSION_MARK)) // 2
+    return line[:end_bytes] + OMISSION_MARK + line[-end_bytes:]
 
 
 def configure():
-    """Has all of the agent's loggers write to the standard error."""
+    """Make all of the agent's loggers write to standard error."""
     handler = NonBlockingHandler(STANDARD_ERROR)
     handler.addFilter(RateLimitFilter())
     handler.setFormatter(
--- a/cartdeal/agent/start.py
+++ b/cartdeal/agent/start.py
@@ -1,7 +1,7 @@
-"""Starts an agent, ends it on a signal, and says by its exit status how it went.
+"""Starts an agent and shuts it down on a signal.
 
-Status 0: ended when asked to, owing nothing. 1: an address can't be had. 2: the configuration, or the fleet's
-file, is at fault. Without PROXY_FLEET it must never import anything of the fleet.
+Exit status 0: shut down on a signal, with every request answered. 1: an address can't be bound. 2: the
+configuration or the fleet's file is invalid. Without PROXY_FLEET no module of the fleet is imported.
 """
 
 import logging
@@ -17,34 +17,36 @@
 from cartdeal.agent.effects import Effects
 from cartdeal.sockets import BindError
 
-MAX_ACCEPT_S = 0.6  # after being told to end, how long connections are taken
-MAX_DEADLINE_WAIT_S = 3.0  # of the longest deadline the platform waits out so much before it kills
-SHUTDOWN_MARGIN_S = 0.4  # after that, when it ends: one that is killed loses what it owes
-MIN_SHUTDOWN_S = 0.7  # but no sooner than this: connections come for 0.4 s, and are to be left in order ...
-MAX_SHUTDOWN_MARGIN_S = 0.6  # ... nor later than this after the longest deadline: it is killed 0.7 s after it
-ACCEPT_END_LEAD_S = 0.2  # before its end, when connections are taken no more, however short the deadlines
-CLOSE_LEAD_S = 0.8  # before its end, when connections begin to be closed; until then they are of use
-LAST_REQUEST_PAUSE_S = 0.3  # and for how long after that one may still bring a request
-FINAL_ANSWER_LEAD_S = 0.1  # before its end, when all that is still owed is terminated
+MAX_ACCEPT_S = 0.6  # connections are accepted for this long after a shutdown signal
+# Before it kills the process, the platform waits for the longest request timeout, but no more than this.
+MAX_DEADLINE_WAIT_S = 3.0
+SHUTDOWN_MARGIN_S = 0.4  # the shutdown ends this long after that wait; a killed agent loses open requests
+# Connections arrive for 0.4 s after the signal, and there must be time to close them in order.
+MIN_SHUTDOWN_S = 0.7
+MAX_SHUTDOWN_MARGIN_S = 0.6  # limits MIN_SHUTDOWN_S: the kill comes 0.7 s after the longest timeout
+ACCEPT_END_LEAD_S = 0.2  # accepting stops this long before the end, however short the timeouts
+CLOSE_LEAD_S = 0.8  # connections are closed from this long before the end; until then they are useful
+LAST_REQUEST_PAUSE_S = 0.3  # for this long after that, an open connection may still bring a request
+FINAL_ANSWER_LEAD_S = 0.1  # requests still open this long before the end are failed
 
-SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT  # those that it handles
+SIGNALS = signal.SIGHUP, signal.SIGTERM, signal.SIGINT  # the signals that `main` handles
 
 log = logging.getLogger("cartdeal.agent")
 
 
 def shutdown_duration(settings) -> float:
-    """How long an agent that is told to end goes on: clients wait longer than the platform may."""
-    longest = min(MAX_DEADLINE_WAIT_S, max(kind.timeout for kind in settings.request_classes))
-    return max(longest + SHUTDOWN_MARGIN_S, min(MIN_SHUTDOWN_S, longest + MAX_SHUTDOWN_MARGIN_S))
+    """Return the seconds from the signal to the end. Clients may wait longer than the platform does."""
+    max_timeout_s = min(MAX_DEADLINE_WAIT_S, max(each.timeout for each in settings.request_classes))
+    return max(max_timeout_s + SHUTDOWN_MARGIN_S, min(MIN_SHUTDOWN_S, max_timeout_s + MAX_SHUTDOWN_MARGIN_S))
 
 
 def accept_duration(settings) -> float:
-    """How long it goes on to take connections."""
+    """Return the seconds after the signal during which connections are accepted."""
     return min(MAX_ACCEPT_S, shutdown_duration(settings) - ACCEPT_END_LEAD_S)
 
 
 def read_fleet_configuration(config):
-    """What the fleet's file says; None without one."""
+    """Read the fleet's file; None without PROXY_FLEET. Raises ConfigurationError."""
     if not os.environ.get("PROXY_FLEET"):
         return None
     from cartdeal.fleet import configuration as fleet_configuration
@@ -57,13 +59,17 @@
 
 
 def main() -> int:
+    """Run an agent until SIGTERM or SIGINT; return the exit status."""
     log_output.reserve_standard_descriptors()
-    # Before the port is bound: from then on connections are taken, and a signal that killed would reset them.
-    # What comes while it starts is handled when it serves; nothing before `wait` yields to the loop.
-    told_to_end, agents = Event(), []
-    gevent.signal_handler(signal.SIGHUP, lambda: told_to_end.is_set() or [each.reload() for each in agents])
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, told_to_end.set)
+    # The handlers are installed before the port is bound: from then on clients connect, and a signal that
+    # killed the process would reset their connections. Signals that arrive during the start are handled once
+    # the agent serves, because nothing before `wait` yields to the event loop.
+    shutdown_requested, agents = Event(), []
+    gevent.signal_handler(
+        signal.SIGHUP, lambda: shutdown_requested.is_set() or [each.reload() for each in agents]
+    )
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signal_number, shutdown_requested.set)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
     log_output.configure()
     try:
@@ -87,7 +93,7 @@
             "servers": len(config.initial_servers.entries),
         },
     )
-    told_to_end.wait()
+    shutdown_requested.wait()
     end_at = monotonic() + shutdown_duration(config.settings)
     log.info(
         "ending", extra={"pending": agent.reducer.pending_count, "within": round(end_at - monotonic(), 3)}
--- a/cartdeal/agent/start_times.py
+++ b/cartdeal/agent/start_times.py
@@ -1,77 +1,79 @@
-"""Maps when servers started, by the wall clock that stamps the server list, to the agent's monotonic clock.
+"""Converts server start times from the wall clock of the server list to the agent's monotonic clock.
 
-A wall clock may be wrong by an hour, on either side, and is never believed against what the agent has seen:
+The wall clock of the agent or of the server may be wrong by an hour in either direction, so it is never
+trusted over what the agent has observed:
 
-- no server started after the list that tells of it was read, so no age is negative;
-- a start that no earlier list told of happened since the agent last heard from discovery.
+- No server started after the list with its entry was read, so no age is negative.
+- A start that no earlier list contained happened after the agent last received a discovery response.
 
-A stamp that disagrees with either counts as a start in this moment: the server is then taken for colder than
-it is, which costs some of its traffic for the time of its ramp, where the opposite could push it over. The
-offset between the clocks is taken once, at the agent's start. It isn't corrected by other servers' stamps, as
-these may come of a machine whose clock is wrong. What remains is a first list read by an agent whose clock is
-ahead.
+A stamp that contradicts either rule counts as a start at the current moment. The server then gets slow start
+although it is warm, which costs some of its traffic for the duration of its ramp; too much traffic could
+overload a cold server. The offset between the clocks is measured once, at the agent's start. Other servers'
+stamps don't correct it, because they may come from a machine with a wrong clock. One case remains uncovered:
+the first list that is read by an agent whose clock is ahead.
 """
 
 from math import inf, nextafter
 from typing import NamedTuple
 
-LONG_AGO_S = 0.0  # the time of a start that the list does not stamp
-LIST_DELAY_S = 2.0  # seconds from a server's start until lists tell of it, as far as a stamp is believed
-MAX_REMOVED_SERVERS = 4096  # servers whose stamp is remembered after they left the list
+LONG_AGO_S = 0.0  # the start time of a server without a stamp
+LIST_DELAY_S = 2.0  # a stamp is accepted if its start appears in a list within this delay
+MAX_REMOVED_SERVERS = 4096  # their stamps are remembered after they left the list
 
 
 class Start(NamedTuple):
-    """The last start of a server that lists told of."""
+    """The latest known start of a server."""
 
     stamp: float
-    previous_stamp: float  # of its start before that: a list that is late may still say it
+    previous_stamp: float  # the stamp of the start before it, which a delayed list may still contain
     started_at: float
 
 
 class StartTimes:
-    """When each server started, in seconds of the agent's monotonic clock.
+    """The start times of servers, in seconds of the agent's monotonic clock.
 
     A stamp is Unix time in milliseconds; 0 means long ago.
     """
 
-    def __init__(self, now: float, wall: float):
-        """`now`, `wall`: what the monotonic clock and the wall clock show in this moment, in seconds."""
-        self.wall_clock_offset = wall - now
-        self.heard_at = -inf  # when discovery last said something: it told of every start there was by then
+    def __init__(self, now: float, wall_now: float):
+        """`now`, `wall_now`: the current times of the monotonic clock and the wall clock, in seconds."""
+        self.wall_clock_offset = wall_now - now
+        # When discovery last responded. It reported every start up to that time.
+        self.last_response_at = -inf
         self.starts: dict[bytes, Start] = {}  # by server name
-        self.removed: dict[bytes, Start] = {}  # of servers that left the list, the longest gone first
+        self.removed: dict[bytes, Start] = {}  # of servers that left the list, oldest removal first
 
     def on_discovery_response(self, now: float):
-        """Discovery said something, be it that nothing is new."""
-        self.heard_at = now
+        """Discovery has responded, perhaps without a change."""
+        self.last_response_at = now
 
     def started_at(self, name: bytes, stamp: float, now: float) -> float:
-        """When a server of the list that is read now started. Grows with every new start of the server."""
-        known = self.starts.get(name) or self.removed.pop(name, None)
-        if known is None:
-            known = Start(stamp, stamp, self.to_monotonic(stamp, now))
-        elif stamp and stamp not in (known.stamp, known.previous_stamp):
-            at = self.to_monotonic(stamp, now)
-            if at <= known.started_at:  # it is a later start, whatever the stamps say
-                at = max(now, nextafter(known.started_at, inf))
-            known = Start(stamp, known.stamp, at)
-        self.starts[name] = known
-        return known.started_at
+        """Return the start time of a server in the current list. Each new start gets a later time."""
+        start = self.starts.get(name) or self.removed.pop(name, None)
+        if start is None:
+            start = Start(stamp, stamp, self.to_monotonic(stamp, now))
+        elif stamp and stamp not in (start.stamp, start.previous_stamp):
+            started_at = self.to_monotonic(stamp, now)
+            if started_at <= start.started_at:  # a new stamp is a later start, whatever its value
+                started_at = max(now, nextafter(start.started_at, inf))
+            start = Start(stamp, start.stamp, started_at)
+        self.starts[name] = start
+        return start.started_at
 
     def to_monotonic(self, stamp: float, now: float) -> float:
-        """The stamp on the agent's clock, or this moment where the stamp can't be right."""
+        """Convert a stamp to the agent's clock; return `now` if the stamp can't be right."""
         if not stamp:
             return LONG_AGO_S
-        by_wall_clock = stamp / 1e3 - self.wall_clock_offset
-        if self.heard_at - LIST_DELAY_S <= by_wall_clock <= now:
-            return by_wall_clock
+        monotonic_start = stamp / 1e3 - self.wall_clock_offset
+        if self.last_response_at - LIST_DELAY_S <= monotonic_start <= now:
+            return monotonic_start
         return now
 
     def remove(self, name: bytes):
-        """The server left the list. Should it come back with the same stamp, it is the same process."""
-        known = self.starts.pop(name, None)
-        if known is None:
+        """The server left the list. If it returns with the same stamp, it is the same process."""
+        start = self.starts.pop(name, None)
+        if start is None:
             return
-        self.removed[name] = known
+        self.removed[name] = start
         if len(self.removed) > MAX_REMOVED_SERVERS:
             del self.removed[next(iter(self.removed))]
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -4,7 +4,7 @@
 import pytest
 from msgspec.structs import replace
 
-from cartdeal.agent.admission import digest
+from cartdeal.agent.admission import request_digest
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.front import hashed
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
@@ -506,5 +506,5 @@
         base._replace(path=b"/", body=b"ab"),
         base._replace(method=b"POS", path=b"T/a"),
     ]
-    assert len({digest(each) for each in others}) == 4
-    assert digest(base) == digest(base._replace(id=b"7", is_retry=True))
+    assert len({request_digest(each) for each in others}) == 4
+    assert request_digest(base) == request_digest(base._replace(id=b"7", is_retry=True))
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,4 +1,4 @@
-"""A log that can't be written to: a pipe that nobody reads, a full disk, a reader that has gone."""
+"""Agents must keep working if the log can't be written: unread pipe, full disk or closed reader."""
 
 import errno
 import fcntl
@@ -18,7 +18,7 @@
 from tests.scene import Client, answered, config_file, worded
 
 F_SETPIPE_SZ = 1031
-LIMIT = 30.0  # seconds
+TIMEOUT_S = 30.0
 
 
 def free_port():
@@ -28,26 +28,26 @@
 
 
 @pytest.fixture
-def start(tmp_path):
-    """Starts an agent whose log goes to a descriptor; gives its port."""
-    started = []
+def start_agent(tmp_path):
+    """Starts an agent that logs to a descriptor, and returns its port and its process."""
+    processes = []
 
-    def make(log):
+    def launch(log):
         port = free_port()
-        file = tmp_path / "agent.json"
-        file.write_text(json.dumps(config_file(listen=f"127.0.0.1:{port}")))
-        environment = {**os.environ, "PROXY_CONFIG": str(file)}
-        started.append(subprocess.Popen([sys.executable, "-m", "cartdeal"], stderr=log, env=environment))
-        return port, started[-1]
-
-    yield make
-    for process in started:
+        config_path = tmp_path / "agent.json"
+        config_path.write_text(json.dumps(config_file(listen=f"127.0.0.1:{port}")))
+        environment = {**os.environ, "PROXY_CONFIG": str(config_path)}
+        processes.append(subprocess.Popen([sys.executable, "-m", "cartdeal"], stderr=log, env=environment))
+        return port, processes[-1]
+
+    yield launch
+    for process in processes:
         process.kill()
         process.wait()
 
 
 def connect(port):
-    with gevent.Timeout(LIMIT):
+    with gevent.Timeout(TIMEOUT_S):
         while True:
             try:
                 return Client(socket.create_connection(("127.0.0.1", port)), answers=True)
@@ -55,10 +55,10 @@
                 gevent.sleep(0.05)
 
 
-def still_answers(port, requests):
-    """Makes requests that are refused, each of which is logged; whether all are answered."""
-    with gevent.Timeout(LIMIT, False):
-        for _ in range(requests):
+def answers_requests(port, request_count):
+    """Send requests that are refused and therefore logged; return whether all are answered."""
+    with gevent.Timeout(TIMEOUT_S, False):
+        for _ in range(request_count):
             client = connect(port)
             client.sock.sendall(worded("/none/" + "x" * 500))
             if answered(client)[0] != 404:
@@ -68,75 +68,77 @@
     return False
 
 
-def test_log_that_nobody_reads_holds_nobody_up(start):
-    read, write = os.pipe()
-    fcntl.fcntl(write, F_SETPIPE_SZ, PIPE_PAGE)
-    os.write(write, bytes(PIPE_PAGE))  # it is full
-    port, agent = start(write)
-    assert still_answers(port, 50) and agent.poll() is None
-    os.close(read)
-    os.close(write)
+def test_log_pipe_without_a_reader_does_not_block_the_agent(start_agent):
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, F_SETPIPE_SZ, PIPE_PAGE)
+    os.write(write_end, bytes(PIPE_PAGE))  # it is full
+    port, agent = start_agent(write_end)
+    assert answers_requests(port, 50) and agent.poll() is None
+    os.close(read_end)
+    os.close(write_end)
 
 
-def test_log_whose_reader_has_gone_ends_nothing(start):
-    read, write = os.pipe()
-    port, agent = start(write)
-    os.close(read)
-    os.close(write)
-    assert still_answers(port, 50) and agent.poll() is None
+def test_log_pipe_with_a_closed_reader_does_not_end_the_agent(start_agent):
+    read_end, write_end = os.pipe()
+    port, agent = start_agent(write_end)
+    os.close(read_end)
+    os.close(write_end)
+    assert answers_requests(port, 50) and agent.poll() is None
 
 
-def test_log_on_a_full_disk_ends_nothing(start):
-    with open("/dev/full", "wb") as full:
-        port, agent = start(full)
-    assert still_answers(port, 50) and agent.poll() is None
+def test_log_on_a_full_disk_does_not_end_the_agent(start_agent):
+    with open("/dev/full", "wb") as full_device:
+        port, agent = start_agent(full_device)
+    assert answers_requests(port, 50) and agent.poll() is None
 
 
-def lines_of(handler, read, *words):
-    for each in words:
-        handler.emit(logging.makeLogRecord({"name": "x", "msg": each}))
-    return os.read(read, 1 << 20)
+def emit_and_read(handler, read_end, *messages):
+    for message in messages:
+        handler.emit(logging.makeLogRecord({"name": "x", "msg": message}))
+    return os.read(read_end, 1 << 20)
 
 
-def test_lines_that_were_lost_are_counted_once_the_log_takes_lines_again():
-    read, write = os.pipe()
-    fcntl.fcntl(write, F_SETPIPE_SZ, PIPE_PAGE)
-    os.write(write, bytes(PIPE_PAGE))
-    handler = NonBlockingHandler(write)
+def test_lost_lines_are_counted_in_the_next_written_line():
+    read_end, write_end = os.pipe()
+    fcntl.fcntl(write_end, F_SETPIPE_SZ, PIPE_PAGE)
+    os.write(write_end, bytes(PIPE_PAGE))
+    handler = NonBlockingHandler(write_end)
     handler.setFormatter(Logfmter())
-    assert lines_of(handler, read, "a", "b", "c") == bytes(PIPE_PAGE) and handler.lost == 3
-    assert b"lines_lost=3" in lines_of(handler, read, "d")
-    assert b"lines_lost" not in lines_of(handler, read, "e")
-    os.close(read)
-    os.close(write)
+    assert emit_and_read(handler, read_end, "a", "b", "c") == bytes(PIPE_PAGE) and handler.lost_lines == 3
+    assert b"lines_lost=3" in emit_and_read(handler, read_end, "d")
+    assert b"lines_lost" not in emit_and_read(handler, read_end, "e")
+    os.close(read_end)
+    os.close(write_end)
 
 
-def test_line_that_went_out_in_part_does_not_spoil_the_next(monkeypatch):
-    read, write = os.pipe()
-    handler, system_write = NonBlockingHandler(write), os.write
-    monkeypatch.setattr(log_output.os, "write", lambda to, text: system_write(to, text[:3]))
+def test_line_after_a_partial_write_starts_on_a_new_line(monkeypatch):
+    read_end, write_end = os.pipe()
+    handler, system_write = NonBlockingHandler(write_end), os.write
+    monkeypatch.setattr(log_output.os, "write", lambda descriptor, data: system_write(descriptor, data[:3]))
     handler.emit(logging.makeLogRecord({"msg": "cut off"}))
     monkeypatch.undo()
     handler.emit(logging.makeLogRecord({"msg": "whole"}))
-    assert os.read(read, 100) == b"cut\nwhole\n"
-    os.close(read)
-    os.close(write)
+    assert os.read(read_end, 100) == b"cut\nwhole\n"
+    os.close(read_end)
+    os.close(write_end)
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO, errno.EPIPE, errno.EBADF, errno.EDQUOT])
-def test_line_that_the_system_refuses_is_lost_and_nothing_else(monkeypatch, error):
-    def refuse(to, text):
+def test_line_is_lost_without_an_exception_if_the_write_fails(monkeypatch, error):
+    def failing_write(descriptor, data):
         raise OSError(error, os.strerror(error))
 
-    with open(os.devnull, "wb") as file:
-        handler = NonBlockingHandler(file.fileno())
-        monkeypatch.setattr(log_output.os, "write", refuse)
+    with open(os.devnull, "wb") as null_device:
+        handler = NonBlockingHandler(null_device.fileno())
+        monkeypatch.setattr(log_output.os, "write", failing_write)
         handler.emit(logging.makeLogRecord({"msg": "a"}))
-        assert handler.lost == 1
+        assert handler.lost_lines == 1
 
 
-def test_long_line_keeps_both_of_its_ends():
+def test_long_line_is_shortened_to_its_start_and_end():
     line = b"begin " + b"x" * 9000 + b" end"
-    short = shorten(line, MAX_LINE_BYTES)
-    assert len(short) <= MAX_LINE_BYTES and short.startswith(b"begin ") and short.endswith(b" end")
+    shortened = shorten(line, MAX_LINE_BYTES)
+    assert (
+        len(shortened) <= MAX_LINE_BYTES and shortened.startswith(b"begin ") and shortened.endswith(b" end")
+    )
     assert shorten(line[:50], 50) == line[:50]
--- a/tests/test_unbounded.py
+++ b/tests/test_unbounded.py
@@ -1,4 +1,4 @@
-"""What a client, a neighbour or discovery may make the agent hold, or keep it from doing, has a bound."""
+"""Resources and time that clients, peers and the discovery service can take from an agent are bounded."""
 
 import gc
 import sys
@@ -25,80 +25,80 @@
     made.stop()
 
 
-def test_answers_that_a_client_does_not_read_are_held_one_at_a_time(deployment):
-    """It goes on asking: what it is owed must not fill the memory."""
+def test_unread_answers_of_a_connection_are_held_one_at_a_time(deployment):
+    """A client that sends requests without reading the answers must not fill the agent's memory."""
     client, front = deployment.connect(), deployment.agent.front
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    (theirs,) = until_some(lambda: front.clients)
-    theirs.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    dispatch, taken_meanwhile = front.dispatch, []
+    (connection,) = wait_for(lambda: front.clients)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    dispatch, early_requests = front.dispatch, []
 
-    def watched(event, *about):
-        if event == "on_request" and theirs.writer:
-            taken_meanwhile.append(about)
-        dispatch(event, *about)
+    def recording_dispatch(event, *args):
+        if event == "on_request" and connection.writer:
+            early_requests.append(args)
+        dispatch(event, *args)
 
-    front.dispatch = watched
+    front.dispatch = recording_dispatch
     sender = gevent.spawn(
         client.sock.sendall, b"".join(worded("/once/x", "POST", BODY) for _ in range(REQUESTS))
     )
-    until(lambda: taken_meanwhile or (theirs.writer and len(theirs.messages) >= MOST_PIPELINED))
+    until(lambda: early_requests or (connection.writer and len(connection.messages) >= MOST_PIPELINED))
     for _ in range(10):
         gevent.sleep(0)
-    assert not taken_meanwhile
+    assert not early_requests
     sender.kill()
 
 
-def until_some(found):
-    until(found)
-    return found()
+def wait_for(condition):
+    until(condition)
+    return condition()
 
 
-class Flood:
-    """Datagrams without a pause, up to a number at which the agent can do nothing else."""
+class DatagramFlood:
+    """A socket with datagrams at every read, up to a number at which the agent does nothing else."""
 
-    MOST = 100_000
+    MAX_READS = 100_000
 
     def __init__(self):
-        self.count = 0
+        self.read_count = 0
 
     def recvfrom(self, size):
-        self.count += 1
-        if self.count > self.MOST:
+        self.read_count += 1
+        if self.read_count > self.MAX_READS:
             raise gevent.GreenletExit
         return b"words", ("127.0.0.1", 9)
 
 
-def test_datagrams_without_a_pause_leave_the_agent_its_other_work(deployment):
+def test_continuous_datagrams_do_not_starve_requests(deployment):
     agent = deployment.agent
-    agent.peer_socket = Flood()
-    flooded = gevent.spawn(agent.receive_peer_messages)
+    agent.peer_socket = DatagramFlood()
+    receiver = gevent.spawn(agent.receive_peer_messages)
     assert deployment.ask()[0] == 200
-    assert not flooded.ready()
-    flooded.kill()
+    assert not receiver.ready()
+    receiver.kill()
 
 
-def test_discovery_without_a_pause_leaves_the_agent_its_other_work(deployment, monkeypatch):
+def test_continuous_discovery_reads_do_not_starve_requests(deployment, monkeypatch):
     reads = []
 
-    class Flooded(ListStream):
+    class FloodedStream(ListStream):
         def receive(self):
             reads.append(self)
-            if len(reads) > Flood.MOST:
+            if len(reads) > DatagramFlood.MAX_READS:
                 raise gevent.GreenletExit
             return True
 
-        def whole_texts(self):
+        def complete_texts(self):
             return []
 
-    monkeypatch.setattr(discovery, "ListStream", Flooded)
-    watch = gevent.spawn(deployment.agent.discovery.follow)
+    monkeypatch.setattr(discovery, "ListStream", FloodedStream)
+    watch = gevent.spawn(deployment.agent.discovery.run_call)
     assert deployment.ask()[0] == 200
     assert not watch.ready()
     watch.kill()
 
 
-def test_timers_of_requests_that_are_over_do_not_gather(deployment, monkeypatch):
+def test_timers_of_finished_requests_are_dropped(deployment, monkeypatch):
     monkeypatch.setattr(effects, "MAX_TIMERS", 50)
     deployment.agent.max_timers = 50
     client = deployment.connect()
@@ -115,19 +115,19 @@
     deployment.servers[0].released.set()
 
 
-def test_ids_that_are_remembered_are_bounded_in_number(deployment, monkeypatch):
+def test_number_of_remembered_request_ids_is_bounded(deployment, monkeypatch):
     monkeypatch.setattr(reducer, "MAX_RECENT_IDS", 20)
-    client, memory = deployment.connect(), deployment.agent.reducer
+    client, agent_reducer = deployment.connect(), deployment.agent.reducer
     for number in range(100):
         assert deployment.ask(connection=client, X_Request_ID=f"id-{number}")[0] == 200
-        assert len(memory.recent_ids) + len(memory.previous_ids) <= 40
+        assert len(agent_reducer.recent_ids) + len(agent_reducer.previous_ids) <= 40
     assert deployment.ask(connection=client, X_Request_ID="id-95")[0] == 409
 
 
 @pytest.mark.parametrize("closed", [(2,), (0, 1, 2), (0,)])
-def test_closed_standard_descriptors_are_never_a_connections(tmp_path, closed):
-    """The log goes to descriptor 2, whoever has it."""
-    told = (
+def test_closed_standard_descriptors_are_not_used_for_connections(tmp_path, closed):
+    """The log is written to descriptor 2, even if a connection has that number."""
+    script = (
         "import os, sys\n"
         f"for number in {closed}: os.close(number)\n"
         "from cartdeal.agent import log_output\n"
@@ -136,27 +136,27 @@
         "number = socket.socket().fileno()\n"
         f"os.write(os.open({str(tmp_path / 'found')!r}, os.O_CREAT | os.O_WRONLY), b'%d' % number)\n"
     )
-    subprocess.run([sys.executable, "-c", told], check=False)
+    subprocess.run([sys.executable, "-c", script], check=False)
     assert int((tmp_path / "found").read_text()) > 2
 
 
-def test_closed_connections_do_not_wait_for_a_collection(deployment):
-    """A client and its parser hold each other; thousands of them, each with its buffer, would gather."""
+def test_closed_connections_are_freed_without_garbage_collection(deployment):
+    """A connection and its parser reference each other: thousands, each with a buffer, would accumulate."""
     front = deployment.agent.front
     gc.collect()
     gc.disable()
     try:
-        kept = []
+        references = []
         for _ in range(20):
             client = deployment.connect()
             assert deployment.ask(connection=client, Connection="close")[0] == 200
-            (theirs,) = until_some(
+            (connection,) = wait_for(
                 lambda: [*deployment.agent.front.clients, *deployment.agent.front.lingering]
             )
-            kept.append(weakref.ref(theirs))
-            del theirs
+            references.append(weakref.ref(connection))
+            del connection
             client.close()
             until(lambda: not (front.clients or front.lingering))
-        until(lambda: sum(each() is not None for each in kept) <= 1)
+        until(lambda: sum(each() is not None for each in references) <= 1)
     finally:
         gc.enable()
