--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on a clock of the test's own: sockets that deliver what a script says, and no waiting."""
+"""The discovery client on a simulated clock, with sockets that deliver the bytes of a script."""
 
 import json
 import os
@@ -15,13 +15,13 @@
 from tests.discovery_fleet import HEAD, chunk
 from tests.scene import SETTINGS, Deployment, agent_config, until
 
-TOLD = 6.0  # what a silent watch misses counts as told so long after it fell silent
-NEVER_UP = [(1e9, None)]  # not even the connection comes up
-REFUSED, WORDLESS = [(0.0, ConnectionRefusedError(111, "refused"))], [(0.0, ConnectionResetError())]
+KNOWN_AFTER_S = 6.0  # seconds from the start of a silence until a change counts as known to the agent
+NEVER_CONNECTED = [(1e9, None)]  # the connection is never established
+REFUSED, RESET = [(0.0, ConnectionRefusedError(111, "refused"))], [(0.0, ConnectionResetError())]
 
 
-def told(version, *lines, whole=False, indent=None):
-    text = json.dumps({"rev": version, "all": whole, "targets": lines}, indent=indent)
+def list_chunk(version, *lines, is_complete=False, indent=None):
+    text = json.dumps({"rev": version, "all": is_complete, "targets": lines}, indent=indent)
     return chunk(text.encode() + b"\n")
 
 
@@ -29,39 +29,39 @@
     return {"uid": name, "endpoint": "127.0.0.1:1", "az": "a"} | more
 
 
-BEAT, LIST = chunk(b"\n"), HEAD + told(4, server("s1"), whole=True)
+EMPTY_LINE, FIRST_LIST = chunk(b"\n"), HEAD + list_chunk(4, server("s1"), is_complete=True)
 
 
-class Sock:
-    """Brings each piece of its script so long after the call; where nothing is due, the wait passes."""
+class ScriptedSocket:
+    """Delivers each piece of its script at its time after the call; a wait for more advances the clock."""
 
-    def __init__(self, world):
-        self.world, self.wait, self.begun = world, None, world.now
-        self.script = list(world.scripts.pop(0) if world.scripts else world.service(world.now))
+    def __init__(self, agent):
+        self.agent, self.timeout, self.called_at = agent, None, agent.now
+        self.script = list(agent.scripts.pop(0) if agent.scripts else agent.service(agent.now))
 
-    def settimeout(self, wait):
-        self.wait = wait
+    def settimeout(self, timeout):
+        self.timeout = timeout
 
     def connect(self, address):
-        if self.script == NEVER_UP:
-            self.pass_by(self.begun + 1e9)
-        if self.script in (REFUSED, WORDLESS):
+        if self.script == NEVER_CONNECTED:
+            self.wait_until(self.called_at + 1e9)
+        if self.script in (REFUSED, RESET):
             raise self.script[0][1]
 
     def fileno(self):
-        return self.world.sink
+        return self.agent.sink
 
-    def pass_by(self, at):
-        if at > self.world.now + self.wait:
-            self.world.now += self.wait
-            raise TimeoutError if self.wait else BlockingIOError
-        self.world.now = max(self.world.now, at)
+    def wait_until(self, at):
+        if at > self.agent.now + self.timeout:
+            self.agent.now += self.timeout
+            raise TimeoutError if self.timeout else BlockingIOError
+        self.agent.now = max(self.agent.now, at)
 
     def recv_into(self, view):
-        self.pass_by(self.begun + self.script[0][0] if self.script else 1e9)
+        self.wait_until(self.called_at + self.script[0][0] if self.script else 1e9)
         text = self.script.pop(0)[1]
         if callable(text):
-            return text(self.world)
+            return text(self.agent)
         view[: len(text)] = text
         return len(text)
 
@@ -69,10 +69,10 @@
         pass
 
 
-class World:
-    """One agent's list: its real roster, reducer and balancer. `calls` has when and what each call asked.
+class ScriptedAgent:
+    """A real discovery client, reducer and balancer. `calls` holds the time and path of each call.
 
-    The calls are answered by `scripts`, and those after them by `service`, which is given the time.
+    The first calls are answered by `scripts`, later ones by `service`, which gets the time of the call.
     """
 
     def __init__(
@@ -86,13 +86,15 @@
         service=lambda now: [],
         **settings,
     ):
-        self.now, self.scripts, self.due, self.order = 100.0, list(scripts), [], 0
-        self.calls, self.failed, self.attempts, self.heard = [], [], [], []
+        self.now, self.scripts, self.timers, self.timer_sequence = 100.0, list(scripts), [], 0
+        self.calls, self.failed, self.attempts, self.received_lists = [], [], [], []
         self.service = service
         self.sink = os.open(os.devnull, os.O_WRONLY)
         monkeypatch.setattr(discovery, "monotonic", lambda: self.now)
         monkeypatch.setattr(
-            discovery, "socket", SimpleNamespace(socket=lambda *kind: Sock(self), AF_INET=0, SOCK_STREAM=0)
+            discovery,
+            "socket",
+            SimpleNamespace(socket=lambda *kind: ScriptedSocket(self), AF_INET=0, SOCK_STREAM=0),
         )
         known = {"rev": 3, "all": True, "targets": [server("s0") | each for each in known]}
         settings = SETTINGS | {"discovery": "pushed"} | settings
@@ -109,7 +111,7 @@
         if event == "on_watch_failed":
             self.failed.append(self.now)
         elif event == "on_server_list":
-            self.heard.append((self.now, args[0].version))
+            self.received_lists.append((self.now, args[0].version))
         self.reducer.now = self.now
         getattr(self.reducer, event)(*args)
         self.run_effects()
@@ -118,23 +120,23 @@
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *args in effects:
             if verb == "wake":
-                self.order += 1
-                heappush(self.due, (args[1], self.order))
+                self.timer_sequence += 1
+                heappush(self.timers, (args[1], self.timer_sequence))
             elif verb == "watch":
                 self.discovery.watch(*args)
             elif verb == "send_attempt":
                 self.attempts.append(args[2])
 
     def play(self, until):
-        """Plays watches and timers up to about that time."""
+        """Run watches and timers until about that time."""
         while self.now < until:
             if self.discovery.current_watch:
                 self.discovery.current_watch.join()
-            elif self.due and self.due[0][0] <= self.now:
-                heappop(self.due)
+            elif self.timers and self.timers[0][0] <= self.now:
+                heappop(self.timers)
                 self.dispatch("on_timer", 0)
             else:
-                self.now = self.due[0][0]
+                self.now = self.timers[0][0]
 
     def take(self, number):
         path = b"/%d" % number
@@ -144,71 +146,77 @@
 
 
 @pytest.fixture
-def world(tmp_path, monkeypatch):
-    made = []
+def make_agent(tmp_path, monkeypatch):
+    created = []
 
-    def make(*scripts, **more):
-        made.append(World(tmp_path, monkeypatch, *scripts, **more))
-        return made[-1]
+    def create(*scripts, **more):
+        created.append(ScriptedAgent(tmp_path, monkeypatch, *scripts, **more))
+        return created[-1]
 
-    yield make
-    for each in made:
+    yield create
+    for each in created:
         os.close(each.sink)
         if each.discovery.current_watch:
             each.discovery.current_watch.kill()
 
 
-STOOD = [(0.0, LIST), (2.0, BEAT), (4.0, BEAT)]  # and falls silent
-LAST = 104.0
+SILENT_WATCH = [
+    (0.0, FIRST_LIST),
+    (2.0, EMPTY_LINE),
+    (4.0, EMPTY_LINE),
+]  # a watch that falls silent after 4 s
+SILENT_SINCE = 104.0
 
 
 @pytest.mark.parametrize(
     "first",
-    [[], NEVER_UP, [(0.1, HEAD[:20]), (0.9, HEAD[20:40])]],
+    [[], NEVER_CONNECTED, [(0.1, HEAD[:20]), (0.9, HEAD[20:40])]],
     ids=["accepted", "never up", "half a head"],
 )
 @pytest.mark.parametrize("chance", [0.0, 0.999999])
-def test_two_calls_fit_in_after_a_silent_watch_the_first_one_never_answered(world, first, chance):
-    new = [(0.0, HEAD + told(9, server("s1", state="leaving")))]
-    played = world(STOOD, first, new, chance=chance)
-    played.play(LAST + TOLD)
-    (_, one), (_, two), (at, three) = played.calls[:3]
-    assert at - LAST <= 5.5 and played.reducer.list_version == 9
-    assert one.endswith("after=3") and two.endswith("after=4") and two == three  # all that was missed
-    played.take(1)
-    assert not played.attempts
-
-
-def test_only_the_call_after_silence_is_short_and_its_pauses_grow(world):
-    played = world(STOOD, *[[]] * 20, chance=0.5)
-    played.play(150.0)
-    begun = [at for at, _ in played.calls[1:]]
-    took = [failed - at for failed, at in zip(played.failed[1:], begun, strict=False)]
-    pauses = [at - failed for failed, at in zip(played.failed, begun, strict=False)]
-    assert took[:3] == pytest.approx(
+def test_two_calls_fit_after_a_silent_watch_if_the_first_is_not_answered(make_agent, first, chance):
+    new = [(0.0, HEAD + list_chunk(9, server("s1", state="leaving")))]
+    agent = make_agent(SILENT_WATCH, first, new, chance=chance)
+    agent.play(SILENT_SINCE + KNOWN_AFTER_S)
+    (_, one), (_, two), (at, three) = agent.calls[:3]
+    assert at - SILENT_SINCE <= 5.5 and agent.reducer.list_version == 9
+    assert (
+        one.endswith("after=3") and two.endswith("after=4") and two == three
+    )  # both ask for every missed change
+    agent.take(1)
+    assert not agent.attempts
+
+
+def test_only_the_first_call_after_silence_is_short_and_pauses_grow(make_agent):
+    agent = make_agent(SILENT_WATCH, *[[]] * 20, chance=0.5)
+    agent.play(150.0)
+    call_times = [at for at, _ in agent.calls[1:]]
+    call_durations = [failed - at for failed, at in zip(agent.failed[1:], call_times, strict=False)]
+    pauses = [at - failed for failed, at in zip(agent.failed, call_times, strict=False)]
+    assert call_durations[:3] == pytest.approx(
         [discovery.SHORT_CALL_TIMEOUT_S, discovery.CALL_TIMEOUT_S, discovery.CALL_TIMEOUT_S]
     )
-    assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 4 / 3, 4 / 3]) and len(begun) < 12
+    assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 4 / 3, 4 / 3]) and len(call_times) < 12
 
 
-def test_pauses_after_calls_that_fail_at_once_grow_to_a_third_of_the_time_for_asking(world):
-    played = world(STOOD, chance=0.5, service=lambda now: REFUSED)
-    played.play(150.0)
-    pauses = [at - failed for failed, (at, _) in zip(played.failed, played.calls[1:], strict=False)]
+def test_pauses_after_immediate_failures_grow_to_a_third_of_the_poll_interval(make_agent):
+    agent = make_agent(SILENT_WATCH, chance=0.5, service=lambda now: REFUSED)
+    agent.play(150.0)
+    pauses = [at - failed for failed, (at, _) in zip(agent.failed, agent.calls[1:], strict=False)]
     assert pauses[:5] == pytest.approx([0.5, 0.5, 1.0, 2.0, 10 / 3]) and set(map(round, pauses[5:])) == {3}
 
 
 OUTAGES = {
     "accepted": [],
-    "never up": NEVER_UP,
+    "never up": NEVER_CONNECTED,
     "refused": REFUSED,
-    "no words": WORDLESS,
+    "no words": RESET,
     "half a head": [(0.1, HEAD[:20])],
     "turned away": [(0.2, b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")],
     "head alone": [(0.1, HEAD)],
     "answered late": [(2.9, b"HTTP/1.1 503 Down\r\n")],
 }
-BACK = HEAD + told(9, server("s1"))
+RECOVERY_LIST = HEAD + list_chunk(9, server("s1"))
 
 
 @pytest.mark.parametrize("outage", OUTAGES.values(), ids=OUTAGES)
@@ -217,205 +225,228 @@
     [{}, {"discovery": "on_request"}, {"rules": SETTINGS["rules"] | {"askEveryUs": 60_000_000}}],
     ids=["pushed", "asked for", "asked for seldom"],
 )
-def test_change_is_had_6_s_after_discovery_is_back_whatever_failed_before(world, outage, settings):
-    for place in range(30):
-        back = LAST + 3.0 + 1.3 * place
+def test_change_arrives_within_6_s_of_recovery_after_any_kind_of_outage(make_agent, outage, settings):
+    for step in range(30):
+        recovery_at = SILENT_SINCE + 3.0 + 1.3 * step
         for chance in (0.0, 0.5, 0.999999):
-            # A call that began before it was back goes on as it did then; the next has its answer late.
-            played = world(
-                STOOD,
+            # A call made before the recovery still fails as before; the next one is answered late.
+            agent = make_agent(
+                SILENT_WATCH,
                 chance=chance,
                 **settings,
-                service=lambda now, back=back: outage if now < back else [(0.9, BACK)],
+                service=lambda now, recovery_at=recovery_at: outage
+                if now < recovery_at
+                else [(0.9, RECOVERY_LIST)],
             )
-            played.play(back + TOLD)
-            assert any(at <= back + TOLD and version == 9 for at, version in played.heard), (back, chance)
+            agent.play(recovery_at + KNOWN_AFTER_S)
+            assert any(
+                at <= recovery_at + KNOWN_AFTER_S and version == 9 for at, version in agent.received_lists
+            ), (recovery_at, chance)
 
 
-def test_hundreds_come_apart_and_in_time_when_discovery_is_back_and_call_seldom_before(world):
-    for outage, most in ((REFUSED, 16), ([], 11)):
+def test_200_agents_spread_their_calls_after_recovery_and_call_seldom_before_it(make_agent):
+    for outage, max_calls in ((REFUSED, 16), ([], 11)):
         calls = []
         for seed in range(200):
-            played = world(
-                STOOD,
+            agent = make_agent(
+                SILENT_WATCH,
                 seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
-                service=lambda now, outage=outage: outage if now < 150 else [(0.9, BACK)],
+                service=lambda now, outage=outage: outage if now < 150 else [(0.9, RECOVERY_LIST)],
             )
-            played.play(150 + TOLD)
-            assert any(at <= 150 + TOLD and version == 9 for at, version in played.heard)
-            calls.append([at for at, _ in played.calls])
+            agent.play(150 + KNOWN_AFTER_S)
+            assert any(at <= 150 + KNOWN_AFTER_S and version == 9 for at, version in agent.received_lists)
+            calls.append([at for at, _ in agent.calls])
         firsts = [next(at for at in each if at >= 150) for each in calls]
         assert max(sum(at <= each < at + 0.05 for each in firsts) for at in firsts) < 20
-        assert sum(at < 150 for each in calls for at in each[1:]) <= 200 * most
+        assert sum(at < 150 for each in calls for at in each[1:]) <= 200 * max_calls
 
 
 @pytest.mark.parametrize("end", [[(0.0, b"")], [(0.0, b"0\r\n\r\n")]], ids=["closed", "ended"])
-def test_watch_that_ends_after_its_first_list_again_and_again_is_asked_for_ever_more_seldom(world, end):
-    played = world(service=lambda now: [(0.0, LIST), *end])
-    played.play(140.0)
-    begun = [at for at, _ in played.calls]
-    pauses = [two - one for one, two in zip(begun, begun[1:], strict=False)]
-    assert len(begun) < 18 and 0.2 < min(pauses) and 1.5 < min(pauses[4:]) and max(pauses) <= 5.0
+def test_pauses_grow_if_the_watch_repeatedly_ends_after_its_first_list(make_agent, end):
+    agent = make_agent(service=lambda now: [(0.0, FIRST_LIST), *end])
+    agent.play(140.0)
+    call_times = [at for at, _ in agent.calls]
+    pauses = [two - one for one, two in zip(call_times, call_times[1:], strict=False)]
+    assert len(call_times) < 18 and 0.2 < min(pauses) and 1.5 < min(pauses[4:]) and max(pauses) <= 5.0
 
 
-def test_refused_calls_do_not_put_off_the_call_after_a_watch_that_ended_early(world):
-    """Refusals for 4 s, a watch that stands for 1.6 s and ends in place of telling: the next call is soon."""
+def test_refused_calls_do_not_delay_the_call_after_a_watch_that_ended_early(make_agent):
+    """After refusals for 4 s, a watch of 1.6 s ends instead of sending a change: the next call is soon."""
 
     def service(now):
-        return OUTAGES["turned away"] if now < 108 else [(0.0, LIST), (1.6, b"")]
+        return OUTAGES["turned away"] if now < 108 else [(0.0, FIRST_LIST), (1.6, b"")]
 
-    played = world(chance=0.999999, service=service)
-    played.play(120.0)
-    ended = played.heard[0][0] + 1.6
-    assert played.failed.count(ended) == 1
-    assert min(at for at, _ in played.calls if at > ended) <= ended + 0.75
+    agent = make_agent(chance=0.999999, service=service)
+    agent.play(120.0)
+    ended = agent.received_lists[0][0] + 1.6
+    assert agent.failed.count(ended) == 1
+    assert min(at for at, _ in agent.calls if at > ended) <= ended + 0.75
 
 
-@pytest.mark.parametrize("ahead", [b"", told(5, server("s2"))], ids=["its first list", "a change"])
+@pytest.mark.parametrize("ahead", [b"", list_chunk(5, server("s2"))], ids=["its first list", "a change"])
 @pytest.mark.parametrize("rest", [b"", chunk(b'{"rev": 9')], ids=["whole", "half a line behind"])
-def test_list_that_comes_together_with_the_end_of_its_watch_counts(world, ahead, rest):
+def test_list_that_arrives_with_the_end_of_its_watch_is_applied(make_agent, ahead, rest):
     first, last = (HEAD + ahead, 6) if ahead else (HEAD, 4)
-    line = told(last, server("s1", state="leaving"), whole=True)
-    played = world([(0.0, first), (0.5, line + rest + b"0\r\n\r\n")], [])
-    played.discovery.current_watch.join()
-    assert [version for _, version in played.heard][-1:] == [last] and len(played.failed) == 1
+    line = list_chunk(last, server("s1", state="leaving"), is_complete=True)
+    agent = make_agent([(0.0, first), (0.5, line + rest + b"0\r\n\r\n")], [])
+    agent.discovery.current_watch.join()
+    assert [version for _, version in agent.received_lists][-1:] == [last] and len(agent.failed) == 1
 
 
-def test_list_of_an_answer_with_a_length_counts(world):
+def test_list_in_a_response_with_content_length_is_applied(make_agent):
     text = json.dumps({"rev": 6, "all": True, "targets": [server("s1")]}).encode() + b"\n"
-    played = world([(0.0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)], [])
-    played.discovery.current_watch.join()
-    assert [version for _, version in played.heard] == [6] and len(played.failed) == 1
+    agent = make_agent([(0.0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text)], [])
+    agent.discovery.current_watch.join()
+    assert [version for _, version in agent.received_lists] == [6] and len(agent.failed) == 1
 
 
 @pytest.mark.parametrize("status", [b"204 None", b"302 There", b"500 Odd", b"503 Full"])
-def test_watch_refused_on_a_connection_that_stays_open_has_failed_at_once(world, status):
-    played = world([(0.1, b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % status), (0.2, BEAT)])
-    played.discovery.current_watch.join()
-    assert played.failed == [pytest.approx(100.1)] and not played.heard
+def test_watch_with_an_error_status_fails_at_once_on_an_open_connection(make_agent, status):
+    agent = make_agent(
+        [(0.1, b"HTTP/1.1 %b\r\nTransfer-Encoding: chunked\r\n\r\n" % status), (0.2, EMPTY_LINE)]
+    )
+    agent.discovery.current_watch.join()
+    assert agent.failed == [pytest.approx(100.1)] and not agent.received_lists
 
 
-def test_agent_that_knows_no_server_asks_again_soon(world):
-    played = world(chance=0.999999, known=(), service=lambda now: REFUSED if now < 108 else [(0.1, BACK)])
-    played.play(112.0)
-    begun = [at for at, _ in played.calls]
-    assert played.reducer.is_ready and max(map(float.__sub__, begun[1:], begun)) < 1.51 and len(begun) < 12
+def test_agent_without_servers_calls_again_soon(make_agent):
+    agent = make_agent(
+        chance=0.999999, known=(), service=lambda now: REFUSED if now < 108 else [(0.1, RECOVERY_LIST)]
+    )
+    agent.play(112.0)
+    call_times = [at for at, _ in agent.calls]
+    assert (
+        agent.reducer.is_ready
+        and max(map(float.__sub__, call_times[1:], call_times)) < 1.51
+        and len(call_times) < 12
+    )
 
 
 @pytest.mark.parametrize(
-    "first, until, answer",
+    "outage, outage_s, answer_delay",
     [(REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["turned away"], 7.5, 0.9), ([], 0.0, 2.9)],
     ids=["down", "deaf", "full", "slow"],
 )
-def test_nine_in_ten_agents_that_know_no_server_are_ready_within_10_s(world, first, until, answer):
-    late = 0
+def test_nine_in_ten_agents_without_servers_are_ready_within_10_s(make_agent, outage, outage_s, answer_delay):
+    late_count = 0
     for seed in range(200):
-        played = world(
+        agent = make_agent(
             seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
             known=(),
-            service=lambda now: first if now < 100 + until else [(answer, BACK)],
+            service=lambda now: outage if now < 100 + outage_s else [(answer_delay, RECOVERY_LIST)],
         )
-        played.play(111.0)
-        late += not any(at <= 110.0 for at, _ in played.heard)
-    assert late <= 20
+        agent.play(111.0)
+        late_count += not any(at <= 110.0 for at, _ in agent.received_lists)
+    assert late_count <= 20
 
 
 @pytest.mark.parametrize(
-    "script, fails",
+    "script, expected_failure",
     [
         ([], discovery.CALL_TIMEOUT_S),
         ([(n / 2, HEAD[n : n + 1]) for n in range(60)], discovery.CALL_TIMEOUT_S),
-        ([(0.5, HEAD), (0.6, told(5)[:20])], 0.5 + discovery.SILENCE_TIMEOUT_S),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
-        ([(0.0, LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
-        ([(0.0, LIST), (2.0, BEAT), (3.0, told(5)[:20])], 2.0 + discovery.SILENCE_TIMEOUT_S),
+        ([(0.5, HEAD), (0.6, list_chunk(5)[:20])], 0.5 + discovery.SILENCE_TIMEOUT_S),
+        ([(0.0, FIRST_LIST)] + [(n / 2, chunk(b"x")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
+        ([(0.0, FIRST_LIST)] + [(n / 2, chunk(b"[\n")) for n in range(2, 60)], discovery.SILENCE_TIMEOUT_S),
+        (
+            [(0.0, FIRST_LIST), (2.0, EMPTY_LINE), (3.0, list_chunk(5)[:20])],
+            2.0 + discovery.SILENCE_TIMEOUT_S,
+        ),
     ],
     ids=["no answer", "head by bytes", "half a line", "line by bytes", "list by lines", "half a change"],
 )
-def test_watch_without_whole_lines_is_broken_however_much_it_trickles(world, script, fails):
-    played = world(script, [(0.0, HEAD + BEAT)])
-    played.play(100.0 + fails + 2.0)
-    assert played.failed[0] - 100 == pytest.approx(fails) and len(played.calls) > 1
+def test_watch_without_complete_lines_fails_though_bytes_keep_arriving(make_agent, script, expected_failure):
+    agent = make_agent(script, [(0.0, HEAD + EMPTY_LINE)])
+    agent.play(100.0 + expected_failure + 2.0)
+    assert agent.failed[0] - 100 == pytest.approx(expected_failure) and len(agent.calls) > 1
 
 
-def late(by):
-    """The whole agent stands still while its lines come."""
+def stall(duration):
+    """Returns a script piece that stalls the agent while its lines arrive."""
 
-    def stall(world):
-        world.now += by
+    def advance_clock(agent):
+        agent.now += duration
         raise TimeoutError
 
-    return stall
+    return advance_clock
 
 
 @pytest.mark.parametrize(
     "script",
     [
-        [(0.0, LIST)] + [(2.9 * n, BEAT) for n in range(1, 21)],
-        [(0.0, LIST), (1.0, late(20.0)), (2.0, BEAT), (22.0, BEAT)]
-        + [(2.0 * n, BEAT) for n in range(12, 31)],
-        [(0.0, LIST), (1.0, late(0.0)), (1.5, late(0.0))] + [(2.0 * n, BEAT) for n in range(1, 31)],
+        [(0.0, FIRST_LIST)] + [(2.9 * n, EMPTY_LINE) for n in range(1, 21)],
+        [(0.0, FIRST_LIST), (1.0, stall(20.0)), (2.0, EMPTY_LINE), (22.0, EMPTY_LINE)]
+        + [(2.0 * n, EMPTY_LINE) for n in range(12, 31)],
+        [(0.0, FIRST_LIST), (1.0, stall(0.0)), (1.5, stall(0.0))]
+        + [(2.0 * n, EMPTY_LINE) for n in range(1, 31)],
     ],
     ids=["lines late", "agent late", "timers early"],
 )
-def test_watch_that_is_only_late_is_not_opened_anew(world, script):
-    played = world(script)
-    played.play(155.0)
-    assert len(played.calls) == 1
+def test_late_watch_is_not_opened_again(make_agent, script):
+    agent = make_agent(script)
+    agent.play(155.0)
+    assert len(agent.calls) == 1
 
 
-def test_hundreds_whose_watches_fall_silent_at_once_call_apart_and_seldom(world):
-    firsts, all_ = [], 0
+def test_200_agents_with_silent_watches_spread_their_calls_and_call_seldom(make_agent):
+    firsts, call_count = [], 0
     for seed in range(200):
-        played = world(STOOD, *[[]] * 20, seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}")
-        played.play(LAST + 20.0)
-        firsts.append(played.calls[1][0])
-        all_ += sum(at < LAST + 20.0 for at, _ in played.calls[1:])
-    # Spread over half a second, where in a fleet the beats of its watches are spread over two more.
+        agent = make_agent(SILENT_WATCH, *[[]] * 20, seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}")
+        agent.play(SILENT_SINCE + 20.0)
+        firsts.append(agent.calls[1][0])
+        call_count += sum(at < SILENT_SINCE + 20.0 for at, _ in agent.calls[1:])
+    # The calls spread over half a second; in a real fleet the lines of the watches spread over 2 s more.
     assert max(sum(at <= each < at + 0.05 for each in firsts) for at in firsts) < 40
-    assert all_ <= 200 * 5  # five each: from one call to the next it must not be over 5 s
-
-
-def test_list_that_the_agent_has_counts_from_its_first_moment_and_right_after_an_outage(world):
-    changed = HEAD + told(5, server("s0", state="leaving"), server("s2"))
-    played = world([], [(0.0, changed)], known=(server("s0"), server("s1", state="leaving")))
-    played.take(1)
-    played.play(100.1)  # the first call is not answered, the second one is
-    played.take(2)
-    played.play(104.0)
-    played.take(3)
-    assert played.attempts == [0, 0, 2]
-
-
-def test_service_moved_to_is_asked_at_once_and_again_in_time_for_all_it_has(world):
-    played = world([(0.0, LIST)], [], [(0.0, HEAD + told(2, server("s2"), whole=True))], chance=0.999999)
-    played.discovery.current_watch.join()  # the old one fell silent, and a pause is on
-    moved = played.now
-    played.discovery.move(("127.0.0.1", 2))
-    played.dispatch("on_discovery_moved")
-    played.play(moved + 4.0)  # what changed counts by then
-    assert [path[-7:] for _, path in played.calls[1:3]] == ["after=0"] * 2 and played.calls[1][0] == moved
-    assert played.calls[2][0] < moved + 3.8 and played.reducer.list_version == 2
-
-
-def test_lists_may_come_indented(world):
-    text = HEAD + told(8, server("s1", state="leaving"), server("s2{"), whole=True, indent=2)
-    played = world([(0.0, text[:90]), (0.1, text[90:]), (2.0, BEAT + told(9, server("s2{", cell=1)))])
-    played.play(100.2)
-    assert len(played.calls) == 1 and played.reducer.list_version == 9
+    assert call_count <= 200 * 5  # five each: the pause between two calls must not exceed 5 s
+
+
+def test_known_list_is_used_at_start_and_right_after_an_outage(make_agent):
+    changed = HEAD + list_chunk(5, server("s0", state="leaving"), server("s2"))
+    agent = make_agent([], [(0.0, changed)], known=(server("s0"), server("s1", state="leaving")))
+    agent.take(1)
+    agent.play(100.1)  # the first call is not answered, the second is
+    agent.take(2)
+    agent.play(104.0)
+    agent.take(3)
+    assert agent.attempts == [0, 0, 2]
+
+
+def test_new_service_is_called_at_once_and_again_in_time_for_its_complete_list(make_agent):
+    agent = make_agent(
+        [(0.0, FIRST_LIST)],
+        [],
+        [(0.0, HEAD + list_chunk(2, server("s2"), is_complete=True))],
+        chance=0.999999,
+    )
+    agent.discovery.current_watch.join()  # the old watch fell silent, and a pause is running
+    moved_at = agent.now
+    agent.discovery.move(("127.0.0.1", 2))
+    agent.dispatch("on_discovery_moved")
+    agent.play(moved_at + 4.0)  # by then a change counts as known
+    assert [path[-7:] for _, path in agent.calls[1:3]] == ["after=0"] * 2 and agent.calls[1][0] == moved_at
+    assert agent.calls[2][0] < moved_at + 3.8 and agent.reducer.list_version == 2
+
+
+def test_indented_lists_are_applied(make_agent):
+    text = HEAD + list_chunk(8, server("s1", state="leaving"), server("s2{"), is_complete=True, indent=2)
+    agent = make_agent(
+        [(0.0, text[:90]), (0.1, text[90:]), (2.0, EMPTY_LINE + list_chunk(9, server("s2{", cell=1)))]
+    )
+    agent.play(100.2)
+    assert len(agent.calls) == 1 and agent.reducer.list_version == 9
 
 
 @pytest.mark.parametrize(
-    "script", [[], NEVER_UP, [(n / 2, b"HTTP/1.1 200 OK"[n : n + 1]) for n in range(15)]]
+    "script", [[], NEVER_CONNECTED, [(n / 2, b"HTTP/1.1 200 OK"[n : n + 1]) for n in range(15)]]
 )
-def test_whole_list_is_had_in_time_or_not_at_all(world, script):
-    played = world(script)
-    played.discovery.current_watch.kill()  # before its call: the script is the list's
-    gevent.spawn(played.discovery.run_fetch).join()
-    assert played.failed and played.failed[0] - 100 == pytest.approx(discovery.CALL_TIMEOUT_S)
+def test_fetch_of_a_complete_list_fails_after_the_call_timeout(make_agent, script):
+    agent = make_agent(script)
+    agent.discovery.current_watch.kill()  # before it calls: the script is for the fetch
+    gevent.spawn(agent.discovery.run_fetch).join()
+    assert agent.failed and agent.failed[0] - 100 == pytest.approx(discovery.CALL_TIMEOUT_S)
 
 
-def test_a_list_is_one_of_known_form():
+def test_decode_list_accepts_only_valid_entries():
     assert discovery.decode_list(b'{"rev": 2, "targets": []}') == ServerList(2)
     with pytest.raises(discovery.ConfigurationError):
         discovery.decode_list(json.dumps({"targets": [server("s", endpoint="x")]}).encode())
@@ -423,19 +454,19 @@
     assert line == ServerEntry("s", "127.0.0.1:1", "a")
 
 
-# Two watches during a move, on sockets: stand-in services that say each thing when the test lets them.
+# Two watches during a move, on sockets, with toy services that send what the test tells them to.
 
 
 @pytest.fixture
-def moved(tmp_path):
-    """A deployment whose watch stands; `move` gives it another service, which says nothing by itself."""
-    made, deployment = [], Deployment(tmp_path)
-    old, agent = deployment.service, deployment.agent
+def relocation(tmp_path):
+    """A deployment with an established watch; `move` gives it another service, silent until told to send."""
+    created, deployment = [], Deployment(tmp_path)
+    old_service, agent = deployment.service, deployment.agent
 
     def move(down=False):
         service = DiscoveryService()
-        service.lines, service.mute = dict(old.lines), True
-        made.append(service)
+        service.lines, service.mute = dict(old_service.lines), True
+        created.append(service)
         if down:
             service.stop()
         agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
@@ -445,76 +476,85 @@
         return service
 
     with gevent.Timeout(20):
-        until(lambda: agent.reducer.balancer.watch.watching and old.watches)
-        yield SimpleNamespace(move=move, old=old, reducer=agent.reducer, discovery=agent.discovery)
+        until(lambda: agent.reducer.balancer.watch.watching and old_service.watches)
+        yield SimpleNamespace(
+            move=move, old_service=old_service, reducer=agent.reducer, discovery=agent.discovery
+        )
     deployment.stop()
-    for each in made:
+    for each in created:
         each.stop()
 
 
-def test_change_from_the_service_that_was_left_does_not_stand_for_the_new_one(moved):
-    there = moved.move(down=True)
-    until(lambda: not moved.discovery.current_watch)  # refused, and a pause is on
-    moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.server_indices)
-    assert not moved.reducer.balancer.watch.watching
-    back = DiscoveryService(int(there.address.split(":")[1]))
-    until(lambda: back.calls and moved.reducer.balancer.watch.watching and not moved.old.open)
-    back.stop()
+def test_change_from_the_old_service_does_not_establish_the_new_watch(relocation):
+    new_service = relocation.move(down=True)
+    until(lambda: not relocation.discovery.current_watch)  # refused, and a pause is running
+    relocation.old_service.tell(server("s7", state="active"))
+    until(lambda: b"s7" in relocation.reducer.server_indices)
+    assert not relocation.reducer.balancer.watch.watching
+    recovery_at = DiscoveryService(int(new_service.address.split(":")[1]))
+    until(
+        lambda: recovery_at.calls
+        and relocation.reducer.balancer.watch.watching
+        and not relocation.old_service.open
+    )
+    recovery_at.stop()
 
 
 @pytest.mark.parametrize("first", ["old", "new"])
-def test_no_change_of_the_service_that_was_left_comes_on_top_of_the_new_ones_list(moved, first):
-    there = moved.move()
-    whole = there.server_list(list(there.lines.values()), True) + b"\n"
-    both = [
-        lambda: moved.old.tell(server("s7", state="active")),
-        lambda: there.write(there.watches[0], whole),
+def test_change_from_the_old_service_is_not_applied_to_the_new_list(relocation, first):
+    new_service = relocation.move()
+    full_list = new_service.server_list(list(new_service.lines.values()), True) + b"\n"
+    sends = [
+        lambda: relocation.old_service.tell(server("s7", state="active")),
+        lambda: new_service.write(new_service.watches[0], full_list),
     ]
-    for say in both if first == "old" else both[::-1]:  # both lie there before the agent reads either
-        say()
-    until(lambda: not moved.old.open)
-    assert b"s7" not in moved.reducer.server_indices and moved.reducer.list_version == 1
+    for send in sends if first == "old" else sends[::-1]:  # both are sent before the agent reads either
+        send()
+    until(lambda: not relocation.old_service.open)
+    assert b"s7" not in relocation.reducer.server_indices and relocation.reducer.list_version == 1
 
 
-def test_of_two_moves_in_a_row_the_watch_that_has_a_list_goes_on(moved):
-    second, third = moved.move(), moved.move()
+def test_watch_that_has_a_list_continues_through_two_moves(relocation):
+    second, third = relocation.move(), relocation.move()
     until(lambda: not second.open)
-    moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.server_indices)
+    relocation.old_service.tell(server("s7", state="active"))
+    until(lambda: b"s7" in relocation.reducer.server_indices)
     third.tell()
-    until(lambda: not moved.old.open)
+    until(lambda: not relocation.old_service.open)
 
 
-def test_empty_line_of_the_new_service_does_not_end_the_watch_before_it(moved):
-    there = moved.move()
-    there.write(there.watches[0], b"\n")
-    until(lambda: moved.reducer.balancer.watch.watching)
-    moved.old.tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.server_indices)
-    there.tell()
-    until(lambda: not moved.old.open)
+def test_empty_line_of_the_new_service_does_not_end_the_old_watch(relocation):
+    new_service = relocation.move()
+    new_service.write(new_service.watches[0], b"\n")
+    until(lambda: relocation.reducer.balancer.watch.watching)
+    relocation.old_service.tell(server("s7", state="active"))
+    until(lambda: b"s7" in relocation.reducer.server_indices)
+    new_service.tell()
+    until(lambda: not relocation.old_service.open)
 
 
 @pytest.mark.parametrize("newer", ["a change", "a move"])
-def test_list_that_was_asked_for_before_does_not_take_back_what_is_newer(moved, newer):
-    held = []
-    moved.old.play = lambda connection, message: held.append(connection)
-    moved.discovery.fetch_servers()
-    until(lambda: held)
+def test_fetched_list_does_not_revert_a_newer_change(relocation, newer):
+    open_fetches = []
+    relocation.old_service.play = lambda connection, message: open_fetches.append(connection)
+    relocation.discovery.fetch_servers()
+    until(lambda: open_fetches)
     if newer == "a change":
-        moved.old.tell(server("s7", state="active"))
+        relocation.old_service.tell(server("s7", state="active"))
     else:
-        moved.move().tell(server("s7", state="active"))
-    until(lambda: b"s7" in moved.reducer.server_indices)
+        relocation.move().tell(server("s7", state="active"))
+    until(lambda: b"s7" in relocation.reducer.server_indices)
     text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
-    held[0].push(answer(200, text))
-    until(lambda: held[0] not in moved.old.open)
-    assert b"s7" in moved.reducer.server_indices and moved.reducer.list_version == 2
+    open_fetches[0].push(answer(200, text))
+    until(lambda: open_fetches[0] not in relocation.old_service.open)
+    assert b"s7" in relocation.reducer.server_indices and relocation.reducer.list_version == 2
 
 
-def test_list_that_is_not_had_is_no_failure_of_the_watch_that_stands(moved):
-    moved.old.down = True
-    moved.discovery.fetch_servers()
-    until(lambda: "/registry/instances" in moved.old.calls and len(moved.old.open) == 1)
-    assert moved.reducer.balancer.watch.watching and moved.discovery.current_watch
+def test_failed_fetch_is_no_failure_of_an_established_watch(relocation):
+    relocation.old_service.down = True
+    relocation.discovery.fetch_servers()
+    until(
+        lambda: "/registry/instances" in relocation.old_service.calls
+        and len(relocation.old_service.open) == 1
+    )
+    assert relocation.reducer.balancer.watch.watching and relocation.discovery.current_watch
