--- a/tests/fleet/test_disabled.py
+++ b/tests/fleet/test_disabled.py
@@ -1,4 +1,4 @@
-"""Without an operator file, an agent imports and opens nothing of the fleet."""
+"""Without a fleet file, an agent imports no fleet module and opens no fleet socket."""
 
 import json
 import os
@@ -18,7 +18,7 @@
     cartdeal.agent.log_output cartdeal.agent.invariants cartdeal.agent.metrics
     cartdeal.agent.stalls cartdeal.sockets cartdeal.supervision""".split()
 
-# Prints what is imported once the agent serves.
+# Prints the imported modules once the agent serves.
 PRINT_MODULES = (
     "import gevent, sys; from cartdeal.agent import start; "
     "gevent.spawn_later(0.2, lambda: print('modules', *sorted(sys.modules), flush=True)); start.main()"
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def operator_file(tmp_path):
+def fleet_file(tmp_path):
     file = tmp_path / "fleet.toml"
     file.write_text(
         f'fleet = "f"\nkey = "{KEY}"\nname = "a1"\nlisten = "127.0.0.1:0"\n[seeds]\nb = "127.0.0.1:9"\n'
@@ -50,7 +50,7 @@
 
 
 def open_descriptors(agent):
-    """Kinds of descriptors that the agent holds, and its sockets by protocol."""
+    """Return the kinds of the agent's open descriptors; for sockets, the protocol."""
     process_folder = f"/proc/{agent.pid}"
     kinds = []
     inodes = {}
@@ -80,28 +80,29 @@
     terminate(agent)
 
 
-def test_with_a_file_the_fleet_is_imported(tmp_path, operator_file):
-    agent = run(tmp_path, "-c", PRINT_MODULES, PROXY_FLEET=str(operator_file))
+def test_with_a_file_the_fleet_is_imported(tmp_path, fleet_file):
+    agent = run(tmp_path, "-c", PRINT_MODULES, PROXY_FLEET=str(fleet_file))
     assert {"cartdeal.fleet.node", "cartdeal.fleet.transport", "cartdeal.agent.admission"} <= set(
         imported_modules(agent)
     )
     terminate(agent)
 
 
-def test_only_a_fleet_opens_datagram_sockets_and_a_second_listener(tmp_path, operator_file):
-    # The discovery service is not there: what is tried towards it comes and goes and is left out.
-    off = run(tmp_path, "-m", "cartdeal", PROXY_FLEET="")
-    on = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file))
-    for agent in (off, on):
+def test_only_a_fleet_opens_datagram_sockets_and_a_second_listener(tmp_path, fleet_file):
+    # There is no discovery service: sockets of attempts to connect to it come and go, and are left out.
+    agent_without_fleet = run(tmp_path, "-m", "cartdeal", PROXY_FLEET="")
+    agent_with_fleet = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file))
+    for agent in (agent_without_fleet, agent_with_fleet):
         line_with(agent, b"msg=serving")
     without_fleet, with_fleet = (
-        [kind for kind in open_descriptors(agent) if kind != "connecting"] for agent in (off, on)
+        [kind for kind in open_descriptors(agent) if kind != "connecting"]
+        for agent in (agent_without_fleet, agent_with_fleet)
     )
     assert without_fleet.count("tcp") == 1
     assert "udp" not in without_fleet
     assert with_fleet.count("udp") == 1
     assert with_fleet.count("tcp") >= 2
-    for agent in (off, on):
+    for agent in (agent_without_fleet, agent_with_fleet):
         terminate(agent)
 
 
@@ -113,33 +114,33 @@
         (None, b"PROXY_FLEET: found"),
     ],
 )
-def test_invalid_file_ends_the_start_with_status_2_and_one_line(tmp_path, operator_file, text, message):
-    operator_file.unlink() if text is None else operator_file.write_text(text)
-    agent = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file))
+def test_invalid_file_ends_the_start_with_status_2_and_one_line(tmp_path, fleet_file, text, message):
+    fleet_file.unlink() if text is None else fleet_file.write_text(text)
+    agent = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file))
     errors = agent.stderr.read()
     assert agent.wait() == 2
     assert message in errors
     assert errors.count(b"\n") == 1
     checked = run(
-        tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(operator_file)
+        tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(fleet_file)
     )
     assert checked.wait() == 2
     assert message in checked.stderr.read()
 
 
-def test_check_names_the_fleet(tmp_path, operator_file):
+def test_check_names_the_fleet(tmp_path, fleet_file):
     checked = run(
-        tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(operator_file)
+        tmp_path, "-m", "cartdeal", "check", str(tmp_path / "config.json"), PROXY_FLEET=str(fleet_file)
     )
     assert checked.wait() == 0
     assert checked.stdout.read().endswith(b", fleet f\n")
 
 
-def test_port_in_use_ends_the_start_with_status_1(tmp_path, operator_file):
-    first = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file))
+def test_port_in_use_ends_the_start_with_status_1(tmp_path, fleet_file):
+    first = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file))
     port = line_with(first, b'"in a fleet"').split(b"port=")[1].split()[0].decode()
     second = run(
-        tmp_path, "-m", "cartdeal", PROXY_FLEET=str(operator_file), PROXY_FLEET_LISTEN=f"127.0.0.1:{port}"
+        tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file), PROXY_FLEET_LISTEN=f"127.0.0.1:{port}"
     )
     assert second.wait() == 1
     assert b"can't listen on" in second.stderr.read()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The checks at run time find what they are for: each fault is planted, and has to be counted."""
+"""Each runtime check must detect and count the fault that it is for."""
 
 import gevent
 import pytest
@@ -9,7 +9,7 @@
 from cartdeal.terms import Group, Repeat, RequestClass
 from tests.scene import Deployment, answered, until, worded
 
-HERE, ZONE_MATE, AWAY = Destination(0, 0, True), Destination(0, 1, True), Destination(1, 2, True)
+SAME_CELL, SAME_ZONE, OTHER_ZONE = Destination(0, 0, True), Destination(0, 1, True), Destination(1, 2, True)
 ONCE = RequestClass(Repeat.NON_IDEMPOTENT, Group.CELL, 0.0, 1.0, 1.0)
 READ = ONCE._replace(repeat=Repeat.IDEMPOTENT)
 
@@ -18,43 +18,45 @@
     return ONCE._replace(repeat=Repeat.DEDUPLICATED, group=group, window=2.0)
 
 
-class Checked:
-    """A monitor with one request, 1, that is due at 105."""
+class MonitoredRequest:
+    """A monitor with one open request, number 1, whose deadline is 105."""
 
     def __init__(self, request_class):
-        self.found = []
-        self.monitor = InvariantMonitor(lambda invariant, id, detail: self.found.append(invariant))
+        self.violations = []
+        self.monitor = InvariantMonitor(lambda invariant, id, detail: self.violations.append(invariant))
         self.monitor.on_request(1, b"id", request_class, 105.0)
 
-    def send(self, attempt, place=HERE, now=100.0, told=1.0):
-        self.monitor.on_attempt_started(1, attempt, place, told, now)
+    def send(self, attempt, destination=SAME_CELL, now=100.0, timeout_sent=1.0):
+        self.monitor.on_attempt_started(1, attempt, destination, timeout_sent, now)
 
 
 @pytest.mark.parametrize(
-    "request_class, place, now, breaks",
+    "request_class, destination, now, is_violation",
     [
-        (READ, AWAY, 104.0, False),
-        (ONCE, HERE, 100.1, True),
-        (deduplicated(Group.ALL), AWAY, 101.9, False),
-        (deduplicated(Group.ALL), HERE, 102.1, True),
-        (deduplicated(Group.ZONE), ZONE_MATE, 101.0, False),
-        (deduplicated(Group.ZONE), AWAY, 101.0, True),
-        (deduplicated(Group.CELL), HERE, 101.0, False),
-        (deduplicated(Group.CELL), ZONE_MATE, 101.0, True),
+        (READ, OTHER_ZONE, 104.0, False),
+        (ONCE, SAME_CELL, 100.1, True),
+        (deduplicated(Group.ALL), OTHER_ZONE, 101.9, False),
+        (deduplicated(Group.ALL), SAME_CELL, 102.1, True),
+        (deduplicated(Group.ZONE), SAME_ZONE, 101.0, False),
+        (deduplicated(Group.ZONE), OTHER_ZONE, 101.0, True),
+        (deduplicated(Group.CELL), SAME_CELL, 101.0, False),
+        (deduplicated(Group.CELL), SAME_ZONE, 101.0, True),
     ],
 )
 @pytest.mark.parametrize("never_ran", [None, False, True])
-def test_second_attempt_where_the_first_may_have_run(request_class, place, now, breaks, never_ran):
-    checked = Checked(request_class)
-    checked.send(0)
+def test_second_attempt_after_one_that_may_have_run_is_reported(
+    request_class, destination, now, is_violation, never_ran
+):
+    monitored = MonitoredRequest(request_class)
+    monitored.send(0)
     if never_ran is not None:
-        checked.monitor.on_attempt_ended(1, 0, never_ran)
-    checked.send(1, place, now)
-    assert checked.found == [Invariant.NO_SECOND_EFFECT] * (breaks and not never_ran)
+        monitored.monitor.on_attempt_ended(1, 0, never_ran)
+    monitored.send(1, destination, now)
+    assert monitored.violations == [Invariant.NO_SECOND_EFFECT] * (is_violation and not never_ran)
 
 
 @pytest.mark.parametrize(
-    "request_class, now, breaks",
+    "request_class, now, is_violation",
     [
         (READ, 104.0, False),
         (ONCE, 101.0, True),
@@ -64,25 +66,25 @@
     ],
 )
 @pytest.mark.parametrize("status", [429, 503, 502])
-def test_rejection_where_an_attempt_may_have_run(request_class, now, breaks, status):
-    checked = Checked(request_class)
-    checked.send(0)
-    checked.monitor.on_answer(1, status, now)
-    assert checked.found == [Invariant.NO_UNSAFE_REJECTION] * (breaks and status != 502)
-
-
-def test_answers_sends_and_times_that_are_wrong():
-    checked = Checked(READ)
-    checked.send(0, told=5.1)
-    checked.send(1, told=5.2)
-    checked.send(2, Destination(0, 0, False))
-    checked.send(3, None)
-    checked.monitor.on_answer(1, 200, 105.06)
-    checked.monitor.on_answer(1, 200, 105.06)
-    checked.send(4)
-    checked.monitor.forget(1)
-    checked.send(5)
-    assert checked.found == [
+def test_rejection_after_an_attempt_that_may_have_run_is_reported(request_class, now, is_violation, status):
+    monitored = MonitoredRequest(request_class)
+    monitored.send(0)
+    monitored.monitor.on_answer(1, status, now)
+    assert monitored.violations == [Invariant.NO_UNSAFE_REJECTION] * (is_violation and status != 502)
+
+
+def test_invalid_answers_sends_and_timeouts_are_reported():
+    monitored = MonitoredRequest(READ)
+    monitored.send(0, timeout_sent=5.1)
+    monitored.send(1, timeout_sent=5.2)
+    monitored.send(2, Destination(0, 0, False))
+    monitored.send(3, None)
+    monitored.monitor.on_answer(1, 200, 105.06)
+    monitored.monitor.on_answer(1, 200, 105.06)
+    monitored.send(4)
+    monitored.monitor.forget(1)
+    monitored.send(5)
+    assert monitored.violations == [
         Invariant.TIMEOUT_WITHIN_DEADLINE,
         Invariant.NO_SEND_TO_DRAINING,
         Invariant.NO_SEND_TO_DRAINING,
@@ -90,22 +92,24 @@
         Invariant.NO_SEND_WITHOUT_CLIENT,
         Invariant.NO_SEND_WITHOUT_CLIENT,
     ]
-    late = Checked(READ)
+    late = MonitoredRequest(READ)
     late.monitor.on_answer(1, 200, 105.08)
-    gone = Checked(READ)
-    gone.monitor.on_client_disconnected(1)
-    gone.send(0)
-    assert late.found == [Invariant.ANSWER_IN_TIME] and gone.found == [Invariant.NO_SEND_WITHOUT_CLIENT]
+    disconnected = MonitoredRequest(READ)
+    disconnected.monitor.on_client_disconnected(1)
+    disconnected.send(0)
+    assert late.violations == [Invariant.ANSWER_IN_TIME] and disconnected.violations == [
+        Invariant.NO_SEND_WITHOUT_CLIENT
+    ]
 
 
-# In an agent
+# In a running agent
 
 
 @pytest.fixture
 def deployment(tmp_path, bounded):
-    made = Deployment(tmp_path, servers=2)
-    yield made
-    made.stop()
+    created = Deployment(tmp_path, servers=2)
+    yield created
+    created.stop()
 
 
 def violations(deployment):
@@ -113,11 +117,16 @@
     return {name.removeprefix("violations_"): n for name, n in counts.items() if "violations" in name}
 
 
-def test_agent_that_keeps_the_rules_counts_none(deployment):
-    for place, does in enumerate(["", "reset", "error", "full", "half", "silent"] * 3):
+def test_agent_that_keeps_the_rules_counts_no_violation(deployment):
+    for index, server_behaviour in enumerate(["", "reset", "error", "full", "half", "silent"] * 3):
         for request_class, method in (("read", "GET"), ("mark", "POST"), ("once", "POST")):
             client = deployment.connect()
-            deployment.ask(f"/{request_class}/{place}?do={does}", method, connection=client, X_Timeout="60m")
+            deployment.ask(
+                f"/{request_class}/{index}?do={server_behaviour}",
+                method,
+                connection=client,
+                X_Timeout="60m",
+            )
             client.sock.sendall(worded()[:30])
             client.close()
     until(lambda: not deployment.agent.front.clients)
@@ -125,41 +134,41 @@
     assert deployment.agent.metrics.counts["requests"] == 54
 
 
-def test_further_attempt_of_a_non_idempotent_request_is_counted(deployment, monkeypatch):
-    monkeypatch.setattr("cartdeal.balancer.Balancer.within_group", lambda *about: True)
+def test_second_attempt_of_a_non_idempotent_request_is_counted(deployment, monkeypatch):
+    monkeypatch.setattr("cartdeal.balancer.Balancer.within_group", lambda *args: True)
     deployment.ask("/once/x?do=reset", "POST")
     assert violations(deployment)["no_second_effect"] >= 1
 
 
 def test_attempt_to_a_draining_server_is_counted(deployment, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.reducer.Reducer.may_send", lambda *about: True)
+    monkeypatch.setattr("cartdeal.agent.reducer.Reducer.may_send", lambda *args: True)
     connect = upstream.UpstreamPool.connect
 
-    def drained_meanwhile(pool, *about):
+    def connect_after_drain(pool, *args):
         for server in deployment.agent.reducer.balancer.servers.values():
             server.state = None
-        return connect(pool, *about)
+        return connect(pool, *args)
 
-    monkeypatch.setattr(upstream.UpstreamPool, "connect", drained_meanwhile)
+    monkeypatch.setattr(upstream.UpstreamPool, "connect", connect_after_drain)
     deployment.ask()
     assert violations(deployment)["no_send_to_draining"] >= 1
 
 
-def test_close_over_a_request_that_was_read_is_counted(deployment, monkeypatch):
+def test_close_with_a_partly_read_request_is_counted(deployment, monkeypatch):
     client = deployment.connect()
     client.sock.sendall(worded()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
-    (theirs,) = deployment.agent.front.clients
-    theirs.close()
+    (connection,) = deployment.agent.front.clients
+    connection.close()
     assert violations(deployment) == {"answer_before_close": 1}
 
 
-def test_client_that_is_gone_or_answered_is_no_violation(deployment):
+def test_client_that_is_answered_before_the_close_is_no_violation(deployment):
     client = deployment.connect()
     client.sock.sendall(worded()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
-    (theirs,) = deployment.agent.front.clients
-    deployment.agent.front.end(theirs, front.EndReason.ROOM, front.NO_ROOM)
+    (connection,) = deployment.agent.front.clients
+    deployment.agent.front.end(connection, front.EndReason.ROOM, front.NO_ROOM)
     assert answered(client)[0] == 503 and answered(client) is None
     client.close()
     until(lambda: not deployment.agent.front.lingering)
@@ -167,39 +176,43 @@
     assert deployment.agent.metrics.counts["clients_closed_for_room"] == 1
 
 
-def test_client_that_went_while_its_requests_waited_is_no_violation(deployment):
+def test_client_that_disconnects_with_waiting_requests_is_no_violation(deployment):
     client = deployment.connect()
     client.sock.sendall(worded("/read/x?do=wait") + worded() + worded())
     until(deployment.seen)
     agent = deployment.agent
-    (theirs,) = agent.front.clients
-    until(lambda: len(theirs.messages) == 2)
+    (connection,) = agent.front.clients
+    until(lambda: len(connection.messages) == 2)
     client.close()
-    assert not agent.may_send(theirs.request, 0, 0)
+    assert not agent.may_send(connection.request, 0, 0)
     assert not violations(deployment) and agent.metrics.counts["clients_gone"] == 1
 
 
-def test_log_tells_what_became_of_a_request_and_of_circuits(deployment, caplog):
+def test_log_contains_failed_requests_and_opened_circuits(deployment, caplog):
     caplog.set_level("INFO")
     deployment.ask("/read/x?do=error", X_Request_ID="lost")
     for number in range(12):
         deployment.ask(f"/read/{number}?do=reset", X_Request_ID=f"reset-{number}")
-    lines = [(each.message, vars(each)) for each in caplog.records]
-    retried = [fields for message, fields in lines if message == "request retried"]
+    log_records = [(each.message, vars(each)) for each in caplog.records]
+    retried = [fields for message, fields in log_records if message == "request retried"]
     assert retried[0]["request"] == "lost" and retried[0]["after"] == "error"
-    ended = [fields for message, fields in lines if message == "request not served"]
-    assert ended[0]["request"] == "lost" and ended[0]["attempts"] >= 2 and ended[0]["status"] in (502, 503)
-    opened = [fields for message, fields in lines if message == "circuit opened"]
+    not_served = [fields for message, fields in log_records if message == "request not served"]
+    assert (
+        not_served[0]["request"] == "lost"
+        and not_served[0]["attempts"] >= 2
+        and not_served[0]["status"] in (502, 503)
+    )
+    opened = [fields for message, fields in log_records if message == "circuit opened"]
     assert opened and {each["server"] for each in opened} <= {each.address for each in deployment.servers}
 
 
-def test_metrics_are_told_once_where_nothing_changes(deployment, caplog):
+def test_unchanged_metrics_are_logged_once(deployment, caplog):
     caplog.set_level("INFO")
     assert deployment.ask()[0] == 200
     deployment.agent.log_metrics()
     deployment.agent.log_metrics()
-    (told,) = [each for each in caplog.records if each.message == "metrics"]
-    assert told.requests == told.attempts == told.answers_200 == 1
+    (record,) = [each for each in caplog.records if each.message == "metrics"]
+    assert record.requests == record.attempts == record.answers_200 == 1
     metrics = Metrics()
     assert metrics.report() == {}
     metrics.count("b", 2)
--- a/tests/test_watch_renewal.py
+++ b/tests/test_watch_renewal.py
@@ -1,7 +1,8 @@
-"""How long it takes from the end of a watch to the next list, for a fleet that loses its watches at once.
+"""The time from the end of a watch to the next list, in a fleet that loses all watches at once.
 
-Six agents have a discovery service that answers one call in 0.3 s, two hundred one that answers a hundred
-calls a second; both refuse a call that would wait for over a second. docs/crossings.md has the figures.
+Six agents use a discovery service that takes 0.3 s for a call, and two hundred agents one that answers a
+hundred calls a second. Both refuse a call that would wait for over a second. docs/crossings.md has the
+figures.
 """
 
 import logging
@@ -11,45 +12,45 @@
 from tests.discovery_fleet import LAST_CHUNK, WatchingFleet, chunk, list_line
 
 HALF_A_LINE = chunk(list_line(5)[:30])
-ENDS = {
+WATCH_ENDS = {
     "reset": [ConnectionResetError(104, "reset")],
     "closed": [b""],
     "orderly end": [LAST_CHUNK],
     "half a line": [HALF_A_LINE, b""],
 }
 SILENCES = {"silence": [], "half a line and silence": [HALF_A_LINE]}
-FLEETS = {6: 0.3, 200: 0.01}  # agents: seconds for which a call keeps discovery busy
-LONGEST_QUEUE = 1.0
-SHORT_LIVES = (0.1, 1.6)  # seconds that a watch stood: under the time from one line to the next
-LONG_LIFE = 3.0
-SETTLED = 30.0  # seconds in which all watches stand
-TOLD_AFTER_SILENCE = 6.0
-TOLD_AFTER_MOVE = 4.0
-# Discovery is busy with the fleet's calls for 1.8 or 2.0 s; the rest is for the pauses before it is.
-BOUND = 2.3
+FLEETS = {6: 0.3, 200: 0.01}  # seconds that discovery takes for a call, by number of agents
+MAX_QUEUE_S = 1.0
+SHORT_WATCHES_S = (0.1, 1.6)  # durations of a watch that are shorter than the line interval
+LONG_WATCH_S = 3.0
+SETTLE_S = 30.0  # until all watches are established
+KNOWN_AFTER_SILENCE_S = 6.0
+KNOWN_AFTER_MOVE_S = 4.0
+# The calls of the fleet take 1.8 or 2.0 s; the rest is for the pauses before them.
+MAX_RENEWAL_S = 2.3
 
 
 @pytest.fixture
 def fleet(tmp_path, monkeypatch):
     logging.disable(logging.WARNING)
-    made = []
+    created = []
 
-    def make(agents, refusal_delay=LONGEST_QUEUE):
-        service = FLEETS[agents], LONGEST_QUEUE, refusal_delay
-        made.append(WatchingFleet(tmp_path, monkeypatch, agents, *service, discovery="on_request"))
-        made[-1].play(made[-1].clock.now + SETTLED)
-        return made[-1]
+    def create(agents, refusal_delay=MAX_QUEUE_S):
+        service = FLEETS[agents], MAX_QUEUE_S, refusal_delay
+        created.append(WatchingFleet(tmp_path, monkeypatch, agents, *service, discovery="on_request"))
+        created[-1].play(created[-1].clock.now + SETTLE_S)
+        return created[-1]
 
-    yield make
-    for each in made:
+    yield create
+    for each in created:
         each.close()
     logging.disable(logging.NOTSET)
 
 
-def end_watches(fleet, life, end, refused_before=0.0):
-    """Ends all watches `life` seconds after the last one stood, and says how long the next list took.
+def end_watches(fleet, watch_s, end, refused_before=0.0):
+    """End all watches `watch_s` seconds after the last was established; return the time to the next list.
 
-    `refused_before`: for how long discovery refused calls before the watches stood.
+    `refused_before`: the seconds for which discovery refused calls before the watches were established.
     """
     if refused_before:
         fleet.service.refuses_until = fleet.clock.now + refused_before
@@ -57,69 +58,69 @@
         fleet.play(fleet.service.refuses_until)
         while not all(agent.reducer.balancer.watch.watching for agent in fleet.agents):
             fleet.play(fleet.clock.now + 0.05)
-    fleet.play(fleet.clock.now + life)
+    fleet.play(fleet.clock.now + watch_s)
     ended_at = fleet.clock.now
     fleet.service.end_watches(*end)
     fleet.play(ended_at + 12.0)
-    return fleet.longest_time_to_a_list(ended_at)
+    return fleet.max_time_to_list(ended_at)
 
 
 @pytest.mark.parametrize("agents", FLEETS)
-@pytest.mark.parametrize("refusal_delay", [0.0, LONGEST_QUEUE], ids=["refused at once", "refused late"])
-@pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
-def test_list_is_had_soon_after_a_watch_ended_however_it_did(fleet, agents, refusal_delay, end):
-    assert end_watches(fleet(agents, refusal_delay), LONG_LIFE, end) <= BOUND
+@pytest.mark.parametrize("refusal_delay", [0.0, MAX_QUEUE_S], ids=["refused at once", "refused late"])
+@pytest.mark.parametrize("end", WATCH_ENDS.values(), ids=WATCH_ENDS)
+def test_list_arrives_soon_after_any_end_of_a_watch(fleet, agents, refusal_delay, end):
+    assert end_watches(fleet(agents, refusal_delay), LONG_WATCH_S, end) <= MAX_RENEWAL_S
 
 
 @pytest.mark.parametrize("agents", FLEETS)
-@pytest.mark.parametrize("life", SHORT_LIVES)
-@pytest.mark.parametrize("end", ENDS.values(), ids=ENDS)
-def test_refused_calls_of_before_put_no_list_off_after_a_watch_that_ended_early(fleet, agents, life, end):
-    assert end_watches(fleet(agents), life, end, refused_before=4.0) <= BOUND
+@pytest.mark.parametrize("watch_s", SHORT_WATCHES_S)
+@pytest.mark.parametrize("end", WATCH_ENDS.values(), ids=WATCH_ENDS)
+def test_earlier_refusals_do_not_delay_the_list_after_an_early_end(fleet, agents, watch_s, end):
+    assert end_watches(fleet(agents), watch_s, end, refused_before=4.0) <= MAX_RENEWAL_S
 
 
 @pytest.mark.parametrize("agents", FLEETS)
-@pytest.mark.parametrize("life", [LONG_LIFE, *SHORT_LIVES])
+@pytest.mark.parametrize("watch_s", [LONG_WATCH_S, *SHORT_WATCHES_S])
 @pytest.mark.parametrize("end", SILENCES.values(), ids=SILENCES)
-def test_list_is_had_before_it_counts_as_told_after_silence(fleet, agents, life, end):
-    assert end_watches(fleet(agents), life, end, refused_before=4.0) <= TOLD_AFTER_SILENCE - 1.0
+def test_list_arrives_before_it_counts_as_known_after_silence(fleet, agents, watch_s, end):
+    assert end_watches(fleet(agents), watch_s, end, refused_before=4.0) <= KNOWN_AFTER_SILENCE_S - 1.0
 
 
 @pytest.mark.parametrize("agents", FLEETS)
-def test_three_watches_that_end_early_in_a_row_are_each_renewed_soon(fleet, agents):
-    played = fleet(agents)
+def test_three_early_ends_in_a_row_are_each_renewed_soon(fleet, agents):
+    watching_fleet = fleet(agents)
     for _ in range(3):
-        ended_at = played.clock.now
-        played.service.end_watches(b"")
-        played.play(ended_at + BOUND)
-        assert played.longest_time_to_a_list(ended_at) <= BOUND
-
-
-def test_lists_are_had_soon_however_often_changes_end_the_watches(fleet):
-    """As where servers are replaced in steps of a second; one watch had ended early some time before."""
-    played = fleet(6, 0.0)
-    played.service.call_seconds = 0.05
-    end_watches(played, 1.4, ENDS["reset"], refused_before=4.0)
-    changed = [played.clock.now + 0.9 * step for step in range(8)]
-    for at in changed:
-        played.play(at)
-        played.service.change()
-    played.play(changed[-1] + 5.0)
-    # A quarter of a second from list to list, half a second of pauses, and six calls of 0.05 s.
-    assert max(played.longest_time_to_a_list(at) for at in changed) <= 1.05
+        ended_at = watching_fleet.clock.now
+        watching_fleet.service.end_watches(b"")
+        watching_fleet.play(ended_at + MAX_RENEWAL_S)
+        assert watching_fleet.max_time_to_list(ended_at) <= MAX_RENEWAL_S
+
+
+def test_lists_arrive_soon_though_changes_repeatedly_end_the_watches(fleet):
+    """Servers are replaced at intervals of about a second, some time after a watch that ended early."""
+    watching_fleet = fleet(6, 0.0)
+    watching_fleet.service.call_seconds = 0.05
+    end_watches(watching_fleet, 1.4, WATCH_ENDS["reset"], refused_before=4.0)
+    change_times = [watching_fleet.clock.now + 0.9 * step for step in range(8)]
+    for at in change_times:
+        watching_fleet.play(at)
+        watching_fleet.service.change()
+    watching_fleet.play(change_times[-1] + 5.0)
+    # 0.25 s from list to list, 0.5 s of pauses, and six calls of 0.05 s.
+    assert max(watching_fleet.max_time_to_list(at) for at in change_times) <= 1.05
 
 
 @pytest.mark.parametrize("agents", FLEETS)
 @pytest.mark.parametrize("before, after", [(0.0, 0.0), (4.0, 0.0), (0.0, 1.0), (4.0, 1.0)])
-def test_list_of_a_new_service_is_had_before_it_counts_as_told(fleet, agents, before, after):
-    """Calls are refused for so many seconds before and after the move."""
-    played = fleet(agents)
-    played.service.refuses_until = played.clock.now + before + after
+def test_list_of_a_new_service_arrives_before_it_counts_as_known(fleet, agents, before, after):
+    """Calls are refused for `before` seconds before the move and `after` seconds after it."""
+    watching_fleet = fleet(agents)
+    watching_fleet.service.refuses_until = watching_fleet.clock.now + before + after
     if before:
-        played.service.end_watches(b"")
-        played.play(played.clock.now + before)
-    moved_at = played.clock.now
-    for agent in played.agents:
+        watching_fleet.service.end_watches(b"")
+        watching_fleet.play(watching_fleet.clock.now + before)
+    moved_at = watching_fleet.clock.now
+    for agent in watching_fleet.agents:
         agent.move()
-    played.play(moved_at + 12.0)
-    assert played.longest_time_to_a_list(moved_at) <= TOLD_AFTER_MOVE
+    watching_fleet.play(moved_at + 12.0)
+    assert watching_fleet.max_time_to_list(moved_at) <= KNOWN_AFTER_MOVE_S
