--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -12,6 +12,8 @@
 
 import gevent
 
+from cartdeal.balancer_types import DeduplicationScope
+from cartdeal.balancer_types import Idempotency as RequestIdempotency
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet import idempotency
 from cartdeal.fleet.effects import DeliverDecision
@@ -19,14 +21,13 @@
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest, Idempotency, RanOutcome
 from cartdeal.fleet.node import Node
 from cartdeal.fleet.transport import PeerTransport, TransportLimits
-from cartdeal.settings import REPEATS, seconds
+from cartdeal.settings import IDEMPOTENCY_BY_NAME, seconds
 from cartdeal.supervision import supervise
-from cartdeal.terms import Group, Repeat
 
 IDEMPOTENCY = {
-    Repeat.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
-    Repeat.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
-    Repeat.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
+    RequestIdempotency.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
+    RequestIdempotency.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
+    RequestIdempotency.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
 }
 STATUSES = {
     AdmissionDecision.RATE_LIMITED: 429,
@@ -66,9 +67,9 @@
         settings = config.settings
         self.class_requirements = [
             (
-                IDEMPOTENCY[REPEATS.get(each.repeat, Repeat.NON_IDEMPOTENT)],
-                each.group or Group.CELL.value,
-                seconds(each.window),
+                IDEMPOTENCY[IDEMPOTENCY_BY_NAME.get(each.idempotency, RequestIdempotency.NON_IDEMPOTENT)],
+                each.deduplication_scope or DeduplicationScope.CELL.value,
+                seconds(each.deduplication_window_us),
                 each.name,
             )
             for each in settings.request_classes
--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -113,8 +113,8 @@
     enumerated_settings = [
         ("family", settings.family, ("mesh", "proxy")),
         ("discovery", settings.discovery_mode, ("pushed", "on_request")),
-        ("weightKind", settings.weights, ("none", "nominal", "rough", "live")),
-        ("feedback.how", settings.reports.how, ("none", "probe", "answers")),
+        ("weightKind", settings.weight_kind, ("none", "nominal", "rough", "live")),
+        ("feedback.how", settings.load_reports.source, ("none", "probe", "answers")),
     ]
     checks = [
         (f"settings.{key}", value, f"one of {', '.join(allowed)}", value not in allowed)
@@ -125,13 +125,13 @@
             "settings.feedback.how",
             "probe",
             "'answers' or 'none' where caps.probes is not true",
-            settings.reports.how == "probe" and not settings.permissions.may_probe,
+            settings.load_reports.source == "probe" and not settings.permissions.may_probe,
         ),
         (
             "settings.objectiveMix.worstClass",
-            settings.mix.worst_class,
+            settings.objective_mix.worst_class_weight,
             "0 to 1",
-            not 0 <= settings.mix.worst_class <= 1,
+            not 0 <= settings.objective_mix.worst_class_weight <= 1,
         ),
         (
             "settings.workloads",
@@ -145,18 +145,18 @@
             f"an index into areas, less than {max(1, len(settings.zones))}",
             not 0 <= settings.own_zone < max(1, len(settings.zones)),
         ),
-        ("settings.groupSize", settings.agents, "1 or more", settings.agents < 1),
+        ("settings.groupSize", settings.agent_count, "1 or more", settings.agent_count < 1),
         (
             "settings.rules.overloadFactor",
-            settings.rules.cold_multiple,
+            settings.rules.overload_factor,
             "more than 0",
-            settings.rules.cold_multiple <= 0,
+            settings.rules.overload_factor <= 0,
         ),
         (
             "settings.caps.maxShots",
-            settings.permissions.most_attempts,
+            settings.permissions.max_attempts,
             "1 or more",
-            settings.permissions.most_attempts < 1,
+            settings.permissions.max_attempts < 1,
         ),
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
         ("limits.memory_mb", limits.memory_mb, "24 or more", limits.memory_mb < 24),
@@ -172,7 +172,7 @@
             )
         )
         for key, duration_us in (
-            ("goalTimeUs", request_class.latency_target),
+            ("goalTimeUs", request_class.latency_target_us),
             ("timeLimitUs", request_class.timeout_us),
         ):
             checks.append(
--- a/cartdeal/agent/invariants.py
+++ b/cartdeal/agent/invariants.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from cartdeal.terms import Group, Repeat, RequestClass
+from cartdeal.balancer_types import DeduplicationScope, Idempotency, RequestClass
 
 ANSWER_GRACE_S = 0.07  # an answer that is late by no more than this counts as in time
 TIMEOUT_SLACK_S = 0.15  # the X-Timeout sent to a server may exceed the client's remaining time by this
@@ -124,13 +124,13 @@
 
         After a rejection the client may retry at once, and the retry may reach any server.
         """
-        repeat, group = record.request_class.repeat, record.request_class.group
+        repeat, group = record.request_class.idempotency, record.request_class.deduplication_scope
         for earlier in record.may_have_run():
-            is_within_window = now <= earlier.started_at + record.request_class.window
+            is_within_window = now <= earlier.started_at + record.request_class.deduplication_window
             if (
-                repeat is Repeat.IDEMPOTENT
-                or repeat is Repeat.DEDUPLICATED
-                and group is Group.ALL
+                repeat is Idempotency.IDEMPOTENT
+                or repeat is Idempotency.DEDUPLICATED
+                and group is DeduplicationScope.ALL
                 and is_within_window
             ):
                 continue
@@ -156,11 +156,17 @@
     request_class: RequestClass, earlier: SentAttempt, destination: Destination, now: float
 ) -> bool:
     """Whether an attempt at `destination` is harmless although an earlier attempt may have run."""
-    if request_class.repeat is Repeat.IDEMPOTENT:
+    if request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
-    if request_class.repeat is Repeat.NON_IDEMPOTENT or now > earlier.started_at + request_class.window:
+    if (
+        request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        or now > earlier.started_at + request_class.deduplication_window
+    ):
         return False
-    if request_class.group is Group.ALL:
+    if request_class.deduplication_scope is DeduplicationScope.ALL:
         return True
     same_zone = destination.zone == earlier.destination.zone
-    return same_zone and (request_class.group is Group.ZONE or destination.cell == earlier.destination.cell)
+    return same_zone and (
+        request_class.deduplication_scope is DeduplicationScope.ZONE
+        or destination.cell == earlier.destination.cell
+    )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -101,7 +101,7 @@
         config = agent_config(folder, seed=seed, known=known, settings=settings)
         self.reducer = Reducer(config, self.now, 2000.0)
         if chance is not None:
-            self.reducer.balancer.draw = lambda: chance
+            self.reducer.balancer.random_fraction = lambda: chance
         self.discovery = discovery.DiscoveryClient(config, self.dispatch, lambda: self.reducer.list_version)
         call = self.discovery.call
         self.discovery.call = lambda path, *rest: (self.calls.append((self.now, path)), call(path, *rest))[1]
@@ -119,7 +119,7 @@
     def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
         for verb, *args in effects:
-            if verb == "wake":
+            if verb == "set_timer":
                 self.timer_sequence += 1
                 heappush(self.timers, (args[1], self.timer_sequence))
             elif verb == "watch":
@@ -476,7 +476,7 @@
         return service
 
     with gevent.Timeout(20):
-        until(lambda: agent.reducer.balancer.watch.watching and old_service.watches)
+        until(lambda: agent.reducer.balancer.watch.is_active and old_service.watches)
         yield SimpleNamespace(
             move=move, old_service=old_service, reducer=agent.reducer, discovery=agent.discovery
         )
@@ -490,11 +490,11 @@
     until(lambda: not relocation.discovery.current_watch)  # refused, and a pause is running
     relocation.old_service.tell(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
-    assert not relocation.reducer.balancer.watch.watching
+    assert not relocation.reducer.balancer.watch.is_active
     recovery_at = DiscoveryService(int(new_service.address.split(":")[1]))
     until(
         lambda: recovery_at.calls
-        and relocation.reducer.balancer.watch.watching
+        and relocation.reducer.balancer.watch.is_active
         and not relocation.old_service.open
     )
     recovery_at.stop()
@@ -526,7 +526,7 @@
 def test_empty_line_of_the_new_service_does_not_end_the_old_watch(relocation):
     new_service = relocation.move()
     new_service.write(new_service.watches[0], b"\n")
-    until(lambda: relocation.reducer.balancer.watch.watching)
+    until(lambda: relocation.reducer.balancer.watch.is_active)
     relocation.old_service.tell(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
     new_service.tell()
@@ -557,4 +557,4 @@
         lambda: "/registry/instances" in relocation.old_service.calls
         and len(relocation.old_service.open) == 1
     )
-    assert relocation.reducer.balancer.watch.watching and relocation.discovery.current_watch
+    assert relocation.reducer.balancer.watch.is_active and relocation.discovery.current_watch
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,16 +6,18 @@
 from cartdeal.agent import front, upstream
 from cartdeal.agent.invariants import Destination, Invariant, InvariantMonitor
 from cartdeal.agent.metrics import Metrics
-from cartdeal.terms import Group, Repeat, RequestClass
+from cartdeal.balancer_types import DeduplicationScope, Idempotency, RequestClass
 from tests.scene import Deployment, answered, until, worded
 
 SAME_CELL, SAME_ZONE, OTHER_ZONE = Destination(0, 0, True), Destination(0, 1, True), Destination(1, 2, True)
-ONCE = RequestClass(Repeat.NON_IDEMPOTENT, Group.CELL, 0.0, 1.0, 1.0)
-READ = ONCE._replace(repeat=Repeat.IDEMPOTENT)
+ONCE = RequestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 1.0, 1.0)
+READ = ONCE._replace(idempotency=Idempotency.IDEMPOTENT)
 
 
 def deduplicated(group):
-    return ONCE._replace(repeat=Repeat.DEDUPLICATED, group=group, window=2.0)
+    return ONCE._replace(
+        idempotency=Idempotency.DEDUPLICATED, deduplication_scope=group, deduplication_window=2.0
+    )
 
 
 class MonitoredRequest:
@@ -35,12 +37,12 @@
     [
         (READ, OTHER_ZONE, 104.0, False),
         (ONCE, SAME_CELL, 100.1, True),
-        (deduplicated(Group.ALL), OTHER_ZONE, 101.9, False),
-        (deduplicated(Group.ALL), SAME_CELL, 102.1, True),
-        (deduplicated(Group.ZONE), SAME_ZONE, 101.0, False),
-        (deduplicated(Group.ZONE), OTHER_ZONE, 101.0, True),
-        (deduplicated(Group.CELL), SAME_CELL, 101.0, False),
-        (deduplicated(Group.CELL), SAME_ZONE, 101.0, True),
+        (deduplicated(DeduplicationScope.ALL), OTHER_ZONE, 101.9, False),
+        (deduplicated(DeduplicationScope.ALL), SAME_CELL, 102.1, True),
+        (deduplicated(DeduplicationScope.ZONE), SAME_ZONE, 101.0, False),
+        (deduplicated(DeduplicationScope.ZONE), OTHER_ZONE, 101.0, True),
+        (deduplicated(DeduplicationScope.CELL), SAME_CELL, 101.0, False),
+        (deduplicated(DeduplicationScope.CELL), SAME_ZONE, 101.0, True),
     ],
 )
 @pytest.mark.parametrize("never_ran", [None, False, True])
@@ -60,9 +62,9 @@
     [
         (READ, 104.0, False),
         (ONCE, 101.0, True),
-        (deduplicated(Group.ALL), 101.0, False),
-        (deduplicated(Group.ALL), 102.5, True),
-        (deduplicated(Group.ZONE), 101.0, True),
+        (deduplicated(DeduplicationScope.ALL), 101.0, False),
+        (deduplicated(DeduplicationScope.ALL), 102.5, True),
+        (deduplicated(DeduplicationScope.ZONE), 101.0, True),
     ],
 )
 @pytest.mark.parametrize("status", [429, 503, 502])
@@ -135,7 +137,7 @@
 
 
 def test_second_attempt_of_a_non_idempotent_request_is_counted(deployment, monkeypatch):
-    monkeypatch.setattr("cartdeal.balancer.Balancer.within_group", lambda *args: True)
+    monkeypatch.setattr("cartdeal.balancer.Balancer.is_attempt_safe", lambda *args: True)
     deployment.ask("/once/x?do=reset", "POST")
     assert violations(deployment)["no_second_effect"] >= 1
 
