--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -1,7 +1,7 @@
-"""Carries out what the reducer asks for, and brings each result back to it as an event.
+"""Runs the reducer's effects, and returns each result to the reducer as an event.
 
-Owns the timers and the datagrams between agents, and the one way into the reducer, `feed`. It must never let
-an event in while another is being handled, and keeps no state of a request.
+Owns the timers, the datagrams between agents, and `dispatch`, the only way to the reducer. The reducer never
+gets an event while it handles another. No state of a request is kept here.
 """
 
 import logging
@@ -27,32 +27,34 @@
 from cartdeal.supervision import supervise
 
 MAX_PEER_MESSAGE_BYTES = 256
-RESERVED_DESCRIPTORS = 32  # descriptors for the discovery service, the agents, the log and the loop itself
-MAX_TIMERS = 4096  # timers from which on those of requests that are over are dropped
-DATAGRAMS_PER_TURN = 16  # that are read before others have their turn
-MAX_RELOAD_RETRIES = 8  # times that a new configuration is read again ...
-RELOAD_RETRY_DELAY_S = 0.25  # ... after so many seconds, where the machine could not read it
-BASE_MEMORY_MB = 18.0  # megabytes that the agent holds before its first connection, with room to spare
-CONNECTION_MEMORY_MB = 0.03  # megabytes for one with its request or attempt, but for a long body
-LONG_BODY_SHARE = 0.4  # share of what is left of the memory that is for those
+RESERVED_DESCRIPTORS = 32  # for the discovery service, the peers, the log and the event loop
+MAX_TIMERS = 4096  # above this, the timers of finished requests are dropped
+DATAGRAMS_PER_TURN = 16  # read before yielding to other greenlets
+MAX_RELOAD_RETRIES = 8  # of a configuration file that can't be read for want of resources
+RELOAD_RETRY_DELAY_S = 0.25
+BASE_MEMORY_MB = 18.0  # of the agent before its first connection, with a margin
+CONNECTION_MEMORY_MB = 0.03  # of a connection with its request or attempt, except a long body
+LONG_BODY_SHARE = 0.4  # of the remaining memory, for long bodies
 
 log = logging.getLogger("cartdeal.agent")
 
 
 class Effects:
-    def __init__(self, config, fleet=None):
-        """`fleet`: what the fleet's file says; None without a fleet."""
+    """The event loop's side of an agent: sockets, timers and log output around one reducer."""
+
+    def __init__(self, config, fleet_configuration=None):
+        """`fleet_configuration`: the contents of the fleet's file; None without a fleet. Raises BindError."""
         self.config = config
-        # A heap of timers: when, in which order they were set, the event and what it is about.
+        # A heap of (due time, sequence number, event, subject of the event).
         self.timers = []
         self.max_timers = MAX_TIMERS
         self.timer_sequence = 0
         self.timer_changed = Event()
         self.queued_events, self.is_handling_event, self.admission = deque(), False, None
-        if fleet is not None:
+        if fleet_configuration is not None:
             from cartdeal.agent.admission import AdmissionControl
 
-            self.admission = AdmissionControl(config, fleet, self.queue_event)
+            self.admission = AdmissionControl(config, fleet_configuration, self.queue_event)
         self.metrics = Metrics()
         self.stalls = StallDetector()
         max_request_durations = self.admission and self.admission.max_request_durations
@@ -69,7 +71,7 @@
         self.upstream = UpstreamPool(
             config, self.dispatch, self.budget, self.may_send, self.on_attempt_started
         )
-        self.budget.closers.append(self.front.close_slowest)  # last of all: it costs a request
+        self.budget.closers.append(self.front.close_slowest)  # the last resort, because it costs a request
         self.discovery = DiscoveryClient(config, self.dispatch, lambda: self.reducer.list_version)
         self.peer_socket = self.open_peer_socket()
         self.effect_handlers = {
@@ -95,6 +97,7 @@
             }
 
     def start(self):
+        """Run the first effects and start the background tasks."""
         self.run_effects()
         tasks = [
             self.run_timers,
@@ -110,15 +113,17 @@
             self.background_tasks += self.admission.start()
 
     def begin_handover(self):
+        """Begin to hand over the fleet state of this agent, if it is in a fleet."""
         if self.admission:
             self.admission.begin_handover()
 
     def leave_fleet(self, until: float):
+        """Wait for the handover, at most until `until`, and leave the fleet."""
         if self.admission:
             self.admission.leave_fleet(until)
 
     def reload(self):
-        """Takes over what a new configuration changes; one that can't be used changes nothing."""
+        """Apply the changes of the configuration files; an invalid file changes nothing."""
         if self.admission:
             self.admission.reload()
         config = self.read_configuration()
@@ -137,23 +142,25 @@
             self.dispatch("on_discovery_moved")
 
     def read_configuration(self):
-        """None where it can't be used. Waits while the machine lacks what it needs to read the file."""
-        for last in (False,) * MAX_RELOAD_RETRIES + (True,):
+        """Return the new configuration; None if it is invalid. Retries reads that lacked resources."""
+        for is_last_try in (False,) * MAX_RELOAD_RETRIES + (True,):
             try:
                 return configuration.read()
             except configuration.ConfigurationError as error:
                 log.error("configuration refused", extra={"reason": str(error)})
-                if last or not (isinstance(error, configuration.UnreadableFileError) and error.is_transient):
+                if is_last_try or not (
+                    isinstance(error, configuration.UnreadableFileError) and error.is_transient
+                ):
                     return None
             gevent.sleep(RELOAD_RETRY_DELAY_S)
 
     def dispatch(self, event: str, *args):
-        """One event into the reducer, after the timers that were due before it."""
+        """Pass an event to the reducer, after the timers that were due before it."""
         self.run_due_timers()
         self.run_event(event, args)
 
     def queue_event(self, event: str, *args):
-        """An event that may come of an effect: it is played after those of the event that is being played."""
+        """Pass an event that an effect may have caused, once the current event and its effects are done."""
         self.queued_events.append((event, args))
         if not self.is_handling_event:
             self.run_due_timers()
@@ -161,6 +168,7 @@
                 self.run_event(*self.queued_events.popleft())
 
     def run_event(self, event: str, args):
+        """Handle an event, and then the events that were queued meanwhile."""
         self.is_handling_event = True
         try:
             self.handle_event(event, args)
@@ -170,16 +178,18 @@
             self.is_handling_event = False
 
     def handle_event(self, event: str, args):
+        """Call the reducer's method of this name, and run the effects."""
         reducer = self.reducer
         reducer.now = max(reducer.now, monotonic())
         try:
             getattr(reducer, event)(*args)
         except Exception:
-            # A broken decision must not take the agent with it; its request is answered when it is overdue.
+            # An error in a decision must not end the agent; the request is answered at its deadline.
             log.exception("event failed", extra={"event": event})
         self.run_effects()
 
     def run_effects(self):
+        """Run the effects that the reducer has collected."""
         effects, self.reducer.effects = self.reducer.effects, []
         for effect, *args in effects:
             try:
@@ -188,13 +198,14 @@
                 log.exception("effect failed", extra={"effect": effect})
 
     def suppress_attempt(self, request: int, server: int, attempt: int, result):
+        """Report an attempt that is not sent as ended."""
         self.queue_event("on_attempt_ended", request, server, attempt, result)
 
     def may_send(self, request: int, attempt: int, server: int) -> bool:
-        """Asked by an attempt right before its first byte goes.
+        """Whether an attempt may send its first byte now.
 
-        An agent that is late reads a client's close only after the timers that send its request on: the close
-        is heard here.
+        An agent that runs late reads a client's close only after the timers that send the client's request.
+        The close is therefore checked here.
         """
         client = self.reducer.waiting_client(request)
         if client is not None and (client.closed or client.peer_ended()):
@@ -204,36 +215,39 @@
         return self.reducer.may_send(request, attempt, server)
 
     def on_attempt_started(self, request: int, attempt: int, server: int, timeout_sent: float):
-        """Called by an attempt as its first byte goes: it is counted, and held against the rules."""
+        """The first byte of an attempt is being sent: count it and check the invariants."""
         self.reducer.on_attempt_started(request, attempt, server, timeout_sent)
         self.run_effects()
 
     def on_connection_closed(self, reason: str, unanswered: int, peer_ended: bool):
-        """A client's connection is closed; `unanswered`: requests of which something was read on it."""
+        """A client's connection is closed; `unanswered` requests on it were read at least in part."""
         self.metrics.count("clients_closed_" + reason)
         self.reducer.monitor.on_connection_closed(unanswered, peer_ended)
         self.run_effects()
 
     # Timers
 
-    def set_timer(self, token: int, at: float):
-        self.schedule_event(at, "on_timer", token)
+    def set_timer(self, token: int, due_at: float):
+        """Set a timer of the balancer."""
+        self.schedule_event(due_at, "on_timer", token)
 
-    def set_deadline_timer(self, request: int, at: float):
-        self.schedule_event(at, "on_deadline_passed", request)
+    def set_deadline_timer(self, request: int, due_at: float):
+        """Set the timer of a request's deadline."""
+        self.schedule_event(due_at, "on_deadline_passed", request)
 
-    def schedule_event(self, at: float, event: str, about: int):
+    def schedule_event(self, due_at: float, event: str, subject: int):
+        """Dispatch an event at `due_at`, in monotonic seconds."""
         self.timer_sequence += 1
-        heappush(self.timers, (at, self.timer_sequence, event, about))
+        heappush(self.timers, (due_at, self.timer_sequence, event, subject))
         if len(self.timers) > self.max_timers:
             self.drop_obsolete_timers()
         if self.timers[0][1] == self.timer_sequence:
             self.timer_changed.set()
 
     def drop_obsolete_timers(self):
-        """Drops those of requests that are over.
+        """Drop the deadline timers of finished requests.
 
-        A client may say that it waits for a minute, and be answered at once, many times a second.
+        A client may state a timeout of a minute and be answered at once, many times a second.
         """
         requests = self.reducer.requests
         self.timers = [each for each in self.timers if each[2] != "on_deadline_passed" or each[3] in requests]
@@ -241,61 +255,74 @@
         self.max_timers = max(MAX_TIMERS, 2 * len(self.timers))
 
     def run_due_timers(self):
+        """Run the events of all timers that are due."""
         while self.timers and self.timers[0][0] <= monotonic():
-            _, _, event, about = heappop(self.timers)
-            self.run_event(event, (about,))
+            _, _, event, subject = heappop(self.timers)
+            self.run_event(event, (subject,))
 
     def run_timers(self):
+        """Run the timers as they become due; a background task."""
         while True:
             self.timer_changed.clear()
             self.run_due_timers()
-            # The loop's own clock may lag: the balancer takes a timer that comes early for an older one.
+            # The clock of the event loop may lag, so timers are checked against the monotonic clock: the
+            # balancer takes a timer that fires early for an older one.
             self.timer_changed.wait(max(0.0, self.timers[0][0] - monotonic()) if self.timers else None)
 
-    # Between agents
+    # Peer messages
 
     def open_peer_socket(self):
+        """Bind the socket for peer messages; None if the agent exchanges none. Raises BindError."""
         if not self.config.peer_listen or not self.config.settings.permissions.may_message_peers:
             return None
         return bind_socket(socket.SOCK_DGRAM, self.config.peer_listen)
 
     def receive_peer_messages(self):
-        senders = {address: place for place, address in enumerate(self.config.peers)}
-        for read in count(1):
-            if not read % DATAGRAMS_PER_TURN:
-                gevent.sleep(0)  # a read of what is there does not yield
+        """Dispatch the messages of known peers; a background task."""
+        senders = {address: index for index, address in enumerate(self.config.peers)}
+        for read_count in count(1):
+            if not read_count % DATAGRAMS_PER_TURN:
+                gevent.sleep(0)  # a read of available data does not yield
             text, address = self.peer_socket.recvfrom(MAX_PEER_MESSAGE_BYTES + 1)
             if address in senders and len(text) <= MAX_PEER_MESSAGE_BYTES:
                 self.dispatch("on_peer_message", senders[address], text)
 
     def send_peer_message(self, agent: int, message: bytes):
+        """Send a message to one peer, or to all if `agent` is negative."""
         peers = self.config.peers
-        to = self.config.peers_broadcast if agent < 0 else peers[agent] if agent < len(peers) else None
-        if self.peer_socket and to and len(message) <= MAX_PEER_MESSAGE_BYTES:
-            self.peer_socket.sendto(message, to)
+        address = self.config.peers_broadcast if agent < 0 else peers[agent] if agent < len(peers) else None
+        if self.peer_socket and address and len(message) <= MAX_PEER_MESSAGE_BYTES:
+            self.peer_socket.sendto(message, address)
+
+    # Log and metrics
 
     def log_note(self, text: str):
+        """Log a note of the reducer."""
         log.info("note", extra={"text": text})
 
     def log(self, message: str, fields: dict):
+        """Log an event of the reducer."""
         log.info(message, extra=fields)
 
     def log_violation(self, fields: dict):
+        """Log a violated invariant."""
         log.error("invariant violated", extra=fields)
 
     def report_metrics(self):
+        """Log the metrics at intervals; a background task."""
         while True:
             gevent.sleep(REPORT_INTERVAL_S)
             self.log_metrics()
 
     def log_metrics(self):
-        counts = self.metrics.report()
-        if counts:
-            log.info("metrics", extra=counts)
+        """Log the metrics if any has changed."""
+        counters = self.metrics.report()
+        if counters:
+            log.info("metrics", extra=counters)
 
 
 def connection_capacity(limits, admission=None) -> tuple[int, int]:
-    """Connections, and bytes for long bodies; the fleet's share of both is the gate's."""
+    """Return the limits of connections and of bytes for long bodies, without admission control's share."""
     memory_mb = limits.memory_mb - BASE_MEMORY_MB - (admission.reserved_memory_mb if admission else 0.0)
     descriptors = (
         limits.descriptors - RESERVED_DESCRIPTORS - (admission.reserved_descriptors if admission else 0)
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -1,10 +1,10 @@
-"""All state of an agent: the requests that wait for an answer, the servers it has heard of, and the balancer
-whose host it is.
+"""The state of an agent: open requests, known servers, and the balancer, whose host the reducer is.
 
-One event comes in by one method; what it leads to stands in `effects` afterwards, for effects.py to carry
-out. In a fleet (`longest_requests` is then given) a request waits for admission before the balancer has it,
-and no attempt goes where an earlier one, at another agent, forbids it.
-It must never do I/O, wait, read a clock or yield to another greenlet, and decides nothing the balancer can.
+Each event is a method call. It appends its effects to `effects`, and effects.py runs them afterwards. In a
+fleet, where `max_request_durations` is set, a request waits for admission before the balancer gets it, and no
+attempt is sent to a server where an earlier attempt at another agent forbids it.
+The reducer does no I/O, never waits, reads no clock and never yields to another greenlet. It makes no
+decision that the balancer can make.
 """
 
 from dataclasses import replace
@@ -28,14 +28,15 @@
 )
 
 SERVER_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
-RECENT_ID_S = 5.0  # a request's id is known for as long, twice that at most
-MAX_RECENT_IDS = 1 << 15  # known at least, twice that at most; for less than RECENT_ID_S if more come
-MAX_ZONES = 64  # that are told apart, those of the settings among them
-DEADLINE_GRACE_S = 0.02  # after its deadline a request that the balancer forgot is answered all the same
+RECENT_ID_S = 5.0  # a request id is remembered for at least this long, and at most twice as long
+# This many ids are remembered, and at most twice as many; if more arrive, for less than RECENT_ID_S.
+MAX_RECENT_IDS = 1 << 15
+MAX_ZONES = 64  # that are distinguished, including those of the settings
+DEADLINE_GRACE_S = 0.02  # a request that the balancer missed is answered this long after its deadline
 
 
 class Progress(IntEnum):
-    """How far an attempt had come."""
+    """How far an attempt got."""
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
@@ -45,86 +46,93 @@
 
 
 class FailureReason(IntEnum):
-    """What ended an attempt."""
+    """Why an attempt ended."""
 
     ANSWERED = 0
     CONNECTION_BROKEN = 1
     TIMED_OUT = 2
     CANCELLED = 3
-    MALFORMED_RESPONSE = 4  # what came back can't be read, or can in two ways
-    NO_CONNECTION = 5  # the agent's own limits left none for it
-    NOT_SENT = 6  # what it was decided on no longer held when its first byte was due
+    MALFORMED_RESPONSE = 4  # the response is invalid or ambiguous
+    NO_CONNECTION = 5  # the agent's own limits left no connection for it
+    NOT_SENT = 6  # its preconditions no longer held when the first byte was due
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt or a probe ended; `progress` alone tells whether it may have run."""
+    """The result of an attempt or a probe. `progress` alone decides whether it may have run.
+
+    `duration` is in seconds.
+    """
 
     reason: FailureReason
     progress: Progress
     duration: float
     status: int = 0
     not_processed: bool = False
-    content_type: bytes = b""  # the body's content type
+    content_type: bytes = b""
     body: bytes = b""
-    raw_load_report: bytes = b""  # what the server says of its load
+    raw_load_report: bytes = b""  # the server's load report as received
     detail: str = ""
 
     def outcome(self) -> Outcome:
-        written = self.progress >= Progress.WRITTEN
+        """Return the outcome as the balancer classifies it."""
+        is_written = self.progress >= Progress.WRITTEN
         if self.reason is FailureReason.ANSWERED:
             if self.status == 200:
                 return Outcome.COMPLETED
             if 400 <= self.status < 500:
-                return Outcome.UNUSABLE  # the request's fault, not the server's
+                return Outcome.UNUSABLE  # the request is at fault, not the server
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
-        # neither is the server's doing
+        # none of these is the server's fault
         if self.reason in (FailureReason.CANCELLED, FailureReason.NO_CONNECTION, FailureReason.NOT_SENT):
-            return Outcome.CANCELLED if written else Outcome.NEVER_SENT
-        if not written:
+            return Outcome.CANCELLED if is_written else Outcome.NEVER_SENT
+        if not is_written:
             return Outcome.NOT_CONNECTED
         return Outcome.TIMED_OUT if self.reason is FailureReason.TIMED_OUT else Outcome.RESET
 
 
 class Request(NamedTuple):
-    """A request as the application asked it."""
+    """A request as the application sent it."""
 
     request_class: int
-    non_idempotent: bool  # its form promises less than its request class: it may run once at most
+    non_idempotent: bool  # it lacks what makes its request class repeatable, so it may run at most once
     tenant: int
-    session_hash: int
-    timeout: float  # how long the client still waits, in seconds; none is left where it is not above 0
+    session_hash: int  # 0 without a session
+    timeout: float  # seconds that the client still waits; not positive if none are left
     is_retry: bool
     method: bytes
     path: bytes
     id: bytes
-    idempotency_key: bytes  # by which servers know a repeat
+    idempotency_key: bytes  # by which servers detect a repeated request
     content_type: bytes
     body: bytes
-    tenant_name: bytes = b""  # the tenant as the client names it
+    tenant_name: bytes = b""  # as the client sent it
 
 
 class PendingRequest:
-    """A request that is not answered yet, or whose attempts are still out."""
+    """A request that is not answered yet or has attempts in flight."""
 
-    awaits_admission = False  # for admission
+    awaits_admission = False
     earlier_attempts: tuple = ()  # of EarlierAttempt
-    sent_count = 0  # attempts that were let out, but for those that provably never ran
-    may_have_run = was_served = False  # whether it may have run; whether its client had the answer
+    sent_count = 0  # attempts that were sent, except those that provably never ran
+    may_have_run = was_served = False  # `was_served`: its client got a server's answer
 
     def __init__(self, client, request: Request, deadline: float):
         self.client, self.request, self.deadline = client, request, deadline
         self.attempt_count, self.in_flight_count = 0, 0
         self.last_outcome: Outcome | None = None
-        # By attempt that is out: what the list said of its server.
+        # By attempt in flight: its server as listed when the attempt was sent.
         self.target_servers: dict[int, KnownServer] = {}
 
     def last_outcome_name(self) -> str:
-        """How its last attempt that has ended did."""
+        """Return the outcome of the attempt that ended last, as the log names it."""
         return self.last_outcome.value if self.last_outcome else "none"
 
 
 class EarlierAttempt(NamedTuple):
-    """An earlier attempt, at another agent, that may have run: others go to its group, before `until`."""
+    """An earlier attempt at another agent that may have run.
+
+    Further attempts may go only to servers in its group, and only before `repeat_until`.
+    """
 
     zone: int
     cell: int
@@ -133,57 +141,60 @@
 
 
 class AttemptDestination(NamedTuple):
-    """Where an earlier attempt went, as the balancer looks at it."""
+    """The location of an earlier attempt, in the form that the balancer expects."""
 
     zone: int
     cell: int
 
 
 class OtherAttempts(NamedTuple):
-    """A request's attempts but for one, as the balancer looks at them."""
+    """The attempts of a request except one, in the form that the balancer expects."""
 
     request_class: RequestClass
     possible_executions: dict
 
 
 class KnownServer(NamedTuple):
-    """What the list says of a server that the balancer has no use for."""
+    """What the reducer needs of a listed server in addition to the balancer's data."""
 
     address: str
     started_at: float
 
 
 class Reducer:
+    """Handles the events of one agent. All times are seconds of the host's monotonic clock, `now`."""
+
     def __init__(
         self,
         config: AgentConfiguration,
         now: float,
-        wall: float,
+        wall_now: float,
         max_request_durations: tuple[float, ...] | None = None,
         metrics: Metrics | None = None,
     ):
-        """`longest_requests`: by request class, the seconds that a request may last where admission control
-        keeps idempotency records; None: there is none.
+        """`max_request_durations`: the maximum duration of a request in seconds, by request class, as bounded
+        by the idempotency records of admission control; None without admission control.
         """
         self.config, self.now, self.max_request_durations = config, now, max_request_durations
-        self.start_times = StartTimes(now, wall)
+        self.start_times = StartTimes(now, wall_now)
         self.metrics = metrics or Metrics()
         self.monitor = InvariantMonitor(self.report_violation)
         self.effects = []
         self.request_count = 0
-        self.shutdown_deadline = inf  # when the agent is to have answered all
+        self.shutdown_deadline = inf  # by which every request must be answered
         self.requests: dict[int, PendingRequest] = {}
-        # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
+        # The ids of the last RECENT_ID_S seconds and of the interval before: longer than any duplicate of a
+        # request is in transit.
         self.recent_ids, self.previous_ids, self.ids_rotate_at = set(), set(), now
         self.list_version = 0
-        self.next_server_index = 0  # servers so far: each gets an index of its own, which is never another's
-        # These two hold a server until the list says that it is gone.
+        self.next_server_index = 0  # an index is never reused
+        # These two contain a server until the list reports it as gone.
         self.server_indices: dict[bytes, int] = {}
         self.servers: dict[int, KnownServer] = {}
-        self.zone_indices = {name: place for place, name in enumerate(config.settings.zones)}
+        self.zone_indices = {name: index for index, name in enumerate(config.settings.zones)}
         settings = config.settings.balancer_settings(config.seed)
-        # A second set, for requests whose form promises less than their request class: these may run once at
-        # most.
+        # A second set of classes, for requests that lack what makes their class repeatable: they may run at
+        # most once.
         non_idempotent = tuple(
             each._replace(idempotency=Idempotency.NON_IDEMPOTENT) for each in settings.request_classes
         )
@@ -192,23 +203,26 @@
         )
         self.balancer.on_transition = self.report_transition
         if not settings.polls_discovery:
-            # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
+            # The balancer does not request a list that is pushed; it comes by a watch that the host starts.
             self.watch()
-        self.apply_list(config.initial_servers, fresh=False)
+        self.apply_list(config.initial_servers, is_current_watch=False)
 
     @property
     def pending_count(self) -> int:
+        """The number of requests without an answer."""
         return sum(each.client is not None for each in self.requests.values())
 
     @property
     def is_ready(self) -> bool:
+        """Whether the agent has known any server so far."""
         return bool(self.next_server_index)
 
     # Events
 
     def on_request(self, client, request: Request):
+        """A client has sent a request."""
         if request.id in self.recent_ids or request.id in self.previous_ids:
-            # Whose it is can't be told: its answer, or its end, would be another request's.
+            # Its answer or its end could be attributed to the other request.
             self.metrics.count("requests_with_a_known_id")
             return self.effects.append(
                 ("refuse_request", client, 409, "an X-Request-ID that was used just now")
@@ -218,35 +232,37 @@
             self.ids_rotate_at = self.now + RECENT_ID_S
         self.recent_ids.add(request.id)
         self.request_count += 1
-        # A record that is over before its request is would let a repeat of it through.
-        wait = (
+        # If the idempotency record expired before the request ended, a repeat would be admitted.
+        timeout = (
             request.timeout
             if self.max_request_durations is None
             else min(request.timeout, self.max_request_durations[request.request_class])
         )
-        number, deadline = self.request_count, min(self.now + wait, self.shutdown_deadline)
+        number, deadline = self.request_count, min(self.now + timeout, self.shutdown_deadline)
         pending = self.requests[number] = PendingRequest(client, request, deadline)
         self.metrics.count("requests")
-        # One whose time was over before its turn, behind others of its connection, can't be answered in time.
-        due = max(deadline, self.now)
-        self.monitor.on_request(number, request.id, self.effective_class(request), due)
+        # A request whose time was over while it waited behind others on its connection can't be in time.
+        answer_due_at = max(deadline, self.now)
+        self.monitor.on_request(number, request.id, self.effective_class(request), answer_due_at)
         self.effects.append(("request_accepted", client, number))
         self.effects.append(("set_deadline_timer", number, deadline + DEADLINE_GRACE_S))
         pending.awaits_admission = self.max_request_durations is not None
-        if pending.deadline <= self.now:  # it waited for those ahead of it, or the agent ends
+        if pending.deadline <= self.now:  # it waited behind other requests, or the agent shuts down
             return self.on_deadline_passed(number)
         if not pending.awaits_admission:
             return self.route(number, pending)
         self.effects.append(("admit", number, request, deadline))
 
     def class_index(self, request: Request) -> int:
-        """The balancer's class of it: those that may run once at most come behind all others."""
+        """Return the balancer's index of its class; the non-idempotent variants follow all other classes."""
         return request.request_class + request.non_idempotent * len(self.config.settings.request_classes)
 
     def effective_class(self, request: Request) -> RequestClass:
+        """Return the class whose rules apply to the request."""
         return self.balancer.settings.request_classes[self.class_index(request)]
 
     def route(self, number: int, pending: PendingRequest):
+        """Pass an admitted request to the balancer."""
         request = pending.request
         self.balancer.on_request(
             number,
@@ -258,7 +274,10 @@
         )
 
     def on_admitted(self, number: int, earlier_attempts: tuple):
-        """Admission control lets it go on. Each earlier attempt: zone (by name), cell, group, until when."""
+        """Admission control has admitted a request.
+
+        `earlier_attempts`: tuples of zone name, cell, group and the time until which a repeat is safe.
+        """
         pending = self.requests.get(number)
         if pending and pending.awaits_admission:
             pending.awaits_admission = False
@@ -269,11 +288,13 @@
             self.route(number, pending)
 
     def on_declined(self, number: int, status: int, retry_after: float):
+        """Admission control has declined a request."""
         pending = self.requests.get(number)
         if pending and pending.awaits_admission:
             self.answer(number, status, b"", b"", retry_after)
 
     def on_client_disconnected(self, number: int):
+        """The client of a request has disconnected."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             pending.client = None
@@ -286,15 +307,16 @@
             self.balancer.on_client_disconnected(number)
 
     def on_attempt_started(self, number: int, attempt: int, server: int, timeout_sent: float):
-        """The first byte of an attempt goes now; `timeout_sent`: the seconds that its server is told."""
-        where = self.balancer.servers.get(server)
-        place = where and Destination(where.zone, where.cell, where.state is ServerState.READY)
+        """The first byte of an attempt is being sent; `timeout_sent`: the timeout in it, in seconds."""
+        target = self.balancer.servers.get(server)
+        destination = target and Destination(target.zone, target.cell, target.state is ServerState.READY)
         self.metrics.count("attempts")
-        self.monitor.on_attempt_started(number, attempt, place, timeout_sent, self.now)
+        self.monitor.on_attempt_started(number, attempt, destination, timeout_sent, self.now)
 
     def on_attempt_ended(
         self, number: int, server: int, attempt: int, result: AttemptResult, load: LoadReport | None = None
     ):
+        """An attempt has ended. Answers the client if the result is final."""
         pending = self.requests.get(number)
         if pending is None:
             return
@@ -303,138 +325,149 @@
         self.metrics.count("attempts_" + outcome.name.lower())
         self.monitor.on_attempt_ended(number, attempt, outcome.never_ran)
         if pending.target_servers.pop(attempt, None) and outcome.never_ran:
-            pending.sent_count -= (
-                1  # else its client would be left in doubt for nothing once its time is over
-            )
+            # Otherwise the request would be failed instead of rejected at its deadline, without need.
+            pending.sent_count -= 1
         pending.may_have_run = pending.may_have_run or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.client is not None:
             pending.was_served = True
             self.answer(number, 200, result.content_type, result.body, 0.0)
         elif outcome is Outcome.UNUSABLE:
             self.answer(number, 400, b"", b"", 0.0)
-        finished = pending.client is None
+        is_finished = pending.client is None
         self.forget_if_finished(number, pending)
-        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.duration, finished, load)
+        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.duration, is_finished, load)
 
     def on_probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None = None):
+        """A probe has ended."""
         self.balancer.on_probe_ended(server, result.outcome(), result.duration, load)
 
     def on_timer(self, token: int):
+        """A timer of the balancer has expired."""
         self.balancer.on_timer(token)
 
     def on_shutdown(self, shutdown_deadline: float):
-        """What is out by then is failed: an agent that is killed loses what it has not answered."""
+        """The agent shuts down. Requests still open at `shutdown_deadline` get an answer then.
+
+        A killed agent would lose the requests that it has not answered.
+        """
         self.shutdown_deadline = shutdown_deadline
         for number, pending in self.requests.items():
             if pending.deadline > shutdown_deadline:
                 self.effects.append(("set_deadline_timer", number, shutdown_deadline))
 
     def on_deadline_passed(self, number: int):
-        """The balancer answers every request; should a fault have kept it from it, this does."""
+        """Answer a request that the balancer should have answered but missed because of a fault."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.log_note(f"request {pending.request.id.decode('latin-1')} overdue")
-            # What never went out may be asked again; to fail it would leave its client in doubt. But an
-            # earlier try of one that still waits may have run at another agent: only the fleet would know.
-            doubt = (
+            # A request that was never sent may be retried, so failing it would be needlessly ambiguous. But
+            # if it awaits admission, an earlier try may have run at another agent: only the fleet knows.
+            is_ambiguous = (
                 pending.sent_count
                 or pending.awaits_admission
                 and self.idempotency_of(pending.request) is not Idempotency.IDEMPOTENT
             )
-            self.fail(number) if doubt else self.reject(number, 0.0)
+            self.fail(number) if is_ambiguous else self.reject(number, 0.0)
             self.balancer.on_client_disconnected(number)
 
-    def on_server_list(self, server_list: ServerList, fresh: bool = True):
-        """A list came from discovery; `fresh`: on the watch that stands."""
-        self.apply_list(server_list, fresh)
+    def on_server_list(self, server_list: ServerList, is_current_watch: bool = True):
+        """A server list has arrived; `is_current_watch`: from the current watch."""
+        self.apply_list(server_list, is_current_watch)
         self.start_times.on_discovery_response(self.now)
 
-    def apply_list(self, server_list: ServerList, fresh: bool):
+    def apply_list(self, server_list: ServerList, is_current_watch: bool):
+        """Update the known servers, and pass the changes to the balancer."""
         self.list_version = server_list.version
         self.log_note(
             f"list {server_list.version}: {len(server_list.entries)} lines"
             f"{' in all' * server_list.is_complete}"
         )
-        gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
-        # Where an attempt may have run is its server's group of then: one in another group is another server.
-        lines = [
-            self.remove_server(line.name.encode())
-            for line in server_list.entries
-            if self.has_changed_group(line)
+        removed_names = [entry.name.encode() for entry in server_list.entries if entry.state == "left"]
+        # An attempt may have run in the group that its server had then. A server that moves to another group
+        # is therefore treated as another server.
+        changes = [
+            self.remove_server(entry.name.encode())
+            for entry in server_list.entries
+            if self.has_changed_group(entry)
         ]
-        lines += [self.listed_server(line) for line in server_list.entries if line.state != "left"]
+        changes += [self.listed_server(entry) for entry in server_list.entries if entry.state != "left"]
         if server_list.is_complete:
-            here = {line.name for line in lines}
-            gone += [name for name in self.server_indices if name not in here]
-        lines += [self.remove_server(name) for name in gone if name in self.server_indices]
-        self.balancer.on_server_list(lines, fresh)
+            listed_names = {entry.name for entry in changes}
+            removed_names += [name for name in self.server_indices if name not in listed_names]
+        changes += [self.remove_server(name) for name in removed_names if name in self.server_indices]
+        self.balancer.on_server_list(changes, is_current_watch)
 
     def on_watch_established(self):
-        """A watch was answered, with nothing new."""
+        """A watch was established, and the list has not changed."""
         self.start_times.on_discovery_response(self.now)
         self.balancer.on_server_list([], True)
 
     def on_watch_heartbeat(self):
-        """A watch that stands says that there is still nothing new."""
+        """An established watch reports that the list has not changed."""
         self.start_times.on_discovery_response(self.now)
 
-    def on_watch_failed(self, silent: bool = False):
-        """The watch ended or, `silent`, sent nothing for too long; or the call for one got no list."""
-        self.balancer.on_watch_failed(silent)
+    def on_watch_failed(self, was_silent: bool = False):
+        """The watch ended, was silent for too long (`was_silent`), or a call for a list failed."""
+        self.balancer.on_watch_failed(was_silent)
 
     def on_discovery_moved(self):
-        """The discovery service has another address."""
+        """The discovery service has a new address."""
         self.balancer.on_discovery_moved()
 
-    def on_peer_message(self, sender: int, words: bytes):
-        """Agents need no words from each other."""
+    def on_peer_message(self, sender: int, message: bytes):
+        """A peer has sent a message. The balancer needs none, so it is ignored."""
 
     def remove_server(self, name: bytes) -> ListedServer:
+        """Forget a server; return its removal for the balancer."""
         index = self.server_indices.pop(name)
         del self.servers[index]
         self.start_times.remove(name)
         self.close_idle(index)
         return ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
 
-    def has_changed_group(self, line) -> bool:
-        if line.state == "left":  # it may say no zone
+    def has_changed_group(self, entry) -> bool:
+        """Whether a known server has moved to another zone or cell."""
+        if entry.state == "left":  # its entry may lack the zone
             return False
-        index = self.server_indices.get(line.name.encode())
+        index = self.server_indices.get(entry.name.encode())
         known = self.balancer.servers.get(index)
-        return known is not None and (known.zone, known.cell) != (self.zone_index(line), line.cell)
+        return known is not None and (known.zone, known.cell) != (self.zone_index(entry), entry.cell)
 
-    def listed_server(self, line) -> ListedServer:
-        name = line.name.encode()
+    def listed_server(self, entry) -> ListedServer:
+        """Record a list entry; return it in the balancer's form."""
+        name = entry.name.encode()
         if name not in self.server_indices:
             self.server_indices[name] = self.next_server_index
             self.next_server_index += 1
         index = self.server_indices[name]
-        started = self.start_times.started_at(name, line.started_ms, self.now)
-        known = KnownServer(line.address, started)
+        started_at = self.start_times.started_at(name, entry.started_ms, self.now)
+        known = KnownServer(entry.address, started_at)
         if self.servers.setdefault(index, known) != known:
-            self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
+            self.close_idle(index)  # on a connection to the previous process an attempt would fail
             self.servers[index] = known
-        state = SERVER_STATES.get(line.state, ServerState.DRAINING)
-        zone = self.zone_index(line)
+        state = SERVER_STATES.get(entry.state, ServerState.DRAINING)
+        zone = self.zone_index(entry)
         if zone >= MAX_ZONES:
-            state = ServerState.DRAINING  # among zones that are not told apart a repeat might run twice
-        return ListedServer(index, name, zone, 0, line.cell, state, line.weight, started)
+            state = ServerState.DRAINING  # in zones that are not distinguished, a repeat might run twice
+        return ListedServer(index, name, zone, 0, entry.cell, state, entry.weight, started_at)
 
-    def zone_index(self, line) -> int:
-        """A zone's place; one that the settings don't name is another one than all that they do.
+    def zone_index(self, entry) -> int:
+        """Return the index of the entry's zone. A zone that is not in the settings gets an index of its own.
 
-        Taken for one of these, its servers would be sent repeats that only the group of that zone drops.
+        If it shared the index of a configured zone, its servers would get repeats that only the servers of
+        that zone deduplicate.
         """
         if not self.config.settings.zones:
             return 0
-        if line.zone not in self.zone_indices and len(self.zone_indices) < MAX_ZONES:
-            self.log_note(f"zone {line.zone} is none of the settings'")
-            self.zone_indices[line.zone] = len(self.zone_indices)
-        return self.zone_indices.get(line.zone, MAX_ZONES)
+        if entry.zone not in self.zone_indices and len(self.zone_indices) < MAX_ZONES:
+            self.log_note(f"zone {entry.zone} is none of the settings'")
+            self.zone_indices[entry.zone] = len(self.zone_indices)
+        return self.zone_indices.get(entry.zone, MAX_ZONES)
 
-    # What the balancer asks for
+    # The balancer's host
 
     def send_attempt(self, request: int, server: int, deadline: float):
+        """Send an attempt by the earlier of both deadlines (0: the request's own), if it is safe."""
         pending = self.requests[request]
         attempt, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
         pending.in_flight_count += 1
@@ -443,11 +476,11 @@
             self.log("request retried", pending.request, attempt=attempt, after=pending.last_outcome_name())
         deadline = min(deadline, pending.deadline) if deadline else pending.deadline
         if self.max_request_durations is not None:
-            where = self.balancer.servers[server]
-            if not all(self.allows_attempt(each, where) for each in pending.earlier_attempts):
+            target = self.balancer.servers[server]
+            if not all(self.allows_attempt(each, target) for each in pending.earlier_attempts):
                 return self.suppress_attempt(request, server, attempt, pending)
             zones = tuple(self.zone_indices)
-            self.effects.append(("attempt_sent", request, zones[where.zone] if zones else "", where.cell))
+            self.effects.append(("attempt_sent", request, zones[target.zone] if zones else "", target.cell))
         pending.sent_count += 1
         pending.target_servers[attempt] = self.servers[server]
         self.effects.append(
@@ -463,136 +496,158 @@
         )
 
     def may_send(self, number: int, attempt: int, server: int) -> bool:
-        """Whether an attempt that was asked for may still send its first byte, now.
+        """Whether an attempt may still send its first byte now.
 
-        Connecting takes up to seconds. A request that is answered, or whose client has gone, wants nothing
-        more; a server that drains, has gone, moved or started again since is not the one that was chosen; and
-        an attempt that is harmless within a window must reach its server within it.
+        Connecting may take seconds. In that time the request may be answered or lose its client, the server
+        may start to drain, leave, move or restart, and the window in which the attempt is safe may end.
         """
         pending = self.requests.get(number)
         if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
-        where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
-        if where is None or known is None or where.state is not ServerState.READY:
+        target, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
+        if target is None or known is None or target.state is not ServerState.READY:
             return False
         if self.servers.get(server) != pending.target_servers.get(attempt):
             return False
-        others = {each: past for each, past in known.possible_executions.items() if each != attempt}
+        other_executions = {
+            each: execution for each, execution in known.possible_executions.items() if each != attempt
+        }
         return self.balancer.is_attempt_safe(
-            OtherAttempts(known.request_class, others), where, self.now
-        ) and all(self.allows_attempt(each, where) for each in pending.earlier_attempts)
+            OtherAttempts(known.request_class, other_executions), target, self.now
+        ) and all(self.allows_attempt(each, target) for each in pending.earlier_attempts)
 
     def waiting_client(self, number: int):
-        """Who waits for the request's answer; None where nobody does."""
+        """Return the client that waits for the answer, or None."""
         pending = self.requests.get(number)
         return pending and pending.client
 
     def suppress_attempt(self, request: int, server: int, attempt: int, pending: PendingRequest):
-        """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
-        the earlier ones as of its own: it then looks for a server where a further one does no harm."""
+        """End an attempt that could run the request a second time, as one that was never sent.
+
+        The earlier attempts are added to the balancer's own, so that it selects a server where a further
+        attempt is safe.
+        """
         known = self.balancer.requests[request]
-        for place, each in enumerate(pending.earlier_attempts):
-            known.possible_executions[-1 - place] = (
+        for index, each in enumerate(pending.earlier_attempts):
+            known.possible_executions[-1 - index] = (
                 AttemptDestination(each.zone, each.cell),
                 each.repeat_until - known.request_class.deduplication_window,
             )
-        unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
-        self.effects.append(("suppress_attempt", request, server, attempt, unsent))
-
-    def allows_attempt(self, earlier_attempts: EarlierAttempt, where) -> bool:
-        """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
-        return self.now < earlier_attempts.repeat_until and (
-            earlier_attempts.group is DeduplicationScope.ALL
-            or where.zone == earlier_attempts.zone
-            and (earlier_attempts.group is DeduplicationScope.ZONE or where.cell == earlier_attempts.cell)
+        result = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
+        self.effects.append(("suppress_attempt", request, server, attempt, result))
+
+    def allows_attempt(self, earlier_attempt: EarlierAttempt, target) -> bool:
+        """Whether an attempt at `target` is safe now, because the earlier one's group drops a repeat."""
+        return self.now < earlier_attempt.repeat_until and (
+            earlier_attempt.group is DeduplicationScope.ALL
+            or target.zone == earlier_attempt.zone
+            and (earlier_attempt.group is DeduplicationScope.ZONE or target.cell == earlier_attempt.cell)
         )
 
     def idempotency_of(self, request: Request) -> Idempotency:
+        """Return the idempotency of a request, which may be lower than that of its class."""
         return (
             Idempotency.NON_IDEMPOTENT
             if request.non_idempotent
             else self.balancer.settings.request_classes[request.request_class].idempotency
         )
 
-    def reject(self, request: int, wait: float):
+    def reject(self, request: int, retry_after: float):
+        """Answer that the request did not run; fail it if it may have run at another agent."""
         pending = self.requests.get(request)
         if pending and not all(
             each.group is DeduplicationScope.ALL and self.now < each.repeat_until
             for each in pending.earlier_attempts
         ):
-            return self.fail(request)  # its client would come again, to where it may run once more
-        self.answer(request, 503, b"", b"", wait)
+            return self.fail(request)  # its client would retry, and the request might run again
+        self.answer(request, 503, b"", b"", retry_after)
 
     def fail(self, request: int):
+        """Answer that the request failed and may have run."""
         self.answer(request, 502, b"", b"", 0.0)
 
     def answer(self, number: int, status: int, content_type: bytes, body: bytes, retry_after: float):
-        """The one final answer; whatever comes for the request after it is passed over."""
+        """Send the only answer of the request; later ones are ignored."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.metrics.count(f"answers_{status}")
             self.monitor.on_answer(number, status, self.now)
             if status != 200:
-                left = round(pending.deadline - self.now, 3)
+                remaining_s = round(pending.deadline - self.now, 3)
                 self.log(
                     "request not served",
                     pending.request,
                     status=status,
                     attempts=pending.attempt_count,
                     after=pending.last_outcome_name(),
-                    left_s=left,
+                    left_s=remaining_s,
                 )
             self.effects.append(("answer", pending.client, status, content_type, body, retry_after))
             pending.client = None
             self.forget_if_finished(number, pending)
 
     def forget_if_finished(self, number: int, pending: PendingRequest):
-        over = pending.client is None and not pending.in_flight_count and self.requests.pop(number, None)
-        if over:
+        """Drop a request without a waiting client and without attempts in flight."""
+        is_finished = (
+            pending.client is None and not pending.in_flight_count and self.requests.pop(number, None)
+        )
+        if is_finished:
             self.monitor.forget(number)
-        if over and self.max_request_durations is not None:
-            ran = "never" if not pending.may_have_run else "answered" if pending.was_served else "maybe"
-            self.effects.append(("request_ended", number, ran))
+        if is_finished and self.max_request_durations is not None:
+            ran_outcome = (
+                "never" if not pending.may_have_run else "answered" if pending.was_served else "maybe"
+            )
+            self.effects.append(("request_ended", number, ran_outcome))
 
     def cancel(self, request: int, attempt: int):
+        """Cancel an attempt in flight."""
         self.effects.append(("cancel", request, attempt))
 
     def probe(self, server: int):
+        """Send a probe to a server."""
         self.effects.append(("probe", server, self.servers[server].address))
 
-    def watch(self, on: bool = True):
-        self.effects.append(("watch", on))
+    def watch(self, is_wanted: bool = True):
+        """Start a watch of the server list, or stop it."""
+        self.effects.append(("watch", is_wanted))
 
     def fetch_servers(self):
+        """Request the complete server list once."""
         self.effects.append(("fetch_servers",))
 
     def close_idle(self, server: int):
+        """Close the idle connections to a server."""
         self.effects.append(("close_idle", server))
 
     def send_peer_message(self, agent: int, message: bytes):
+        """Send a message to one agent, or to all if `agent` is negative."""
         self.effects.append(("send_peer_message", agent, message))
 
     def set_timer(self, token: int, delay: float):
+        """Call `on_timer` with `token` after `delay` seconds."""
         self.effects.append(("set_timer", token, self.now + delay))
 
     def log_note(self, text: str):
+        """Write a note to the log."""
         self.effects.append(("log_note", text))
 
-    # What the log and the counts say
+    # Log and metrics
 
     def log(self, message: str, request: Request, **fields):
+        """Log an event of a request."""
         name = self.config.settings.request_classes[request.request_class].name
         self.effects.append(
             ("log", message, {"request": request.id.decode("latin-1"), "request_class": name} | fields)
         )
 
-    def report_transition(self, what: str, server, why: str):
-        """A circuit, or the zone that the agent stands on, changed. `server`: None where it is about none."""
-        self.metrics.count(what.replace(" ", "_"))
+    def report_transition(self, transition: str, server, reason: str):
+        """A circuit or the agent's current zone has changed; `server` is None for a zone."""
+        self.metrics.count(transition.replace(" ", "_"))
         known = server and self.servers.get(server.index)
-        self.effects.append(("log", what, {"server": known.address if known else "", "reason": why}))
+        self.effects.append(("log", transition, {"server": known.address if known else "", "reason": reason}))
 
     def report_violation(self, invariant: Invariant, id: bytes, detail: str):
+        """Count and log a violated invariant."""
         self.metrics.count(f"violations_{invariant}")
         fields = {"invariant": str(invariant), "request": id.decode("latin-1"), "reason": detail}
         self.effects.append(("log_violation", fields))
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -13,7 +13,7 @@
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.settings import FleetSettings
 from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
-from tests.test_reducer import Desk
+from tests.test_reducer import ReducerHarness
 
 WORKLOADS = SETTINGS["workloads"] + [
     {
@@ -31,7 +31,7 @@
 LONGEST = (float("inf"), 26.0, 30.0, 26.0, 26.0)
 
 
-class AdmissionHarness(Desk):
+class AdmissionHarness(ReducerHarness):
     """The reducer's context, with a fleet whose decisions the test gives."""
 
     def __init__(self, folder, servers=SERVERS):
@@ -44,15 +44,15 @@
             ],
         }
         at = agent_config(folder, known=known, settings=SETTINGS | {"workloads": WORKLOADS})
-        self.lines, self.at, self.effects_log = [], {}, []
+        self.lines, self.servers_by_attempt, self.effects_log = [], {}, []
         self.reducer = Reducer(at, 100.0, 1100.0, LONGEST)
-        self.say("start")
+        self.record_effects("start")
 
-    def say(self, event):
+    def record_effects(self, event):
         """Carries out what is asked; an attempt that is withheld ends by an event of its own."""
         for verb, *args in self.reducer.effects:
             if verb == "send_attempt":
-                self.at[tuple(args[:2])] = args[2]
+                self.servers_by_attempt[tuple(args[:2])] = args[2]
             if verb in (
                 "admit",
                 "attempt_sent",
@@ -65,7 +65,7 @@
         withheld = [args for verb, *args in self.reducer.effects if verb == "suppress_attempt"]
         self.reducer.effects.clear()
         for args in withheld:
-            self.play(0.0, "on_attempt_ended", *args)
+            self.run_event(0.0, "on_attempt_ended", *args)
 
     def of(self, verb):
         return [args for each, *args in self.effects_log if each == verb]
@@ -83,39 +83,39 @@
 
 
 def test_no_attempt_is_sent_before_the_decision_and_each_one_is_reported(context):
-    context.take(ONCE)
+    context.send_request(ONCE)
     assert (
         not context.of("send_attempt")
         and not context.reducer.balancer.requests
         and context.of("admit")[0][0] == 1
     )
-    context.play(0.01, "on_admitted", 1, ())
+    context.run_event(0.01, "on_admitted", 1, ())
     kinds = [verb for verb, *_ in context.effects_log]
     assert kinds == ["admit", "attempt_sent", "send_attempt"] and context.of("attempt_sent") == [
         [1, "a", context.of("attempt_sent")[0][2]]
     ]
-    context.end(1, 0)
+    context.end_attempt(1, 0)
     assert context.statuses() == [200] and context.of("request_ended") == [[1, "answered"]]
-    context.play(0.0, "on_admitted", 1, ())
+    context.run_event(0.0, "on_admitted", 1, ())
     assert len(context.of("send_attempt")) == 1
 
 
 @pytest.mark.parametrize("status", [429, 502, 503])
 def test_declined_request_is_answered_and_never_attempted(context, status):
-    context.take(ONCE)
-    context.play(0.01, "on_declined", 1, status, 0.7)
+    context.send_request(ONCE)
+    context.run_event(0.01, "on_declined", 1, status, 0.7)
     assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("request_ended") == [
         [1, "never"]
     ]
-    context.play(0.01, "on_admitted", 1, ())
-    context.play(0.01, "on_declined", 1, 502, 0.0)
+    context.run_event(0.01, "on_admitted", 1, ())
+    context.run_event(0.01, "on_declined", 1, 502, 0.0)
     assert len(context.statuses()) == 1 and not context.of("send_attempt") and not context.reducer.requests
 
 
 def test_decision_after_the_client_has_disconnected_is_dropped(context):
-    context.take(MARK)
-    context.play(0.01, "on_client_disconnected", 1)
-    context.play(0.01, "on_admitted", 1, ())
+    context.send_request(MARK)
+    context.run_event(0.01, "on_client_disconnected", 1)
+    context.run_event(0.01, "on_admitted", 1, ())
     assert (
         context.of("request_ended") == [[1, "never"]]
         and not context.of("send_attempt")
@@ -127,8 +127,8 @@
 def test_without_a_decision_by_the_deadline_only_a_harmless_one_may_be_retried(
     context, request_class, status
 ):
-    context.take(request_class)
-    context.play(2.1, "on_deadline_passed", 1)
+    context.send_request(request_class)
+    context.run_event(2.1, "on_deadline_passed", 1)
     assert context.statuses() == [status] and context.of("request_ended") == [[1, "never"]]
 
 
@@ -154,20 +154,20 @@
     ],
 )
 def test_outcome_that_is_reported_when_a_request_has_ended(context, endings, ran):
-    context.take(ONCE)
-    context.play(0.01, "on_admitted", 1, ())
+    context.send_request(ONCE)
+    context.run_event(0.01, "on_admitted", 1, ())
     for attempt, (reason, progress, status) in enumerate(endings):
         assert not context.of("request_ended")
-        context.end(1, attempt, reason, progress, status)
+        context.end_attempt(1, attempt, reason, progress, status)
     assert context.of("request_ended") == [[1, ran]] and not context.reducer.requests
 
 
 def test_an_answer_that_comes_for_a_client_that_has_gone_is_no_answer(context):
-    context.take(ONCE)
-    context.play(0.01, "on_admitted", 1, ())
-    context.play(0.01, "on_client_disconnected", 1)
+    context.send_request(ONCE)
+    context.run_event(0.01, "on_admitted", 1, ())
+    context.run_event(0.01, "on_client_disconnected", 1)
     assert not context.of("request_ended")
-    context.end(1, 0)
+    context.end_attempt(1, 0)
     assert context.of("request_ended") == [[1, "maybe"]]
 
 
@@ -190,17 +190,17 @@
     went = set()
     for key in range(8):
         context = AdmissionHarness(tmp_path)
-        context.take(request_class)
+        context.send_request(request_class)
         context.reducer.requests[1].request = context.reducer.requests[1].request._replace(
             session_hash=key + 1
         )
-        context.play(0.01, "on_admitted", 1, context.earlier_attempts(*places, group=group))
-        context.play(2.0, "on_timer", 0)
+        context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(*places, group=group))
+        context.run_event(2.0, "on_timer", 0)
         assert len(context.of("send_attempt")) == len(context.of("attempt_sent")) <= 1
         went |= {args[2] for args in context.of("send_attempt")}
         if allowed:
             assert context.of("send_attempt"), "an allowed server was not found"
-            context.end(1, context.of("send_attempt")[0][1])
+            context.end_attempt(1, context.of("send_attempt")[0][1])
             assert context.statuses() == [200]
         else:
             assert context.statuses() == [502] and context.of("request_ended") == [[1, "never"]]
@@ -210,21 +210,21 @@
 @pytest.mark.parametrize("lasts, group, status", [(4.0, "all", 503), (0.5, "all", 502), (4.0, "zone", 502)])
 def test_rejected_only_where_a_repeat_is_harmless_by_the_earlier_one_too(tmp_path, lasts, group, status):
     context = AdmissionHarness(tmp_path, servers=[])
-    context.take(MARK)
-    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
-    context.play(1.0, "on_timer", 0)
+    context.send_request(MARK)
+    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
+    context.run_event(1.0, "on_timer", 0)
     assert context.statuses() == [status]
 
 
 def test_no_further_attempt_once_the_earlier_ones_window_is_over(context):
-    context.take(MARK)
-    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
+    context.send_request(MARK)
+    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
     assert len(context.of("send_attempt")) == 1
-    context.play(
+    context.run_event(
         0.3,
         "on_attempt_ended",
         1,
-        context.at[1, 0],
+        context.servers_by_attempt[1, 0],
         0,
         AttemptResult(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0.1),
     )
@@ -233,7 +233,7 @@
 
 def test_a_request_lasts_no_longer_than_its_mark(context):
     for request_class, lasts in ((READ, 60.0), (MARK, 26.0), (ONCE, 30.0)):
-        context.take(request_class, wait=60.0)
+        context.send_request(request_class, timeout=60.0)
         _, _, deadline = context.of("admit")[-1]
         assert deadline == pytest.approx(context.reducer.now + lasts)
 
@@ -241,22 +241,22 @@
 def test_a_long_day_with_admission_control_leaves_nothing_behind(context):
     for day in range(200):
         entry = ServerEntry(f"n{day}", "127.0.0.1:9", "b", cell=day % 3)
-        context.play(0.1, "on_server_list", ServerList(day + 2, False, (entry,)))
-        context.take(day % 5)
+        context.run_event(0.1, "on_server_list", ServerList(day + 2, False, (entry,)))
+        context.send_request(day % 5)
         number = context.reducer.request_count
-        context.play(
+        context.run_event(
             0.01,
             "on_admitted",
             number,
             context.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else (),
         )
-        if (number, 0) in context.at:
-            context.end(number, 0)
-        context.play(1.0, "on_timer", 0)
+        if (number, 0) in context.servers_by_attempt:
+            context.end_attempt(number, 0)
+        context.run_event(1.0, "on_timer", 0)
         for attempt in range(1, 3):
-            if number in context.reducer.requests and (number, attempt) in context.at:
-                context.end(number, attempt)
-        context.play(1.0, "on_deadline_passed", number)
+            if number in context.reducer.requests and (number, attempt) in context.servers_by_attempt:
+                context.end_attempt(number, attempt)
+        context.run_event(1.0, "on_deadline_passed", number)
     assert not context.reducer.requests and not context.reducer.balancer.requests
     assert len(context.of("request_ended")) == 200
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,7 +12,7 @@
 from tests.fleet.test_admission import MARK as ADMISSION_MARK
 from tests.fleet.test_admission import AdmissionHarness
 from tests.scene import SETTINGS, Deployment, answered, until, worded
-from tests.test_reducer import Desk
+from tests.test_reducer import ReducerHarness
 
 READ, MARK, ONCE = range(3)
 WITHOUT_CANCEL = SETTINGS | {
@@ -209,34 +209,36 @@
 
 def test_repeat_reaches_its_server_within_the_window_or_not_at_all(tmp_path):
     for kind, within in ((READ, True), (MARK, False)):
-        context = Desk(tmp_path)
-        context.take(kind, wait=6.0)
-        context.end(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
-        server = context.at[1, 1]
+        context = ReducerHarness(tmp_path)
+        context.send_request(kind, timeout=6.0)
+        context.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
+        server = context.servers_by_attempt[1, 1]
         assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
         assert context.reducer.may_send(1, 1, server) is within
         context.reducer.now += 2.0  # the deadline
         assert not context.reducer.may_send(1, 1, server)
-        context.end(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+        context.end_attempt(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
         # What may have run may be rejected only where a repeat does no harm.
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
 
 
 def test_non_idempotent_request_may_begin_once_its_earlier_attempt_never_ran(tmp_path):
-    context = Desk(tmp_path)
-    context.take(ONCE)
-    assert context.reducer.may_send(1, 0, context.at[1, 0])
-    context.end(1, 0, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
-    assert context.at[1, 1] != context.at[1, 0] and context.reducer.may_send(1, 1, context.at[1, 1])
-    assert not context.reducer.may_send(1, 0, context.at[1, 0])  # that one has ended
+    context = ReducerHarness(tmp_path)
+    context.send_request(ONCE)
+    assert context.reducer.may_send(1, 0, context.servers_by_attempt[1, 0])
+    context.end_attempt(1, 0, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+    assert context.servers_by_attempt[1, 1] != context.servers_by_attempt[1, 0] and context.reducer.may_send(
+        1, 1, context.servers_by_attempt[1, 1]
+    )
+    assert not context.reducer.may_send(1, 0, context.servers_by_attempt[1, 0])  # that one has ended
 
 
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
     context = AdmissionHarness(tmp_path)
-    context.take(ADMISSION_MARK)
-    context.play(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
-    server = context.at[1, 0]
+    context.send_request(ADMISSION_MARK)
+    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    server = context.servers_by_attempt[1, 0]
     assert context.reducer.may_send(1, 0, server)
     context.reducer.now += 0.6
     assert not context.reducer.may_send(1, 0, server)
@@ -244,17 +246,17 @@
 
 @pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
 def test_server_that_moves_to_another_group_leaves_its_attempts_in_the_one_before(tmp_path, place):
-    context = Desk(tmp_path)
-    context.take(MARK)
-    balancer, server = context.reducer.balancer, context.at[1, 0]
+    context = ReducerHarness(tmp_path)
+    context.send_request(MARK)
+    balancer, server = context.reducer.balancer, context.servers_by_attempt[1, 0]
     trace, _ = balancer.requests[1].possible_executions[0]
     before = trace.zone, trace.cell
     name = next(name for name, index in context.reducer.server_indices.items() if index == server)
     entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
-    context.play(0.0, "on_server_list", ServerList(4, False, (entry,)))
+    context.run_event(0.0, "on_server_list", ServerList(4, False, (entry,)))
     assert (trace.zone, trace.cell) == before and not context.reducer.may_send(1, 0, server)
     assert context.reducer.server_indices[name] != server and server not in context.reducer.servers
-    context.end(1, 0)
+    context.end_attempt(1, 0)
     assert server not in balancer.servers and not context.reducer.pending_count
-    context.play(0.0, "on_server_list", ServerList(5, False, (entry,)))
+    context.run_event(0.0, "on_server_list", ServerList(5, False, (entry,)))
     assert len(balancer.servers) == 2  # told again, it has not moved again
