--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -11,8 +11,8 @@
 
 from cartdeal.agent.reducer import Reducer
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.rule_checker import RuleChecker
 from cartdeal.emulator.play import Fleet
+from cartdeal.emulator.rule_checker import RuleChecker
 
 ALL_OF_A = {"kind": "replace", "zone": "a", "part": 1.0, "begins_s": 3.0, "lasts_s": 0.1}
 SIX_IN_TEN = {"kind": "replace", "part": 0.6, "begins_s": 3.0, "lasts_s": 1.0}
