--- a/tests/fleet/test_disabled.py
+++ b/tests/fleet/test_disabled.py
@@ -8,7 +8,7 @@
 from gevent import subprocess
 
 from tests.scene import config_file
-from tests.test_sockets import line_with
+from tests.test_sockets import wait_for_line
 
 IMPORTS = """
     cartdeal cartdeal.agent cartdeal.agent.configuration cartdeal.agent.connection cartdeal.agent.effects
@@ -93,7 +93,7 @@
     agent_without_fleet = run(tmp_path, "-m", "cartdeal", PROXY_FLEET="")
     agent_with_fleet = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file))
     for agent in (agent_without_fleet, agent_with_fleet):
-        line_with(agent, b"msg=serving")
+        wait_for_line(agent, b"msg=serving")
     without_fleet, with_fleet = (
         [kind for kind in open_descriptors(agent) if kind != "connecting"]
         for agent in (agent_without_fleet, agent_with_fleet)
@@ -138,7 +138,7 @@
 
 def test_port_in_use_ends_the_start_with_status_1(tmp_path, fleet_file):
     first = run(tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file))
-    port = line_with(first, b'"in a fleet"').split(b"port=")[1].split()[0].decode()
+    port = wait_for_line(first, b'"in a fleet"').split(b"port=")[1].split()[0].decode()
     second = run(
         tmp_path, "-m", "cartdeal", PROXY_FLEET=str(fleet_file), PROXY_FLEET_LISTEN=f"127.0.0.1:{port}"
     )
