--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -1,3 +1,5 @@
+"""Admission control: the reducer's side with given decisions, and the agent's side with a fake node."""
+
 import time
 
 import gevent
@@ -28,32 +30,32 @@
 ]
 READ, MARK, ONCE, ZONED, CELLED = range(5)
 SERVERS = [("a1", "a", 1), ("a2", "a", 2), ("b1", "b", 1), ("b2", "b", 2)]
-LONGEST = (float("inf"), 26.0, 30.0, 26.0, 26.0)
+MAX_REQUEST_DURATIONS = (float("inf"), 26.0, 30.0, 26.0, 26.0)
 
 
 class AdmissionHarness(ReducerHarness):
-    """The reducer's context, with a fleet whose decisions the test gives."""
+    """A reducer harness with admission control, whose decisions the test gives."""
 
     def __init__(self, folder, servers=SERVERS):
         known = {
             "rev": 1,
             "all": True,
             "targets": [
-                {"uid": name, "endpoint": f"127.0.0.1:{place + 1}", "az": zone, "pod_group": cell}
-                for place, (name, zone, cell) in enumerate(servers)
+                {"uid": name, "endpoint": f"127.0.0.1:{index + 1}", "az": zone, "pod_group": cell}
+                for index, (name, zone, cell) in enumerate(servers)
             ],
         }
-        at = agent_config(folder, known=known, settings=SETTINGS | {"workloads": WORKLOADS})
+        config = agent_config(folder, known=known, settings=SETTINGS | {"workloads": WORKLOADS})
         self.lines, self.servers_by_attempt, self.effects_log = [], {}, []
-        self.reducer = Reducer(at, 100.0, 1100.0, LONGEST)
+        self.reducer = Reducer(config, 100.0, 1100.0, MAX_REQUEST_DURATIONS)
         self.record_effects("start")
 
     def record_effects(self, event):
-        """Carries out what is asked; an attempt that is withheld ends by an event of its own."""
-        for verb, *args in self.reducer.effects:
-            if verb == "send_attempt":
+        """Record the effects; a suppressed attempt ends by an event of its own."""
+        for effect, *args in self.reducer.effects:
+            if effect == "send_attempt":
                 self.servers_by_attempt[tuple(args[:2])] = args[2]
-            if verb in (
+            if effect in (
                 "admit",
                 "attempt_sent",
                 "request_ended",
@@ -61,79 +63,81 @@
                 "answer",
                 "send_attempt",
             ):
-                self.effects_log.append((verb, *args))
-        withheld = [args for verb, *args in self.reducer.effects if verb == "suppress_attempt"]
+                self.effects_log.append((effect, *args))
+        suppressed = [args for effect, *args in self.reducer.effects if effect == "suppress_attempt"]
         self.reducer.effects.clear()
-        for args in withheld:
+        for args in suppressed:
             self.run_event(0.0, "on_attempt_ended", *args)
 
-    def of(self, verb):
-        return [args for each, *args in self.effects_log if each == verb]
+    def effects_of(self, effect):
+        return [args for each, *args in self.effects_log if each == effect]
 
     def statuses(self):
-        return [args[1] for args in self.of("answer")]
+        return [args[1] for args in self.effects_of("answer")]
 
-    def earlier_attempts(self, *places, group="zone", lasts=4.0):
-        return tuple((zone, cell, group, self.reducer.now + lasts) for zone, cell in places)
+    def earlier_attempts(self, *locations, group="zone", duration=4.0):
+        return tuple((zone, cell, group, self.reducer.now + duration) for zone, cell in locations)
 
 
 @pytest.fixture
-def context(tmp_path):
+def harness(tmp_path):
     return AdmissionHarness(tmp_path)
 
 
-def test_no_attempt_is_sent_before_the_decision_and_each_one_is_reported(context):
-    context.send_request(ONCE)
+def test_attempts_are_sent_and_reported_only_after_the_decision(harness):
+    harness.send_request(ONCE)
     assert (
-        not context.of("send_attempt")
-        and not context.reducer.balancer.requests
-        and context.of("admit")[0][0] == 1
+        not harness.effects_of("send_attempt")
+        and not harness.reducer.balancer.requests
+        and harness.effects_of("admit")[0][0] == 1
     )
-    context.run_event(0.01, "on_admitted", 1, ())
-    kinds = [verb for verb, *_ in context.effects_log]
-    assert kinds == ["admit", "attempt_sent", "send_attempt"] and context.of("attempt_sent") == [
-        [1, "a", context.of("attempt_sent")[0][2]]
-    ]
-    context.end_attempt(1, 0)
-    assert context.statuses() == [200] and context.of("request_ended") == [[1, "answered"]]
-    context.run_event(0.0, "on_admitted", 1, ())
-    assert len(context.of("send_attempt")) == 1
+    harness.run_event(0.01, "on_admitted", 1, ())
+    effect_names = [effect for effect, *_ in harness.effects_log]
+    assert effect_names == ["admit", "attempt_sent", "send_attempt"] and harness.effects_of(
+        "attempt_sent"
+    ) == [[1, "a", harness.effects_of("attempt_sent")[0][2]]]
+    harness.end_attempt(1, 0)
+    assert harness.statuses() == [200] and harness.effects_of("request_ended") == [[1, "answered"]]
+    harness.run_event(0.0, "on_admitted", 1, ())
+    assert len(harness.effects_of("send_attempt")) == 1
 
 
 @pytest.mark.parametrize("status", [429, 502, 503])
-def test_declined_request_is_answered_and_never_attempted(context, status):
-    context.send_request(ONCE)
-    context.run_event(0.01, "on_declined", 1, status, 0.7)
-    assert context.of("answer") == [["line 1", status, b"", b"", 0.7]] and context.of("request_ended") == [
-        [1, "never"]
-    ]
-    context.run_event(0.01, "on_admitted", 1, ())
-    context.run_event(0.01, "on_declined", 1, 502, 0.0)
-    assert len(context.statuses()) == 1 and not context.of("send_attempt") and not context.reducer.requests
+def test_declined_request_is_answered_without_an_attempt(harness, status):
+    harness.send_request(ONCE)
+    harness.run_event(0.01, "on_declined", 1, status, 0.7)
+    assert harness.effects_of("answer") == [["line 1", status, b"", b"", 0.7]] and harness.effects_of(
+        "request_ended"
+    ) == [[1, "never"]]
+    harness.run_event(0.01, "on_admitted", 1, ())
+    harness.run_event(0.01, "on_declined", 1, 502, 0.0)
+    assert (
+        len(harness.statuses()) == 1
+        and not harness.effects_of("send_attempt")
+        and not harness.reducer.requests
+    )
 
 
-def test_decision_after_the_client_has_disconnected_is_dropped(context):
-    context.send_request(MARK)
-    context.run_event(0.01, "on_client_disconnected", 1)
-    context.run_event(0.01, "on_admitted", 1, ())
+def test_decision_after_the_client_disconnected_is_ignored(harness):
+    harness.send_request(MARK)
+    harness.run_event(0.01, "on_client_disconnected", 1)
+    harness.run_event(0.01, "on_admitted", 1, ())
     assert (
-        context.of("request_ended") == [[1, "never"]]
-        and not context.of("send_attempt")
-        and not context.reducer.requests
+        harness.effects_of("request_ended") == [[1, "never"]]
+        and not harness.effects_of("send_attempt")
+        and not harness.reducer.requests
     )
 
 
 @pytest.mark.parametrize("request_class, status", [(READ, 503), (ONCE, 502), (MARK, 502)])
-def test_without_a_decision_by_the_deadline_only_a_harmless_one_may_be_retried(
-    context, request_class, status
-):
-    context.send_request(request_class)
-    context.run_event(2.1, "on_deadline_passed", 1)
-    assert context.statuses() == [status] and context.of("request_ended") == [[1, "never"]]
+def test_request_without_a_decision_is_rejected_only_if_it_is_idempotent(harness, request_class, status):
+    harness.send_request(request_class)
+    harness.run_event(2.1, "on_deadline_passed", 1)
+    assert harness.statuses() == [status] and harness.effects_of("request_ended") == [[1, "never"]]
 
 
 @pytest.mark.parametrize(
-    "endings, ran",
+    "results, ran",
     [
         ([(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0)] * 3, "never"),
         ([(FailureReason.CONNECTION_BROKEN, Progress.WRITTEN, 0)], "maybe"),
@@ -153,26 +157,26 @@
         ),
     ],
 )
-def test_outcome_that_is_reported_when_a_request_has_ended(context, endings, ran):
-    context.send_request(ONCE)
-    context.run_event(0.01, "on_admitted", 1, ())
-    for attempt, (reason, progress, status) in enumerate(endings):
-        assert not context.of("request_ended")
-        context.end_attempt(1, attempt, reason, progress, status)
-    assert context.of("request_ended") == [[1, ran]] and not context.reducer.requests
+def test_reported_outcome_of_an_ended_request(harness, results, ran):
+    harness.send_request(ONCE)
+    harness.run_event(0.01, "on_admitted", 1, ())
+    for attempt, (reason, progress, status) in enumerate(results):
+        assert not harness.effects_of("request_ended")
+        harness.end_attempt(1, attempt, reason, progress, status)
+    assert harness.effects_of("request_ended") == [[1, ran]] and not harness.reducer.requests
 
 
-def test_an_answer_that_comes_for_a_client_that_has_gone_is_no_answer(context):
-    context.send_request(ONCE)
-    context.run_event(0.01, "on_admitted", 1, ())
-    context.run_event(0.01, "on_client_disconnected", 1)
-    assert not context.of("request_ended")
-    context.end_attempt(1, 0)
-    assert context.of("request_ended") == [[1, "maybe"]]
+def test_answer_for_a_disconnected_client_is_reported_as_maybe_run(harness):
+    harness.send_request(ONCE)
+    harness.run_event(0.01, "on_admitted", 1, ())
+    harness.run_event(0.01, "on_client_disconnected", 1)
+    assert not harness.effects_of("request_ended")
+    harness.end_attempt(1, 0)
+    assert harness.effects_of("request_ended") == [[1, "maybe"]]
 
 
 @pytest.mark.parametrize(
-    "request_class, group, places, allowed",
+    "request_class, group, locations, allowed",
     [
         (MARK, "all", [("", -1)], {0, 1, 2, 3}),
         (ZONED, "zone", [("b", 1)], {2, 3}),
@@ -184,88 +188,94 @@
         (ONCE, "all", [], {0, 1, 2, 3}),
     ],
 )
-def test_a_repeat_goes_only_where_the_earlier_one_allows_and_finds_the_way(
-    tmp_path, request_class, group, places, allowed
+def test_repeat_is_sent_only_to_servers_that_the_earlier_attempt_allows(
+    tmp_path, request_class, group, locations, allowed
 ):
-    went = set()
+    reached = set()
     for key in range(8):
-        context = AdmissionHarness(tmp_path)
-        context.send_request(request_class)
-        context.reducer.requests[1].request = context.reducer.requests[1].request._replace(
+        harness = AdmissionHarness(tmp_path)
+        harness.send_request(request_class)
+        harness.reducer.requests[1].request = harness.reducer.requests[1].request._replace(
             session_hash=key + 1
         )
-        context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(*places, group=group))
-        context.run_event(2.0, "on_timer", 0)
-        assert len(context.of("send_attempt")) == len(context.of("attempt_sent")) <= 1
-        went |= {args[2] for args in context.of("send_attempt")}
+        harness.run_event(0.01, "on_admitted", 1, harness.earlier_attempts(*locations, group=group))
+        harness.run_event(2.0, "on_timer", 0)
+        assert len(harness.effects_of("send_attempt")) == len(harness.effects_of("attempt_sent")) <= 1
+        reached |= {args[2] for args in harness.effects_of("send_attempt")}
         if allowed:
-            assert context.of("send_attempt"), "an allowed server was not found"
-            context.end_attempt(1, context.of("send_attempt")[0][1])
-            assert context.statuses() == [200]
+            assert harness.effects_of("send_attempt"), "an allowed server was not found"
+            harness.end_attempt(1, harness.effects_of("send_attempt")[0][1])
+            assert harness.statuses() == [200]
         else:
-            assert context.statuses() == [502] and context.of("request_ended") == [[1, "never"]]
-    assert went <= allowed
+            assert harness.statuses() == [502] and harness.effects_of("request_ended") == [[1, "never"]]
+    assert reached <= allowed
 
 
-@pytest.mark.parametrize("lasts, group, status", [(4.0, "all", 503), (0.5, "all", 502), (4.0, "zone", 502)])
-def test_rejected_only_where_a_repeat_is_harmless_by_the_earlier_one_too(tmp_path, lasts, group, status):
-    context = AdmissionHarness(tmp_path, servers=[])
-    context.send_request(MARK)
-    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group=group, lasts=lasts))
-    context.run_event(1.0, "on_timer", 0)
-    assert context.statuses() == [status]
+@pytest.mark.parametrize(
+    "duration, group, status", [(4.0, "all", 503), (0.5, "all", 502), (4.0, "zone", 502)]
+)
+def test_request_is_rejected_only_if_a_repeat_is_safe_by_the_earlier_attempt(
+    tmp_path, duration, group, status
+):
+    harness = AdmissionHarness(tmp_path, servers=[])
+    harness.send_request(MARK)
+    harness.run_event(
+        0.01, "on_admitted", 1, harness.earlier_attempts(("a", 1), group=group, duration=duration)
+    )
+    harness.run_event(1.0, "on_timer", 0)
+    assert harness.statuses() == [status]
 
 
-def test_no_further_attempt_once_the_earlier_ones_window_is_over(context):
-    context.send_request(MARK)
-    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("", -1), group="all", lasts=0.2))
-    assert len(context.of("send_attempt")) == 1
-    context.run_event(
+def test_no_further_attempt_after_the_window_of_the_earlier_attempt(harness):
+    harness.send_request(MARK)
+    harness.run_event(0.01, "on_admitted", 1, harness.earlier_attempts(("", -1), group="all", duration=0.2))
+    assert len(harness.effects_of("send_attempt")) == 1
+    harness.run_event(
         0.3,
         "on_attempt_ended",
         1,
-        context.servers_by_attempt[1, 0],
+        harness.servers_by_attempt[1, 0],
         0,
         AttemptResult(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0.1),
     )
-    assert len(context.of("send_attempt")) == 1 and context.statuses() == [502]
+    assert len(harness.effects_of("send_attempt")) == 1 and harness.statuses() == [502]
 
 
-def test_a_request_lasts_no_longer_than_its_mark(context):
-    for request_class, lasts in ((READ, 60.0), (MARK, 26.0), (ONCE, 30.0)):
-        context.send_request(request_class, timeout=60.0)
-        _, _, deadline = context.of("admit")[-1]
-        assert deadline == pytest.approx(context.reducer.now + lasts)
+def test_request_lasts_no_longer_than_its_idempotency_record(harness):
+    for request_class, duration in ((READ, 60.0), (MARK, 26.0), (ONCE, 30.0)):
+        harness.send_request(request_class, timeout=60.0)
+        _, _, deadline = harness.effects_of("admit")[-1]
+        assert deadline == pytest.approx(harness.reducer.now + duration)
 
 
-def test_a_long_day_with_admission_control_leaves_nothing_behind(context):
-    for day in range(200):
-        entry = ServerEntry(f"n{day}", "127.0.0.1:9", "b", cell=day % 3)
-        context.run_event(0.1, "on_server_list", ServerList(day + 2, False, (entry,)))
-        context.send_request(day % 5)
-        number = context.reducer.request_count
-        context.run_event(
+def test_state_stays_bounded_with_admission_control(harness):
+    for cycle in range(200):
+        entry = ServerEntry(f"n{cycle}", "127.0.0.1:9", "b", cell=cycle % 3)
+        harness.run_event(0.1, "on_server_list", ServerList(cycle + 2, False, (entry,)))
+        harness.send_request(cycle % 5)
+        number = harness.reducer.request_count
+        harness.run_event(
             0.01,
             "on_admitted",
             number,
-            context.earlier_attempts(("b", 1), group="zone") if day % 5 > 2 else (),
+            harness.earlier_attempts(("b", 1), group="zone") if cycle % 5 > 2 else (),
         )
-        if (number, 0) in context.servers_by_attempt:
-            context.end_attempt(number, 0)
-        context.run_event(1.0, "on_timer", 0)
+        if (number, 0) in harness.servers_by_attempt:
+            harness.end_attempt(number, 0)
+        harness.run_event(1.0, "on_timer", 0)
         for attempt in range(1, 3):
-            if number in context.reducer.requests and (number, attempt) in context.servers_by_attempt:
-                context.end_attempt(number, attempt)
-        context.run_event(1.0, "on_deadline_passed", number)
-    assert not context.reducer.requests and not context.reducer.balancer.requests
-    assert len(context.of("request_ended")) == 200
+            if number in harness.reducer.requests and (number, attempt) in harness.servers_by_attempt:
+                harness.end_attempt(number, attempt)
+        harness.run_event(1.0, "on_deadline_passed", number)
+    assert not harness.reducer.requests and not harness.reducer.balancer.requests
+    assert len(harness.effects_of("request_ended")) == 200
 
 
-# Admission control itself, over a fake node
+# Admission control itself, with a fake node
 
 
 class FakeNode:
-    """Gives the decisions that a test lays down, by request class; with none, it is silent."""
+    """Gives the decisions that a test sets by request class, and no decision for other classes."""
 
     def __init__(self, fleet_settings, seed, now, wall):
         self.name, self.address, self.incarnation, self.is_handed_over = (
@@ -281,8 +291,10 @@
         if decision := self.decisions.get(request.workload):
             self.deliver(ticket, *decision)
 
-    def deliver(self, ticket, decision, wait=0.0, earlier_attempts=()):
-        self.effects.append(DeliverDecision(ticket, AdmissionDecision(decision), wait, earlier_attempts))
+    def deliver(self, ticket, decision, retry_after_s=0.0, earlier_attempts=()):
+        self.effects.append(
+            DeliverDecision(ticket, AdmissionDecision(decision), retry_after_s, earlier_attempts)
+        )
 
     def __getattr__(self, event):
         if event not in (
@@ -310,23 +322,23 @@
 @pytest.fixture
 def deploy(tmp_path, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.admission.Node", FakeNode)
-    made = []
+    created = []
 
-    def make(fleet_settings=FLEET_SETTINGS, **more):
+    def create(fleet_settings=FLEET_SETTINGS, **more):
         fleet = configuration.FleetConfiguration(fleet_settings, ("127.0.0.1", 0))
-        made.append(Deployment(tmp_path, fleet=fleet, settings=SETTINGS, **more))
-        node = made[-1].agent.admission.transport.node
+        created.append(Deployment(tmp_path, fleet=fleet, settings=SETTINGS, **more))
+        node = created[-1].agent.admission.transport.node
         node.decisions |= {kind["name"]: ("admit",) for kind in WORKLOADS}
-        return made[-1], node
+        return created[-1], node
 
     with gevent.Timeout(20):
-        yield make
-    for deployment in made:
+        yield create
+    for deployment in created:
         deployment.stop()
 
 
 def send_and_receive(deployment, *args, **headers):
-    """Status and Retry-After."""
+    """Send a request, and return the status and the Retry-After header of its answer."""
     connection = deployment.connect()
     connection.sock.sendall(worded(*args, **headers))
     while not connection.messages:
@@ -334,7 +346,7 @@
     return connection.messages[0].status, connection.messages[0].headers.get(b"retry-after")
 
 
-def test_admission_request_that_the_fleet_gets(deploy):
+def test_contents_of_the_admission_request(deploy):
     deployment, node = deploy()
     body = b"sheet"
     deployment.ask(
@@ -349,7 +361,7 @@
     )
     for _ in "ab":
         deployment.ask("/once/1", "POST", body, Cookie="sid=7f")
-    deployment.ask("/mark/1", "POST", body)  # without its key it promises nothing
+    deployment.ask("/mark/1", "POST", body)  # without a key it is not deduplicated
     deployment.ask("/read/1")
     mark, once, again, bare, read = [each[2] for each in node.calls if each[0] == "request_admission"]
     assert mark == AdmissionRequest(
@@ -398,14 +410,14 @@
         ),
     ],
 )
-@pytest.mark.parametrize("broken", [False, True])
-def test_fleet_without_a_decision_costs_a_request_a_bounded_wait(
-    deploy, fleet_settings, path, headers, status, broken
+@pytest.mark.parametrize("has_error", [False, True])
+def test_request_waits_for_a_bounded_time_if_the_fleet_makes_no_decision(
+    deploy, fleet_settings, path, headers, status, has_error
 ):
     deployment, node = deploy(fleet_settings)
     node.decisions.clear()
-    if broken:
-        node.request_admission = None  # an error in the middle of the event
+    if has_error:
+        node.request_admission = None  # the event raises an error
     assert send_and_receive(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
     assert not deployment.seen() and not deployment.agent.admission.pending and deployment.agent.reducer.now
     deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
@@ -413,66 +425,66 @@
     assert not deployment.seen()
 
 
-def test_decision_that_comes_by_a_message_lets_the_request_go_on(deploy):
+def test_request_continues_after_a_later_decision(deploy):
     deployment, node = deploy(servers=2)
     node.decisions.clear()
-    waiting = deployment.connect()
-    waiting.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
+    connection = deployment.connect()
+    connection.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
     until(lambda: node.calls)
     deployment.agent.admission.transport.dispatch(
         "deliver", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.repeat_until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
-    assert answered(waiting) == (200, b"s0 ")
+    assert answered(connection) == (200, b"s0 ")
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "answered"))
 
 
-def test_client_that_disconnects_before_the_decision(deploy):
+def test_client_disconnects_before_the_decision(deploy):
     deployment, node = deploy()
     node.decisions.clear()
-    waiting = deployment.connect()
-    waiting.sock.sendall(worded("/once/1", "POST"))
+    connection = deployment.connect()
+    connection.sock.sendall(worded("/once/1", "POST"))
     until(lambda: node.calls)
-    waiting.close()
+    connection.close()
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "never"))
     assert not deployment.agent.admission.pending
     deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
     assert not deployment.agent.reducer.requests and not deployment.seen()
 
 
-def test_event_that_comes_of_an_effect_is_played_after_the_others(deploy):
-    agent, said = deploy()[0].agent, []
+def test_event_caused_by_an_effect_is_handled_after_the_current_event(deploy):
+    agent, messages = deploy()[0].agent, []
     agent.effect_handlers["log_note"] = lambda text: (
-        said.append(text),
+        messages.append(text),
         text == "1" and agent.queue_event("log_note", "4"),
     )
     agent.reducer.effects = [("log_note", "1"), ("log_note", "2")]
     agent.dispatch("log_note", "3")
-    assert said == ["1", "2", "3", "4"] and not agent.is_handling_event
+    assert messages == ["1", "2", "3", "4"] and not agent.is_handling_event
 
 
-def test_a_withheld_attempt_ends_by_an_event_and_the_request_is_failed(deploy):
+def test_suppressed_attempt_ends_by_an_event_and_its_request_is_failed(deploy):
     deployment, node = deploy(servers=2)
     node.decisions["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
     assert send_and_receive(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
     assert not deployment.seen() and ("on_request_ended", 1, "never") in node.calls
 
 
-def test_file_that_is_read_again(deploy, tmp_path, monkeypatch, caplog):
+def test_reload_of_the_fleet_file(deploy, tmp_path, monkeypatch, caplog):
     caplog.set_level("INFO")
     deployment, node = deploy(replace(FLEET_SETTINGS, seeds={"n1": "127.0.0.1:9"}))
-    file = tmp_path / "fleet.toml"
-    monkeypatch.setenv("PROXY_FLEET", str(file))
+    fleet_file = tmp_path / "fleet.toml"
+    monkeypatch.setenv("PROXY_FLEET", str(fleet_file))
     monkeypatch.setenv("PROXY_CONFIG", str(tmp_path / "config.json"))
-    good = 'fleet = "f"\nname = "n0"\nkey = "' + "k" * 16 + '"\nlisten = "127.0.0.1:0"\n%s[seeds]\n'
-    for text, said in (("[", "fleet file refused"), (good % "wait_s = 9.0\n", "fleet file refused")):
-        file.write_text(text)
+    template = 'fleet = "f"\nname = "n0"\nkey = "' + "k" * 16 + '"\nlisten = "127.0.0.1:0"\n%s[seeds]\n'
+    for text, message in (("[", "fleet file refused"), (template % "wait_s = 9.0\n", "fleet file refused")):
+        fleet_file.write_text(text)
         deployment.agent.reload()
-        assert caplog.messages[-2] == said and not [
+        assert caplog.messages[-2] == message and not [
             each for each in node.calls if each[0] == "apply_settings"
         ]
-    file.write_text(good % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
+    fleet_file.write_text(template % "copies = 2\nwrite_by = 2\nwait_s = 0.2\n" + 'n1 = "127.0.0.1:8"\n')
     deployment.agent.reload()
     ((_, fleet_settings),) = [each for each in node.calls if each[0] == "apply_settings"]
     assert (fleet_settings.wait_s, fleet_settings.copies, fleet_settings.seeds) == (
@@ -486,19 +498,20 @@
     )
 
 
-def test_agent_that_shuts_down_hands_over_and_leaves_the_fleet(deploy):
+def test_agent_hands_over_at_shutdown_and_leaves_the_fleet(deploy):
     deployment, node = deploy()
     node.is_handed_over = False
     deployment.agent.begin_handover()
-    gone = gevent.spawn_later(0.05, setattr, node, "gone", True)
+    handover = gevent.spawn_later(0.05, setattr, node, "gone", True)
     deployment.agent.leave_fleet(time.monotonic() + 10)
-    assert gone.ready() and [each[0] for each in node.calls] == ["begin_shutdown", "finish_shutdown"]
+    assert handover.ready() and [each[0] for each in node.calls] == ["begin_shutdown", "finish_shutdown"]
     node.is_handed_over = False
-    deployment.agent.leave_fleet(time.monotonic() + 0.05)  # others do not take it over: it ends
+    # No peer takes over: the agent leaves at the deadline.
+    deployment.agent.leave_fleet(time.monotonic() + 0.05)
     assert node.calls[-1] == ("finish_shutdown",)
 
 
-def test_digest_tells_apart_where_one_part_ends_and_the_next_begins():
+def test_digest_depends_on_the_boundaries_between_its_parts():
     base = Request(0, True, 0, 0, 1.0, False, b"POST", b"/a", b"", b"", b"", b"b")
     others = [
         base,
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -237,7 +237,7 @@
 def test_earlier_attempt_at_another_agent_holds_for_when_the_first_byte_goes(tmp_path):
     context = AdmissionHarness(tmp_path)
     context.send_request(ADMISSION_MARK)
-    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", duration=0.5))
     server = context.servers_by_attempt[1, 0]
     assert context.reducer.may_send(1, 0, server)
     context.reducer.now += 0.6
