--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -38,7 +38,7 @@
 OVERDUE_CHECK_INTERVAL_S = 0.1
 HANDOVER_CHECK_INTERVAL_S = 0.02
 FINAL_FLUSH_S = 0.15  # time limit for writing the last messages
-DESCRIPTORS_PER_STREAM = 8  # one in 8 is for outgoing streams to peers, and one in 8 for incoming ones
+DESCRIPTORS_PER_STREAM = 8  # per outgoing stream to a peer, and per incoming stream
 MEMORY_SHARE = 0.1  # of the limit, for messages queued for peers, and as much for partly received ones
 
 log = logging.getLogger("cartdeal.fleet")
--- a/cartdeal/agent/invariants.py
+++ b/cartdeal/agent/invariants.py
@@ -93,7 +93,7 @@
             self.report(
                 Invariant.TIMEOUT_WITHIN_DEADLINE,
                 record.id,
-                f"told {timeout_sent:.3f} s where {remaining:.3f} s are left",
+                f"timeout of {timeout_sent:.3f} s sent with {remaining:.3f} s left",
             )
         for earlier in record.may_have_run():
             if not repeats_safely(record.request_class, earlier, destination, now):
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -188,7 +188,7 @@
         self.recent_ids, self.previous_ids, self.ids_rotate_at = set(), set(), now
         self.list_version = 0
         self.next_server_index = 0  # an index is never reused
-        # These two contain a server until the list reports it as gone.
+        # These two contain a server until the list reports it as removed.
         self.server_indices: dict[bytes, int] = {}
         self.servers: dict[int, KnownServer] = {}
         self.zone_indices = {name: index for index, name in enumerate(config.settings.zones)}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -210,9 +210,9 @@
     "accepted": [],
     "never up": NEVER_CONNECTED,
     "refused": REFUSED,
-    "no words": RESET,
+    "reset": RESET,
     "half a head": [(0.1, HEAD[:20])],
-    "turned away": [(0.2, b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")],
+    "rejected": [(0.2, b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")],
     "head alone": [(0.1, HEAD)],
     "answered late": [(2.9, b"HTTP/1.1 503 Down\r\n")],
 }
@@ -223,7 +223,7 @@
 @pytest.mark.parametrize(
     "settings",
     [{}, {"discovery": "on_request"}, {"rules": SETTINGS["rules"] | {"askEveryUs": 60_000_000}}],
-    ids=["pushed", "asked for", "asked for seldom"],
+    ids=["pushed", "polled", "polled rarely"],
 )
 def test_change_arrives_within_6_s_of_recovery_after_any_kind_of_outage(make_agent, outage, settings):
     for step in range(30):
@@ -274,7 +274,7 @@
     """After refusals for 4 s, a watch of 1.6 s ends instead of sending a change: the next call is soon."""
 
     def service(now):
-        return OUTAGES["turned away"] if now < 108 else [(0.0, FIRST_LIST), (1.6, b"")]
+        return OUTAGES["rejected"] if now < 108 else [(0.0, FIRST_LIST), (1.6, b"")]
 
     agent = make_agent(chance=0.999999, service=service)
     agent.play(120.0)
@@ -324,7 +324,7 @@
 
 @pytest.mark.parametrize(
     "outage, outage_s, answer_delay",
-    [(REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["turned away"], 7.5, 0.9), ([], 0.0, 2.9)],
+    [(REFUSED, 8.0, 0.9), ([], 5.0, 0.9), (OUTAGES["rejected"], 7.5, 0.9), ([], 0.0, 2.9)],
     ids=["down", "deaf", "full", "slow"],
 )
 def test_nine_in_ten_agents_without_servers_are_ready_within_10_s(make_agent, outage, outage_s, answer_delay):
