--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -26,11 +26,9 @@
 FAST_RESPONSE_RATIO = 0.15  # of the latency target; the limit grows below it
 SLOW_RESPONSE_RATIO = 0.25  # of the latency target; the limit is cut above it
 VERY_SLOW_RESPONSE_RATIO = 0.6  # of the latency target; the limit may fall below 1 above it
-MAX_IN_FLIGHT_RATIO = (
-    1.5  # of the mean in flight; a server above it is used only if no other one has capacity
-)
+MAX_IN_FLIGHT_RATIO = 1.5  # of the mean in flight; a server above it is only a fallback
 MAX_QUEUE_TIME_RATIO = 0.3  # of the latency target
-MAX_POOL_LOAD_RATIO = 1.2  # of the mean load; the same for an agent of a pool
+MAX_POOL_LOAD_RATIO = 1.2  # of the mean load in a pool; a server above it is only a fallback
 MIN_SHARED_POOL_LIMIT = 4.0  # attempts in flight at a server, summed over all agents of a pool
 POOL_LIMIT_GROWTH_FACTOR = 0.125  # growth of the limit by one request of average weight
 LIVE_WEIGHT_DECAY_S = 600.0  # over which an earlier, higher live weight decays
@@ -48,7 +46,8 @@
 class Balancer:
     """Routes one agent's requests to servers; the methods named `on_...` are its events."""
 
-    on_transition = staticmethod(lambda what, server, why: None)  # called when a circuit or the zone changes
+    # Called when a circuit or the current zone changes; `server` is None for a zone.
+    on_transition = staticmethod(lambda event, server, reason: None)
 
     def __init__(self, host, settings):
         self.host, self.settings, self.is_pool_member, now = host, settings, settings.is_pool_member, host.now
@@ -70,7 +69,7 @@
         # Without this initial value a zone that is only slow at the start seems silent after the first fast
         # responses, and fails.
         slow = SLOW_RESPONSE_RATIO * max(
-            (kind.latency_target for kind in settings.request_classes), default=1.0
+            (each.latency_target for each in settings.request_classes), default=1.0
         )
         self.response_time, self.responses = DecayingSum(DECAY_S, now, slow), DecayingSum(DECAY_S, now, 1.0)
         # The sum of the response times of probes, and their number.
@@ -102,8 +101,8 @@
         self.draws += 1
         return (crc32(b"%d/%d" % (self.settings.seed, self.draws)) + 0.5) / 4294967296
 
-    def on_server_list(self, lines, fresh):
-        """Applies lines of the server list; `fresh`: they came from the current watch."""
+    def on_server_list(self, lines, is_fresh):
+        """Applies lines of the server list; `is_fresh`: they came from the current watch."""
         now, changed = self.host.now, False
         for line in lines:
             while line.zone >= len(self.zones):  # a zone that the settings do not name is ordered last
@@ -128,7 +127,7 @@
                 server.slow_start_tokens = self.random_fraction()
             server.state = line.state
             self.remove_if_gone(server)
-        if fresh:
+        if is_fresh:
             self.watch.answered(now, changed)
         for zone, members in enumerate(self.zones):
             members[:] = [s for s in self.servers.values() if s.state is ServerState.READY and s.zone == zone]
@@ -153,9 +152,9 @@
         if server.state is ServerState.GONE and not server.in_flight:
             del self.servers[server.index]
 
-    def on_watch_failed(self, silent=False):
-        """The watch ended or, if `silent`, sent nothing for too long; or the call for one got no list."""
-        self.watch.failed(self.host.now, silent, bool(self.servers), self.random_fraction())
+    def on_watch_failed(self, is_silent=False):
+        """The watch ended or, if `is_silent`, sent nothing for too long; or the call for one got no list."""
+        self.watch.failed(self.host.now, is_silent, bool(self.servers), self.random_fraction())
         self.set_timer_by(self.watch.next_call_at)
 
     def on_discovery_moved(self):
@@ -175,35 +174,35 @@
                 self.watch.called(now)
             self.set_timer_by(self.watch.next_call_at)
 
-    def on_request(self, number, request_class, tenant, key, deadline, repeat):
-        """A request arrived; `repeat`: the client has sent it before."""
-        now, kind = self.host.now, self.settings.request_classes[request_class]
+    def on_request(self, number, class_index, tenant, key, deadline, is_repeat):
+        """A request arrived; `is_repeat`: the client has sent it before."""
+        now, request_class = self.host.now, self.settings.request_classes[class_index]
         self.arrivals.add(now)
-        self.priority.add(now, kind.priority)
+        self.priority.add(now, request_class.priority)
         priority_weight = (
-            self.pool_priority_weight(request_class, kind.priority, now)
+            self.pool_priority_weight(class_index, request_class.priority, now)
             if self.is_pool_member
-            else kind.priority
+            else request_class.priority
         )
         # A repeat has used part of its time already: served first, it would make new requests late too.
-        priority_weight *= self.tenant_factor(tenant, now) * (0.5 if repeat else 1.0)
+        priority_weight *= self.tenant_factor(tenant, now) * (0.5 if is_repeat else 1.0)
         request = self.requests[number] = RoutedRequest(
             number,
-            kind,
+            request_class,
             key or int(self.random_fraction() * HASH_MASK),
             deadline,
             now,
             priority_weight,
-            self.class_statistics[request_class],
+            self.class_statistics[class_index],
         )
         self.route(request, now)
 
-    def pool_priority_weight(self, request_class, priority_weight, now):
+    def pool_priority_weight(self, class_index, priority_weight, now):
         """The priority weight per unit of response time; higher for the request class served worst."""
-        arrivals, _, response_time, responses = self.class_statistics[request_class]
+        arrivals, _, response_time, responses = self.class_statistics[class_index]
         arrivals.add(now)
         shares = [served.read(now) / max(all_.read(now), 0.1) for all_, served, _, _ in self.class_statistics]
-        if shares[request_class] <= min(shares) + 0.02:
+        if shares[class_index] <= min(shares) + 0.02:
             priority_weight += self.settings.worst_class_weight * self.priority.amount / arrivals.amount
         mean = response_time.read(now) / max(responses.read(now), 0.1)
         return (
@@ -222,16 +221,16 @@
         overage = 1.0 - 1.1 * quota / max(all_, 1e-9) * self.arrivals.amount / arrivals.amount
         return self.settings.overage_priority_factor if self.random_fraction() < overage else 1.0
 
-    def route(self, request, now, further=False, last=False):
+    def route(self, request, now, is_retry=False, is_final=False):
         """Sends an attempt to the preferred zone or, failing that, to another zone; else queues the request.
 
-        `further`: an attempt has failed before. `last`: the request gives up if no server has capacity now.
+        `is_retry`: an attempt has failed before. `is_final`: without capacity now, the request gives up.
         """
         home, preferred = self.zone_order[self.current_zone_rank], self.preferred_zone(request)
         server = self.select_server(self.zones[preferred], request, now)
         if server is None:
             self.capacity_misses.add(now)
-            may_cross = self.is_crossing_worthwhile(request, now, further or last)
+            may_cross = self.is_crossing_worthwhile(request, now, is_retry or is_final)
             for zone in self.zone_order:
                 if (
                     server is None
@@ -248,7 +247,7 @@
         elif request.number in self.queued_requests and now < request.queued_until:
             # While a probe may still be answered, an offer from another server comes too late to matter.
             request.next_attempt_at = request.queued_until if request.probed_servers else now
-        elif last or not self.queue_request(request, now):
+        elif is_final or not self.queue_request(request, now):
             self.give_up(request, now)
 
     def queue_request(self, request, now):
@@ -322,11 +321,14 @@
 
     def has_capacity(self, server, request, now):
         """Whether the server's limit, pauses and deduplication scope allow an attempt of the request."""
-        kind = request.request_class
+        request_class = request.request_class
         occupied = len(server.in_flight) + len(server.abandoned_attempts)
         if occupied >= max(1.0 + self.is_pool_member, server.concurrency_limit) or now < server.paused_until:
             return False
-        if server in request.tried_servers or now < server.class_backoffs.get(kind, NO_CLASS_BACKOFF)[1]:
+        if (
+            server in request.tried_servers
+            or now < server.class_backoffs.get(request_class, NO_CLASS_BACKOFF)[1]
+        ):
             return False
         return self.is_attempt_safe(request, server, now)
 
@@ -432,13 +434,13 @@
         ) and home - other > self.settings.cross_zone_fee + MIN_MISS_SHARE
         self.cross_zone_share = min(0.9, max(0.0, self.cross_zone_share + (0.05 if grows else -0.02)))
 
-    def is_crossing_worthwhile(self, request, now, last):
+    def is_crossing_worthwhile(self, request, now, is_final):
         """Whether the gain of an attempt in another zone exceeds the cross-zone fee.
 
         The gain is discounted by the share of queued requests that recently got capacity in the home zone.
         """
         successes, timeouts = self.queue_successes.read(now), self.queue_timeouts.read(now)
-        gain = request.priority_weight * (1.0 if last else 1.0 - successes / (successes + timeouts + 0.1))
+        gain = request.priority_weight * (1.0 if is_final else 1.0 - successes / (successes + timeouts + 0.1))
         return gain * self.arrivals.amount > self.settings.cross_zone_fee * self.priority.amount
 
     def is_in_slow_start(self, server, now):
@@ -495,14 +497,14 @@
 
     def is_attempt_safe(self, request, server, now):
         """Whether an attempt of the request at the server cannot cause a second execution."""
-        kind = request.request_class
-        if not request.possible_executions or kind.idempotency is Idempotency.IDEMPOTENT:
+        request_class = request.request_class
+        if not request.possible_executions or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if kind.idempotency is Idempotency.NON_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         return all(
-            now <= sent + kind.deduplication_window - DEDUPLICATION_WINDOW_MARGIN_S
-            and self.in_same_scope(kind.deduplication_scope, earlier, server)
+            now <= sent + request_class.deduplication_window - DEDUPLICATION_WINDOW_MARGIN_S
+            and self.in_same_scope(request_class.deduplication_scope, earlier, server)
             for earlier, sent in request.possible_executions.values()
         )
 
@@ -516,19 +518,21 @@
 
     def give_up(self, request, now):
         """Ends the request without a result: rejects it if the client may safely repeat it, else fails it."""
-        kind = request.request_class
-        may_repeat = not request.possible_executions or kind.idempotency is Idempotency.IDEMPOTENT
+        request_class = request.request_class
+        may_repeat = not request.possible_executions or request_class.idempotency is Idempotency.IDEMPOTENT
         if (
             not may_repeat
-            and kind.idempotency is Idempotency.DEDUPLICATED
-            and kind.deduplication_scope is DeduplicationScope.ALL
+            and request_class.idempotency is Idempotency.DEDUPLICATED
+            and request_class.deduplication_scope is DeduplicationScope.ALL
         ):
             may_repeat = all(
-                now < sent + kind.deduplication_window for _, sent in request.possible_executions.values()
+                now < sent + request_class.deduplication_window
+                for _, sent in request.possible_executions.values()
             )
         if may_repeat:
             retry_after = min(
-                self.settings.max_retry_after, kind.latency_target * (0.2 + 0.3 * self.random_fraction())
+                self.settings.max_retry_after,
+                request_class.latency_target * (0.2 + 0.3 * self.random_fraction()),
             )
             self.host.reject(request.number, retry_after)
         else:
@@ -554,7 +558,7 @@
                 self.route(request, now)
                 misses += request.number in self.queued_requests
 
-    def on_attempt_ended(self, number, index, outcome, attempt, duration, finished, load):
+    def on_attempt_ended(self, number, index, outcome, attempt, duration, is_finished, load):
         """An attempt ended.
 
         Args:
@@ -563,7 +567,7 @@
             outcome: how the attempt ended.
             attempt: the attempt's number within the request.
             duration: seconds from sending the attempt to its end.
-            finished: whether the client has its final answer.
+            is_finished: whether the client has its final answer.
             load: the server's load report, or None.
         """
         now, server, is_completed = self.host.now, self.servers.get(index), outcome is Outcome.COMPLETED
@@ -585,7 +589,7 @@
             request.in_flight.pop(attempt, None)
             if outcome.never_ran:
                 request.possible_executions.pop(attempt, None)
-            if finished:
+            if is_finished:
                 self.record_result(
                     self.remove_request(number), not (is_completed and now <= request.latency_target_at), now
                 )
@@ -604,7 +608,7 @@
         )
         others = (s for zone in self.zones for s in zone if s not in request.tried_servers)
         if may_retry and not is_overloaded and any(self.is_attempt_safe(request, s, now) for s in others):
-            self.route(request, now, further=True)
+            self.route(request, now, is_retry=True)
         else:
             self.give_up(request, now)
 
@@ -804,7 +808,7 @@
                 self.set_timer_by(server.retry_at)
         for request in [each for each in self.queued_requests.values() if now >= each.queued_until]:
             self.queue_timeouts.add(now)
-            self.route(request, now, last=True)
+            self.route(request, now, is_final=True)
         self.route_queued_requests(now)
         for request in self.queued_requests.values():
             self.queue_request(request, now)
--- a/cartdeal/settings.py
+++ b/cartdeal/settings.py
@@ -144,7 +144,7 @@
             agent_count=self.agent_count,
             zone_count=len(self.zones) or 1,
             own_zone=self.own_zone,
-            request_classes=tuple(kind.request_class(bool(self.zones)) for kind in self.request_classes),
+            request_classes=tuple(each.request_class(bool(self.zones)) for each in self.request_classes),
             tenants=self.tenant_quotas(),
             overage_priority_factor=self.overage_priority_factor,
             cross_zone_fee=self.fees.cross_zone,
--- a/cartdeal/watch_schedule.py
+++ b/cartdeal/watch_schedule.py
@@ -67,12 +67,12 @@
         self.called_at = inf
         self.call_pause = FIRST_PAUSE_S
 
-    def failed(self, now: float, silent: bool, knows_servers: bool, fraction: float):
+    def failed(self, now: float, is_silent: bool, knows_servers: bool, fraction: float):
         """The watch ended or fell silent, or the call for one got no list.
 
         Args:
             now: the current time.
-            silent: whether the watch sent nothing for too long.
+            is_silent: whether the watch sent nothing for too long.
             knows_servers: whether the agent knows any server.
             fraction: a random number from 0 to 1 that sets the pause until the next call.
         """
@@ -80,7 +80,7 @@
             self.next_call_at = now + self.pause_after_call(now, knows_servers) * (0.5 + fraction)
         elif self.ends_early_again(now):
             self.next_call_at = now + self.max_mean_pause(now, knows_servers) * (0.5 + fraction)
-        elif silent:
+        elif is_silent:
             self.next_call_at = now + FIRST_PAUSE_S * (0.5 + fraction)
         else:
             self.urgent_until = now + URGENT_AFTER_END_S
