--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -363,7 +363,7 @@
         """Whether the server is probed before an attempt is sent to it.
 
         Among many agents, one with few requests learns of overloaded servers too late. It probes first if
-        requests were missed or found no capacity.
+        requests were missed or found no capacity, and while it is new.
         """
         finished, missed = self.finished_requests[0]
         missed, finished = missed.read(now) + 0.05, finished.read(now)
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -171,8 +171,8 @@
 
     def play(self, until):
         gevent.idle()
-        while self.clock.due and self.clock.due[0][0] <= until:
-            self.clock.run(self.clock.due[0][0])
+        while self.clock.scheduled and self.clock.scheduled[0][0] <= until:
+            self.clock.run(self.clock.scheduled[0][0])
             gevent.idle()
         self.clock.now = until
 
