--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -65,7 +65,7 @@
     505: b"HTTP Version Not Supported",
 }
 CLOSE_HEADER = b"Connection: close\r\n"
-NO_CAPACITY_ERROR = MalformedMessageError(503, "no capacity for the connection")
+NO_CAPACITY_ERROR = MalformedMessageError(503, "no room")
 SHUTDOWN_ERROR = MalformedMessageError(503, "the agent ends")
 READ_TIMEOUT_ERROR = MalformedMessageError(408, "the rest of the request did not come in time")
 # Answers after an internal fault: to a request that was sent to no server, and to one that may have run.
@@ -360,7 +360,7 @@
 
     def reject_request(self, client: ClientConnection, error: MalformedMessageError):
         """Answers an invalid request, rejects those read after it, and ends the connection."""
-        errors = [error] + [MalformedMessageError(503, "sent after a bad request")] * self.discard_requests(
+        errors = [error] + [MalformedMessageError(503, "behind a bad request")] * self.discard_requests(
             client
         )
         for each in errors[:-1]:
