--- a/cartdeal/fleet/quota/__init__.py
+++ b/cartdeal/fleet/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants' rate limits for the whole fleet, by leases of tokens."""
+"""Rate limits that hold for the whole fleet: owners of a limit lease tokens to the agents that use it."""
--- a/cartdeal/fleet/quota/admission_queue.py
+++ b/cartdeal/fleet/quota/admission_queue.py
@@ -1,26 +1,26 @@
-"""The requests of all tenants that wait for a token."""
+"""The queue of requests that wait for a token, for all tenants."""
 
 from cartdeal.fleet.quota.tenant_quota import TenantQuota, WaitingRequest
 
 
 class AdmissionQueue:
-    """Waiting requests, first come first served within each tenant.
+    """Holds the waiting requests; each tenant's requests are in order of arrival.
 
-    It must never lose a request: each that is added is taken out once, to be served or rejected.
+    Every request that is added must be popped exactly once, to be served or denied.
     """
 
     def __init__(self) -> None:
-        self._tenants: dict[str, TenantQuota] = {}  # those with requests that wait, in the order of arrival
-        self.length = 0  # of all tenants' queues together; read on each request, so a plain attribute
+        self._tenants: dict[str, TenantQuota] = {}  # only tenants with waiting requests, in order of arrival
+        self.length = 0  # of all queues; a plain attribute because each request reads it
 
     def add(self, quota: TenantQuota, ticket: int, deadline: float) -> None:
-        """Adds a request at the end of its tenant's queue."""
+        """Appends a request to its tenant's queue."""
         quota.waiting.append(WaitingRequest(ticket, deadline))
         self.length += 1
         self._tenants[quota.tenant] = quota
 
     def pop(self, quota: TenantQuota) -> int:
-        """Takes out a tenant's first request and returns its ticket. Raises IndexError if none waits."""
+        """Removes a tenant's oldest request and returns its ticket. Raises IndexError if there is none."""
         ticket = quota.waiting.popleft().ticket
         self.length -= 1
         if not quota.waiting:
@@ -28,5 +28,5 @@
         return ticket
 
     def tenants(self) -> list[TenantQuota]:
-        """The tenants with requests that wait."""
+        """Returns the tenants that have waiting requests."""
         return list(self._tenants.values())
--- a/cartdeal/fleet/quota/granting.py
+++ b/cartdeal/fleet/quota/granting.py
@@ -1,7 +1,7 @@
 """How an owner divides its token bucket among holders: the size and kind of each lease.
 
-It is pure, as the bucket is. A granter must never grant more than the bucket has free: tokens come out of the
-bucket, rates and bursts out of what other holders have not leased.
+The module does no I/O and reads no clock. A granter must never grant more than the bucket has available:
+tokens are taken from the bucket, rates and bursts from what other holders have not leased.
 """
 
 from math import floor, inf
@@ -13,12 +13,12 @@
 from cartdeal.fleet.quota.rates import MIN_TOKENS, max_min_fair_shares
 from cartdeal.fleet.quota.token_bucket import HolderAccount, HolderId, TokenBucket, TokenLease
 
-RESERVED_RATE_SHARE = 1 / 16  # never leased: it refills the bucket, for new holders
-LEASED_DEMAND_SHARE = 0.75  # of its demand is leased to a holder as a rate; it requests the rest as needed
-BASE_RATE_SHARE = 0.05  # of the rate, divided among the active holders whatever their demand
-MANY_HOLDERS = 16  # with more of them, demand is surveyed only once in an eighth of a lease
-MIN_TOKENS_PER_HOLDER = 5.0  # with fewer, of burst or in a lease, tokens are granted one by one
-HYSTERESIS_FACTOR = 1.5  # so much more is needed to return from single tokens to refill rates
+RESERVED_RATE_SHARE = 1 / 16  # of the rate; never leased, it refills the bucket for new holders
+LEASED_DEMAND_SHARE = 0.75  # of a holder's demand is leased as a rate; it requests the rest as needed
+BASE_RATE_SHARE = 0.05  # of the rate, divided equally among active holders regardless of demand
+MAX_HOLDERS_SURVEYED_PER_REQUEST = 16  # with more, once every eighth of a lease
+MIN_TOKENS_PER_HOLDER = 5.0  # with fewer (of burst, or per lease), tokens are granted one by one
+HYSTERESIS_FACTOR = 1.5  # the minimum is multiplied by this to return to refill rates
 
 
 class LeaseGrant(Struct):
@@ -31,22 +31,22 @@
     tokens: float = 0.0  # granted at once
     lease_s: float = 0.0
     period: int = 0
-    wait_s: float = 0.0  # after which to request more
+    wait_s: float = 0.0  # the holder may request more after this time
 
 
 class _Headroom(NamedTuple):
-    """What the owner's share leaves for one holder."""
+    """The part of the owner's share that is available to one holder."""
 
-    rate: float  # the owner's share
-    unleased_rate: float  # not leased to others
-    burst: float  # the owner's share
-    unleased_burst: float  # not leased to others
-    held_burst: float  # leased to this holder already
-    interim_cap: float  # tokens that the holder's lease can hold until the response arrives
+    rate: float  # the owner's whole rate
+    unleased_rate: float  # the rate that is not leased to other holders
+    burst: float  # the owner's whole burst
+    unleased_burst: float  # the burst that is not leased to other holders
+    held_burst: float  # the burst that is already leased to this holder
+    interim_cap: float  # cap of the holder's current lease until the response arrives
 
 
 class _HolderRank(NamedTuple):
-    """Order of preference for parts of a token: first who was served least lately."""
+    """Orders holders that compete for fractions of a token: the lowest recent served rate first."""
 
     served_rate: float
     name: str
@@ -59,10 +59,10 @@
         self.bucket = bucket
         self.active_holders = 0
         self.surveyed_at = -inf
-        self.fair_rate = inf  # the greatest rate that max-min fairness gives any holder
+        self.fair_rate = inf  # the highest rate that max-min fairness gives to any holder
         self.total_wanted_rate = 0.0
         self.grants_single_tokens = False
-        self._preferred: _HolderRank | None = None  # for parts of a token
+        self._preferred: _HolderRank | None = None  # the bucket saves fractions of a token for it
         self._preferred_since = -inf
 
     def grant(
@@ -73,22 +73,22 @@
         now: float,
         lease_number: int,
     ) -> LeaseGrant:
-        """Grants a lease to a holder; the bucket has been advanced to `now` and its ring is proven.
+        """Grants a lease to a holder. The bucket must be advanced to `now` and its ring proven.
 
-        Whatever the holder leased before counts no more, except the lease that the request names.
+        The holder's earlier leases are no longer counted, except the one that the request names.
         """
         bucket = self.bucket
         account.sequence = request.sequence
         account.demand_rate = request.demand_rate
         account.heard_at = now
-        in_use = [
+        leases_in_use = [
             lease
             for lease in account.leases
             if lease.number == request.lease_number and lease.expires_at > now
         ]
-        if in_use and bucket.schema_version != 1:
-            in_use[0].burst = min(in_use[0].burst, request.lease_cap)
-        bucket.count_leases(account, in_use)
+        if leases_in_use and bucket.schema_version != 1:
+            leases_in_use[0].burst = min(leases_in_use[0].burst, request.lease_cap)
+        bucket.count_leases(account, leases_in_use)
         if bucket.schema_version == 1:
             return self._grant_period_tokens(holder_id, account, request, now, lease_number)
         return self._grant_lease(holder_id, account, request, now, lease_number)
@@ -107,7 +107,10 @@
         if account.leases:
             bucket.tokens += request.returned_tokens
         bucket.tokens = max(min(bucket.tokens, headroom.unleased_burst - headroom.held_burst), 0.0)
-        if self.active_holders <= MANY_HOLDERS or now - self.surveyed_at >= bucket.lease_s / 8:
+        if (
+            self.active_holders <= MAX_HOLDERS_SURVEYED_PER_REQUEST
+            or now - self.surveyed_at >= bucket.lease_s / 8
+        ):
             self._survey_demand(now, headroom.rate)
         if self.grants_single_tokens or request.mode != RequestMode.ANY:
             grant = self._single_tokens(holder_id.name, request, headroom)
@@ -116,8 +119,8 @@
         if grant.tokens < request.waiting_tokens:
             grant.wait_s = self._wait_s(grant, share, headroom.rate)
         if grant.kind != GrantKind.NONE:
-            left_burst = headroom.unleased_burst - max(headroom.held_burst, grant.burst)
-            bucket.tokens = max(min(bucket.tokens - grant.tokens, left_burst), 0.0)
+            remaining_burst = headroom.unleased_burst - max(headroom.held_burst, grant.burst)
+            bucket.tokens = max(min(bucket.tokens - grant.tokens, remaining_burst), 0.0)
             grant.lease_number = lease_number
             grant.lease_s = bucket.lease_s
             lease = TokenLease(lease_number, grant.rate, grant.burst, now + bucket.counted_lease_s)
@@ -138,7 +141,7 @@
         )
 
     def _wait_s(self, grant: LeaseGrant, share: float, rate: float) -> float:
-        """Seconds after which the bucket may have more, for a holder that got less than it needs."""
+        """Returns the seconds until the bucket may have more, for a holder that got less than it needs."""
         if grant.rate:
             return self.bucket.lease_s / 8
         if not rate:
@@ -149,23 +152,27 @@
         return LEASED_DEMAND_SHARE * account.demand_rate + BASE_RATE_SHARE * rate / self.active_holders
 
     def _survey_demand(self, now: float, rate: float) -> None:
-        """Counts the active holders and computes up to which rate each may have what it wants."""
+        """Counts the active holders and computes the max-min fair rate that caps each holder's lease."""
         bucket = self.bucket
-        active = [account for account in bucket.accounts.values() if account.heard_at > now - bucket.lease_s]
-        self.active_holders = len(active)
+        active_accounts = [
+            account for account in bucket.accounts.values() if account.heard_at > now - bucket.lease_s
+        ]
+        self.active_holders = len(active_accounts)
         self.surveyed_at = now
-        wanted_rates = [self._wanted_rate(account, rate) for account in active]
+        wanted_rates = [self._wanted_rate(account, rate) for account in active_accounts]
         shares = max_min_fair_shares((1 - RESERVED_RATE_SHARE) * rate, wanted_rates)
         self.fair_rate = max(shares)
         self.total_wanted_rate = sum(shares)
-        enough = (HYSTERESIS_FACTOR if self.grants_single_tokens else 1.0) * MIN_TOKENS_PER_HOLDER
+        min_tokens_per_holder = (
+            HYSTERESIS_FACTOR if self.grants_single_tokens else 1.0
+        ) * MIN_TOKENS_PER_HOLDER
         self.grants_single_tokens = (
-            bucket.burst < enough * (self.active_holders + 1)
-            or bucket.rate * bucket.lease_s < enough * self.active_holders
+            bucket.burst < min_tokens_per_holder * (self.active_holders + 1)
+            or bucket.rate * bucket.lease_s < min_tokens_per_holder * self.active_holders
         )
 
     def _single_tokens(self, name: str, request: LeaseRequest, headroom: _Headroom) -> LeaseGrant:
-        """Tokens for requests that wait: no rate, and a cap of just what is granted."""
+        """Grants tokens for waiting requests only: no rate, and a cap that just fits the granted tokens."""
         wants_integers = request.mode == RequestMode.INTEGER_TOKENS
         tokens = min(
             self.bucket.tokens, request.waiting_tokens, headroom.unleased_burst - headroom.interim_cap
@@ -184,11 +191,11 @@
     def _yield_to_preferred(
         self, name: str, request: LeaseRequest, tokens: float, unleased_burst: float
     ) -> float:
-        """Returns the tokens for this holder: none while the bucket has to save for a preferred one.
+        """Returns the tokens to grant to this holder: 0 while the bucket saves for a preferred holder.
 
-        A token may have to be put together from parts of several owners. If each owner served whom it heard
-        first, two holders would get parts that neither can use: so all owners prefer the holder that was
-        served least lately.
+        A holder may have to combine fractions of a token from several owners. If each owner granted to the
+        holder whose request came first, two holders could get fractions that neither can use. So all owners
+        prefer the holder with the lowest recent served rate.
         """
         bucket = self.bucket
         rank = _HolderRank(request.served_rate, name)
@@ -207,14 +214,14 @@
         return tokens
 
     def _refill_rate(self, account: HolderAccount, request: LeaseRequest, headroom: _Headroom) -> LeaseGrant:
-        """A rate by demand, a cap to go with it, and what the bucket has for it at once."""
+        """Grants a rate according to demand, a cap in proportion to it, and tokens to use at once."""
         bucket = self.bucket
         rate = min(self._wanted_rate(account, headroom.rate), self.fair_rate)
         all_tokens = request.waiting_tokens >= 1 or not headroom.held_burst
         tokens = bucket.tokens if all_tokens else bucket.tokens / 2
         useful_tokens = max(request.wanted_tokens, request.waiting_tokens)
         tokens = max(min(tokens, useful_tokens, headroom.unleased_burst - headroom.interim_cap), 0.0)
-        # The cap comes out of the burst that the bucket's own tokens do not fill, so that none overflow.
+        # The cap is taken from burst that the bucket's own tokens do not occupy, so that no token overflows.
         cap = rate / (self.total_wanted_rate or 1.0) * headroom.burst
         cap = cap * self.active_holders / (self.active_holders + 1)
         cap = max(headroom.interim_cap + tokens, min(cap, headroom.unleased_burst - (bucket.tokens - tokens)))
@@ -232,7 +239,10 @@
         now: float,
         lease_number: int,
     ) -> LeaseGrant:
-        """Whole tokens of this period, by schema version 1; no holder takes more than half for itself."""
+        """Grants whole tokens of the current period (schema version 1).
+
+        A holder gets what its waiting requests need, and for later demand at most half of what is available.
+        """
         bucket = self.bucket
         available = int(bucket.period_tokens)
         fair_tokens = max(1, -(-available // 2))
@@ -251,7 +261,7 @@
             lease_number,
             GrantKind.PERIOD_TOKENS,
             tokens=float(tokens),
-            lease_s=period_left_s / bucket.drift_factor,  # by the slowest clock, too, it ends with the period
+            lease_s=period_left_s / bucket.drift_factor,  # it ends with the period even on the slowest clock
             period=bucket.period,
         )
 
--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -1,7 +1,8 @@
-"""The holder's side of the lease protocol: decides on requests with leased tokens, and leases more.
+"""The holder's side of the lease protocol: serves requests from leased tokens and requests more leases.
 
-It owns the leases in use at this agent and the requests that wait for a token. It must never serve from an
-expired lease, take a response that it does not wait for, or leave a request undecided past its deadline.
+The holder owns the leases in use at this agent and the queue of requests that wait for a token. It must never
+serve from an expired lease, accept a response that it does not wait for, or leave a request undecided past
+its deadline.
 """
 
 from collections import Counter
@@ -28,22 +29,23 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-MIN_WAIT_S = 0.05  # who comes back sooner finds no token yet
-IDLE_LEASES = 2  # leases without a request, after which a tenant's leases are returned
-MIN_PERIOD_DEMAND = 4  # with fewer requests per period, whole tokens would mostly expire unused
+MIN_WAIT_S = 0.05  # a client that comes back sooner would find no token yet
+IDLE_LEASES = 2  # a tenant's leases are returned after this many lease durations without a request
+MIN_PERIOD_DEMAND = 4  # requests per period; with fewer, most whole tokens would expire unused
 ALL_KINDS = (GrantKind.PERIOD_TOKENS, GrantKind.REFILL_RATE, GrantKind.SINGLE_TOKEN)
 
 OnTokenDecision = Callable[[int, bool, float, bool], None]
 
 
 class LeaseHolder:
-    """Decides on requests, and leases tokens for them.
+    """Decides whether requests may be served, and leases the tokens for them.
 
     Args:
         context: clock, name, random source and counters.
         settings: the operator's settings.
-        outbox: collects what is to be sent to owners.
-        send_pending: sends what the outbox holds; responses of the own owner's part come before it returns.
+        outbox: collects the requests and returns for owners.
+        send_pending: sends the content of the outbox; the responses of this agent's own owner side arrive
+            before it returns.
         on_token_decision: see QuotaLeases.
     """
 
@@ -63,18 +65,18 @@
         self.on_token_decision = on_token_decision
         self.ring: Ring | None = None
         self.is_shutting_down = False
-        self.quotas: dict[str, TenantQuota] = {}  # of tenants used lately here
+        self.quotas: dict[str, TenantQuota] = {}  # by tenant, for tenants with recent requests at this agent
         self.queue = AdmissionQueue()
-        self.owner_incarnations: dict[str, int] = {}  # as the owners said
+        self.owner_incarnations: dict[str, int] = {}  # by owner, as the owner's last response gave it
         self.served: Counter[str] = Counter()  # requests by tenant
-        self.denied: Counter[str] = Counter()
-        self._renewals: list[tuple[float, str]] = []
+        self.denied: Counter[str] = Counter()  # requests by tenant
+        self._renewals: list[tuple[float, str]] = []  # heap of due time and tenant
         self._last_sequence = 0
 
     # Events
 
     def on_ring_changed(self, ring: Ring) -> None:
-        """Takes the owners from a new ring."""
+        """Adopts a new ring, which determines the owners."""
         self.ring = ring
         for quota in self.quotas.values():
             quota.retain_exchanges(self._owners(quota))
@@ -85,14 +87,14 @@
         }
 
     def return_all_leases(self) -> None:
-        """Returns all leases. Requests after that are served by single tokens."""
+        """Returns all leases. Later requests are served by single tokens."""
         self.is_shutting_down = True
         for quota in list(self.quotas.values()):
             self._return_leases(quota)
         self.send_pending()
 
     def request_token(self, ticket: int, tenant: str, deadline: float) -> None:
-        """Decides on one request, or lets it wait until its deadline and requests tokens from the owners."""
+        """Decides on a request now, or queues it until its deadline and requests tokens from the owners."""
         now = self.context.now
         if tenant not in self.settings.limits:
             self.served[tenant] += 1
@@ -122,24 +124,24 @@
         self.send_pending()
 
     def on_batch(self, sender: str, batch: LeaseResponseBatch, now: float) -> None:
-        """Takes an owner's responses, then serves what waits for them."""
+        """Processes an owner's responses, then serves the requests that wait for them."""
         if batch.holder_incarnation != self.incarnation:
             self.context.increment(Metric.DROPPED_OLD_INCARNATIONS_LEASE)
             return
         known_incarnation = self.owner_incarnations.get(sender, 0)
         self.owner_incarnations[sender] = max(batch.incarnation, known_incarnation)
-        changed: dict[str, TenantQuota] = {}
+        changed_quotas: dict[str, TenantQuota] = {}
         for response in batch.responses[:MAX_TENANTS_PER_MESSAGE]:
             if not _has_valid_amounts(response):
                 continue
-            updated = self.on_response(sender, batch.incarnation, response, now)
-            if updated is not None:
-                changed[updated.tenant] = updated
-        for quota in changed.values():
+            changed_quota = self.on_response(sender, batch.incarnation, response, now)
+            if changed_quota is not None:
+                changed_quotas[changed_quota.tenant] = changed_quota
+        for quota in changed_quotas.values():
             self.serve_waiting(quota, now)
 
     def on_tick(self, now: float) -> None:
-        """Decides on requests past their deadline and renews leases that are due."""
+        """Decides on requests past their deadline, and renews the leases that are due."""
         for quota in self.queue.tenants():
             self._expire_waiting(quota, now)
         while self._renewals and self._renewals[0][0] <= now:
@@ -151,13 +153,13 @@
     # Decisions
 
     def serve_waiting(self, quota: TenantQuota, now: float) -> None:
-        """Serves waiting requests from what there is; once every owner has responded, denies the rest."""
+        """Serves waiting requests from the available tokens; denies the rest if no response is due."""
         while quota.waiting and quota.take_token(now):
             self._serve(quota, self.queue.pop(quota), now)
         if quota.has_pending_request(now - self.settings.wait_s):
             return
         if quota.waiting:
-            # Owners that granted all that was requested, but since then more requests have come to wait.
+            # These owners granted all that was requested; more requests have been queued since then.
             names = [name for name, exchange in quota.exchanges.items() if exchange.may_have_more]
             if names:
                 self._request_leases(quota, now, names)
@@ -181,7 +183,7 @@
             wait_s = (1 - quota.refill(now)) / rate
         else:
             wait_s = max(quota.retry_after_s, quota.exhausted_until - now)
-        # Jitter: clients with the same wait would all come back at once.
+        # Without jitter, clients with the same wait would all come back at once.
         wait_s = max(wait_s, MIN_WAIT_S) * (1 + 0.5 * self.context.random.random())
         is_certain = may_be_certain and now - quota.certain_at < self.settings.lease_s
         self.on_token_decision(ticket, False, wait_s, is_certain)
@@ -203,13 +205,13 @@
         return owners(self.ring, quota.key, self.settings.copies) if self.ring is not None else ()
 
     def _request_more(self, quota: TenantQuota, now: float) -> None:
-        """Requests leases before a request has to wait, at most once in an eighth of a lease."""
+        """Requests leases ahead of demand, at most once every eighth of a lease."""
         if now >= max(quota.exhausted_until, quota.requested_at + self.settings.lease_s / 8):
             self._request_leases(quota, now, self._owners(quota))
             self.send_pending()
 
     def _request_leases(self, quota: TenantQuota, now: float, names: Collection[str]) -> None:
-        """Requests leases from owners with no response pending, or one that is long overdue."""
+        """Requests leases from the owners whose last request was answered or is long overdue."""
         quota.refill(now)
         if not quota.has_pending_request(now - self.settings.wait_s):
             quota.retry_after_s = 0.0
@@ -228,7 +230,7 @@
             self.outbox.add_request(name, self._lease_request(quota, name, owner_count, now))
 
     def _lease_request(self, quota: TenantQuota, owner: str, owner_count: int, now: float) -> LeaseRequest:
-        """Builds a request with the current sequence, and prepares the lease in use for the response."""
+        """Builds a request with the current sequence, and limits the lease in use until the response."""
         demand_rate = quota.demand.rate_at(now) / owner_count
         uses_periods = quota.latest_kind == GrantKind.PERIOD_TOKENS
         horizon_s = self.settings.period_s / 4 if uses_periods else self.settings.lease_s
@@ -255,7 +257,7 @@
             returned_tokens = lease.tokens - target_tokens
             lease.tokens = target_tokens
             lease.cap = target_tokens
-        # The response's tokens must fit under the cap that the owner counts, whenever they come.
+        # The response's tokens must fit under the cap that the owner counts, whenever the response arrives.
         free_tokens = max(lease.cap - lease.tokens, 0.0)
         lease.interim_cap = lease.tokens + min(lease.rate * self.settings.tick_s, free_tokens / 2)
         return LeaseRequest(
@@ -280,7 +282,7 @@
     def on_response(
         self, sender: str, incarnation: int, response: LeaseResponse, now: float
     ) -> TenantQuota | None:
-        """Takes a response into use; returns the quota that it changed, None for one that was not awaited."""
+        """Applies a response; returns the quota that it changed, or None if the response was not awaited."""
         quota = self.quotas.get(response.tenant)
         exchange = quota.exchanges.get(sender) if quota else None
         is_awaited = exchange and response.sequence and exchange.pending_sequence == response.sequence
@@ -337,7 +339,7 @@
         return now >= requested_at + self.settings.lease_s / 3 and is_renewable
 
     def _return_unused_tokens(self, quota: TenantQuota, now: float) -> None:
-        """Returns single tokens that nobody waits for, and whole ones that would expire unused."""
+        """Returns single tokens that no request waits for, and whole tokens that would expire unused."""
         kinds: tuple[GrantKind, ...] = (GrantKind.SINGLE_TOKEN,)
         if quota.demand.rate_at(now) * self.settings.period_s < MIN_PERIOD_DEMAND:
             kinds = (GrantKind.SINGLE_TOKEN, GrantKind.PERIOD_TOKENS)
@@ -364,15 +366,17 @@
     )
 
 
-def _carry_over_tokens(former: HeldLease | None, lease: HeldLease, granted: float, now: float) -> None:
-    """Fills a new lease with the granted tokens and those that are left of the owner's former lease."""
-    remaining = 0.0
-    if former is not None and former.owner_incarnation == lease.owner_incarnation:
-        # Whole tokens are of one period of the owner's; in the next they are void.
-        is_same_period = lease.kind == GrantKind.PERIOD_TOKENS and former.period == lease.period
-        if former.kind != GrantKind.PERIOD_TOKENS or is_same_period:
-            remaining = former.tokens
-    lease.tokens = remaining + granted
+def _carry_over_tokens(
+    former_lease: HeldLease | None, lease: HeldLease, granted_tokens: float, now: float
+) -> None:
+    """Fills a new lease with the granted tokens and the tokens that remain in the owner's former lease."""
+    remaining_tokens = 0.0
+    if former_lease is not None and former_lease.owner_incarnation == lease.owner_incarnation:
+        # Whole tokens are valid in one period of their owner, and void in the next.
+        is_same_period = lease.kind == GrantKind.PERIOD_TOKENS and former_lease.period == lease.period
+        if former_lease.kind != GrantKind.PERIOD_TOKENS or is_same_period:
+            remaining_tokens = former_lease.tokens
+    lease.tokens = remaining_tokens + granted_tokens
     lease.refilled_at = now
     if lease.kind == GrantKind.PERIOD_TOKENS:
         lease.cap = lease.tokens
--- a/cartdeal/fleet/quota/messages.py
+++ b/cartdeal/fleet/quota/messages.py
@@ -10,14 +10,12 @@
 
 from msgspec import Struct
 
-MAX_TENANTS_PER_MESSAGE = 200  # more go in further messages
-MAX_TOKENS = (
-    1e9  # also the largest rate per second and the longest duration in seconds that a message may name
-)
+MAX_TENANTS_PER_MESSAGE = 200  # further tenants go into further messages
+MAX_TOKENS = 1e9  # also the maximum of rates (tokens per second) and durations (seconds) in messages
 
 
 class GrantKind(IntEnum):
-    """What an owner grants; the values are those on the wire."""
+    """What an owner grants; the numbers are sent on the wire."""
 
     NONE = 0
     PERIOD_TOKENS = 1  # whole tokens, valid in one period of the owner
@@ -26,29 +24,29 @@
 
 
 class RequestMode(IntEnum):
-    """Which grants a holder can use; the values are those on the wire."""
+    """Which kinds of grant a holder can use; the numbers are sent on the wire."""
 
     ANY = 0
-    INTEGER_TOKENS = 1  # the holder reads no fractions of tokens
+    INTEGER_TOKENS = 1  # the holder supports whole tokens only
     SINGLE_TOKEN = 2  # the holder is shutting down and wants no refill rate
 
 
 class LeaseRequest(Struct, frozen=True, array_like=True):
-    """A holder's request to one owner for one tenant; it also states what the holder still uses.
+    """A holder's request to one owner for one tenant. It also states which lease the holder still uses.
 
-    `mode` is a plain int, so that a number of a later version does not make the whole message unreadable.
+    `mode` is a plain int, so that a value added by a later version does not make the message undecodable.
     """
 
     tenant: str
-    sequence: int  # rises within the holder's incarnation
-    lease_number: int = 0  # the one lease of this owner in use; 0: none, and none will be used again
+    sequence: int  # increases with each request and return of the holder's incarnation
+    lease_number: int = 0  # of the only lease of this owner that is still in use; 0: none is
     lease_cap: float = 0.0  # tokens that this lease can hold from now on
-    interim_cap: float = 0.0  # tokens that it can hold until the response arrives
-    returned_tokens: float = 0.0  # taken out of the lease and returned
-    waiting_tokens: float = 0.0  # needed by requests that wait
-    wanted_tokens: float = 0.0  # of use to the holder at once
-    demand_rate: float = 0.0  # requests per second, this owner's part of them
-    served_rate: float = 0.0  # requests per second that the holder served lately
+    interim_cap: float = 0.0  # tokens that this lease can hold until the response arrives
+    returned_tokens: float = 0.0  # removed from the lease and returned to the owner
+    waiting_tokens: float = 0.0  # needed by waiting requests
+    wanted_tokens: float = 0.0  # that the holder could use at once
+    demand_rate: float = 0.0  # requests per second, this owner's part of the demand
+    served_rate: float = 0.0  # requests per second, a moving average at the holder
     mode: int = RequestMode.ANY
 
 
@@ -58,15 +56,15 @@
     tenant: str
     sequence: int
     lease_number: int
-    tokens: float  # left in lease `lease_number`
+    tokens: float  # remaining in lease `lease_number`
 
 
 class LeaseRequestBatch(Struct, frozen=True, array_like=True, tag="l.asks"):
-    """All that a holder has to say to one owner."""
+    """A holder's requests and returns for one owner."""
 
     DATAGRAM: ClassVar[bool] = False
     incarnation: int  # the holder's
-    owner_incarnation: int  # that granted the leases which are named; 0: unknown
+    owner_incarnation: int  # the owner's incarnation that granted the named leases; 0: unknown
     requests: tuple[LeaseRequest, ...] = ()
     returns: tuple[LeaseReturn, ...] = ()
 
@@ -76,15 +74,15 @@
 
     tenant: str
     sequence: int
-    certain: bool  # False: this agent can't grant, or can't be sure that it may
+    certain: bool  # False: the owner can't grant, or can't be sure that it may
     lease_number: int = 0
     kind: int = GrantKind.NONE  # a plain int, see LeaseRequest
     rate: float = 0.0  # tokens per second
     burst: float = 0.0  # tokens that the lease can hold
-    tokens: float = 0.0  # granted at once
-    lease_s: float = 0.0  # counted by the holder from when it sent the request
-    period: int = 0  # the owner's, of PERIOD_TOKENS
-    wait_s: float = 0.0  # after which there may be more tokens; 0: all that was requested is granted
+    tokens: float = 0.0  # to be used at once
+    lease_s: float = 0.0  # the holder counts it from the time at which it sent the request
+    period: int = 0  # the owner's period in which PERIOD_TOKENS are valid
+    wait_s: float = 0.0  # time until more tokens may be available; 0: all requested tokens were granted
 
 
 class LeaseResponseBatch(Struct, frozen=True, array_like=True, tag="l.loans"):
@@ -92,7 +90,7 @@
 
     DATAGRAM: ClassVar[bool] = False
     incarnation: int  # the owner's
-    holder_incarnation: int  # that sent the requests
+    holder_incarnation: int  # the holder's incarnation that sent the requests
     responses: tuple[LeaseResponse, ...]
 
 
--- a/cartdeal/fleet/quota/outbox.py
+++ b/cartdeal/fleet/quota/outbox.py
@@ -1,10 +1,10 @@
-"""Requests and returns that a holder has still to send, by owner."""
+"""The requests and returns that a holder has yet to send, grouped by owner."""
 
 from cartdeal.fleet.quota.messages import LeaseRequest, LeaseReturn
 
 
 class LeaseOutbox:
-    """Collects what one event says to each owner, so that it goes out in as few messages as possible."""
+    """Collects the requests and returns of one event, so that each owner gets as few messages as possible."""
 
     def __init__(self) -> None:
         self._pending: dict[str, tuple[list[LeaseRequest], list[LeaseReturn]]] = {}
@@ -13,21 +13,21 @@
         return bool(self._pending)
 
     def add_request(self, owner: str, request: LeaseRequest) -> None:
-        """Adds a request to an owner."""
+        """Queues a request for an owner."""
         requests, _ = self._for_owner(owner)
         requests.append(request)
 
     def add_return(self, owner: str, lease_return: LeaseReturn) -> None:
-        """Adds a return to an owner."""
+        """Queues a return for an owner."""
         _, returns = self._for_owner(owner)
         returns.append(lease_return)
 
     def next_owner(self) -> str:
-        """Returns the owner whose requests have waited longest. Raises StopIteration if there is none."""
+        """Returns the owner that has been pending longest. Raises StopIteration if the outbox is empty."""
         return next(iter(self._pending))
 
     def pop(self, owner: str) -> tuple[list[LeaseRequest], list[LeaseReturn]]:
-        """Takes out all that is pending for an owner. Raises KeyError if there is nothing."""
+        """Removes and returns an owner's pending requests and returns. Raises KeyError if it has none."""
         return self._pending.pop(owner)
 
     def _for_owner(self, owner: str) -> tuple[list[LeaseRequest], list[LeaseReturn]]:
--- a/cartdeal/fleet/quota/owner.py
+++ b/cartdeal/fleet/quota/owner.py
@@ -1,7 +1,8 @@
-"""The owner's side of the lease protocol: answers requests from the token buckets of the limits it owns.
+"""The owner's side of the lease protocol: grants leases from the token buckets of the limits it owns.
 
-It owns the buckets and the history of rings. It must never grant while another agent may still grant the same
-part: so it grants only while its ring is proven, and only the least share of all rings within the fence.
+The owner side keeps the buckets and the history of rings. It must never grant a part of a limit that another
+agent may still grant: so it grants only while its ring is proven, and only the least of its shares in all
+rings within the fence.
 """
 
 from collections.abc import Callable
@@ -27,25 +28,26 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-FENCE_MARGIN_LEASES = 0.1  # covers rounding
+FENCE_MARGIN_LEASES = 0.1  # of a lease, added to the fence to cover rounding
 
 
 class LeaseOwner:
-    """Grants leases of the limits of which this agent owns a part."""
+    """Grants leases of the limits that this agent is an owner of."""
 
     def __init__(
         self, context: NodeContext, settings: FleetSettings, has_valid_lease: Callable[[], bool]
     ) -> None:
         self.context = context
         self.settings = settings
-        self.has_valid_lease = has_valid_lease  # whether the ring in force is proven at this moment
+        self.has_valid_lease = has_valid_lease  # whether a majority holds the ring in force now
         self.incarnation = context.incarnation
         self.started_at = context.now
-        # The slowest former owner may count on its ring for one lease, and grant then for another.
+        # A former owner may rely on its ring for one lease, and its last grant lasts for another; its clock
+        # may be the slowest.
         fence_s = settings.lease_s * (2 + 4 * settings.clock_drift + FENCE_MARGIN_LEASES)
         self.history = OwnershipHistory(context.now, fence_s, self._share_in)
         self.schema_version = settings.reads[0]
-        self.granters: dict[str, LeaseGranter] = {}  # by tenant; no more than there are limits
+        self.granters: dict[str, LeaseGranter] = {}  # by tenant; at most one per configured limit
         self._has_ring = False
         self._last_lease_number = 0
         self._tenants_to_clean: list[str] = []
@@ -53,7 +55,7 @@
     # Events
 
     def on_ring_changed(self, ring: Ring, former: Ring | None, since: float) -> None:
-        """Takes a ring into the history; `former` is that of the epoch before it, where known."""
+        """Adds a ring to the history; `former` is the ring of the previous epoch, None if unknown."""
         self._has_ring = True
         self.history.learn(ring, former, max(since, self.context.now))
 
@@ -62,23 +64,23 @@
         self.schema_version = 1 if version < 2 else 2
 
     def update_limits(self, settings: FleetSettings) -> None:
-        """Takes new limits into the buckets."""
+        """Applies new limits to the buckets."""
         self.settings = settings
         now = self.context.now
         for tenant in self.granters:
-            # A tenant without a limit now keeps its bucket: it may get one again while leases are out.
+            # A tenant whose limit was removed keeps its bucket: the limit may return while leases are in use.
             if tenant in settings.limits:
                 self.granter(tenant, now).bucket.set_limit(settings.limits[tenant])
 
     def prove_ring(self, now: float) -> bool:
-        """Records that the ring in force is proven, if it is; returns whether it is."""
+        """Returns whether the ring in force is proven now, and if so records that in the history."""
         is_proven = self._has_ring and self.has_valid_lease()
         if is_proven:
             self.history.prove(now)
         return is_proven
 
     def remove_idle_accounts(self, now: float) -> None:
-        """Cleans one bucket, another one with each call."""
+        """Removes idle accounts from one bucket, in turn with each call."""
         if not self.granters:
             return
         if not self._tenants_to_clean:
@@ -90,7 +92,7 @@
     # Messages
 
     def on_batch(self, sender: str, batch: LeaseRequestBatch, now: float) -> tuple[LeaseResponse, ...]:
-        """Carries out a holder's returns and answers its requests."""
+        """Applies a holder's returns and answers its requests."""
         is_proven = self.prove_ring(now)
         names_current_leases = batch.owner_incarnation == self.incarnation
         holder_id = HolderId(sender, batch.incarnation)
@@ -105,7 +107,7 @@
         return tuple(responses)
 
     def on_return(self, holder_id: HolderId, lease_return: LeaseReturn, now: float) -> None:
-        """Takes back a holder's leases of one tenant; a repeated or late return is dropped."""
+        """Ends a holder's leases of one tenant and takes back tokens; drops a repeated or late return."""
         granter = self.granters.get(lease_return.tenant)
         account = None
         if granter is not None and are_valid_amounts(lease_return.tokens):
@@ -175,17 +177,20 @@
         return granter
 
     def metrics(self) -> dict[str, Any]:
-        """What is leased and what is left to lease, by tenant."""
+        """Returns by tenant the leased rate and burst, and the rate and tokens that are left to lease."""
         now = self.context.now
-        leased: dict[str, dict[str, float]] = {}
-        available: dict[str, dict[str, float]] = {}
+        leased_by_tenant: dict[str, dict[str, float]] = {}
+        available_by_tenant: dict[str, dict[str, float]] = {}
         for tenant, granter in self.granters.items():
             bucket = granter.bucket
             tokens = bucket.period_tokens if bucket.schema_version == 1 else bucket.tokens
             free_rate = max(bucket.share(now) * bucket.rate - bucket.leased_rate, 0.0)
-            leased[tenant] = {"rate": round(bucket.leased_rate, 3), "burst": round(bucket.leased_burst, 3)}
-            available[tenant] = {"rate": round(free_rate, 3), "tokens": round(tokens, 3)}
-        return {"lent": leased, "unlent": available}
+            leased_by_tenant[tenant] = {
+                "rate": round(bucket.leased_rate, 3),
+                "burst": round(bucket.leased_burst, 3),
+            }
+            available_by_tenant[tenant] = {"rate": round(free_rate, 3), "tokens": round(tokens, 3)}
+        return {"lent": leased_by_tenant, "unlent": available_by_tenant}
 
     def _share_in(self, ring: Ring, key: bytes) -> float:
         names = owners(ring, key, self.settings.copies)
--- a/cartdeal/fleet/quota/ownership.py
+++ b/cartdeal/fleet/quota/ownership.py
@@ -1,7 +1,7 @@
-"""Which share of a tenant's limit this agent may grant, by the rings that were in force lately.
+"""The share of a tenant's limit that this agent may grant, according to the latest rings.
 
-It is pure: it sends nothing and reads no clock; all times are seconds on the agent's own monotonic clock. It
-must never give a share that another agent may still grant by an earlier ring.
+The module does no I/O and reads no clock; all times are seconds on the agent's own monotonic clock. It must
+never return a share that another agent may still grant by an earlier ring.
 """
 
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 from cartdeal.fleet.ring.ring import Ring
 
-MAX_REMEMBERED_RINGS = 16  # older ones count as unknown, and while an unknown one matters nothing is granted
+MAX_REMEMBERED_RINGS = 16  # older rings count as unknown; no grants within the fence of an unknown ring
 
 ShareIn = Callable[[Ring, bytes], float]
 
@@ -19,21 +19,21 @@
 
     def __init__(self, number: int, ring: Ring | None, start: float) -> None:
         self.number = number
-        self.ring = ring  # None: nothing is known of this time
+        self.ring = ring  # None if the ring of this time is unknown
         self.start = start
         self.end = inf
         self.proven_until = -inf  # the last time at which a majority was known to hold this ring
 
 
 class OwnershipHistory:
-    """The least share of a key by all rings that were in force within the last fence.
+    """Computes the least share of a key over all rings that were in force within the last fence.
 
-    A ring that this agent has not learnt may have had other owners, whose leases may still be in use. So
-    after a gap in the epochs, as after a start, the share is 0 for one fence.
+    A ring that this agent has not learnt may have had other owners, whose leases may still be in use. So the
+    share is 0 for one fence after a gap in the epochs, and after a start.
 
     Args:
         start: when the agent started.
-        fence_s: for how long leases of an earlier owner may be in use.
+        fence_s: how long leases of an earlier owner may be in use, seconds.
         share_in: computes the agent's share of a key in a ring, 0 to 1.
     """
 
@@ -48,25 +48,27 @@
         return self.intervals[-1]
 
     def learn(self, ring: Ring, former: Ring | None, now: float) -> None:
-        """Puts a ring in force. `former` is the ring of the epoch before it, where that is known."""
-        known = self.current.ring
-        if known is None and len(self.intervals) == 1 and ring.epoch == 1:
-            # No ring was in force before the first: the fence only has to cover this agent's earlier
-            # incarnation, and counts from the start.
+        """Puts a ring in force. `former` is the ring of the previous epoch, None if unknown."""
+        known_ring = self.current.ring
+        if known_ring is None and len(self.intervals) == 1 and ring.epoch == 1:
+            # No ring was in force before the first one: the fence only has to cover this agent's earlier
+            # incarnation, so it counts from this agent's start.
             self.append(ring, now)
             self.intervals[0].end = self.intervals[0].start
             return
-        follows_known = known is not None and known.epoch + 1 == ring.epoch
-        if not follows_known or (former is not None and former != known):
-            # A ring of one missing epoch can stand in the history; more missing epochs are a gap.
+        follows_known = known_ring is not None and known_ring.epoch + 1 == ring.epoch
+        if not follows_known or (former is not None and former != known_ring):
+            # If one epoch was missed, `former` fills it; several missed epochs are a gap.
             fills_gap = (
-                known is not None and former is not None and known.epoch + 1 == former.epoch == ring.epoch - 1
+                known_ring is not None
+                and former is not None
+                and known_ring.epoch + 1 == former.epoch == ring.epoch - 1
             )
             self.append(former if fills_gap else None, now)
         self.append(ring, now)
 
     def append(self, ring: Ring | None, now: float) -> None:
-        """Ends the current interval and begins one with `ring`."""
+        """Ends the current interval and begins one for `ring` (None: an unknown ring)."""
         self.current.end = now
         self.intervals.append(RingInterval(self.current.number + 1, ring, now))
         if len(self.intervals) > MAX_REMEMBERED_RINGS:
@@ -78,7 +80,7 @@
         self.current.proven_until = now
 
     def share(self, key: bytes, at: float) -> tuple[float, float]:
-        """Returns the share at a time, and until when it stays so unless a ring is learnt."""
+        """Returns the share (0 to 1) at a time, and until when it stays the same if no ring is learnt."""
         least_share = inf
         stable_until = inf
         for interval in reversed(self.intervals):
--- a/cartdeal/fleet/quota/rates.py
+++ b/cartdeal/fleet/quota/rates.py
@@ -12,15 +12,15 @@
     """
     shares = [0.0] * len(demands)
     remaining = max(total, 0.0)
-    ascending = sorted(range(len(demands)), key=lambda index: (demands[index], index))
-    for rank, index in enumerate(ascending):
+    indices_by_demand = sorted(range(len(demands)), key=lambda index: (demands[index], index))
+    for rank, index in enumerate(indices_by_demand):
         shares[index] = min(demands[index], remaining / (len(demands) - rank))
         remaining -= shares[index]
     return shares
 
 
 class RateMeter:
-    """Events per second, as an exponentially weighted moving average with time constant `window_s`."""
+    """Measures events per second: an exponentially weighted moving average, time constant `window_s`."""
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
