--- a/cartdeal/fleet/transport/__init__.py
+++ b/cartdeal/fleet/transport/__init__.py
@@ -1,9 +1,9 @@
-"""Applies the node's effects on sockets, and brings peers' messages to it as events.
+"""The transport between agents: sends the node's messages on sockets and delivers peers' messages to it.
 
-Owns the fleet's sockets: datagrams and a listener on one port, and one stream to each peer that there are
-messages for. It must never let an event in while another is being handled, wait for a peer in the middle of
-one, or let a bad peer cost more than its own connection. What finds no room is dropped and counted: the
-node's parts send it again, or recover without it.
+The package owns the fleet's sockets: one for datagrams and a listener for streams on the same port, and one
+outgoing stream to each peer that messages are queued for. It must never start an event while another one is
+being handled, wait for a peer during an event, or let a faulty peer cost more than its own connection. A
+message that exceeds a limit is dropped and counted: the node's parts send it again, or recover without it.
 """
 
 from cartdeal.fleet.transport.limits import TransportLimits
--- a/cartdeal/fleet/transport/incoming.py
+++ b/cartdeal/fleet/transport/incoming.py
@@ -1,7 +1,7 @@
-"""Datagrams and streams from peers: bounds them, decodes their messages and delivers these.
+"""Receives datagrams and streams from peers, within limits, and decodes and delivers their messages.
 
-It must never let a peer cost more than its own connection: one that has sent no valid message yet has little
-time and may be closed in favour of a newer one, and a stream with a fault is closed.
+A peer must never cost more than its own connection. A connection that has brought no valid message yet times
+out soon and may be closed in favour of a newer one; a stream with a fault is closed.
 """
 
 import logging
@@ -19,17 +19,17 @@
 from cartdeal.fleet.transport.reporting import PeerAddress, TransportReporter
 from cartdeal.supervision import RESTART_DELAY_S
 
-READER_IDLE_TIMEOUT_S = 90.0  # after which a stream that carries nothing is closed; longer than the writer's
-FIRST_MESSAGE_TIMEOUT_S = 2.0  # how long a connection may take to its first valid message
-MAX_UNIDENTIFIED_CONNECTIONS = 1024  # connections that have brought no valid message yet
-READ_BYTES = 65536  # read at once
-DATAGRAMS_PER_YIELD = 16  # read before other greenlets run
+READER_IDLE_TIMEOUT_S = 90.0  # an idle stream is closed after this time; longer than WRITER_IDLE_TIMEOUT_S
+FIRST_MESSAGE_TIMEOUT_S = 2.0  # time limit for a connection's first valid message
+MAX_UNIDENTIFIED_CONNECTIONS = 1024  # connections without a valid message so far
+MAX_READ_BYTES = 65536  # maximum for one read
+DATAGRAMS_PER_YIELD = 16  # datagrams read before other greenlets run
 
 log = logging.getLogger("cartdeal.fleet")
 
 
 class MessageReceiver:
-    """Decodes messages, delivers the valid ones and reports the others."""
+    """Decodes messages, delivers the valid ones and reports the refused ones."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self.deliver = deliver
 
     def receive_message(self, signed: bytes, peer: PeerAddress, max_bytes: int) -> bool:
-        """Handles one signed message; False where its sender's stream is to be closed."""
+        """Decodes and delivers one signed message; returns False if its sender's stream has to be closed."""
         try:
             received = codec.decode(self.settings, signed, max_bytes)
         except UnknownMessageError as error:
-            # A newer program's message, correctly signed: its other messages may be known.
+            # The message is authentic, so a newer program sent it: this program may know its other messages.
             self.reporter.report_refusal(error, peer)
             return True
         except FleetError as error:
@@ -59,7 +59,7 @@
 
 
 class DatagramReceiver:
-    """Reads the socket for datagrams."""
+    """Reads datagrams from the socket."""
 
     def __init__(self, datagrams: socket.socket, receiver: MessageReceiver):
         self.datagrams = datagrams
@@ -71,7 +71,7 @@
         while True:
             attempts += 1
             if attempts % DATAGRAMS_PER_YIELD == 0:
-                gevent.sleep(0)  # a peer that sends without pause must not keep other greenlets from running
+                gevent.sleep(0)  # a peer that sends without pause must not starve other greenlets
             try:
                 signed, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
@@ -81,20 +81,20 @@
 
 
 class IncomingConnection:
-    """A stream from a peer."""
+    """A stream that a peer has opened."""
 
     def __init__(self, sock: socket.socket, peer: PeerAddress):
         self.socket = sock
         self.peer = peer
-        self.is_identified = False  # whether it has brought a valid message
-        self.last_message_at = monotonic()  # or when it was accepted
+        self.is_identified = False  # whether a valid message has arrived on it
+        self.last_message_at = monotonic()  # of the last valid message, or of the accept before the first
 
 
 class IncomingConnections:
     """Accepts streams from peers and reads them.
 
-    `connections`: by the greenlet that reads each. `partial_bytes`: the size of all messages that have come
-    in part.
+    `connections`: each connection, by the greenlet that reads it. `partial_bytes`: the size of all messages
+    that have arrived in part.
     """
 
     def __init__(
@@ -123,12 +123,13 @@
             self._make_room()
             connection = IncomingConnection(sock, peer)
             self.connections[gevent.spawn(self.read, connection)] = connection
-            gevent.sleep(0)  # what it has sent already is read before the next one may replace it
+            # The new greenlet reads what has already arrived before another connection may replace this one.
+            gevent.sleep(0)
 
     def _make_room(self) -> None:
-        """Closes the connection that has been silent for longest where there are too many.
+        """Closes the connection that has been silent longest, if there are too many.
 
-        One that has sent no valid message goes first. A peer that still has something to send reconnects.
+        Connections without a valid message are closed first. A peer that still has messages reconnects.
         """
         unidentified = [
             greenlet for greenlet, connection in self.connections.items() if not connection.is_identified
@@ -147,16 +148,16 @@
         longest_silent.kill(block=False)
 
     def read(self, connection: IncomingConnection) -> None:
-        """Reads one connection until it ends, fails, falls silent or brings something that is refused."""
+        """Reads one connection until it ends, fails, is idle for too long or brings a refused message."""
         frames = codec.FrameReader()
-        partial_bytes = 0  # of `self.partial_bytes`, those of this connection
+        partial_bytes = 0  # this connection's part of `self.partial_bytes`
         first_message_by = monotonic() + FIRST_MESSAGE_TIMEOUT_S
         sock = connection.socket
         try:
             while True:
                 time_left_s = max(0.001, first_message_by - monotonic())
                 sock.settimeout(READER_IDLE_TIMEOUT_S if connection.is_identified else time_left_s)
-                received = sock.recv(READ_BYTES)
+                received = sock.recv(MAX_READ_BYTES)
                 if not received:
                     return
                 messages = frames.feed(received)
@@ -173,7 +174,7 @@
         except FleetError as error:
             self.reporter.report_refusal(error, connection.peer)
         except OSError:
-            pass  # the peer reconnects when it has something to send
+            pass  # the peer reconnects when it has messages to send
         finally:
             self.partial_bytes -= partial_bytes
             sock.close()
--- a/cartdeal/fleet/transport/limits.py
+++ b/cartdeal/fleet/transport/limits.py
@@ -1,4 +1,4 @@
-"""What the transport may use of the machine."""
+"""Limits on the resources that the transport uses."""
 
 from typing import NamedTuple
 
@@ -7,5 +7,5 @@
     """Bounds on the transport's connections and memory."""
 
     max_streams: int = 1024  # in each direction
-    max_queued_bytes: int = 16 << 20  # of messages that wait for a stream
-    max_partial_bytes: int = 16 << 20  # of messages that have come in part
+    max_queued_bytes: int = 16 << 20  # of messages queued for streams
+    max_partial_bytes: int = 16 << 20  # of messages that have arrived in part
--- a/cartdeal/fleet/transport/outgoing.py
+++ b/cartdeal/fleet/transport/outgoing.py
@@ -1,7 +1,7 @@
-"""Streams to peers: one queue of messages and one writing greenlet for each.
+"""Streams to peers: each peer has one queue of messages and one greenlet that writes them.
 
-It must never block who enqueues a message. A queue that is full loses its oldest messages, a peer that can't
-be reached is tried again with exponential backoff, and messages that waited too long are dropped.
+Enqueueing must never block its caller. A full queue drops its oldest messages, connecting to an unreachable
+peer is retried with exponential backoff, and messages that have waited too long are dropped.
 """
 
 import logging
@@ -21,26 +21,26 @@
 from cartdeal.fleet.transport.reporting import PeerAddress, TransportReporter
 from cartdeal.fleet.transport.sockets import connect, is_closed_by_peer
 
-WRITE_TIMEOUT_S = 2.0  # how long a peer may take to accept what is written
-FIRST_RECONNECT_DELAY_S = 0.1  # doubled with each failure, and jittered by a factor of 0.5 to 1.5
+WRITE_TIMEOUT_S = 2.0  # for one write, until the peer's buffers have accepted it
+FIRST_RECONNECT_DELAY_S = 0.1  # doubled after each failure; a random factor of 0.5 to 1.5 adds jitter
 MAX_RECONNECT_DELAY_S = 3.0
-MAX_QUEUE_AGE_S = 5.0  # older messages are not sent any more: who asked has given up
-WRITER_IDLE_TIMEOUT_S = 30.0  # after which a stream that carries nothing is closed; shorter than the reader's
-MAX_QUEUED_MESSAGES = 1024  # for one peer
-WRITE_BATCH_BYTES = 65536  # written at once, or little more
+MAX_QUEUE_AGE_S = 5.0  # older messages are dropped: the part that sent them has given up by then
+WRITER_IDLE_TIMEOUT_S = 30.0  # an idle stream is closed after this time; shorter than READER_IDLE_TIMEOUT_S
+MAX_QUEUED_MESSAGES = 1024  # per peer
+WRITE_BATCH_BYTES = 65536  # target size of one write; the last message may exceed it
 
 log = logging.getLogger("cartdeal.fleet")
 
 
 class QueuedMessage(NamedTuple):
-    """An encoded message that waits to be signed and sent."""
+    """An encoded message in a queue, to be signed when it is sent."""
 
     queued_at: float  # monotonic seconds
     encoded: bytes
 
 
 class OutgoingConnection:
-    """The queue for one peer, and the greenlet and the stream that write it."""
+    """The queue for one peer, the greenlet that writes it, and the stream that it is written to."""
 
     def __init__(self, address: PeerAddress):
         self.address = address
@@ -59,8 +59,8 @@
 class OutgoingConnections:
     """The streams to all peers.
 
-    `connections`: by the peer's address, the least recently used first. `queued_bytes`: the size of all
-    queues together. `sign` puts an encoded message into its envelope when it is sent.
+    `connections`: by the peer's address, the least recently used first. `queued_bytes`: the total size of all
+    queues. `sign` wraps an encoded message in its signed envelope when the message is sent.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.queued_bytes = 0
 
     def enqueue(self, address: PeerAddress, encoded: bytes) -> None:
-        """Queues a message for the peer at `address`; opens a stream to it if there is none."""
+        """Queues a message for the peer at `address`; starts a connection to it if there is none."""
         connection = self._connection_to(address)
         if connection is None:
             self.reporter.increment(Metric.DROPPED_NO_STREAM)
@@ -105,13 +105,13 @@
         return connection
 
     def pop_message(self, connection: OutgoingConnection) -> bytes:
-        """Takes the oldest message from a queue."""
+        """Removes the oldest message from a queue and returns it."""
         encoded = connection.queue.popleft().encoded
         self.queued_bytes -= len(encoded)
         return encoded
 
     def close_least_recently_used(self) -> bool:
-        """Closes the stream that has been unused for longest; one with queued messages stays."""
+        """Closes the least recently used stream without queued messages; returns whether there was one."""
         for address, connection in self.connections.items():
             if not connection.queue:
                 del self.connections[address]
@@ -129,7 +129,7 @@
                     if self._send_batch(connection):
                         reconnect_delay_s = FIRST_RECONNECT_DELAY_S
                 except OSError:
-                    # What was being written is lost: whether the peer has read it can't be known.
+                    # The batch being written is lost: the writer can't know whether the peer has read it.
                     self.reporter.increment(Metric.STREAMS_FAILED)
                     connection.close_socket()
                     gevent.sleep(reconnect_delay_s * (0.5 + self.random.random()))
@@ -141,7 +141,7 @@
             self._remove(connection)
 
     def _wait_for_messages(self, connection: OutgoingConnection) -> bool:
-        """Waits until there is a message; False where none came within WRITER_IDLE_TIMEOUT_S."""
+        """Waits until there is a message; returns False if none came within WRITER_IDLE_TIMEOUT_S."""
         while not connection.queue:
             connection.has_messages.clear()
             if not connection.has_messages.wait(WRITER_IDLE_TIMEOUT_S):
@@ -149,9 +149,9 @@
         return True
 
     def _send_batch(self, connection: OutgoingConnection) -> bool:
-        """Connects if need be and writes what fits one batch; whether there was anything to write.
+        """Connects if necessary and writes one batch; returns whether there was anything to write.
 
-        Raises OSError.
+        Raises OSError if connecting or writing fails.
         """
         if connection.socket is not None and is_closed_by_peer(connection.socket):
             connection.close_socket()
@@ -172,7 +172,7 @@
             del self.connections[connection.address]
 
     def pop_batch(self, connection: OutgoingConnection) -> bytes:
-        """Takes messages from a queue, as frames, up to WRITE_BATCH_BYTES or a message more."""
+        """Removes messages from a queue and frames them; the last one may exceed WRITE_BATCH_BYTES."""
         self.drop_stale(connection)
         frames: list[bytes] = []
         size = 0
@@ -182,7 +182,7 @@
         return b"".join(frames)
 
     def drop_stale(self, connection: OutgoingConnection) -> None:
-        """Drops what has waited for longer than MAX_QUEUE_AGE_S."""
+        """Drops the messages that have waited longer than MAX_QUEUE_AGE_S."""
         while connection.queue and connection.queue[0].queued_at < monotonic() - MAX_QUEUE_AGE_S:
             self.pop_message(connection)
             self.reporter.increment(Metric.DROPPED_STALE)
--- a/cartdeal/fleet/transport/peer_transport.py
+++ b/cartdeal/fleet/transport/peer_transport.py
@@ -1,6 +1,7 @@
-"""The event loop of an agent of the fleet: brings events to its node and applies the effects.
+"""The event loop of an agent in a fleet: dispatches events to its node and applies the node's effects.
 
-The node does no I/O: a method of it is called for each event, and leaves effects that are applied then.
+The node does no I/O. For each event the transport calls a method of the node, then applies the effects that
+the method has appended to `node.effects`.
 """
 
 import logging
@@ -26,28 +27,28 @@
 from cartdeal.fleet.transport.sockets import open_listeners
 from cartdeal.supervision import supervise
 
-FLUSH_POLL_S = 0.005  # between looks whether all is written
-MAX_SHOWN_ADDRESS = 64  # characters of a peer's invalid address in the log
+FLUSH_POLL_INTERVAL_S = 0.005  # interval at which `flush` checks the queues
+MAX_LOGGED_ADDRESS_LENGTH = 64  # characters of an invalid address that the log shows
 
 log = logging.getLogger("cartdeal.fleet")
 
 
 class TransportNode(Protocol):
-    """What the transport needs of the node. Events are further methods, called by their names."""
+    """The part of the node that the transport uses. Events are further methods, called by name."""
 
     now: float  # monotonic seconds of the event
-    wall: float
+    wall: float  # wall clock seconds of the event
     name: str
     incarnation: int
     address: str
-    effects: list[Effect]
+    effects: list[Effect]  # of the event, to be applied by the transport
 
     def metrics(self) -> dict[str, Any]:
-        """Name and value of each of the node's metrics."""
+        """Returns the value of each of the node's metrics by its name."""
 
 
 class QueuedEvent(NamedTuple):
-    """A method of the node and its arguments."""
+    """The name of a method of the node, and its arguments."""
 
     name: str
     arguments: tuple[Any, ...]
@@ -56,9 +57,9 @@
 class PeerTransport:
     """Runs one node on sockets.
 
-    `make_node(settings, seed, now, wall)` gives the node; `on_decision` gets its decisions on requests.
-    `listen`: where to bind; where the settings have no address that peers reach, it is the one bound.
-    Raises BindError.
+    `make_node(settings, seed, now, wall)` creates the node; `on_decision` is called with each of its
+    decisions on requests. `listen` is the address to bind; if the settings give no address for peers, they
+    get the bound one. Raises BindError.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         self.node = make_node(settings, self.random.getrandbits(64), monotonic(), time())
 
     def start(self) -> None:
-        """Applies what the node did when it was made, and starts the background tasks."""
+        """Applies the effects of the node's creation and starts the background tasks."""
         self.apply_effects()
         tasks = (
             self.tick,
@@ -104,7 +105,7 @@
         self.tasks = [gevent.spawn(supervise, task, log) for task in tasks]
 
     def stop(self) -> None:
-        """Closes all sockets and ends all greenlets; what is still queued is lost."""
+        """Closes all sockets and ends all greenlets; queued messages are lost."""
         for connection in self.incoming.connections.values():
             connection.socket.close()
         writers = [connection.greenlet for connection in self.outgoing.connections.values()]
@@ -117,7 +118,7 @@
     def dispatch(self, event: str, *arguments: Any) -> None:
         """Handles an event: calls the node's method of this name and applies the effects.
 
-        An event that an effect causes is handled after all effects of the one before.
+        If an effect causes another event, that event is handled after all effects of the current one.
         """
         self.events.append(QueuedEvent(event, arguments))
         if self.is_handling_event:
@@ -137,13 +138,14 @@
         try:
             getattr(node, event.name)(*event.arguments)
         except Exception:
-            # A broken part must not take the agent with it; admission control decides what it leaves open.
+            # A fault in one part must not stop the agent; admission control decides the requests it leaves
+            # open.
             self.reporter.increment(Metric.EVENTS_FAILED)
             log.exception("event failed", extra={"event": event.name})
         self.apply_effects()
 
     def apply_effects(self) -> None:
-        """Applies the effects that the node has collected, in their order."""
+        """Applies the effects that the node has collected, in order."""
         effects, self.node.effects = self.node.effects, []
         for effect in effects:
             try:
@@ -153,11 +155,11 @@
                 log.exception("effect failed", extra={"effect": type(effect).__name__})
 
     def deliver(self, received: codec.ReceivedMessage) -> None:
-        """Brings a message of a peer to the node."""
+        """Dispatches a peer's message to the node."""
         self.dispatch("on_message", *received)
 
     def tick(self) -> None:
-        """Lets the node do what is due, for as long as the transport runs."""
+        """Calls the node's `tick` every `tick_s` with 10 % jitter, for as long as the transport runs."""
         while True:
             gevent.sleep(self.settings.tick_s * (0.9 + 0.2 * self.random.random()))
             self.dispatch("tick")
@@ -165,12 +167,12 @@
     # Effects
 
     def send(self, effect: SendMessage) -> None:
-        """Sends a message by datagram or stream, as its type says."""
+        """Sends a message by datagram or stream, according to its type."""
         address = parse_address(effect.address)
         if address is None:
-            recipient, shown = effect.recipient, str(effect.address)[:MAX_SHOWN_ADDRESS]
+            recipient, logged_address = effect.recipient, str(effect.address)[:MAX_LOGGED_ADDRESS_LENGTH]
             self.reporter.increment(Metric.DROPPED_NO_ADDRESS)
-            self.reporter.report_once("bad address", recipient, f"{recipient} at {shown!r}")
+            self.reporter.report_once("bad address", recipient, f"{recipient} at {logged_address!r}")
             return
         try:
             encoded = codec.encode_message(effect.message)
@@ -183,11 +185,11 @@
             return
         try:
             self.datagrams.sendto(self.sign(encoded), address)
-        except OSError:  # among others where the buffer is full; a datagram may be lost
+        except OSError:  # for example if the send buffer is full; datagrams may be lost
             self.reporter.increment(Metric.DROPPED_DATAGRAMS)
 
     def sign(self, encoded: bytes) -> bytes:
-        """Signs a message with the time of now: that of its event may be long past where it was queued."""
+        """Signs a message with the current time: the message may have been queued since its event."""
         node = self.node
         wall = node.wall + monotonic() - node.now
         signed = codec.sign_message(
@@ -198,25 +200,25 @@
         return signed
 
     def write_log(self, effect: WriteLog) -> None:
-        """Writes an event of the node to the log."""
+        """Writes an event of the node as a log line."""
         fields = effect.event.fields()
         text = " ".join(f"{key}={value}" for key, value in fields.items())
         log.info(effect.event.MESSAGE, extra={"text": text})
 
     @property
     def queued_bytes(self) -> int:
-        """The size of the messages that wait for a stream."""
+        """The total size of the messages queued for streams."""
         return self.outgoing.queued_bytes
 
     def flush(self, until: float) -> None:
         """Waits until all queued messages are written, or until the monotonic time `until`."""
         while self.queued_bytes and monotonic() < until:
-            gevent.sleep(FLUSH_POLL_S)
+            gevent.sleep(FLUSH_POLL_INTERVAL_S)
 
     # Metrics
 
     def report_metrics(self) -> None:
-        """Logs the metrics every REPORT_INTERVAL_S or so, for as long as the transport runs."""
+        """Logs the metrics every REPORT_INTERVAL_S with 10 % jitter, for as long as the transport runs."""
         while True:
             gevent.sleep(REPORT_INTERVAL_S * (0.9 + 0.2 * self.random.random()))
             text = " ".join(
@@ -225,7 +227,7 @@
             log.info("metrics", extra={"text": text})
 
     def metrics(self) -> dict[str, Any]:
-        """Name and value of each metric of the node and the transport."""
+        """Returns the value of each metric of the node and the transport by its name."""
         return {
             **self.node.metrics(),
             **self.counters,
--- a/cartdeal/fleet/transport/reporting.py
+++ b/cartdeal/fleet/transport/reporting.py
@@ -1,4 +1,4 @@
-"""Counts what the transport does, and logs the faults of peers without flooding the log."""
+"""The transport's counters, and rate-limited log lines about the faults of peers."""
 
 import logging
 from collections import Counter, OrderedDict
@@ -7,8 +7,8 @@
 
 from cartdeal.fleet.errors import FleetError
 
-REPORT_INTERVAL_S = 60.0  # between lines of metrics, and between lines about one fault of one peer
-MAX_REPORTED_FAULTS = 1024  # faults that are remembered as reported; the oldest is forgotten first
+REPORT_INTERVAL_S = 60.0  # between two lines of metrics, and between two lines about the same fault of a peer
+MAX_REPORTED_FAULTS = 1024  # entries of `reported_faults`; the oldest is dropped first
 
 PeerAddress = tuple[str, int]
 
@@ -16,10 +16,9 @@
 
 
 class TransportReporter:
-    """The transport's counters, and the faults that it has logged lately.
+    """Keeps the transport's counters and the faults that were logged recently.
 
-    `reported_faults`: for each kind of fault and its subject the monotonic time from which it is logged
-    again.
+    `reported_faults`: by kind of fault and subject, the monotonic time from which the fault is logged again.
     """
 
     def __init__(self) -> None:
@@ -31,13 +30,13 @@
         self.counters[counter] += by
 
     def report_refusal(self, error: FleetError, peer: PeerAddress) -> None:
-        """Counts and logs that something from a peer was refused."""
+        """Counts and logs the refusal of a peer's message or stream."""
         kind = type(error).__name__
         self.increment(f"refused {kind}")
         self.report_once("refused", (kind, peer[0]), f"{kind} from {peer[0]}:{peer[1]}: {error}")
 
     def report_once(self, fault: str, subject: Hashable, text: str) -> None:
-        """Logs a fault unless it was logged within REPORT_INTERVAL_S; the counters have each of them."""
+        """Logs a fault unless it was logged within REPORT_INTERVAL_S; the counters count each occurrence."""
         now = monotonic()
         key = fault, subject
         if now < self.reported_faults.get(key, 0.0):
