--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -1,4 +1,4 @@
-"""Token leases in a small simulated network: bounds on what is served, checked over all windows of time."""
+"""Token leases in a small simulated network: the bounds on served requests hold in every window of time."""
 
 from collections import Counter
 from functools import partial
@@ -23,10 +23,12 @@
 from cartdeal.fleet.settings import FleetSettings, RateLimit
 
 DECODER = msgspec.msgpack.Decoder(LeaseRequestBatch | LeaseResponseBatch)
-MAJORITY = "majority"  # stands for the consensus in links that are blocked
+MAJORITY = "majority"  # stands for the ring's majority in blocked links
 
 
 class Decision(NamedTuple):
+    """The quota's decision on one request; times in seconds."""
+
     at: float
     agent: str
     ok: bool
@@ -36,11 +38,15 @@
 
 
 class WaitingRequest(NamedTuple):
+    """A request that an agent has not decided on yet."""
+
     requested_at: float
     agent: str
 
 
 class FakeContext:
+    """A node context whose clock has its own rate and offset."""
+
     def __init__(self, network, name, incarnation):
         self.network = network
         self.name = name
@@ -48,7 +54,9 @@
         self.address = ""
         self.counters = Counter()
         self.random = Random(f"{network.seed}/{name}/{incarnation}")
-        self.clock_rate = network.random.uniform(1, 1 + network.settings.clock_drift)  # against network.now
+        self.clock_rate = network.random.uniform(
+            1, 1 + network.settings.clock_drift
+        )  # seconds per second of network.now
         self.clock_offset = network.random.uniform(-1e6, 1e6)
 
     @property
@@ -57,7 +65,7 @@
 
     @property
     def wall(self):
-        return self.network.random.uniform(0, 1e9)  # may be anything, for all that is decided
+        return self.network.random.uniform(0, 1e9)  # random, because no decision may depend on it
 
     def send(self, recipient, message):
         self.network.send(self.name, recipient, message)
@@ -70,13 +78,13 @@
 
 
 class FakeAgent:
-    """One incarnation of an agent, with a fake consensus that is as late and as certain as it may be."""
+    """One incarnation of an agent, with a fake consensus that answers as late as the protocol allows."""
 
     def __init__(self, network, name):
         self.network = network
         self.ring = None
         self.lease_until = -1e9
-        self.inbox = []  # while it is paused
+        self.inbox = []  # messages that arrive while the agent is paused
         self.is_paused = False
         self.context = FakeContext(network, name, next(network.incarnations))
         self.quota = network.make_quota(
@@ -88,15 +96,17 @@
         return self.context.now < self.lease_until
 
     def learn(self, rings):
-        latest = rings[-1]
-        if self.ring is None or self.ring.epoch < latest.epoch:
-            self.ring = latest
-            former = rings[-2] if len(rings) > 1 else None
-            self.quota.on_ring_changed(latest, former, self.context.now)
-            self.quota.set_schema_version(latest.written_version)
+        latest_ring = rings[-1]
+        if self.ring is None or self.ring.epoch < latest_ring.epoch:
+            self.ring = latest_ring
+            former_ring = rings[-2] if len(rings) > 1 else None
+            self.quota.on_ring_changed(latest_ring, former_ring, self.context.now)
+            self.quota.set_schema_version(latest_ring.written_version)
 
 
 class SimulatedNetwork:
+    """Agents with drifting clocks on an unreliable network, in simulated time."""
+
     def __init__(self, names="abc", seed=0, make_quota=QuotaLeases, schema_version=2, **settings):
         self.seed = seed
         self.random = Random(seed)
@@ -131,7 +141,7 @@
         self.decide_ring(self.rings[-1].names)
 
     def start_agent(self, name):
-        # What waited in its earlier incarnation is lost with it.
+        # The waiting requests of the agent's earlier incarnation are lost with it.
         self.waiting = {ticket: request for ticket, request in self.waiting.items() if request.agent != name}
         agent = self.agents[name] = FakeAgent(self, name)
         self.schedule(self.now, partial(self.tick, agent))
@@ -145,7 +155,7 @@
             self.schedule(next_at, partial(self.tick, agent))
 
     def renew_ring_lease(self, agent):
-        """Asks a majority, unless the agent is cut off from it; the answer is some time old on arrival."""
+        """Renews the lease from a majority, unless the agent is cut off from it; the answer arrives late."""
         if self.agents[agent.context.name] is not agent:
             return
         if not agent.is_paused and (agent.context.name, MAJORITY) not in self.blocked_links:
@@ -160,25 +170,25 @@
             if agent.ring is not self.rings[-1]:
                 self.schedule(self.now + delay_s, on_answer)
             else:
-                on_answer()  # the answer counts from here on: another ring may be decided a moment later
+                on_answer()  # takes effect at once: another ring may be decided right after the answer
         self.schedule(self.now + self.random.uniform(0.1, 0.6), partial(self.renew_ring_lease, agent))
 
     def send(self, sender, recipient, message):
         self.sent_messages[sender] += 1
-        raw = msgspec.msgpack.encode(message)
+        encoded = msgspec.msgpack.encode(message)
         copies = 1 + (self.random.random() < self.duplicate_rate) - (self.random.random() < self.loss_rate)
         for _ in range(copies if (sender, recipient) not in self.blocked_links else 0):
             delay_s = self.random.uniform(0.0002, 0.002)
             if self.random.random() < self.delay_rate:
                 delay_s += self.random.choice((0.3, 1.0, 2.0, 5.0)) * self.random.random()
-            self.schedule(self.now + delay_s, partial(self.deliver, sender, recipient, raw))
+            self.schedule(self.now + delay_s, partial(self.deliver, sender, recipient, encoded))
 
-    def deliver(self, sender, recipient, raw):
+    def deliver(self, sender, recipient, encoded):
         agent = self.agents.get(recipient)
         if agent is not None and agent.is_paused:
-            agent.inbox.append((sender, raw))
+            agent.inbox.append((sender, encoded))
         elif agent is not None:
-            agent.quota.on_message(sender, DECODER.decode(raw))
+            agent.quota.on_message(sender, DECODER.decode(encoded))
 
     def pause_agent(self, name, duration_s):
         agent = self.agents[name]
@@ -186,8 +196,8 @@
 
         def resume():
             agent.is_paused = False
-            for sender, raw in agent.inbox if self.agents[name] is agent else ():
-                agent.quota.on_message(sender, DECODER.decode(raw))
+            for sender, encoded in agent.inbox if self.agents[name] is agent else ():
+                agent.quota.on_message(sender, DECODER.decode(encoded))
             agent.inbox = []
 
         self.schedule(self.now + duration_s, resume)
@@ -200,7 +210,7 @@
             agent.quota.request_token(ticket, tenant, agent.context.now + self.settings.wait_s)
 
     def on_token_decision(self, ticket, ok, wait_s, certain):
-        requested_at, name = self.waiting.pop(ticket)  # a second decision is a KeyError
+        requested_at, name = self.waiting.pop(ticket)  # raises KeyError on a second decision
         assert ok or wait_s > 0
         self.decisions.append(Decision(self.now, name, ok, wait_s, certain, self.now - requested_at))
 
@@ -223,17 +233,17 @@
         )
 
     def bound_excess(self, burst=None, rate=None) -> float:
-        """By how many requests the worst of all windows exceeds burst + rate * t; within it: 0 or less."""
+        """Returns by how many requests the worst window exceeds burst + rate * t; 0 or less if none does."""
         burst, rate = burst or self.limit.burst, rate or self.limit.rate
-        level, updated_at, worst = 0.0, 0.0, -burst
+        level, updated_at, worst_excess = 0.0, 0.0, -burst
         for at in (decision.at for decision in self.decisions if decision.ok):
             level, updated_at = max(level - rate * (at - updated_at), 0.0) + 1, at
-            worst = max(worst, level - burst)
-        return worst - 1e-6
+            worst_excess = max(worst_excess, level - burst)
+        return worst_excess - 1e-6
 
 
 def run_random_faults(seed, make_quota=QuotaLeases, until=30.0, schema_steps=False, **settings):
-    """Runs loss, duplicates, delays, partitions, pauses, restarts and rings in quick succession."""
+    """Runs a network with random loss, duplicates, delays, partitions, pauses, restarts and new rings."""
     random = Random(f"rough {seed}")
     limit = random.choice(
         (RateLimit(20.0, 60.0), RateLimit(5.0, 40.0), RateLimit(50.0, 20.0), RateLimit(2.0, 3.0))
@@ -271,27 +281,30 @@
             network.schedule(at, partial(network.blocked_links.update, links))
             network.schedule(at + duration_s, partial(network.blocked_links.difference_update, links))
     network.run(until + 8)
-    assert not network.waiting  # each request is decided, whatever fails
+    assert not network.waiting  # each request is decided, whichever faults occur
     return network
 
 
 def links_of(name, others):
-    """All links between an agent and others, in both directions."""
+    """Returns the links between an agent and others, in both directions."""
     return {link for other in others for link in ((name, other), (other, name))}
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.integers(0, 1 << 32))
-def test_bound_holds_whatever_fails(seed):
+def test_bound_holds_under_random_faults(seed):
     assert run_random_faults(seed, until=15.0).bound_excess() <= 0
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_bound_holds_by_periods_and_through_schema_steps_both_ways(seed):
-    periods = run_random_faults(seed, schema_version=1, until=15.0)
-    assert periods.bound_excess(burst=2 * periods.limit.rate + 3) <= 0
-    mixed = run_random_faults(seed, schema_version=1 + seed % 2, schema_steps=True, until=15.0)
-    assert mixed.bound_excess(burst=max(mixed.limit.burst, 2 * mixed.limit.rate + 3)) <= 0
+def test_bound_holds_with_period_tokens_and_through_schema_changes(seed):
+    period_network = run_random_faults(seed, schema_version=1, until=15.0)
+    assert period_network.bound_excess(burst=2 * period_network.limit.rate + 3) <= 0
+    mixed_network = run_random_faults(seed, schema_version=1 + seed % 2, schema_steps=True, until=15.0)
+    assert (
+        mixed_network.bound_excess(burst=max(mixed_network.limit.burst, 2 * mixed_network.limit.rate + 3))
+        <= 0
+    )
 
 
 def lease_never_expires(quota_leases):
@@ -310,9 +323,9 @@
 
 def owner_forgets_leases(quota_leases):
     def granter(*args, real=quota_leases.owner.granter):
-        found = real(*args)
-        found.bucket.counted_lease_s = 0.3
-        return found
+        tenant_granter = real(*args)
+        tenant_granter.bucket.counted_lease_s = 0.3
+        return tenant_granter
 
     quota_leases.owner.granter = granter
 
@@ -331,7 +344,7 @@
 
 
 def duplicates_accepted(quota_leases):
-    """A duplicate is taken twice: responses, and returned leases."""
+    """Accepts duplicate responses and duplicate lease returns."""
 
     def on_response(sender, incarnation, response, now, real=quota_leases.holder.on_response):
         quota = quota_leases.holder.quotas.get(response.tenant)
@@ -371,7 +384,7 @@
 
 
 def bound_excess_after_missed_epoch(make_quota):
-    """a is an owner in epochs 1 and 3, and never learns of 2, in which d was one and still is."""
+    """Agent a is an owner in epochs 1 and 3 and misses epoch 2, by which agent d still grants."""
     network = SimulatedNetwork("abcd", make_quota=make_quota, limit=RateLimit(2.0, 60.0))
     network.rings = [Ring(1, network.rings[0].members[:3], 2)]
     network.schedule(10, partial(network.blocked_links.add, ("a", MAJORITY)))
@@ -386,9 +399,9 @@
 
 
 def test_nothing_is_granted_after_a_gap_in_the_epochs():
-    correct = bound_excess_after_missed_epoch(QuotaLeases)
-    faulty = bound_excess_after_missed_epoch(quota_with(epoch_gap_ignored))
-    assert correct <= 0 < faulty
+    excess = bound_excess_after_missed_epoch(QuotaLeases)
+    excess_with_fault = bound_excess_after_missed_epoch(quota_with(epoch_gap_ignored))
+    assert excess <= 0 < excess_with_fault
 
 
 @pytest.mark.parametrize(
@@ -405,11 +418,11 @@
 def test_steady_uneven_demand_gets_nine_tenths_of_the_rate(limit, schema_version):
     network = SimulatedNetwork("abcde", limit=limit, schema_version=schema_version)
     end = 10 + 600 / limit.rate if limit.rate < 30 else 25
-    for name, part in zip(network.names, (1.5, 0.5, 0.2, 0.1, 0.1), strict=True):
-        network.add_load(name, part * limit.rate, 0, end)
+    for name, demand_factor in zip(network.names, (1.5, 0.5, 0.2, 0.1, 0.1), strict=True):
+        network.add_load(name, demand_factor * limit.rate, 0, end)
     network.run(end)
     assert network.served_count(8, end) >= 0.9 * limit.rate * (end - 8)
-    assert sum(network.sent_messages.values()) < 50 * 5 * end  # 50 messages per agent and second
+    assert sum(network.sent_messages.values()) < 50 * 5 * end  # 50 messages per second and agent
 
 
 def test_fresh_fleet_is_uncertain_and_idle_agent_is_served_in_a_round_trip():
@@ -448,25 +461,27 @@
     links = links_of("d", ("a", "b", "c", MAJORITY))
     network.schedule(10, partial(network.blocked_links.update, links))
     network.run(20)
-    isolated = [decision for decision in network.decisions if decision.at > 14.5]
-    assert len(isolated) > 100
-    assert not any(decision.ok or decision.certain for decision in isolated)
-    longest_s = network.settings.wait_s + 2 * network.settings.tick_s
-    assert max(decision.elapsed_s for decision in isolated) <= longest_s
+    isolated_decisions = [decision for decision in network.decisions if decision.at > 14.5]
+    assert len(isolated_decisions) > 100
+    assert not any(decision.ok or decision.certain for decision in isolated_decisions)
+    max_decision_s = network.settings.wait_s + 2 * network.settings.tick_s
+    assert max(decision.elapsed_s for decision in isolated_decisions) <= max_decision_s
     holder = network.agents["d"].quota.holder
-    holder.settings = replace(holder.settings, most_waiting=0)  # full: denied at once, counted
+    holder.settings = replace(
+        holder.settings, most_waiting=0
+    )  # full: requests are denied at once and counted
     network.request("d")
     assert network.decisions[-1].ok is False
     assert holder.context.counters["admission queue full"] == 1
 
 
-def test_limits_updated_at_different_times_keep_to_the_greater():
+def test_limits_updated_at_different_times_stay_below_the_greater():
     network = SimulatedNetwork("abc", limit=RateLimit(60.0, 60.0))
     for name in "abc":
         network.add_load(name, 60, 0, 30)
     for at, name, limit in ((12, "a", 20.0), (14, "b", 20.0), (15, "c", 20.0), (22, "a", 60.0)):
-        updated = replace(network.settings, limits={"t": RateLimit(limit, limit)})
-        network.schedule(at, partial(network.agents[name].quota.update_limits, updated))
+        changed_settings = replace(network.settings, limits={"t": RateLimit(limit, limit)})
+        network.schedule(at, partial(network.agents[name].quota.update_limits, changed_settings))
     network.run(30)
     assert network.bound_excess() <= 0
     assert network.bound_excess(20.0, 20.0) > 0
@@ -495,9 +510,9 @@
 
 
 @given(st.floats(0, 100), st.lists(st.floats(0, 100), min_size=1, max_size=8))
-def test_max_min_fair_shares_are_level_up_to_each_demand(total, demands):
+def test_max_min_fair_shares_are_equal_up_to_each_demand(total, demands):
     shares = max_min_fair_shares(total, demands)
     assert sum(shares) == pytest.approx(min(total, sum(demands)))
-    level = max(shares)
+    max_share = max(shares)
     for share, demand in zip(shares, demands, strict=True):
-        assert share == pytest.approx(min(demand, level))
+        assert share == pytest.approx(min(demand, max_share))
--- a/tests/fleet/test_transport.py
+++ b/tests/fleet/test_transport.py
@@ -42,21 +42,21 @@
 
 @pytest.fixture(autouse=True)
 def message_decoder(monkeypatch):
-    message = msgspec.msgpack.Decoder(DatagramMessage | StreamMessage)
-    monkeypatch.setattr(codec, "message_decoder", lambda: message)
+    decoder = msgspec.msgpack.Decoder(DatagramMessage | StreamMessage)
+    monkeypatch.setattr(codec, "message_decoder", lambda: decoder)
 
 
-def signed(body, settings=SETTINGS, version=codec.ENVELOPE_VERSION):
+def sign_body(body, settings=SETTINGS, version=codec.ENVELOPE_VERSION):
     return bytes([version]) + codec.compute_mac(settings.key, body) + body
 
 
-def test_a_message_is_decoded_with_its_senders_envelope():
-    text = codec.encode(SETTINGS, "a", 5 << 56, "127.0.0.1:7", 9, DatagramMessage("x", 3))
-    assert codec.decode(SETTINGS, text) == ("a", 5 << 56, "127.0.0.1:7", 9, DatagramMessage("x", 3))
+def test_decoded_message_has_the_fields_of_its_senders_envelope():
+    encoded = codec.encode(SETTINGS, "a", 5 << 56, "127.0.0.1:7", 9, DatagramMessage("x", 3))
+    assert codec.decode(SETTINGS, encoded) == ("a", 5 << 56, "127.0.0.1:7", 9, DatagramMessage("x", 3))
 
 
 @pytest.mark.parametrize(
-    ("text", "kind"),
+    ("encoded", "error_type"),
     [
         (
             codec.encode(msgspec.structs.replace(SETTINGS, fleet="g"), "a", 1, "", 9, DatagramMessage("x")),
@@ -74,30 +74,42 @@
         ),
         (codec.encode(SETTINGS, "a", 1, "", 9, DatagramMessage("x"))[:-1], errors.MalformedMessageError),
         (bytes(codec.MAX_FRAME_BYTES + 1), errors.MessageTooLargeError),
-        (signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])), errors.MalformedMessageError),
-        (signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])), errors.MalformedMessageError),
-        (signed(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])), errors.MalformedMessageError),
         (
-            signed(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])),
+            sign_body(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.none", 1]])),
             errors.MalformedMessageError,
         ),
         (
-            signed(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"),
+            sign_body(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.hail", 7]])),
             errors.MalformedMessageError,
-        ),  # too deep
+        ),
+        (
+            sign_body(msgspec.msgpack.encode(["f", "", 1, "", 9, ["t.hail", "x"]])),
+            errors.MalformedMessageError,
+        ),
         (
-            signed(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"),
+            sign_body(msgspec.msgpack.encode(["f", "a", -1, "", 9, ["t.hail", "x"]])),
+            errors.MalformedMessageError,
+        ),
+        (
+            sign_body(b"\x96\xa1f\xa1a\x01\xa0\x09" + b"\x91" * 100000 + b"\x90"),
+            errors.MalformedMessageError,
+        ),  # nested too deep
+        (
+            sign_body(b"\x96\xa1f\xa1a\x01\xa0\x09\x93\xa6t.load\xc4\x00\xdd\xff\xff\xff\xff"),
+            errors.MalformedMessageError,
+        ),
+        (
+            sign_body(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"),
             errors.MalformedMessageError,
         ),
-        (signed(b"\x96\xa1f\xa1a\x01\xa0\x09\xdd\xff\xff\xff\xff\xa6t.load"), errors.MalformedMessageError),
     ],
     ids=range(12),
 )
-def test_each_refusal_has_its_own_error_type(text, kind):
-    with pytest.raises(kind) as raised:
-        codec.decode(SETTINGS, text)
-    assert raised.value.remedy
-    assert len(str(raised.value)) < 600
+def test_each_refused_message_raises_its_own_error_type(encoded, error_type):
+    with pytest.raises(error_type) as error_info:
+        codec.decode(SETTINGS, encoded)
+    assert error_info.value.remedy
+    assert len(str(error_info.value)) < 600
 
 
 def test_message_over_the_maximum_size_is_not_encoded():
@@ -110,65 +122,65 @@
 @settings(max_examples=300, deadline=None)
 @given(st.data())
 def test_message_changed_in_transit_is_refused_with_a_typed_error(data):
-    text = bytearray(codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"xyz", (("a",), ("b", "c")))))
+    encoded = bytearray(codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"xyz", (("a",), ("b", "c")))))
     for _ in range(data.draw(st.integers(1, 3))):
-        position = data.draw(st.integers(0, len(text) - 1))
-        kind = data.draw(st.sampled_from(["set", "cut", "more"]))
-        if kind == "set":
-            text[position] = data.draw(
-                st.integers(0, 255).filter(lambda byte, old=text[position]: byte != old)
+        position = data.draw(st.integers(0, len(encoded) - 1))
+        change = data.draw(st.sampled_from(["set", "cut", "more"]))
+        if change == "set":
+            encoded[position] = data.draw(
+                st.integers(0, 255).filter(lambda byte, old=encoded[position]: byte != old)
             )
-        elif kind == "cut" and len(text) > 1:
-            del text[position:]
+        elif change == "cut" and len(encoded) > 1:
+            del encoded[position:]
         else:
-            text += data.draw(st.binary(min_size=1, max_size=9))
-        if not text:
+            encoded += data.draw(st.binary(min_size=1, max_size=9))
+        if not encoded:
             return
-    if bytes(text) != codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"xyz", (("a",), ("b", "c")))):
+    if bytes(encoded) != codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"xyz", (("a",), ("b", "c")))):
         with pytest.raises(REFUSAL_ERRORS):
-            codec.decode(SETTINGS, bytes(text))
+            codec.decode(SETTINGS, bytes(encoded))
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_no_bytes_even_under_the_right_key_raise_an_untyped_error(body):
-    for text in (body, signed(body), signed(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
+def test_random_bytes_even_with_a_valid_mac_raise_only_typed_errors(body):
+    for encoded in (body, sign_body(body), sign_body(b"\x96\xa1f\xa1a\x01\xa0\x09" + body)):
         try:
-            codec.decode(SETTINGS, text)
+            codec.decode(SETTINGS, encoded)
         except REFUSAL_ERRORS:
             pass
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=40), max_size=8), st.lists(st.integers(1, 30), min_size=1))
-def test_frames_are_complete_whatever_the_split(messages, sizes):
+def test_frames_are_complete_however_the_stream_is_split(messages, sizes):
     stream = b"".join(map(codec.frame_message, messages))
     frames = codec.FrameReader(40)
-    received = []
+    received_messages = []
     for size in cycle(sizes):
         if not stream:
             break
-        received += frames.feed(stream[:size])
+        received_messages += frames.feed(stream[:size])
         stream = stream[size:]
-    assert received == messages
+    assert received_messages == messages
     assert not frames.buffer
 
 
 @pytest.mark.parametrize(
-    ("head", "kind"),
+    ("header", "error_type"),
     [(bytes(4), errors.MalformedMessageError), (b"\xff\xff\xff\xff", errors.MessageTooLargeError)],
 )
-def test_invalid_frame_is_refused_and_nothing_of_it_is_buffered(head, kind):
+def test_invalid_frame_is_refused_and_not_buffered(header, error_type):
     frames = codec.FrameReader()
-    with pytest.raises(kind):
-        frames.feed(head + bytes(100))
+    with pytest.raises(error_type):
+        frames.feed(header + bytes(100))
     assert not frames.buffer
     with pytest.raises(errors.MalformedMessageError):
         frames.feed(codec.frame_message(b"x"))
 
 
 class FakeNode:
-    """A node that records the messages it receives and sends what a test asks it to."""
+    """A node that records the messages it receives and sends the messages that a test gives it."""
 
     def __init__(self, fleet_settings, seed, now, wall):
         self.settings = fleet_settings
@@ -178,7 +190,7 @@
         self.now = now
         self.wall = wall
         self.effects = []
-        self.received = []  # of each message: sender, incarnation, address, message
+        self.received = []  # (sender, incarnation, address, message) of each message
         self.ticks = 0
         self.is_handling_event = False
 
@@ -208,8 +220,8 @@
 def make_transport():
     transports = []
 
-    def make(name, on_decision=None, limits=None, start=True, **more):
-        fleet_settings = msgspec.structs.replace(SETTINGS, name=name, address="", tick_s=0.01, **more)
+    def make(name, on_decision=None, limits=None, start=True, **changes):
+        fleet_settings = msgspec.structs.replace(SETTINGS, name=name, address="", tick_s=0.01, **changes)
         transports.append(PeerTransport(fleet_settings, ("127.0.0.1", 0), FakeNode, on_decision, limits))
         if start:
             transports[-1].start()
@@ -230,7 +242,7 @@
     sender.dispatch("send_messages", recipient.settings.name, recipient.node.address, *messages)
 
 
-def test_messages_go_by_datagram_or_stream_and_arrive_with_their_sender(make_transport):
+def test_messages_arrive_by_datagram_and_stream_with_their_sender(make_transport):
     a, b = make_transport("a"), make_transport("b")
     send(a, b, StreamMessage(bytes(400_000)), DatagramMessage("x"), StreamMessage(b"y"))
     wait_until(lambda: len(b.node.received) == 3 and b.node.ticks and not a.queued_bytes)
@@ -269,7 +281,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "kind"),
+    ("encoded", "error_type"),
     [
         (bytes(4), "MalformedMessageError"),
         (b"\xff" * 8, "MessageTooLargeError"),
@@ -284,17 +296,17 @@
         ),
     ],
 )
-def test_bad_peer_loses_only_its_own_stream_and_is_logged_once(make_transport, caplog, text, kind):
+def test_bad_peer_loses_only_its_own_stream_and_is_logged_once(make_transport, caplog, encoded, error_type):
     a, b = make_transport("a"), make_transport("b")
     send(a, b, StreamMessage(b"x"))
     wait_until(lambda: b.node.received)
     for _ in range(3):
-        bad = socket.create_connection(("127.0.0.1", b.port))
-        bad.sendall(text)
-        assert bad.recv(1) == b""
+        bad_peer = socket.create_connection(("127.0.0.1", b.port))
+        bad_peer.sendall(encoded)
+        assert bad_peer.recv(1) == b""
     send(a, b, StreamMessage(b"y"))
     wait_until(lambda: len(b.node.received) == 2)
-    assert b.counters[f"refused {kind}"] == 3
+    assert b.counters[f"refused {error_type}"] == 3
     assert len(b.incoming.connections) == 1
     assert not b.incoming.partial_bytes
     assert len([message for message in caplog.messages if message == "refused"]) == 1
@@ -302,10 +314,10 @@
 
 def test_unknown_message_is_skipped_and_its_stream_stays_open(make_transport):
     b = make_transport("b")
-    text = signed(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
+    unknown_message = sign_body(msgspec.msgpack.encode(["f", "a", 1, "", 9, ["t.new", 1]]))
     with socket.create_connection(("127.0.0.1", b.port)) as peer:
         peer.sendall(
-            codec.frame_message(text)
+            codec.frame_message(unknown_message)
             + codec.frame_message(codec.encode(SETTINGS, "a", 1, "", 9, StreamMessage(b"x")))
         )
         wait_until(lambda: b.node.received)
@@ -321,8 +333,8 @@
     a, b = make_transport("a"), make_transport("b", limits=TransportLimits(max_partial_bytes=100_000))
     send(a, b, StreamMessage(b"x"))
     wait_until(lambda: b.node.received)
-    silent = [socket.create_connection(("127.0.0.1", b.port)) for _ in range(8)]
-    assert all(client.recv(1) == b"" for client in silent)
+    silent_clients = [socket.create_connection(("127.0.0.1", b.port)) for _ in range(8)]
+    assert all(client.recv(1) == b"" for client in silent_clients)
     client_with_partial_message = socket.create_connection(("127.0.0.1", b.port))
     client_with_partial_message.sendall((200_000).to_bytes(4, "big") + bytes(150_000))
     with pytest.raises(ConnectionError):
@@ -335,7 +347,7 @@
     assert not b.incoming.partial_bytes
 
 
-def test_queue_for_a_peer_that_does_not_read_is_bounded_and_drops_the_oldest(make_transport, monkeypatch):
+def test_queue_for_a_peer_that_does_not_read_is_bounded_and_drops_oldest(make_transport, monkeypatch):
     monkeypatch.setattr("cartdeal.fleet.transport.outgoing.MAX_QUEUED_MESSAGES", 8)
     a, b = (
         make_transport("a", limits=TransportLimits(max_queued_bytes=40_000_000)),
@@ -359,33 +371,35 @@
     a, b = make_transport("a"), make_transport("b")
     send(a, b, StreamMessage(b"1"))
     wait_until(lambda: b.node.received)
-    port, old = b.port, b
-    old.stop()
-    wait_until(lambda: not old.incoming.connections)
+    port, stopped_peer = b.port, b
+    stopped_peer.stop()
+    wait_until(lambda: not stopped_peer.incoming.connections)
     send(a, b, StreamMessage(b"2"))
     wait_until(lambda: a.counters["dropped stale"] == 1)
     send(a, b, StreamMessage(b"3"))
-    restarted = PeerTransport(
+    restarted_peer = PeerTransport(
         msgspec.structs.replace(SETTINGS, name="b", address=""), ("127.0.0.1", port), FakeNode, None
     )
-    restarted.start()
-    wait_until(lambda: restarted.node.received or send(a, b, StreamMessage(b"4")))
-    assert StreamMessage(b"2") not in [message for *_, message in restarted.node.received]
-    restarted.stop()
+    restarted_peer.start()
+    wait_until(lambda: restarted_peer.node.received or send(a, b, StreamMessage(b"4")))
+    assert StreamMessage(b"2") not in [message for *_, message in restarted_peer.node.received]
+    restarted_peer.stop()
 
 
 def test_queued_message_gets_its_time_when_it_is_sent(make_transport):
-    a, b, times = make_transport("a"), make_transport("b"), []
-    b.node.on_message = lambda sender, incarnation, address, wall_ms, message: times.append(wall_ms)
+    a, b, received_wall_ms = make_transport("a"), make_transport("b"), []
+    b.node.on_message = lambda sender, incarnation, address, wall_ms, message: received_wall_ms.append(
+        wall_ms
+    )
     a.outgoing.connections[("127.0.0.1", b.port)] = connection = OutgoingConnection(
         ("127.0.0.1", b.port)
-    )  # nobody writes it yet
+    )  # without a greenlet that writes it
     send(a, b, StreamMessage(b"x"))
     gevent.sleep(0.3)
-    before = int(time.time() * 1e3)
+    min_wall_ms = int(time.time() * 1e3)
     connection.greenlet = gevent.spawn(a.outgoing.write, connection)
-    wait_until(lambda: times)
-    assert times[0] >= before - 50
+    wait_until(lambda: received_wall_ms)
+    assert received_wall_ms[0] >= min_wall_ms - 50
 
 
 def test_streams_are_bounded_and_closed_when_idle(make_transport, monkeypatch):
@@ -406,7 +420,7 @@
 def test_flood_of_datagrams_does_not_starve_other_greenlets(make_transport):
     b = make_transport("b")
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    refused_before = []  # when another greenlet ran
+    refused_before = []  # count of refused datagrams when another greenlet ran
     for _ in range(200):
         sender.sendto(b"noise", ("127.0.0.1", b.port))
     time.sleep(0.01)
