--- a/cartdeal/fleet/__init__.py
+++ b/cartdeal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What agents of a fleet share: membership, the ring, replicated records and tenants' rate limits."""
+"""State that agents share as a fleet: membership, the ring, replicated records and tenants' rate limits."""
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -1,8 +1,8 @@
-"""One agent's share of the fleet: membership, ring, replicas and quota leases, tied into one reducer.
+"""One agent of a fleet: membership, ring, replicas and quota leases, combined into one reducer.
 
-An event comes in by one method; what it leads to stands in `effects` afterwards, for a host to carry out
-(effects.py). It must never do I/O, read a clock or sleep: the host sets `now` (monotonic seconds) and `wall`
-(the wall clock's) before each event. It decides nothing of servers.
+Each kind of event has a method, which appends its effects (effects.py) to `effects` for a host to apply. The
+node must never do I/O, read a clock or sleep: before each event the host sets `now` (monotonic seconds) and
+`wall` (wall clock seconds). The node does not select servers; the balancer does.
 """
 
 from collections import Counter
@@ -30,22 +30,22 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-ADDRESSES_PER_AGENT = 4  # addresses of unverified peers, as a multiple of the most agents there may be
-INCARNATION_RANDOM_BITS = 16  # below the wall clock's milliseconds
+ADDRESSES_PER_AGENT = 4  # limit of `Node.addresses`, as a multiple of `most_agents`
+INCARNATION_RANDOM_BITS = 16  # the low bits; the bits above are the wall clock's milliseconds
 DAY_MS = 86_400_000
 
 
 class MessageHandler(Protocol):
-    """A part of the node, as messages are routed to it: each gets those of its own types alone."""
+    """A part of the node that messages are routed to. Each part gets only messages of its own types."""
 
     def on_message(self, sender: str, message: Any) -> None:
-        """Takes in a message of this part's types."""
+        """Handle a message of one of this part's types."""
 
 
 class Node:
-    """Ties the parts of one agent together: routes messages and events to them, and follows the ring.
+    """Routes messages and events to the parts of one agent and gives them each new ring.
 
-    It is the NodeContext that its parts work with.
+    The node is the NodeContext of its parts.
     """
 
     def __init__(self, settings: FleetSettings, seed: object, now: float, wall: float) -> None:
@@ -57,7 +57,7 @@
         self.address = settings.address
         self.random = Random(f"{seed}/{settings.name}/{int(wall * 1e3)}")
         self.incarnation = int(wall * 1e3) << INCARNATION_RANDOM_BITS | self._random_bits()
-        self.addresses: dict[str, str] = {}  # of peers, as their messages gave them
+        self.addresses: dict[str, str] = {}  # by peer, as its last message gave it
         self.fleet_clock = FleetClock(self, settings, wall - now)
         self.membership = Membership(self, settings)
         self.consensus = RingConsensus(self, settings)
@@ -75,28 +75,29 @@
             for message_type in module.MESSAGE_TYPES
         }
         self.ring: Ring | None = None
-        self.is_fenced = False  # the fleet writes what this program can't read
+        self.is_fenced = False  # the fleet writes a schema version that this program can't read
         self.is_schema_hold_refused = False
         self.caught_up = False
-        self.shutting_down = False
-        self.reported_usage: Counter[str] = Counter()  # by tenant, what its owners were sent
+        self.is_shutting_down = False
+        # By tenant, the served requests that have been added to its usage counter.
+        self.reported_usage: Counter[str] = Counter()
         self.membership.join()
 
-    # What the host sets
+    # Set by the host
 
     @property
     def wall(self) -> float:
-        """The fleet's time, seconds. A wall clock that is set while the agent runs moves nothing."""
+        """The fleet's time, seconds. Setting the wall clock while the agent runs has no effect on it."""
         return self.fleet_clock.offset_s + self.now
 
     @wall.setter
     def wall(self, reading: float) -> None:
-        """A host may set it; what counts is the reading at the start, and the peers' since."""
+        """Ignored: the fleet's time follows the reading at the start, and the peers' clocks since then."""
 
-    # What the parts use
+    # Used by the parts
 
     def send(self, recipient: str, message: Struct) -> None:
-        """Send a message to a peer, if its address is known."""
+        """Send a message to a peer; count it if the peer's address is unknown."""
         peer = self.membership.peers.get(recipient)
         address = (
             peer.address if peer else self.settings.seeds.get(recipient) or self.addresses.get(recipient)
@@ -115,14 +116,14 @@
         self.counters[counter] += by
 
     def has_valid_lease(self) -> bool:
-        """Whether this agent may answer as an owner."""
+        """Whether this agent may answer as an owner of records and limits."""
         return not self.is_fenced and self.consensus.has_valid_lease()
 
     @property
     def is_warming_up(self) -> bool:
-        """Whether records of before the fleet's first ring may still bind a request.
+        """Whether attempt records from before the fleet's first ring may still concern a request.
 
-        A fleet whose agents all ended at once founds itself anew, and nobody knows then what ran before.
+        If all agents stop at once, the fleet is founded anew, and no agent knows what ran before.
         """
         warm_up_s = self.settings.longest_mark_s + 2 * self.settings.clock_ahead_s
         return self.ring is None or self.wall < self.ring.founded_ms / 1e3 + warm_up_s
@@ -132,7 +133,7 @@
     def on_message(self, sender: str, incarnation: int, address: str, wall_ms: int, message: Struct) -> None:
         """Route an authenticated message to its part.
 
-        That its sender knows the fleet's key is all that its digest proves.
+        The message's MAC proves only that the sender knows the fleet's key, not that it is `sender`.
         """
         part = self.handlers.get(type(message))
         if part is None or sender == self.name:
@@ -140,20 +141,20 @@
             return
         peer = self.membership.peers.get(sender)
         if peer and incarnation < peer.incarnation and part is not self.membership:
-            # membership answers with the incarnation that is known
+            # Only membership handles it: it answers with the newer incarnation.
             self.increment(Metric.DROPPED_OLD_INCARNATION)
             return
         sender_has_ring = part is self.consensus and getattr(message, "epoch", 1) > 0
         is_timely = self.fleet_clock.observe(sender, wall_ms, sender_has_ring, self.ring is not None)
         if not is_timely and part is self.replica:
-            return  # what it stamps can't be believed; that it is there, and what ring it has, can
+            return  # its timestamps can't be trusted; that it is live, and its ring, can
         if sender in self.addresses or len(self.addresses) < ADDRESSES_PER_AGENT * self.settings.most_agents:
             self.addresses[sender] = address
         part.on_message(sender, message)
         self._adopt_ring()
 
     def tick(self) -> None:
-        """Let each part do what is due; called every `tick_s`."""
+        """Let each part do what is due; the host calls it every `tick_s`."""
         self.fleet_clock.tick(self.ring)
         self.membership.tick()
         self._raise_incarnation()
@@ -168,36 +169,36 @@
         self.admissions.tick()
 
     def request_admission(self, ticket: int, request: AdmissionRequest) -> None:
-        """Ask whether a request may go on to the balancer; see PendingAdmissions."""
+        """Ask whether a request may go on to the balancer. See PendingAdmissions."""
         self.admissions.request_admission(ticket, request)
 
     def on_attempt_sent(self, ticket: int, zone: str, cell: int) -> None:
-        """An attempt of an admitted request is being sent."""
+        """Record that an attempt of an admitted request is being sent to a cell of a zone."""
         self.admissions.on_attempt_sent(ticket, zone, cell)
 
     def on_request_ended(self, ticket: int, outcome: RanOutcome) -> None:
-        """A request is answered, and no attempt of it is in flight any more."""
+        """Record that a request is answered and no attempt of it is in flight."""
         self.admissions.on_request_ended(ticket, outcome)
 
     def begin_shutdown(self) -> None:
-        """Hand over what this agent holds, and go on answering meanwhile."""
-        if not self.shutting_down:
-            self.shutting_down = True
+        """Start to hand over this agent's records; it keeps answering meanwhile."""
+        if not self.is_shutting_down:
+            self.is_shutting_down = True
             self.replica.start_shutdown()
 
     def finish_shutdown(self) -> None:
-        """Return the leases and tell the peers that this agent leaves: its last messages."""
+        """Return the leases and announce to the peers that this agent leaves. These are its last messages."""
         self.quota.return_all_leases()
         self._report_usage()
         self.membership.leave()
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether other agents have all that this one holds."""
+        """Whether other agents have all records that this agent holds."""
         return self.replica.is_drained
 
     def apply_settings(self, settings: FleetSettings) -> None:
-        """Adopt what a running agent can change; configuration.py says which keys these are."""
+        """Adopt reloaded settings, of which only RELOADABLE_KEYS (configuration.py) may have changed."""
         self.settings = settings
         self.fleet_clock.settings = settings
         self.admissions.settings = settings
@@ -209,30 +210,30 @@
         if self.ring is not None:
             self._fence(self.ring)
 
-    # What is due at a tick
+    # Steps of a tick
 
     def _random_bits(self) -> int:
         return self.random.getrandbits(INCARNATION_RANDOM_BITS)
 
     def _raise_incarnation(self) -> None:
-        """Take a later incarnation where peers remember one of this agent's name, by a clock that was ahead.
+        """Raise the incarnation above a newer one that peers know for this agent's name.
 
-        One that is further ahead than a day is not followed.
+        An earlier start had it from a clock that was ahead. One that is more than a day ahead is ignored.
         """
-        known = self.membership.newer_incarnation()
-        known_ms = known >> INCARNATION_RANDOM_BITS
-        if known >= self.incarnation and known_ms < int(self.wall * 1e3) + DAY_MS:
-            # The very next number would be that of any start that learnt of the same incarnation and died
-            # before it was heard.
+        known_incarnation = self.membership.newer_incarnation()
+        known_ms = known_incarnation >> INCARNATION_RANDOM_BITS
+        if known_incarnation >= self.incarnation and known_ms < int(self.wall * 1e3) + DAY_MS:
+            # The increment is random: `known_ms + 1` could be the incarnation of an earlier start that learnt
+            # of the same incarnation and died before this agent heard of it.
             incarnation_ms = known_ms + 1 + self.random.getrandbits(8)
             self.incarnation = incarnation_ms << INCARNATION_RANDOM_BITS | self._random_bits()
             self.log_event(events.IncarnationRaised(self.incarnation))
 
     def _report_progress(self) -> None:
-        """Log and gossip whether this agent has caught up and moved its records to the next schema."""
+        """Log and gossip whether this agent has caught up, and the schema version of its records."""
         if self.replica.is_caught_up != self.caught_up:
             self.caught_up = not self.caught_up
-            # Where agents are restarted one after the other, the next one has to wait for this.
+            # In a rolling restart, operators wait for this event before they restart the next agent.
             event_type = events.CaughtUp if self.caught_up else events.CatchingUp
             self.log_event(event_type(self.ring.epoch if self.ring else None))
         own_entry = self.membership.peers.get(self.name)
@@ -244,7 +245,7 @@
             self.membership.update_self(migrated_version=version, caught_up_epoch=epoch)
 
     def _report_usage(self) -> None:
-        """Add up the usage of tenants by period, for operators: nothing is decided by it."""
+        """Add to the tenants' usage counters by period. They inform operators; no decision uses them."""
         for tenant, served in self.quota.served.items():
             if served > self.reported_usage[tenant]:
                 period = int(self.wall // self.settings.period_s)
@@ -254,7 +255,7 @@
     # The ring
 
     def _adopt_ring(self) -> None:
-        """Bring the parts to the ring that the consensus has learnt, if it is another one."""
+        """Give the parts the ring that consensus has learnt, if it has changed."""
         ring = self.consensus.ring
         if ring is None or ring == self.ring:
             return
@@ -268,18 +269,18 @@
         self._fence(ring)
 
     def _fence(self, ring: Ring) -> None:
-        """Take no part where the fleet writes what this program can't read.
+        """Fence this agent if the fleet writes a schema version that this program can't read.
 
-        The records that this agent still holds are carried over all the same.
+        A fenced agent still hands over the records that it holds.
         """
-        unsupported = migration.unsupported_error(self.settings.reads, ring)
-        if unsupported and not self.is_fenced:
-            self.log_event(events.Fenced(str(unsupported)))
-        self.is_fenced = unsupported is not None
-        downgrade = migration.downgrade_error(ring, self.settings)
-        if downgrade and not self.is_schema_hold_refused:
-            self.log_event(events.SchemaHoldRefused(str(downgrade)))
-        self.is_schema_hold_refused = downgrade is not None
+        unsupported_error = migration.unsupported_error(self.settings.reads, ring)
+        if unsupported_error and not self.is_fenced:
+            self.log_event(events.Fenced(str(unsupported_error)))
+        self.is_fenced = unsupported_error is not None
+        downgrade_error = migration.downgrade_error(ring, self.settings)
+        if downgrade_error and not self.is_schema_hold_refused:
+            self.log_event(events.SchemaHoldRefused(str(downgrade_error)))
+        self.is_schema_hold_refused = downgrade_error is not None
 
     def metrics(self) -> dict[str, object]:
         """The node's state and counters, for the log line `msg=metrics`."""
--- a/cartdeal/fleet/pending_admissions.py
+++ b/cartdeal/fleet/pending_admissions.py
@@ -1,9 +1,9 @@
 """The requests that wait for the fleet's decision, or are admitted and have not ended yet.
 
-A request first takes a token of its tenant's rate limit, then claims its attempt record at the owners of its
-session; what they know of earlier attempts decides (idempotency.py). Where an answer doesn't come in time the
-request is decided as unknown. It must never admit a request that leaves a record before its own claim counts
-as written, and answers each request once.
+A request first takes a token of its tenant's rate limit, then claims an attempt record at the owners of its
+session. The decision depends on the earlier attempts that the owners know of (idempotency.py). If an answer
+does not come in time, the request is decided as unknown. A request that leaves a record must never be
+admitted before its own claim counts as written, and each request gets exactly one decision.
 """
 
 from enum import Enum, auto
@@ -31,11 +31,11 @@
 from cartdeal.fleet.replication.replica import Replica
 from cartdeal.fleet.settings import FleetSettings
 
-RETRY_AFTER_S = 0.5  # for a client that is rejected without a better figure; 1.5 times that at most
+RETRY_AFTER_S = 0.5  # told to rejected clients by default; jitter makes it up to 1.5 times as long
 
 
 class AdmissionContext(NodeContext, Protocol):
-    """What the node gives to its pending admissions, beyond what every part has."""
+    """What the node provides to its pending admissions, in addition to NodeContext."""
 
     effects: list[Effect]
     replica: Replica
@@ -44,16 +44,16 @@
 
     @property
     def is_warming_up(self) -> bool:
-        """Whether records of before the fleet's first ring may still bind a request."""
+        """Whether attempt records from before the fleet's first ring may still concern a request."""
 
 
 class AdmissionStep(Enum):
     """What a pending admission waits for."""
 
-    TAKING_TOKEN = auto()  # of its tenant's rate limit
-    CLAIMING = auto()  # its attempt record is on the way to the owners of its session
-    CHECKING_REJECTION = auto()  # rate limited: whether earlier attempts let it be told to come again
-    ADMITTED = auto()  # decided; it ends with the request
+    TAKING_TOKEN = auto()  # a token of its tenant's rate limit was requested
+    CLAIMING = auto()  # its attempt record is being written at the owners of its session
+    CHECKING_REJECTION = auto()  # rate limited; earlier attempts decide whether its client may retry
+    ADMITTED = auto()  # decided; it stays until the request ends
 
 
 OUTCOME_CERTAINTY = {
@@ -64,37 +64,37 @@
 
 
 class PendingAdmission:
-    """A request from when the fleet is asked until it ends."""
+    """A request from the time the fleet is asked about it until it ends or is rejected."""
 
     __slots__ = ("deadline", "record", "request", "retry_after_s", "step")
 
     def __init__(self, request: AdmissionRequest, deadline: float) -> None:
         self.request = request
-        self.deadline = deadline  # monotonic seconds, for the decision
+        self.deadline = deadline  # of the decision, monotonic seconds
         self.step = AdmissionStep.TAKING_TOKEN
-        self.record: AttemptRecord | None = None  # its own, once it is claimed
-        self.retry_after_s = 0.0  # the rate limit's
+        self.record: AttemptRecord | None = None  # its own attempt record, None before the claim
+        self.retry_after_s = 0.0  # as the rate limit gave it; 0: none
 
 
 class PendingAdmissions:
-    """Takes requests through their steps to a decision, and records what became of the admitted ones.
+    """Takes requests through their steps to a decision, and records the outcome of the admitted ones.
 
-    A request goes by its `ticket`, a number that the agent gives it.
+    A request is identified by its `ticket`, a number that the agent assigns.
     """
 
     def __init__(self, context: AdmissionContext, settings: FleetSettings) -> None:
         self.context = context
         self.settings = settings
         self.by_ticket: dict[int, PendingAdmission] = {}
-        self.undecided_count = 0  # of them, those that still wait for a decision
-        self.record_count = 0  # attempt records so far; with the incarnation, no number is given out twice
+        self.undecided_count = 0  # requests in `by_ticket` that still wait for a decision
+        self.record_count = 0  # attempt records so far; with the incarnation it makes each attempt_id unique
 
-    # What the agent asks and reports
+    # Called by the agent
 
     def request_admission(self, ticket: int, request: AdmissionRequest) -> None:
         """Ask whether a request may go on to the balancer.
 
-        The decision comes as a DeliverDecision effect, within `wait_s` and up to two ticks.
+        The decision comes as a DeliverDecision effect, within `wait_s` plus at most two ticks.
         """
         if self.undecided_count >= self.settings.most_waiting:
             self.context.increment(Metric.PENDING_ADMISSIONS_FULL)
@@ -110,14 +110,14 @@
             self.on_token_decision(ticket, True, 0.0, True)
 
     def on_attempt_sent(self, ticket: int, zone: str, cell: int) -> None:
-        """Record where an attempt of an admitted request goes, as it is sent."""
+        """Record the zone and cell that an attempt of an admitted request is being sent to."""
         admission = self.by_ticket.get(ticket)
         if admission and admission.record and (zone, cell) not in admission.record.locations:
             locations = tuple(sorted({*admission.record.locations, (zone, cell)}))
             self._refine_record(admission, Certainty.SENT, locations)
 
     def on_request_ended(self, ticket: int, outcome: RanOutcome) -> None:
-        """Record the outcome of a request that is answered and has no attempt in flight any more."""
+        """Record the outcome of a request that is answered and has no attempt in flight."""
         admission = self.by_ticket.pop(ticket, None)
         if admission is None:
             return
@@ -126,7 +126,7 @@
             self._refine_record(admission, OUTCOME_CERTAINTY[outcome])
 
     def tick(self) -> None:
-        """Decide what is overdue. The parts answer by the deadline; this holds should a fault prevent it."""
+        """Decide overdue requests as unknown; the parts answer by the deadline unless there is a fault."""
         undecided = [
             (ticket, admission)
             for ticket, admission in self.by_ticket.items()
@@ -137,10 +137,10 @@
                 self.context.increment(Metric.OVERDUE_DECISIONS)
                 self._settle_unknown(ticket, admission)
 
-    # What the quota and the owners answer
+    # Called by the quota and the replica
 
     def on_token_decision(self, ticket: int, granted: bool, retry_after_s: float, certain: bool) -> None:
-        """Go on from the rate limit's answer; not `certain` where its owners could not be asked in time."""
+        """Continue after the rate limit's decision; `certain` is False if no owner could be asked in time."""
         admission = self.by_ticket.get(ticket)
         if admission is None or admission.step is not AdmissionStep.TAKING_TOKEN:
             return
@@ -150,13 +150,13 @@
         if granted and not request.leaves_record:
             self._settle(ticket, admission, AdmissionDecision.ADMIT)
         elif request.leaves_record and self.context.now >= admission.deadline:
-            self._settle_unknown(ticket, admission)  # no time is left to ask for its session's records
+            self._settle_unknown(ticket, admission)  # no time is left to read its session's records
         elif granted:
             admission.step = AdmissionStep.CLAIMING
             admission.record = self._new_record(request)
             self.context.replica.write(ticket, request.record_key, admission.record, admission.deadline)
         elif request.leaves_record:
-            # A client that is told to come again takes it that nothing ran.
+            # A client that is told to retry takes that as proof that nothing ran.
             admission.step = AdmissionStep.CHECKING_REJECTION
             admission.retry_after_s = retry_after_s
             self.context.replica.read(ticket, request.record_key, admission.deadline)
@@ -165,7 +165,7 @@
             self._settle(ticket, admission, decision, retry_after_s or self._retry_after_s())
 
     def on_attempt_records(self, ticket: int, records: tuple[AttemptRecord, ...], certain: bool) -> None:
-        """Decide by what the owners know of the session; not `certain` where too few answered in time."""
+        """Decide from the session's attempt records; not `certain` if too few owners answered in time."""
         admission = self.by_ticket.get(ticket)
         if admission is None or admission.step not in (
             AdmissionStep.CLAIMING,
@@ -174,15 +174,15 @@
             return
         request = admission.request
         clients_mark = self.settings.clients_mark
-        # A fenced program can't read all that the owners sent.
+        # A fenced program may be unable to read records that the owners sent.
         if not certain or self.context.is_fenced or self._may_repeat_forgotten(request, records):
             self._settle_unknown(ticket, admission)
             return
         wall_ms = int(self.context.wall * 1e3)
         clock_error_ms = int(self.settings.clock_ahead_s * 1e3)
         if admission.step is AdmissionStep.CLAIMING:
-            decision, earlier = decide(request, records, wall_ms, clock_error_ms, clients_mark)
-            self._settle(ticket, admission, decision, 0.0, earlier)
+            decision, earlier_attempts = decide(request, records, wall_ms, clock_error_ms, clients_mark)
+            self._settle(ticket, admission, decision, 0.0, earlier_attempts)
         elif may_reject(request, records, wall_ms, clock_error_ms, clients_mark):
             retry_after_s = admission.retry_after_s or self._retry_after_s()
             self._settle(ticket, admission, AdmissionDecision.RATE_LIMITED, retry_after_s)
@@ -223,7 +223,7 @@
         else:
             del self.by_ticket[ticket]
             if admission.record:
-                # This request went nowhere. What an earlier one did stands in a record of its own.
+                # No attempt of this request was sent. Earlier requests have attempt records of their own.
                 self._refine_record(admission, Certainty.NEVER_RAN)
         self._deliver(ticket, decision, retry_after_s, earlier_attempts)
 
@@ -247,9 +247,9 @@
     def _new_record(self, request: AdmissionRequest) -> AttemptRecord:
         self.record_count += 1
         now_ms = int(self.context.wall * 1e3)
-        longest_s = self.settings.longest_mark_s
+        max_lifetime_s = self.settings.longest_mark_s
         is_deduplicated = request.repeat == Idempotency.DEDUPLICATED
-        lifetime_s = request.window_s + request.limit_s if is_deduplicated else longest_s
+        lifetime_s = request.window_s + request.limit_s if is_deduplicated else max_lifetime_s
         return AttemptRecord(
             attempt_id=f"{self.context.name}/{self.context.incarnation}/{self.record_count}",
             key=request.key,
@@ -260,7 +260,7 @@
             certainty=int(Certainty.CLAIMED),
             sent_ms=now_ms,
             workload=request.workload,
-            expires_ms=now_ms + int(1e3 * min(lifetime_s, longest_s)),
+            expires_ms=now_ms + int(1e3 * min(lifetime_s, max_lifetime_s)),
             unknown_fields={},
         )
 
@@ -270,7 +270,7 @@
         certainty: Certainty,
         locations: tuple[tuple[str, int], ...] | None = None,
     ) -> None:
-        """Write what became known, if anything did; certainty only grows."""
+        """Write the record with new knowledge, if there is any; certainty never decreases."""
         record = admission.record
         assert record is not None
         locations = record.locations if locations is None else locations
--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -30,7 +30,7 @@
 from cartdeal.fleet.settings import FleetSettings
 
 MIN_WAIT_S = 0.05  # a client that comes back sooner would find no token yet
-IDLE_LEASES = 2  # a tenant's leases are returned after this many lease durations without a request
+IDLE_TIMEOUT_LEASES = 2  # a tenant's leases are returned after this many lease durations without a request
 MIN_PERIOD_DEMAND = 4  # requests per period; with fewer, most whole tokens would expire unused
 ALL_KINDS = (GrantKind.PERIOD_TOKENS, GrantKind.REFILL_RATE, GrantKind.SINGLE_TOKEN)
 
@@ -316,7 +316,7 @@
         heappush(self._renewals, (quota.renewal_at, quota.tenant))
 
     def _renew(self, quota: TenantQuota, now: float) -> None:
-        if now - quota.used_at >= IDLE_LEASES * self.settings.lease_s and not quota.waiting:
+        if now - quota.used_at >= IDLE_TIMEOUT_LEASES * self.settings.lease_s and not quota.waiting:
             self._return_leases(quota)
             del self.quotas[quota.tenant]
             return
