--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -77,7 +77,7 @@
         self.ring: Ring | None = None
         self.is_fenced = False  # the fleet writes a schema version that this program can't read
         self.is_schema_hold_refused = False
-        self.caught_up = False
+        self.is_caught_up = False
         self.is_shutting_down = False
         # By tenant, the served requests that have been added to its usage counter.
         self.reported_usage: Counter[str] = Counter()
@@ -231,16 +231,16 @@
 
     def _report_progress(self) -> None:
         """Log and gossip whether this agent has caught up, and the schema version of its records."""
-        if self.replica.is_caught_up != self.caught_up:
-            self.caught_up = not self.caught_up
+        if self.replica.is_caught_up != self.is_caught_up:
+            self.is_caught_up = not self.is_caught_up
             # In a rolling restart, operators wait for this event before they restart the next agent.
-            event_type = events.CaughtUp if self.caught_up else events.CatchingUp
+            event_type = events.CaughtUp if self.is_caught_up else events.CatchingUp
             self.log_event(event_type(self.ring.epoch if self.ring else None))
         own_entry = self.membership.peers.get(self.name)
         if own_entry is None:
             return
         version = self.replica.migrated_version
-        epoch = self.ring.epoch if self.ring and self.caught_up else own_entry.caught_up_epoch
+        epoch = self.ring.epoch if self.ring and self.is_caught_up else own_entry.caught_up_epoch
         if (version, epoch) != (own_entry.migrated_version, own_entry.caught_up_epoch):
             self.membership.update_self(migrated_version=version, caught_up_epoch=epoch)
 
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -346,7 +346,7 @@
         fleet.leave(name)
         fleet.run(1.6)
         fleet.start(name, reads=(1, 2))
-        fleet.run_until(lambda host=host: host.node.caught_up, terms.most_s)
+        fleet.run_until(lambda host=host: host.node.is_caught_up, terms.most_s)
         waited = max(waited, fleet.clock.now - at)
         fleet.run(max(0.0, at + terms.every_s - fleet.clock.now))
     rolled = fleet.clock.now
