--- a/cartdeal/fleet/idempotency.py
+++ b/cartdeal/fleet/idempotency.py
@@ -1,7 +1,7 @@
-"""What is done with a request, from the attempt records that are known of its session.
+"""Decides what is done with a request, from the attempt records of its session.
 
-Pure functions. They must never let a request go on whose earlier attempt may have run where another one
-could do harm, and never guess what is not known.
+All functions are pure. They must never admit a request if an earlier attempt may have run and another one
+could do harm, and must never treat missing knowledge as proof.
 """
 
 from collections.abc import Iterable
@@ -12,77 +12,78 @@
 
 from cartdeal.fleet.replication.records import AttemptRecord, Certainty
 
-WINDOW_MARGIN_MS = 50  # of a window kept free, as the balancer does, for the attempt to arrive
+WINDOW_MARGIN_MS = 50  # end of a window left for the attempt to arrive, as in the balancer
 
 
 class Idempotency(StrEnum):
-    """Whether a request may run twice; `value` is the letter that attempt records store."""
+    """Whether a request may run twice. The value is the letter that attempt records store."""
 
     IDEMPOTENT = "i"
-    DEDUPLICATED = "d"  # servers drop a repeat that carries the same key, within a window
+    DEDUPLICATED = "d"  # servers drop a repeat with the same key within a window
     NON_IDEMPOTENT = "u"
 
 
 class AdmissionRequest(Struct, frozen=True, kw_only=True):
-    """A request, as far as the fleet has to know it."""
+    """The properties of a request that the fleet needs; durations in seconds."""
 
     tenant: str = ""
-    session: str = ""  # the session's hash, in hex; "" where it has none
-    key: str = ""  # what tells a repeat: the idempotency key, or a digest of the request
+    session: str = ""  # hash of the session in hex; "" if the request has no session
+    key: str = ""  # identifies a repeat: the idempotency key, or a digest of the request
     repeat: str = Idempotency.IDEMPOTENT  # one of Idempotency
-    group: str = "all"  # the servers that deduplicate together: "all", "zone" or "cell"
-    window_s: float = 0.0  # how long servers deduplicate
-    limit_s: float = 1.0  # until its deadline
+    group: str = "all"  # the scope in which servers deduplicate together: "all", "zone" or "cell"
+    window_s: float = 0.0  # length of the servers' deduplication window
+    limit_s: float = 1.0  # time left until the request's deadline
     workload: str = ""  # its request class
-    retried: bool = False  # whether the client marked it as a repeat
+    retried: bool = False  # whether the client marked the request as a repeat
 
     @property
     def leaves_record(self) -> bool:
-        """Whether it leaves an attempt record: a repeat could do harm, and its session identifies it."""
+        """Whether the request leaves an attempt record: a repeat could do harm, and a session is given."""
         return self.repeat != Idempotency.IDEMPOTENT and bool(self.session)
 
     @property
     def record_key(self) -> str:
-        """The key of its session's record."""
+        """The key of the session's record in the replicated store."""
         return f"s/{self.session}"
 
 
 class AdmissionDecision(Enum):
-    """What is done with a request; `value` is the name of the counter."""
+    """What is done with a request. The value is the name of the counter."""
 
     ADMIT = "admit"
-    RATE_LIMITED = "rate limited"  # its tenant is over its limit: the client may come again
-    REJECT = "reject"  # nothing ran: the client may come again
-    FAIL = "fail"  # an earlier attempt may have run: the client must not come again
+    RATE_LIMITED = "rate limited"  # the tenant is over its limit: the client may retry
+    REJECT = "reject"  # nothing ran: the client may retry
+    FAIL = "fail"  # an earlier attempt may have run: the client must not retry
 
 
 class RanOutcome(StrEnum):
-    """Whether an ended request ran at a server; `value` is the word that the agent's side knows it by."""
+    """Whether an ended request ran at a server. The value is the text that the agent passes."""
 
-    NEVER = "never"  # provably not run
+    NEVER = "never"  # provably
     MAYBE = "maybe"
     ANSWERED = "answered"
 
 
 class EarlierAttempt(NamedTuple):
-    """An earlier attempt that may have run: a further one goes to its group only."""
+    """An earlier attempt that may have run: a further attempt may go to its deduplication group only."""
 
     zone: str
     cell: int
     group: str
-    until_ms: int  # the fleet's time after which no further attempt may be sent
+    until_ms: int  # the fleet's time after which no further attempt may be sent, milliseconds
 
 
 def matching_attempts(
     request: AdmissionRequest, records: Iterable[AttemptRecord], clients_mark: bool
 ) -> list[AttemptRecord]:
-    """The records of attempts that this request may repeat and that may have run.
+    """Returns the records of attempts that this request may repeat and that may have run.
 
-    A record proves that nothing ran only by its certainty NEVER_RAN. A non-idempotent request has no key of
-    its own, so one that reads the same may be a new one: it is, where clients mark their repeats and this is
-    not marked, or where the client has its answer to the earlier one.
+    Only the certainty NEVER_RAN proves that an attempt did not run. A non-idempotent request has no
+    idempotency key, so an identical request may be a new one. It counts as new if it is not marked as a
+    repeat and either clients mark all their repeats or the client has received the answer to the earlier
+    request.
     """
-    found = []
+    matching_records = []
     for record in records:
         is_other_request = record.key != request.key or record.workload != request.workload
         if is_other_request or record.certainty == Certainty.NEVER_RAN:
@@ -90,8 +91,8 @@
         is_unmarked = request.repeat == Idempotency.NON_IDEMPOTENT and not request.retried
         if is_unmarked and (clients_mark or record.certainty == Certainty.ANSWERED):
             continue
-        found.append(record)
-    return found
+        matching_records.append(record)
+    return matching_records
 
 
 def decide(
@@ -101,20 +102,20 @@
     clock_error_ms: int,
     clients_mark: bool,
 ) -> tuple[AdmissionDecision, tuple[EarlierAttempt, ...]]:
-    """Decide on a request whose session's records are known for certain.
+    """Decide on a request when the records of its session are known for certain.
 
-    Returns ADMIT with the earlier attempts that a further one has to respect, or FAIL. A non-idempotent
-    request is admitted only where no matching attempt may have run; a deduplicated one only while the servers
+    Returns ADMIT with the earlier attempts that a further attempt has to respect, or FAIL. A non-idempotent
+    request is admitted only if no matching attempt may have run; a deduplicated one only while the servers
     that an earlier attempt may have reached are known to drop a repeat. `wall_ms` is the fleet's time,
-    `clock_error_ms` how far two clocks may be apart.
+    `clock_error_ms` the greatest difference between two clocks.
     """
-    matching = matching_attempts(request, records, clients_mark)
-    if not matching:
+    matching_records = matching_attempts(request, records, clients_mark)
+    if not matching_records:
         return AdmissionDecision.ADMIT, ()
     if request.repeat == Idempotency.NON_IDEMPOTENT:
         return AdmissionDecision.FAIL, ()
     earlier_attempts: list[EarlierAttempt] = []
-    for record in matching:
+    for record in matching_records:
         until_ms = record.sent_ms + record.window_ms - clock_error_ms - WINDOW_MARGIN_MS
         if wall_ms > until_ms:
             return AdmissionDecision.FAIL, ()
@@ -125,7 +126,7 @@
                 EarlierAttempt(zone, cell, record.group, until_ms) for zone, cell in record.locations
             ]
         else:
-            # It may have gone anywhere, and where is not known any more.
+            # The attempt may have gone to any zone or cell: its record names none.
             return AdmissionDecision.FAIL, ()
     return AdmissionDecision.ADMIT, tuple(dict.fromkeys(earlier_attempts))
 
@@ -137,9 +138,9 @@
     clock_error_ms: int,
     clients_mark: bool,
 ) -> bool:
-    """Whether a client may be told to come again, as the balancer's own rule has it.
+    """Whether a client may be told to retry. The balancer's own rule is the same.
 
-    It may if every server would drop a repeat of each matching attempt, or there is none.
+    It may if there is no matching attempt, or if every server would drop a repeat of each matching attempt.
     """
     return all(
         request.repeat == Idempotency.DEDUPLICATED
@@ -150,15 +151,16 @@
 
 
 def may_repeat(request: AdmissionRequest, clients_mark: bool) -> bool:
-    """Whether a request may be the harmful repeat of one that nobody here knows of."""
+    """Whether a request may be a harmful repeat of one that has no known attempt record."""
     is_dropped_everywhere = request.repeat == Idempotency.DEDUPLICATED and request.group == "all"
     return request.retried or not (clients_mark or is_dropped_everywhere)
 
 
 def decide_unknown(request: AdmissionRequest, on_doubt: str, clients_mark: bool) -> AdmissionDecision:
-    """Decide on a request whose session's records can't be known in time.
+    """Decide on a request when the records of its session can't be read in time.
 
-    What may be a repeat is neither sent nor told to come again; `on_doubt` decides on the rest.
+    A request that may be a repeat fails: it is neither sent nor may its client retry. For other requests the
+    operator's setting `on_doubt` decides.
     """
     if may_repeat(request, clients_mark) or on_doubt == "terminate":
         return AdmissionDecision.FAIL
