--- a/cartdeal/fleet/codec.py
+++ b/cartdeal/fleet/codec.py
@@ -1,7 +1,7 @@
-"""Encodes what agents of a fleet send to each other: the envelope, its MAC, and the frames of a stream.
+"""Encodes and decodes the messages between agents: the envelope, its MAC, and the frames of a stream.
 
-Owns the sizes and the order of the checks. It must never let a message through whose MAC is not right, nor
-keep anything of what it refused; every refusal is an error of errors.py.
+The module defines the size limits and the order of the checks. It must never accept a message whose MAC does
+not match, nor keep any part of a refused message; each refusal raises an error of errors.py.
 
 A signed message is one byte of envelope version, `MAC_BYTES` of HMAC-SHA256 over the version and the body,
 and the body: an `Envelope` in MessagePack. A frame of a stream is its length in `FRAME_HEADER_BYTES`, big
@@ -27,12 +27,12 @@
 )
 from cartdeal.fleet.settings import FleetSettings
 
-ENVELOPE_VERSION = 1  # that of the messages inside is said by their tags
-MAC_BYTES = 16  # what is sent of the 32 bytes of HMAC-SHA256
-MAX_DATAGRAM_BYTES = 1400  # fits one packet on common networks
-MAX_DATAGRAM_MESSAGE_BYTES = 1200  # of the message in a datagram, without its envelope
+ENVELOPE_VERSION = 1  # of the envelope only; the messages have tags
+MAC_BYTES = 16  # the MAC is HMAC-SHA256, truncated from 32 bytes
+MAX_DATAGRAM_BYTES = 1400  # fits into one packet on common networks
+MAX_DATAGRAM_MESSAGE_BYTES = 1200  # of a datagram's message without the envelope
 MAX_FRAME_BYTES = 512 * 1024
-MAX_ENVELOPE_BYTES = 1024  # the most that version, MAC and envelope add to the message
+MAX_ENVELOPE_BYTES = 1024  # maximum overhead of version, MAC and envelope
 FRAME_HEADER_BYTES = 4
 MESSAGE_MODULES = (
     "cartdeal.fleet.membership.messages",
@@ -45,14 +45,14 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """Who sends a message, and the encoded message itself. Sent as an array in this order."""
+    """The sender's details and the encoded message. Sent as an array in this order."""
 
     fleet: Name
     sender: Name
     incarnation: Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
     address: Annotated[str, Meta(max_length=64)]
-    wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]  # the sender's time of the fleet
-    message: msgspec.Raw  # not decoded before the MAC is known to be right
+    wall_ms: Annotated[int, Meta(ge=0, le=(1 << 53))]  # the fleet's time at the sender, milliseconds
+    message: msgspec.Raw  # decoded only after the MAC is verified
 
 
 class ReceivedMessage(NamedTuple):
@@ -60,8 +60,8 @@
 
     sender: str
     incarnation: int  # the sender's
-    address: str  # the sender's "host:port", as it says itself
-    wall_ms: int  # the sender's time of the fleet
+    address: str  # the sender's "host:port", as the sender gives it
+    wall_ms: int  # the fleet's time at the sender, milliseconds
     message: Struct
 
 
@@ -71,16 +71,16 @@
 
 @cache
 def message_decoder() -> msgspec.msgpack.Decoder[Any]:
-    """Decodes the messages of all parts.
+    """Returns the decoder for the messages of all parts.
 
-    It is made at the first message, so that a module with message types may import this one.
+    It is created at the first message, so that modules with message types may import this module.
     """
     message_types = [kind for module in MESSAGE_MODULES for kind in import_module(module).MESSAGE_TYPES]
     return msgspec.msgpack.Decoder(reduce(or_, message_types))
 
 
 def is_datagram(message: Struct) -> bool:
-    """Whether a message is sent by datagram rather than by stream; each message type says so itself."""
+    """Whether a message is sent by datagram rather than by stream; its type declares that."""
     return bool(message.DATAGRAM)  # type: ignore[attr-defined]
 
 
@@ -107,8 +107,8 @@
 ) -> bytes:
     """Puts an encoded message into its envelope and signs it.
 
-    It is a step of its own so that a queued message gets its time when it is sent: an older one would look
-    like that of a clock behind.
+    This is a separate step so that a queued message gets its time when it is sent: an older time would look
+    as if the sender's clock were behind.
     """
     envelope = Envelope(settings.fleet, sender, incarnation, address, wall_ms, msgspec.Raw(encoded))
     body = msgspec.msgpack.encode(envelope)
@@ -120,7 +120,7 @@
 
     Raises MessageTooLargeError, MalformedMessageError, UnsupportedEnvelopeError, WrongFleetError,
     AuthenticationFailedError or UnknownMessageError. The errors about the version and the fleet's name are
-    hints to an operator and no more: they are raised before the MAC shows that nothing was forged.
+    only hints to an operator: they are raised before the MAC is verified, so the message may be forged.
     """
     if len(signed) > max_bytes:
         raise MessageTooLargeError("a message", f"{len(signed)} bytes, {max_bytes} at most")
@@ -136,7 +136,9 @@
     if envelope.fleet != settings.fleet:
         raise WrongFleetError("a message's fleet", envelope.fleet)
     if not hmac.compare_digest(compute_mac(settings.key, body), signed[1 : 1 + MAC_BYTES]):
-        raise AuthenticationFailedError(f"a message under the name {envelope.sender!r}", "another digest")
+        raise AuthenticationFailedError(
+            f"a message under the name {envelope.sender!r}", "a MAC that does not match"
+        )
     try:
         message = message_decoder().decode(envelope.message)
     except DECODING_ERRORS as error:
@@ -145,19 +147,19 @@
 
 
 def compute_mac(key: bytes, body: bytes) -> bytes:
-    """The MAC of an encoded envelope under the fleet's key."""
+    """Returns the MAC of an encoded envelope, computed with the fleet's key."""
     return hmac.digest(key, bytes([ENVELOPE_VERSION]) + body, "sha256")[:MAC_BYTES]
 
 
 def frame_message(signed: bytes) -> bytes:
-    """A signed message as a frame of a stream."""
+    """Returns a signed message as a frame of a stream."""
     return len(signed).to_bytes(FRAME_HEADER_BYTES, "big") + signed
 
 
 class FrameReader:
-    """Splits a stream, which may come in any pieces, into its frames. After an error it takes no more.
+    """Splits a stream, which may arrive in pieces of any size, into frames. After an error it takes no data.
 
-    `buffer`: the bytes of the frame that is not complete yet.
+    `buffer`: the bytes of the incomplete frame at the end.
     """
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES):
@@ -166,13 +168,13 @@
         self.has_failed = False
 
     def feed(self, received: bytes) -> list[bytes]:
-        """Takes the next bytes of the stream and returns the signed messages that they complete.
+        """Adds the next bytes of the stream and returns the signed messages that they complete.
 
-        Raises MessageTooLargeError or MalformedMessageError; messages that were complete before the fault
-        are lost with it.
+        Raises MessageTooLargeError or MalformedMessageError; complete messages in front of the invalid frame
+        are lost, too.
         """
         if self.has_failed:
-            raise MalformedMessageError("a stream", "more behind a fault")
+            raise MalformedMessageError("a stream", "more data after an invalid frame")
         buffer = self.buffer
         buffer += received
         messages = []
@@ -190,7 +192,7 @@
         return messages
 
     def _fail(self, size: int) -> MalformedMessageError | MessageTooLargeError:
-        """Gives up the stream; returns the error that says why."""
+        """Marks the stream as failed and returns the error to raise."""
         self.has_failed = True
         self.buffer = bytearray()
         if size == 0:
--- a/cartdeal/fleet/configuration.py
+++ b/cartdeal/fleet/configuration.py
@@ -1,8 +1,8 @@
-"""Reads the operator file of a fleet (TOML), at the start and on SIGHUP, checks it and fills in defaults.
+"""Reads the operator file of a fleet (TOML) at the start and on SIGHUP, checks it and fills in defaults.
 
-The one place that knows the names of its keys and of the environment variables. It must never guess around a
-wrong value, nor show the fleet's key: a fault is an InvalidConfigurationError and names file, key, what was
-found and what is wanted.
+Only this module knows the names of the file's keys and of the environment variables. It must never replace an
+invalid value by a guess, nor show the fleet's key. Each fault raises an InvalidConfigurationError, which
+names the file, the key, the observed value and the expected one.
 """
 
 import os
@@ -27,12 +27,12 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
 ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 MIN_KEY_BYTES = 16
-MAX_KEY_FILE_BYTES = 4096  # what follows is not read
+MAX_KEY_FILE_BYTES = 4096  # the rest of the file is not read
 MAX_FILE_BYTES = 1 << 20
-MISSING = "nothing"  # stands for the value of a key that is not there, in checks and in faults
+MISSING = "nothing"  # stands for the value of a missing key, in checks and in errors
 
-# What a running agent adopts from a file that is read again. With other keys changed it would count or vote
-# otherwise than it announced to its peers.
+# The keys that a running agent adopts when the file is read again. A change of another key would make it
+# count or vote differently from what it has announced to its peers.
 RELOADABLE_KEYS = (
     "seeds",
     "limits",
@@ -46,35 +46,35 @@
     "damp_share",
     "step_share",
 )
-# Keys of the file that are no field of FleetSettings, or not as they stand in the file.
+# Keys of the file that are no fields of FleetSettings, or whose values are converted first.
 SEPARATELY_READ_KEYS = frozenset(("name", "listen", "address", "key", "key_file", "limits", "zone"))
 
 Address = tuple[str, int]
 
 
 class AgentConfiguration(Protocol):
-    """What the file has to agree with of the agent's own configuration."""
+    """The part of the agent's own configuration that the file has to agree with."""
 
     name: str
     settings: Settings
 
 
 class FleetConfiguration(Struct, frozen=True):
-    """What the file says: `settings` for the node, `listen` for the transport."""
+    """The content of the file: `settings` for the node, `listen` for the transport."""
 
     settings: FleetSettings
     listen: Address
 
 
 class KeyRule(NamedTuple):
-    """What a key's value has to be: in words, for the operator, and as a check."""
+    """The rule for a key's value: `expected` describes it to the operator, `is_valid` checks a value."""
 
     expected: str
     is_valid: Callable[[Any], bool]
 
 
 class Inconsistency(NamedTuple):
-    """A key that is valid by itself, but not beside another one or the agent's own configuration."""
+    """A valid value that conflicts with another key or with the agent's own configuration."""
 
     key: str
     observed: object
@@ -82,19 +82,19 @@
 
 
 def parse_address(text: object, min_port: int = 1) -> Address | None:
-    """Parses "host:port" with a numeric IPv4 host; None where it is none.
+    """Parses "host:port" with a numeric IPv4 host; returns None if `text` is no such address.
 
-    A host name is refused: it would have to be looked up in the middle of an event.
+    Host names are refused, because they would have to be resolved during an event.
     """
-    found = ADDRESS_PATTERN.fullmatch(text) if isinstance(text, str) else None
-    if not found or any(int(part) > 255 for part in found.groups()[:4]):
+    match = ADDRESS_PATTERN.fullmatch(text) if isinstance(text, str) else None
+    if not match or any(int(part) > 255 for part in match.groups()[:4]):
         return None
-    host, port = found[0].rpartition(":")[0], int(found[5])
+    host, port = match[0].rpartition(":")[0], int(match[5])
     return (host, port) if min_port <= port < 65536 else None
 
 
 def name_rule() -> KeyRule:
-    """A name of an agent, a fleet or a zone."""
+    """Returns the rule for the name of an agent, a fleet or a zone."""
     return KeyRule(
         "a name of 1 to 64 letters, digits, '.', '_' or '-'",
         lambda value: isinstance(value, str) and bool(NAME_PATTERN.fullmatch(value)),
@@ -102,7 +102,7 @@
 
 
 def number_rule(low: float, high: float) -> KeyRule:
-    """A number from `low` to `high`, both included."""
+    """Returns the rule for a number from `low` to `high`, both included."""
     return KeyRule(
         f"a number from {low:g} to {high:g}",
         lambda value: isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high,
@@ -110,7 +110,7 @@
 
 
 def integer_rule(low: int, high: int) -> KeyRule:
-    """A whole number from `low` to `high`, both included."""
+    """Returns the rule for a whole number from `low` to `high`, both included."""
     return KeyRule(
         f"a whole number from {low:g} to {high:g}",
         lambda value: isinstance(value, int) and not isinstance(value, bool) and low <= value <= high,
@@ -118,12 +118,12 @@
 
 
 def choice_rule(*choices: str) -> KeyRule:
-    """One of several words."""
+    """Returns the rule for a text that is one of `choices`."""
     return KeyRule(f"one of {', '.join(choices)}", lambda value: isinstance(value, str) and value in choices)
 
 
 def address_rule(min_port: int = 1) -> KeyRule:
-    """An address that `parse_address` reads."""
+    """Returns the rule for an address that `parse_address` accepts."""
     return KeyRule(
         "an address in numbers such as '10.0.0.5:7946'",
         lambda value: parse_address(value, min_port) is not None,
@@ -131,7 +131,7 @@
 
 
 def table_rule(expected: str) -> KeyRule:
-    """A table of TOML."""
+    """Returns the rule for a TOML table."""
     return KeyRule(expected, lambda value: isinstance(value, dict))
 
 
@@ -180,19 +180,19 @@
 def read(config: AgentConfiguration, environment: Mapping[str, str] = os.environ) -> FleetConfiguration:
     """Reads the file that PROXY_FLEET names. Raises InvalidConfigurationError.
 
-    `config`: the agent's own configuration, which the file has to agree with.
+    `config` is the agent's own configuration, which the file has to agree with.
     """
     path = environment[FILE_VARIABLE]
     try:
         content = Path(path).read_bytes()
     except OSError as error:
-        raise fault(FILE_VARIABLE, path, f"a readable file ({error.strerror})") from None
+        raise configuration_error(FILE_VARIABLE, path, f"a readable file ({error.strerror})") from None
     try:
         if len(content) > MAX_FILE_BYTES:
             raise ValueError(f"{len(content)} bytes")
         values = tomllib.loads(content.decode())
     except (ValueError, RecursionError) as error:
-        raise fault(path, error, "TOML in UTF-8") from None
+        raise configuration_error(path, error, "TOML in UTF-8") from None
     return decode(values, path, config, environment)
 
 
@@ -207,7 +207,8 @@
     check_limits(path, limits)
     name = resolve(path, values, environment, "name", NAME_VARIABLE, config.name)
     listen = resolve(path, values, environment, "listen", LISTEN_VARIABLE, seeds.get(name, MISSING))
-    # A file for many agents can't hold the address of one: where that one listens comes from outside.
+    # If the environment gives the listen address, many agents may share the file, and its `address` is not
+    # this agent's.
     own_values = values | {"address": None} if LISTEN_VARIABLE in environment else values
     address = resolve(path, own_values, environment, "address", ADDRESS_VARIABLE, seeds.get(name, listen))
     settings = FleetSettings(
@@ -227,51 +228,55 @@
 
 
 def check_keys(path: str, values: dict[str, Any]) -> None:
-    """Checks that each key is known and its value valid, and that no required key is missing."""
+    """Checks that each key is known, that its value is valid, and that `fleet` is given."""
     for key, value in values.items():
         if key not in KEYS:
-            raise fault(f"{path}: {key}", display(value), f"no such key; there are {', '.join(KEYS)}")
+            raise configuration_error(
+                f"{path}: {key}", display(value), f"no such key; there are {', '.join(KEYS)}"
+            )
         check(f"{path}: {key}", value, KEYS[key], is_secret=key == "key")
     if "fleet" not in values:
-        raise fault(f"{path}: fleet", MISSING, KEYS["fleet"].expected)
+        raise configuration_error(f"{path}: fleet", MISSING, KEYS["fleet"].expected)
 
 
 def check_seeds(path: str, seeds: dict[str, Any]) -> None:
-    """Checks names and addresses of the seeds."""
+    """Checks the names and addresses of the seeds."""
     for name, address in seeds.items():
         check(f"{path}: seeds.{name}", name, KEYS["name"])
         check(f"{path}: seeds.{name}", address, KEYS["address"])
 
 
 def check_limits(path: str, limits: dict[str, Any]) -> None:
-    """Checks rate and burst of each tenant."""
+    """Checks the rate and burst of each tenant."""
     for tenant, limit in limits.items():
         subject = f"{path}: limits.{tenant}"
         check(subject, limit, LIMIT_RULE)
         for key in {**LIMIT_KEYS, **limit}:
             if key not in LIMIT_KEYS:
-                raise fault(f"{subject}.{key}", display(limit[key]), "no such key; there are rate and burst")
+                raise configuration_error(
+                    f"{subject}.{key}", display(limit[key]), "no such key; there are rate and burst"
+                )
             check(f"{subject}.{key}", limit.get(key, MISSING), LIMIT_KEYS[key])
 
 
 def resolve(
     path: str, values: dict[str, Any], environment: Mapping[str, str], key: str, variable: str, default: str
 ) -> str:
-    """The value of a key: from the environment variable, else from the file, else the default."""
+    """Returns a key's value: from the environment variable, else from the file, else the default."""
     if variable in environment:
         check(variable, environment[variable], KEYS[key])
         return environment[variable]
     value: str = values.get(key) or default
-    # An agent may listen on a port that the system chooses; its address is known once it listens.
+    # With port 0 the system chooses the port, so the address is known only once the agent listens.
     check(f"{path}: {key}", value, KEYS["listen" if key == "address" else key])
     return value
 
 
 def read_key(path: str, values: dict[str, Any]) -> bytes:
-    """The fleet's key, from `key` or from the file that `key_file` names."""
+    """Returns the fleet's key, from `key` or from the file that `key_file` names."""
     if ("key" in values) == ("key_file" in values):
         observed = "key_file, too" if "key" in values else MISSING
-        raise fault(f"{path}: key", observed, "one of key, key_file")
+        raise configuration_error(f"{path}: key", observed, "one of key, key_file")
     if "key" in values:
         subject = f"{path}: key"
         key: bytes = values["key"].encode()
@@ -280,24 +285,30 @@
         try:
             key = Path(path).parent.joinpath(values["key_file"]).read_bytes()[:MAX_KEY_FILE_BYTES].strip()
         except OSError as error:
-            raise fault(subject, values["key_file"], f"a readable file ({error.strerror})") from None
+            raise configuration_error(
+                subject, values["key_file"], f"a readable file ({error.strerror})"
+            ) from None
     if len(key) < MIN_KEY_BYTES:
-        raise fault(subject, f"{len(key)} bytes", f"{MIN_KEY_BYTES} bytes or more, by chance")
+        raise configuration_error(
+            subject, f"{len(key)} bytes", f"{MIN_KEY_BYTES} bytes or more, chosen at random"
+        )
     return key
 
 
 def check_consistency(path: str, settings: FleetSettings, config: AgentConfiguration) -> None:
-    """Checks keys against each other and against the agent's own configuration.
+    """Checks the settings against each other and against the agent's own configuration.
 
-    Raises InvalidConfigurationError for the first that doesn't fit.
+    Raises InvalidConfigurationError for the first inconsistency.
     """
-    for find in CONSISTENCY_CHECKS:
-        for found in find(settings, config):
-            raise fault(f"{path}: {found.key}", found.observed, found.expected)
+    for find_inconsistencies in CONSISTENCY_CHECKS:
+        for inconsistency in find_inconsistencies(settings, config):
+            raise configuration_error(
+                f"{path}: {inconsistency.key}", inconsistency.observed, inconsistency.expected
+            )
 
 
 def find_membership_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Seeds and addresses: who founds the fleet and how this agent is reached."""
+    """Finds faults in the seeds, which found the fleet, and in this agent's address."""
     seeds, name, address = settings.seeds, settings.name, settings.address
     if not seeds:
         yield Inconsistency("seeds", len(seeds), "at least one agent that founds the fleet")
@@ -310,7 +321,7 @@
 
 
 def find_quorum_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Quorums: no larger than the copies, and a read quorum overlaps each write quorum."""
+    """Finds quorums larger than the copies, and read quorums that may not overlap each write quorum."""
     copies, write_by, read_by = settings.copies, settings.write_by, settings.read_by
     if write_by > copies:
         yield Inconsistency("write_by", write_by, f"copies at most, {copies}")
@@ -320,12 +331,12 @@
         yield Inconsistency(
             "write_by",
             f"{write_by} and read_by {read_by}",
-            f"over copies ({copies}) together: else who reads may miss what was written",
+            f"over copies ({copies}) together: otherwise a read may miss an earlier write",
         )
 
 
 def find_timing_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Times that have to be in proportion to each other."""
+    """Finds durations that are too long or too short compared with each other."""
     lease_s, tick_s, probe_s = settings.lease_s, settings.tick_s, settings.probe_s
     if settings.wait_s > lease_s:
         yield Inconsistency("wait_s", settings.wait_s, f"lease_s at most, {lease_s:g}")
@@ -338,32 +349,32 @@
 
 
 def find_version_faults(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
-    """The schema version that is held must be one that this program reads."""
+    """Finds a held schema version that this program can't read."""
     low, high = settings.reads
     if settings.hold_version and not low <= settings.hold_version <= high:
         yield Inconsistency("hold_version", settings.hold_version, f"0 or a version from {low} to {high}")
 
 
 def find_shared_addresses(settings: FleetSettings, _: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Two seeds must not have one address."""
-    names: dict[str, str] = {}
+    """Finds seeds that have the same address."""
+    name_by_address: dict[str, str] = {}
     for name, address in settings.seeds.items():
-        first = names.setdefault(address, name)
-        if first != name:
-            yield Inconsistency(f"seeds.{name}", address, f"an address of its own, {first} has this")
+        first_name = name_by_address.setdefault(address, name)
+        if first_name != name:
+            yield Inconsistency(f"seeds.{name}", address, f"an address of its own, {first_name} has this")
 
 
 def find_unknown_tenants(settings: FleetSettings, config: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Each limit must be of a tenant of the agent's own settings."""
+    """Finds limits of tenants that the agent's own settings do not name."""
     tenants = [tenant.name for tenant in config.settings.tenants]
     for tenant in settings.limits:
         if tenant not in tenants:
-            known = ", ".join(tenants) or "none"
-            yield Inconsistency(f"limits.{tenant}", tenant, f"one of the settings' tenants: {known}")
+            known_tenants = ", ".join(tenants) or "none"
+            yield Inconsistency(f"limits.{tenant}", tenant, f"one of the settings' tenants: {known_tenants}")
 
 
 def find_short_retention(settings: FleetSettings, config: AgentConfiguration) -> Iterator[Inconsistency]:
-    """Attempt records must outlive the idempotency window and the deadline of each request class."""
+    """Finds request classes whose deduplication window and deadline outlast the attempt records."""
     for request_class in config.settings.request_classes:
         is_deduplicated = IDEMPOTENCY_BY_NAME.get(request_class.idempotency or "") is Idempotency.DEDUPLICATED
         needed_s = seconds(request_class.deduplication_window_us) * is_deduplicated + request_class.timeout
@@ -372,7 +383,7 @@
                 "longest_mark_s",
                 settings.longest_mark_s,
                 f"{needed_s:g} or more for workload {request_class.name}: "
-                "else what it did is forgotten too soon",
+                "otherwise its attempt records expire too soon",
             )
 
 
@@ -388,7 +399,7 @@
 
 
 def merge_reloadable(old: FleetSettings, new: FleetSettings) -> tuple[FleetSettings, list[str]]:
-    """What a running agent goes by after its file was read again, and the keys that need a restart."""
+    """Returns a running agent's settings after its file was read again, and the keys that need a restart."""
     merged = replace(old, **{key: getattr(new, key) for key in RELOADABLE_KEYS})
     needs_restart = [
         field.name
@@ -399,22 +410,24 @@
 
 
 def own_zone(config: AgentConfiguration) -> str:
-    """The zone of this agent in its own settings; "" where they name none."""
+    """Returns this agent's zone from its own settings; "" if they name none."""
     settings = config.settings
     return settings.zones[settings.own_zone] if settings.zones else ""
 
 
 def check(subject: str, value: object, rule: KeyRule, is_secret: bool = False) -> None:
-    """Raises InvalidConfigurationError where a value breaks its rule; a secret one is not shown."""
+    """Raises InvalidConfigurationError if a value breaks its rule; a secret value is not shown."""
     if not rule.is_valid(value):
-        raise fault(subject, type(value).__name__ if is_secret else display(value), rule.expected)
+        raise configuration_error(
+            subject, type(value).__name__ if is_secret else display(value), rule.expected
+        )
 
 
 def display(value: object) -> str:
-    """A value as a fault shows it: of a table or a list its type alone."""
+    """Returns a value as an error shows it; for a table or a list only its type."""
     return type(value).__name__ if isinstance(value, dict | list) else str(value)
 
 
-def fault(subject: str, observed: object, expected: str) -> InvalidConfigurationError:
-    """The error about a key, a variable or a file."""
+def configuration_error(subject: str, observed: object, expected: str) -> InvalidConfigurationError:
+    """Returns the error about a key, a variable or a file."""
     return InvalidConfigurationError(subject, observed, f"wanted {expected}")
--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -1,17 +1,17 @@
-"""The fleet's errors: each a type of its own that says what is at fault, what was observed and what to do.
+"""The fleet's errors. Each one says what is at fault, what was observed and what an operator can do.
 
-None must ever be raised bare, nor carry a payload: what it says may be logged. docs/fleet.md has a table of
-these types, which a test holds to this module.
+An error must never be raised without a subject, nor carry a payload, since its text may be logged.
+docs/fleet.md has a table of these types; a test compares it with this module.
 """
 
-MAX_OBSERVED_LENGTH = 200  # characters; what a peer sent may be of any length
+MAX_OBSERVED_LENGTH = 200  # characters; a peer may send a value of any length
 
 
 class FleetError(Exception):
     """The base of the fleet's errors.
 
-    `subject`: what is at fault (a key, an agent, a message); `observed`: what was found there; `remedy`: what
-    an operator can do, which each type has a default for.
+    `subject` is what is at fault (a key, an agent, a message), `observed` the value found there, and `remedy`
+    what an operator can do; each type has a default remedy.
     """
 
     remedy = ""
@@ -30,7 +30,7 @@
 
 
 class InvalidRecordError(FleetError):
-    """Bytes are no valid record, or a field has a wrong type or range: they are dropped."""
+    """Bytes are not a valid record, or a field has a wrong type or range: the record is dropped."""
 
     remedy = (
         "look at the agent that sent it (its version and memory); a good copy is fetched from another owner"
@@ -38,7 +38,7 @@
 
 
 class RecordTooLargeError(FleetError):
-    """A record has more bytes, attempts or unknown fields than any agent would read: it isn't written."""
+    """A record has more bytes, attempts or unknown fields than agents accept: it is not written."""
 
     remedy = "lower longest_mark_s or most_marks_a_session; if one session does all this, look at its client"
 
@@ -58,7 +58,7 @@
 
 
 class WrongFleetError(FleetError):
-    """A message of another fleet: it is not read."""
+    """A message of another fleet: it is refused."""
 
     remedy = "look which agent's seeds or address name this one, or give both the same `fleet`"
 
@@ -72,23 +72,23 @@
 class UnsupportedEnvelopeError(FleetError):
     """A message in an envelope that this program does not know."""
 
-    remedy = "bring this agent or the other one up to a program that speaks the same envelope"
+    remedy = "upgrade this agent or the other one to a program with the same envelope version"
 
 
 class MessageTooLargeError(FleetError):
-    """A message beyond the maximum size: not sent, or not read."""
+    """A message exceeds the maximum size: it is not sent, or not read."""
 
-    remedy = "tell the maintainers; what was said is lost, and is said again or made good later"
+    remedy = "tell the maintainers; the message is lost, and its content is sent again or recovered later"
 
 
 class MalformedMessageError(FleetError):
-    """Bytes that are no message, or none that this program knows."""
+    """Bytes that can't be decoded as a frame, an envelope or a message."""
 
     remedy = "look which program sends them to this address"
 
 
 class UnknownMessageError(MalformedMessageError):
-    """A message with a valid MAC that this program can't read: it is skipped, its connection stays."""
+    """A message with a valid MAC that this program can't read: it is skipped, its stream stays open."""
 
     remedy = "look which program that agent runs; in a rolling upgrade it ends with the upgrade"
 
@@ -100,22 +100,22 @@
 
 
 class DuplicateNameError(FleetError):
-    """Two running agents have one name: the fleet would take the state of one for the other's."""
+    """Two running agents have the same name: the fleet would mistake the state of one for the other's."""
 
     remedy = "give each agent a name of its own in its file, and restart the one that was started last"
 
 
 class RingMajorityLostError(FleetError):
-    """A majority of the ring's members has been away for long: no other ring can be agreed."""
+    """A majority of the ring's members has been absent for long: no new ring can be agreed."""
 
     remedy = (
         "start agents under the names that are away, on any machine; if that can't be, stop the whole "
-        "fleet and start it again: it founds itself anew and has forgotten what it shared"
+        "fleet and start it again: it founds a new ring and loses the state that it shared"
     )
 
 
 class BootstrapIncompleteError(FleetError):
-    """No ring is known and no majority of the seeds is there to agree on the first."""
+    """No ring is known, and no majority of the seeds is present to agree on the first one."""
 
     remedy = "start the agents that are named as seeds, and see that all files name the same seeds"
 
