--- a/cartdeal/fleet/context.py
+++ b/cartdeal/fleet/context.py
@@ -1,6 +1,6 @@
-"""What the node gives to each of its parts: time, a name, chance, and a way to send, log and count.
+"""The interface that the node provides to its parts: time, identity, randomness, sending, logging, counting.
 
-It owns no state. A part must never reach past its context to a clock, a socket or another part.
+The interface holds no state. A part must use clocks, sockets and other parts only through its context.
 """
 
 from random import Random
@@ -12,14 +12,14 @@
 
 
 class NodeContext(Protocol):
-    """What a part may use."""
+    """The attributes and methods of the node that a part may use."""
 
-    now: float  # local monotonic seconds of the event
+    now: float  # time of the current event, local monotonic seconds
     wall: float  # the fleet's time, seconds
-    name: str  # this agent's
-    incarnation: int  # this start of the agent; a later start has a greater one
+    name: str  # of this agent
+    incarnation: int  # identifies this start of the agent; a later start has a greater one
     address: str  # "host:port" of this agent, as peers reach it
-    random: Random  # seeded: the same events lead to the same effects
+    random: Random  # seeded, so that the same events lead to the same effects
 
     def send(self, recipient: str, message: Struct) -> None:
         """Send a message to a peer; it may be lost."""
--- a/cartdeal/fleet/effects.py
+++ b/cartdeal/fleet/effects.py
@@ -1,4 +1,4 @@
-"""What the node asks its transport to do. The node itself does no I/O: it appends these to `Node.effects`."""
+"""The effects that a node's host applies. The node does no I/O: it appends its effects to `Node.effects`."""
 
 from msgspec import Struct
 
@@ -15,14 +15,14 @@
 
 
 class DeliverDecision(Struct, frozen=True):
-    """Tell the agent what the fleet decided on the request `ticket`.
+    """Deliver the fleet's decision on the request `ticket` to the agent.
 
-    An attempt of an admitted request has to respect the `earlier_attempts`.
+    Each attempt of an admitted request has to respect the `earlier_attempts`.
     """
 
     ticket: int
     decision: AdmissionDecision
-    retry_after_s: float = 0.0  # 0 where the client is not told to come again
+    retry_after_s: float = 0.0  # 0 if the client is not told to retry
     earlier_attempts: tuple[EarlierAttempt, ...] = ()
 
 
--- a/cartdeal/fleet/events.py
+++ b/cartdeal/fleet/events.py
@@ -1,4 +1,4 @@
-"""The events that the fleet's parts log. The fields of each type are the fields of its log line."""
+"""The events that the fleet's parts log. The fields of a type are the fields of its log line."""
 
 from typing import ClassVar
 
@@ -8,17 +8,17 @@
 
 
 class LogEvent(Struct, frozen=True):
-    """One line of the log: its message, and the type's fields in their order."""
+    """One log line: its message, followed by the type's fields in order."""
 
     MESSAGE: ClassVar[str] = ""
 
     def fields(self) -> dict[str, object]:
-        """Name and value of each field."""
+        """Return the value of each field by its name, in order."""
         return {name: getattr(self, name) for name in self.__struct_fields__}
 
 
 class _ErrorEvent(LogEvent, frozen=True):
-    """An error that an operator has to see: its subject, what was observed there, and the remedy."""
+    """An error that an operator has to see: its subject, the observed value, and the remedy."""
 
     subject: str
     observed: str
@@ -26,7 +26,7 @@
 
     @classmethod
     def of(cls, error: FleetError) -> "_ErrorEvent":
-        """The event that reports this error."""
+        """Return the event that reports `error`."""
         return cls(error.subject, error.observed, error.remedy)
 
 
@@ -43,13 +43,13 @@
 
 
 class DuplicateName(_ErrorEvent, frozen=True):
-    """Another running agent goes by this agent's name."""
+    """Another running agent has this agent's name."""
 
     MESSAGE: ClassVar[str] = "duplicate name"
 
 
 class AgentDead(LogEvent, frozen=True):
-    """A suspicion was not refuted in time; `accusers` are those that raised or confirmed it."""
+    """A suspicion was not refuted in time; `accusers` are the agents that raised or confirmed it."""
 
     MESSAGE: ClassVar[str] = "agent dead"
     name: str
@@ -57,21 +57,21 @@
 
 
 class Isolated(LogEvent, frozen=True):
-    """No peer answers: this agent suspects all `agents` of them."""
+    """No peer answers: this agent suspects all its peers, `agents` in number."""
 
     MESSAGE: ClassVar[str] = "isolated"
     agents: int
 
 
 class MembershipFull(LogEvent, frozen=True):
-    """The peer table has `most_agents` entries: no further agent is taken in."""
+    """The peer table has reached `most_agents` entries: no further agent is added."""
 
     MESSAGE: ClassVar[str] = "membership full"
     most_agents: int
 
 
 class PeerClockAhead(LogEvent, frozen=True):
-    """What `peer` stamped is refused: its clock is too far ahead."""
+    """Timestamps of `peer` are refused: its clock is too far ahead."""
 
     MESSAGE: ClassVar[str] = "clock ahead"
     peer: str
@@ -79,14 +79,14 @@
 
 
 class RecordClockAhead(LogEvent, frozen=True):
-    """A record is refused: a clock that stamped it was too far ahead."""
+    """A record is refused: the clock that issued its timestamp was too far ahead."""
 
     MESSAGE: ClassVar[str] = "clock ahead"
     reason: str
 
 
 class ClockAdjusted(LogEvent, frozen=True):
-    """This agent's clock was the odd one: it was moved by `by_s` seconds, to that of `agents` others."""
+    """This agent's clock was wrong: it was moved by `by_s` seconds, to the time of `agents` peers."""
 
     MESSAGE: ClassVar[str] = "clock adjusted"
     by_s: float
@@ -94,7 +94,7 @@
 
 
 class IncarnationRaised(LogEvent, frozen=True):
-    """Peers remember a later start of this agent: it takes an incarnation above that one."""
+    """Peers know a newer incarnation of this agent: it takes one above that."""
 
     MESSAGE: ClassVar[str] = "incarnation raised"
     incarnation: int
@@ -108,14 +108,14 @@
 
 
 class CatchingUp(LogEvent, frozen=True):
-    """This agent lacks records that it owns, and transfers them."""
+    """This agent lacks records that it owns, and fetches them."""
 
     MESSAGE: ClassVar[str] = "catching up"
     epoch: int | None
 
 
 class RingAdopted(LogEvent, frozen=True):
-    """This agent goes by another ring."""
+    """This agent has adopted a new ring."""
 
     MESSAGE: ClassVar[str] = "ring adopted"
     epoch: int
@@ -125,28 +125,28 @@
 
 
 class Fenced(LogEvent, frozen=True):
-    """This program can't read what the fleet writes: it takes no part."""
+    """This program can't read the schema version that the fleet writes: the agent is fenced."""
 
     MESSAGE: ClassVar[str] = "fenced"
     reason: str
 
 
 class SchemaHoldRefused(LogEvent, frozen=True):
-    """The operator holds a schema version that the fleet has already left."""
+    """The operator holds a schema version below the one that the fleet has already moved to."""
 
     MESSAGE: ClassVar[str] = "schema hold refused"
     reason: str
 
 
 class RecordTooLarge(LogEvent, frozen=True):
-    """A record is not written: no agent would read it."""
+    """A record is not written: it exceeds the limits that agents accept."""
 
     MESSAGE: ClassVar[str] = "record too large"
     reason: str
 
 
 class HintsFull(LogEvent, frozen=True):
-    """There are `most` hints: the oldest is dropped for each new one."""
+    """The maximum of `most` hints is reached: each new hint replaces the oldest one."""
 
     MESSAGE: ClassVar[str] = "hints full"
     most: int
--- a/cartdeal/fleet/metrics.py
+++ b/cartdeal/fleet/metrics.py
@@ -1,18 +1,18 @@
-"""The names under which the fleet's parts count what happens: fields of the log line `msg=metrics`."""
+"""The names of the counters of the fleet's parts, which are fields of the log line `msg=metrics`."""
 
 from enum import StrEnum
 
 
 class Metric(StrEnum):
-    """A counter since the start of the agent."""
+    """A counter that starts at 0 with the agent."""
 
     # The node and its pending admissions
-    ADMISSION_REQUESTS = "admission requests"  # requests that the fleet was asked about
-    DECIDED_UNKNOWN = "decided unknown"  # requests decided without an answer of the owners
-    DROPPED_OWN_NAME = "dropped own name"  # messages under this agent's own name, or of no part
-    NO_ADDRESS = "no address"  # messages not sent: the peer's address is not known
-    OVERDUE_DECISIONS = "overdue decisions"  # no part had answered a tick after the deadline: a fault
-    PENDING_ADMISSIONS_FULL = "pending admissions full"  # decided as unknown: `most_waiting` were undecided
+    ADMISSION_REQUESTS = "admission requests"  # requests that were submitted for a decision
+    DECIDED_UNKNOWN = "decided unknown"  # requests decided without the owners' answer
+    DROPPED_OWN_NAME = "dropped own name"  # messages under this agent's own name, or of an unknown type
+    NO_ADDRESS = "no address"  # messages not sent because the peer's address is unknown
+    OVERDUE_DECISIONS = "overdue decisions"  # requests undecided a tick after the deadline: a fault
+    PENDING_ADMISSIONS_FULL = "pending admissions full"  # requests over `most_waiting`, decided as unknown
 
     # Membership
     ACCUSATIONS = "accusations"
@@ -88,5 +88,5 @@
     STREAMS_FAILED = "streams failed"
 
     # Counted by more than one part
-    DROPPED_CLOCK_AHEAD = "dropped clock ahead"  # what a clock too far ahead has stamped
-    DROPPED_OLD_INCARNATION = "dropped old incarnation"  # messages of a peer's earlier start
+    DROPPED_CLOCK_AHEAD = "dropped clock ahead"  # messages and records of clocks too far ahead
+    DROPPED_OLD_INCARNATION = "dropped old incarnation"  # messages of a peer's earlier incarnation
