--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -19,7 +19,7 @@
 
 MAX_PEER_CLOCKS = 1024  # peers observed between two checks; must hold a majority of the ring
 CHECK_INTERVAL_S = 10.0  # between two checks whether this agent's own clock is wrong
-PAUSE_S = CHECK_INTERVAL_S / 4  # a longer gap between two ticks means that the process was stopped
+MIN_PAUSE_S = CHECK_INTERVAL_S / 4  # a longer gap between two ticks means that the process was stopped
 
 
 class PeerClock(NamedTuple):
@@ -37,8 +37,8 @@
         self.settings = settings
         self.offset_s = offset_s
         self.peer_clocks: dict[str, PeerClock] = {}
-        self.next_check = context.now  # monotonic seconds
-        self.last_tick = context.now  # monotonic seconds
+        self.next_check_at = context.now  # monotonic seconds
+        self.last_tick_at = context.now  # monotonic seconds
         self.hybrid_clock = HybridClock(settings.name, settings.clock_ahead_s)
 
     def observe(self, sender: str, wall_ms: int, sender_has_ring: bool, has_ring: bool) -> bool:
@@ -85,10 +85,11 @@
     def tick(self, ring: Ring | None) -> None:
         """Check this agent's clock against those of the ring's members, every CHECK_INTERVAL_S."""
         now = self.context.now
-        if now - self.last_tick > PAUSE_S:  # the process was stopped: messages that arrived meanwhile are old
+        # After a pause of the process, the messages that arrived meanwhile are old.
+        if now - self.last_tick_at > MIN_PAUSE_S:
             self._schedule_check()
-        self.last_tick = now
-        if ring is not None and now >= self.next_check:
+        self.last_tick_at = now
+        if ring is not None and now >= self.next_check_at:
             self.check(ring)
 
     def check(self, ring: Ring) -> None:
@@ -116,5 +117,5 @@
             self.hybrid_clock = HybridClock(self.settings.name, self.settings.clock_ahead_s)
 
     def _schedule_check(self) -> None:
-        self.next_check = self.context.now + CHECK_INTERVAL_S
+        self.next_check_at = self.context.now + CHECK_INTERVAL_S
         self.peer_clocks = {}
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -32,7 +32,7 @@
 
 ADDRESSES_PER_AGENT = 4  # limit of `Node.addresses`, as a multiple of `most_agents`
 INCARNATION_RANDOM_BITS = 16  # the low bits; the bits above are the wall clock's milliseconds
-DAY_MS = 86_400_000
+MAX_INCARNATION_LEAD_MS = 86_400_000  # over the fleet's time: one day
 
 
 class MessageHandler(Protocol):
@@ -222,7 +222,10 @@
         """
         known_incarnation = self.membership.newer_incarnation()
         known_ms = known_incarnation >> INCARNATION_RANDOM_BITS
-        if known_incarnation >= self.incarnation and known_ms < int(self.wall * 1e3) + DAY_MS:
+        if (
+            known_incarnation >= self.incarnation
+            and known_ms < int(self.wall * 1e3) + MAX_INCARNATION_LEAD_MS
+        ):
             # The increment is random: `known_ms + 1` could be the incarnation of an earlier start that learnt
             # of the same incarnation and died before this agent heard of it.
             incarnation_ms = known_ms + 1 + self.random.getrandbits(8)
