--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -22,10 +22,10 @@
     return configuration.read(agent_config(folder, settings=TENANTS), environment)
 
 
-def test_one_file_serves_many_agents_and_missing_keys_have_defaults(tmp_path):
-    found = read(tmp_path, REQUIRED_KEYS + SEEDS + LIMITS)
-    assert found.listen == ("127.0.0.1", 7001)
-    assert found.settings == FleetSettings(
+def test_one_file_configures_many_agents_and_missing_keys_have_defaults(tmp_path):
+    configuration_a1 = read(tmp_path, REQUIRED_KEYS + SEEDS + LIMITS)
+    assert configuration_a1.listen == ("127.0.0.1", 7001)
+    assert configuration_a1.settings == FleetSettings(
         fleet="f",
         name="a1",
         key=KEY.encode(),
@@ -34,15 +34,15 @@
         seeds={"a1": "127.0.0.1:7001", "a2": "127.0.0.1:7002"},
         limits={"x": RateLimit(5.0, 2.0)},
     )
-    other = read(
+    configuration_a9 = read(
         tmp_path,
         REQUIRED_KEYS + SEEDS,
         PROXY_FLEET_NAME="a9",
         PROXY_FLEET_LISTEN="0.0.0.0:7009",
         PROXY_FLEET_ADDRESS="10.0.0.9:7009",
     )
-    assert other.listen == ("0.0.0.0", 7009)
-    assert other.settings.address == "10.0.0.9:7009"
+    assert configuration_a9.listen == ("0.0.0.0", 7009)
+    assert configuration_a9.settings.address == "10.0.0.9:7009"
     (tmp_path / "key").write_text(KEY + "\n")
     assert read(tmp_path, 'fleet = "f"\nkey_file = "key"\n' + SEEDS).settings.key == KEY.encode()
 
@@ -120,41 +120,43 @@
     ],
 )
 def test_error_names_file_key_observed_and_expected_value(tmp_path, text, key, observed, expected):
-    with pytest.raises(InvalidConfigurationError) as raised:
+    with pytest.raises(InvalidConfigurationError) as error_info:
         read(tmp_path, text if "[" in text else text + SEEDS)
-    assert raised.value.subject == f"{tmp_path / 'fleet.toml'}: {key}"
-    assert (raised.value.observed, expected in raised.value.remedy) == (observed, True), raised.value
-    assert "secret" not in str(raised.value)
-    assert KEY not in str(raised.value)
+    assert error_info.value.subject == f"{tmp_path / 'fleet.toml'}: {key}"
+    assert (error_info.value.observed, expected in error_info.value.remedy) == (observed, True), (
+        error_info.value
+    )
+    assert "secret" not in str(error_info.value)
+    assert KEY not in str(error_info.value)
 
 
 @pytest.mark.parametrize("text", ["fleet = ", "fleet = 'f'\nfleet = 'g'", "\udcff", "x = " + "[" * 5000])
-def test_file_that_is_no_toml_or_is_missing_is_refused(tmp_path, text):
+def test_missing_file_and_invalid_toml_are_refused(tmp_path, text):
     (tmp_path / "bad.toml").write_bytes(text.encode(errors="surrogateescape"))
-    for file in ("bad.toml", "none.toml"):
+    for file_name in ("bad.toml", "none.toml"):
         with pytest.raises(InvalidConfigurationError, match=r"TOML|readable"):
-            configuration.read(agent_config(tmp_path), {"PROXY_FLEET": str(tmp_path / file)})
+            configuration.read(agent_config(tmp_path), {"PROXY_FLEET": str(tmp_path / file_name)})
     with pytest.raises(InvalidConfigurationError, match="PROXY_FLEET_LISTEN: found 'x'"):
         read(tmp_path, REQUIRED_KEYS + SEEDS, PROXY_FLEET_LISTEN="x")
 
 
-def test_reload_merges_what_a_running_agent_may_adopt(tmp_path):
-    old = read(tmp_path, REQUIRED_KEYS + SEEDS + LIMITS).settings
-    new = read(
+def test_reload_adopts_only_reloadable_keys_and_names_the_others(tmp_path):
+    old_settings = read(tmp_path, REQUIRED_KEYS + SEEDS + LIMITS).settings
+    new_settings = read(
         tmp_path, REQUIRED_KEYS + "copies = 5\nwrite_by = 3\nread_by = 3\nwait_s = 0.2\n" + SEEDS
     ).settings
-    merged, needs_restart = configuration.merge_reloadable(old, new)
-    assert (merged.wait_s, merged.limits, merged.copies) == (0.2, {}, 3)
+    merged_settings, needs_restart = configuration.merge_reloadable(old_settings, new_settings)
+    assert (merged_settings.wait_s, merged_settings.limits, merged_settings.copies) == (0.2, {}, 3)
     assert needs_restart == ["copies", "write_by", "read_by"]
 
 
 def test_example_file_shows_every_key_with_its_default(tmp_path):
     text = Path("deploy/fleet.toml").read_text()
     (tmp_path / "fleet.key").write_text(KEY)
-    found = read(tmp_path, text, PROXY_FLEET_NAME="orders-1")
-    assert found.settings.fleet == "orders"
-    assert found.listen == ("10.0.0.5", 7946)
-    shown = tomllib.loads(
+    fleet_configuration = read(tmp_path, text, PROXY_FLEET_NAME="orders-1")
+    assert fleet_configuration.settings.fleet == "orders"
+    assert fleet_configuration.listen == ("10.0.0.5", 7946)
+    shown_values = tomllib.loads(
         "\n".join(
             line.removeprefix("# ")
             for line in text.splitlines()
@@ -162,10 +164,10 @@
         )
     )
     defaults = {field.name: field.default for field in fields(FleetSettings)}
-    assert shown.keys() | {"seeds", "limits"} == configuration.KEYS.keys()
+    assert shown_values.keys() | {"seeds", "limits"} == configuration.KEYS.keys()
     assert configuration.KEYS.keys() - {"listen", "key_file"} == defaults.keys() - {"reads"}
-    for key in shown.keys() - {"fleet", "name", "listen", "address", "key", "key_file", "zone"}:
-        assert shown[key] == defaults[key], key
+    for key in shown_values.keys() - {"fleet", "name", "listen", "address", "key", "key_file", "zone"}:
+        assert shown_values[key] == defaults[key], key
     configuration.read(
         agent_config(tmp_path, settings=TENANTS),
         {"PROXY_FLEET": str(tmp_path / "fleet.toml"), "PROXY_FLEET_NAME": "orders-1"},
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -6,7 +6,7 @@
 from cartdeal.fleet import errors
 
 PAGE = Path(__file__).parents[2] / "docs" / "fleet.md"
-# Every type that the module has, in the order in which they stand there: one that is added is never missed.
+# Collected from the module in the order of definition, so that an added type is always tested.
 ERROR_TYPES = tuple(
     value
     for value in vars(errors).values()
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("error_type", ERROR_TYPES, ids=lambda error_type: error_type.__name__)
-def test_each_error_says_what_an_operator_can_do(error_type):
+def test_each_error_has_a_remedy_and_a_one_line_docstring(error_type):
     assert error_type.remedy
     assert error_type.__doc__
     assert "\n" not in error_type.__doc__.strip()
@@ -25,13 +25,15 @@
     assert "the clock of b" in str(error)
 
 
-def test_the_table_has_every_type_in_the_order_of_the_page():
-    named = re.findall(r"^class (\w+)\((?!Exception)", Path(errors.__file__).read_text(), re.MULTILINE)
-    assert [error_type.__name__ for error_type in ERROR_TYPES] == named
-    assert len(set(named)) == len(named) >= 5
+def test_error_types_are_all_types_in_order_of_definition():
+    defined_names = re.findall(
+        r"^class (\w+)\((?!Exception)", Path(errors.__file__).read_text(), re.MULTILINE
+    )
+    assert [error_type.__name__ for error_type in ERROR_TYPES] == defined_names
+    assert len(set(defined_names)) == len(defined_names) >= 5
 
 
-@pytest.mark.skipif(not PAGE.exists(), reason="no page for operators yet")
-def test_the_page_for_operators_names_each_error():
+@pytest.mark.skipif(not PAGE.exists(), reason="docs/fleet.md is not in this source tree")
+def test_operators_page_names_each_error():
     page = PAGE.read_text()
     assert [error_type.__name__ for error_type in ERROR_TYPES if f"`{error_type.__name__}`" not in page] == []
--- a/tests/fleet/test_node.py
+++ b/tests/fleet/test_node.py
@@ -1,4 +1,4 @@
-"""Thin end-to-end over the in-memory fleet; the stories go further."""
+"""End-to-end tests of nodes in an in-memory fleet. The stories cover more cases."""
 
 from msgspec.structs import replace
 
@@ -11,18 +11,18 @@
 SEEDS = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(3)}
 
 
-def fleet(seed=1, agents=3, **changes):
-    memory = InMemoryFleet(
+def make_fleet(seed=1, agents=3, **changes):
+    fleet = InMemoryFleet(
         FleetSettings(
             fleet="f", name="", key=b"k" * 32, seeds=SEEDS, limits={"shop": RateLimit(50.0, 20.0)}, **changes
         ),
         seed,
     )
-    for number in range(agents):
-        memory.add(f"a{number}", zone=f"z{number % 3}")
-    assert memory.run_until(memory.has_one_ring, 20.0) < 20.0
-    memory.run(46.0)
-    return memory
+    for index in range(agents):
+        fleet.add(f"a{index}", zone=f"z{index % 3}")
+    assert fleet.run_until(fleet.has_one_ring, 20.0) < 20.0
+    fleet.run(46.0)
+    return fleet
 
 
 def non_idempotent_request(session="s1"):
@@ -31,71 +31,71 @@
     )
 
 
-def test_request_that_may_have_run_at_an_agent_that_died_does_not_run_again():
-    memory = fleet()
-    intent = memory.submit(non_idempotent_request(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
-    memory.run(0.1)
-    assert len(memory.checker.executions[intent]) == 1
-    memory.kill("a0")
-    memory.run(5.0)
-    assert memory.outcomes[intent] == ["broke off", "fail"]
-    assert memory.checker.close() == []
+def test_request_that_may_have_run_at_a_dead_agent_does_not_run_again():
+    fleet = make_fleet()
+    intent = fleet.submit(non_idempotent_request(), ["a0", "a1", "a2"], tries=3, work_s=5.0)
+    fleet.run(0.1)
+    assert len(fleet.checker.executions[intent]) == 1
+    fleet.kill("a0")
+    fleet.run(5.0)
+    assert fleet.outcomes[intent] == ["broke off", "fail"]
+    assert fleet.checker.close() == []
 
 
 def test_limit_holds_for_all_agents_together():
-    memory = fleet()
-    for turn in range(1500):
-        memory.submit(AdmissionRequest(tenant="shop", workload="read"), [f"a{turn % 3}"])
-        memory.run(0.002)
-    assert memory.checker.close() == []
-    assert len(memory.checker.admission_times["shop"]) >= 0.85 * (20 + 3.0 * 50)
-
-
-def test_copies_of_all_owners_are_equal_in_the_end():
-    memory = fleet()
-    for turn in range(30):
-        memory.submit(non_idempotent_request(f"s{turn}"), [f"a{turn % 3}"])
-        memory.run(0.05)
-    memory.run(5.0)
-    memory.checker.check_equal(
-        {name: node.replica.owned_digest() for name, node in memory.nodes().items()}, "all keys"
+    fleet = make_fleet()
+    for index in range(1500):
+        fleet.submit(AdmissionRequest(tenant="shop", workload="read"), [f"a{index % 3}"])
+        fleet.run(0.002)
+    assert fleet.checker.close() == []
+    assert len(fleet.checker.admission_times["shop"]) >= 0.85 * (20 + 3.0 * 50)
+
+
+def test_copies_of_all_owners_become_equal():
+    fleet = make_fleet()
+    for index in range(30):
+        fleet.submit(non_idempotent_request(f"s{index}"), [f"a{index % 3}"])
+        fleet.run(0.05)
+    fleet.run(5.0)
+    fleet.checker.check_equal(
+        {name: node.replica.owned_digest() for name, node in fleet.nodes().items()}, "all keys"
     )
-    assert memory.checker.close() == [] and memory.nodes()["a0"].replica.all_records()
+    assert fleet.checker.close() == [] and fleet.nodes()["a0"].replica.all_records()
 
 
-def test_file_read_again_moves_what_it_changes_in_a_running_fleet():
-    memory = fleet(hold_version=1)
-    nodes = memory.nodes()
+def test_reloaded_settings_take_effect_in_a_running_fleet():
+    fleet = make_fleet(hold_version=1)
+    nodes = fleet.nodes()
     assert {node.ring.written_version for node in nodes.values()} == {1}
     for name, node in nodes.items():
-        changes = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
-        memory.hosts[name].dispatch(node.apply_settings, replace(node.settings, **changes))
-    memory.run(20.0)
-    assert memory.has_one_ring()
+        changed_settings = {"hold_version": 0, "capacity": 4.0 if name == "a0" else 1.0, "damp_s": 0.5}
+        fleet.hosts[name].dispatch(node.apply_settings, replace(node.settings, **changed_settings))
+    fleet.run(20.0)
+    assert fleet.has_one_ring()
     ring = nodes["a1"].ring
-    assert ring.written_version == 2 and [seat.capacity for seat in ring.members] == [4.0, 1.0, 1.0]
+    assert ring.written_version == 2 and [member.capacity for member in ring.members] == [4.0, 1.0, 1.0]
 
 
-def test_event_ends_though_each_answer_of_the_own_owner_leads_to_an_ask(monkeypatch):
-    """Seen once: an agent that was its own lender asked itself for ever, and answered nothing any more."""
-    memory = fleet(agents=3)
+def test_event_ends_when_each_response_of_its_own_owner_causes_a_request(monkeypatch):
+    """An agent that owned a limit requested from itself forever and answered nothing else."""
+    fleet = make_fleet(agents=3)
 
     def on_response(self, sender, incarnation, response, now):
-        quota = before(self, sender, incarnation, response, now)
+        quota = original_on_response(self, sender, incarnation, response, now)
         if quota and sender == self.context.name:
             quota.exchanges[sender].may_have_more = True
         return quota
 
-    before = LeaseHolder.on_response
+    original_on_response = LeaseHolder.on_response
     monkeypatch.setattr(LeaseHolder, "on_response", on_response)
     for _ in range(100):
-        memory.submit(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
-    memory.run(1.0)
-    assert memory.nodes()["a0"].metrics()["own requests deferred"]
-    assert memory.checker.close() == []
+        fleet.submit(AdmissionRequest(tenant="shop", workload="read"), ["a0"])
+    fleet.run(1.0)
+    assert fleet.nodes()["a0"].metrics()["own requests deferred"]
+    assert fleet.checker.close() == []
 
 
-def test_starts_that_learn_of_the_same_later_incarnation_never_take_the_same_one():
+def test_starts_that_learn_of_the_same_incarnation_take_different_ones():
     incarnations = set()
     for seed in range(20):
         node = Node(FleetSettings(fleet="f", name="a0", key=b"k" * 32, seeds=SEEDS), seed, 0.0, 1000.0)
