--- a/tests/fleet/test_mixed_versions.py
+++ b/tests/fleet/test_mixed_versions.py
@@ -1,7 +1,8 @@
-"""A fleet of agents of the previous version and of this one, as processes.
+"""A fleet with agents of the previous version and of this version, as processes.
 
-They share a ring, attempt records and a limit, and a rolling upgrade and a rollback keep them. The previous
-version is taken from the repository's history; a source tree without it has nothing to compare with.
+Agents of both versions share a ring, attempt records and a limit, which survive a rolling upgrade and a
+rollback. The previous version comes from the repository's history; without that history the tests are
+skipped.
 """
 
 import io
@@ -24,9 +25,9 @@
 
 @pytest.fixture(scope="module")
 def previous_tree(tmp_path_factory):
-    """A folder with the sources of the previous version."""
-    known = subprocess.run(["git", "cat-file", "-e", PREVIOUS_VERSION], cwd=ROOT, capture_output=True)
-    if known.returncode:
+    """Returns a folder with the sources of the previous version."""
+    known_commit = subprocess.run(["git", "cat-file", "-e", PREVIOUS_VERSION], cwd=ROOT, capture_output=True)
+    if known_commit.returncode:
         pytest.skip(f"no commit {PREVIOUS_VERSION} here: not a clone with its history")
     folder = tmp_path_factory.mktemp("previous")
     command = ["git", "archive", PREVIOUS_VERSION, "cartdeal"]
@@ -37,35 +38,35 @@
 
 
 def restart(agent, tree):
-    """Ends an agent in order and starts it with the sources in `tree`; returns when it has caught up."""
+    """Shuts an agent down, starts it with the sources in `tree`, and waits until it has caught up."""
     agent.signal(signal.SIGTERM)
-    eventually(lambda: agent.process.poll() is not None, "it ends")
+    eventually(lambda: agent.process.poll() is not None, "the agent ends")
     assert agent.process.returncode == 0
     assert agent.log_lines("out of the fleet", "handed_over=true")
     agent.tree = tree
     agent.start()
-    eventually(lambda: agent.port, "it serves")
-    eventually(lambda: agent.log_lines("caught up"), "it has caught up")
+    eventually(lambda: agent.port, "the agent serves")
+    eventually(lambda: agent.log_lines("caught up"), "the agent has caught up")
 
 
 def hold_request(fleet, agent, path, session):
-    """A non-idempotent request that a server has begun and doesn't answer."""
-    held = gevent.spawn(fleet.request, agent, path, session)
-    eventually(lambda: fleet.executions(path) == 1, "it runs")
-    return held
+    """Starts a non-idempotent request that a server runs and does not answer; returns its greenlet."""
+    pending_request = gevent.spawn(fleet.request, agent, path, session)
+    eventually(lambda: fleet.executions(path) == 1, "the server runs the request")
+    return pending_request
 
 
-def test_two_agents_of_each_version_share_a_ring_attempts_and_a_limit(tmp_path, previous_tree):
+def test_two_agents_of_each_version_share_ring_attempt_records_and_limit(tmp_path, previous_tree):
     with ProcessFleet(tmp_path, agents=4, limits=LIMITS) as fleet:
         for agent in fleet.agents[:2]:
             agent.tree = previous_tree
         fleet.start()
         wait_until_ready(fleet)
         assert fleet.common_epoch() or eventually(fleet.common_epoch, "one ring")
-        begun, served = monotonic(), 0
-        while monotonic() < begun + 2.0:
-            served += sum(read_as_tenant(fleet, agent)[0] == 200 for agent in fleet.agents)
-        assert 0 < served <= 10 + 20 * (monotonic() - begun)
+        started_at, served_count = monotonic(), 0
+        while monotonic() < started_at + 2.0:
+            served_count += sum(read_as_tenant(fleet, agent)[0] == 200 for agent in fleet.agents)
+        assert 0 < served_count <= 10 + 20 * (monotonic() - started_at)
         for number, agent in enumerate(fleet.agents):
             path, session = f"/close/{number}?do=reset", f"session {number}"
             assert fleet.request(agent, path, session)[0] == 502
@@ -75,26 +76,28 @@
 
 
 @pytest.mark.parametrize("direction", ["upgrade", "rollback"])
-def test_rolling_change_of_version_keeps_attempts_and_the_limit(tmp_path, previous_tree, direction):
-    before, after = (previous_tree, ROOT) if direction == "upgrade" else (ROOT, previous_tree)
+def test_rolling_change_of_version_keeps_attempt_records_and_limit(tmp_path, previous_tree, direction):
+    old_tree, new_tree = (previous_tree, ROOT) if direction == "upgrade" else (ROOT, previous_tree)
     with ProcessFleet(tmp_path, limits=LIMITS, longest_mark_s=25.0) as fleet:
         for agent in fleet.agents:
-            agent.tree = before
+            agent.tree = old_tree
         fleet.start()
         wait_until_ready(fleet)
-        held = hold_request(fleet, fleet.agents[2], "/close/5?do=wait", "hal")
-        begun, served = monotonic(), 0
+        pending_request = hold_request(fleet, fleet.agents[2], "/close/5?do=wait", "hal")
+        started_at, served_count = monotonic(), 0
         for agent in fleet.agents[:2]:
-            restart(agent, after)
-            served += sum(read_as_tenant(fleet, each)[0] == 200 for each in fleet.agents for _ in range(20))
-        assert served <= 10 + 20 * (monotonic() - begun)
+            restart(agent, new_tree)
+            served_count += sum(
+                read_as_tenant(fleet, each)[0] == 200 for each in fleet.agents for _ in range(20)
+            )
+        assert served_count <= 10 + 20 * (monotonic() - started_at)
         for agent in fleet.agents[:2]:
             assert fleet.request(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
         fleet.agents[2].kill()
-        held.get(timeout=5)
-        fleet.agents[2].tree = after
+        pending_request.get(timeout=5)
+        fleet.agents[2].tree = new_tree
         fleet.agents[2].start()
-        eventually(lambda: fleet.agents[2].port, "it serves")
+        eventually(lambda: fleet.agents[2].port, "the agent serves")
         wait_until_ready(fleet)
         for agent in fleet.agents:
             assert fleet.request(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
