--- a/tests/fleet/test_mixed_versions.py
+++ b/tests/fleet/test_mixed_versions.py
@@ -1,7 +1,7 @@
-"""A fleet with agents of the previous version and of this version, as processes.
+"""A fleet with agents of a previous version and of this version, as processes.
 
 Agents of both versions share a ring, attempt records and a limit, which survive a rolling upgrade and a
-rollback. The previous version comes from the repository's history; without that history the tests are
+rollback. The previous versions come from the repository's history; without that history the tests are
 skipped.
 """
 
@@ -19,18 +19,22 @@
 from tests.processes import ProcessFleet, eventually
 
 ROOT = Path(__file__).parents[2]
-PREVIOUS_VERSION = "72ee2e1"  # the last commit before the fleet's names were changed
+PREVIOUS_VERSIONS = (
+    "72ee2e1",  # the last commit before the fleet's names were changed
+    "591d82d",  # the last commit before the names of the other packages were changed
+)
 LIMITS = "[limits.shop]\nrate = 20.0\nburst = 10\n"
 
 
-@pytest.fixture(scope="module")
-def previous_tree(tmp_path_factory):
-    """Returns a folder with the sources of the previous version."""
-    known_commit = subprocess.run(["git", "cat-file", "-e", PREVIOUS_VERSION], cwd=ROOT, capture_output=True)
+@pytest.fixture(scope="module", params=PREVIOUS_VERSIONS)
+def previous_tree(request, tmp_path_factory):
+    """Returns a folder with the sources of a previous version."""
+    previous_version = request.param
+    known_commit = subprocess.run(["git", "cat-file", "-e", previous_version], cwd=ROOT, capture_output=True)
     if known_commit.returncode:
-        pytest.skip(f"no commit {PREVIOUS_VERSION} here: not a clone with its history")
+        pytest.skip(f"no commit {previous_version} here: not a clone with its history")
     folder = tmp_path_factory.mktemp("previous")
-    command = ["git", "archive", PREVIOUS_VERSION, "cartdeal"]
+    command = ["git", "archive", previous_version, "cartdeal"]
     archive = subprocess.run(command, cwd=ROOT, capture_output=True, check=True).stdout
     with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
         tar.extractall(folder, filter="data")
