--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -109,7 +109,7 @@
     """A majority of the ring's members has been absent for long: no new ring can be agreed."""
 
     remedy = (
-        "start agents under the names that are away, on any machine; if that can't be, stop the whole "
+        "start agents under the names that are absent, on any machine; if that can't be, stop the whole "
         "fleet and start it again: it founds a new ring and loses the state that it shared"
     )
 
--- a/cartdeal/fleet/idempotency.py
+++ b/cartdeal/fleet/idempotency.py
@@ -59,7 +59,7 @@
 class RanOutcome(StrEnum):
     """Whether an ended request ran at a server. The value is the text that the agent passes."""
 
-    NEVER = "never"  # provably
+    NEVER = "never"  # it provably did not run
     MAYBE = "maybe"
     ANSWERED = "answered"
 
--- a/cartdeal/fleet/quota/granting.py
+++ b/cartdeal/fleet/quota/granting.py
@@ -37,9 +37,9 @@
 class _Headroom(NamedTuple):
     """The part of the owner's share that is available to one holder."""
 
-    rate: float  # the owner's whole rate
+    rate: float  # the owner's share of the limit's rate
     unleased_rate: float  # the rate that is not leased to other holders
-    burst: float  # the owner's whole burst
+    burst: float  # the owner's share of the limit's burst
     unleased_burst: float  # the burst that is not leased to other holders
     held_burst: float  # the burst that is already leased to this holder
     interim_cap: float  # cap of the holder's current lease until the response arrives
