--- a/cartdeal/fleet/quota/granting.py
+++ b/cartdeal/fleet/quota/granting.py
@@ -16,7 +16,7 @@
 RESERVED_RATE_SHARE = 1 / 16  # of the rate; never leased, it refills the bucket for new holders
 LEASED_DEMAND_SHARE = 0.75  # of a holder's demand is leased as a rate; it requests the rest as needed
 BASE_RATE_SHARE = 0.05  # of the rate, divided equally among active holders regardless of demand
-MAX_HOLDERS_SURVEYED_PER_REQUEST = 16  # with more, once every eighth of a lease
+MAX_HOLDERS_SURVEYED_PER_REQUEST = 16  # with more, demand is surveyed once every eighth of a lease
 MIN_TOKENS_PER_HOLDER = 5.0  # with fewer (of burst, or per lease), tokens are granted one by one
 HYSTERESIS_FACTOR = 1.5  # the minimum is multiplied by this to return to refill rates
 
--- a/cartdeal/fleet/quota/tenant_quota.py
+++ b/cartdeal/fleet/quota/tenant_quota.py
@@ -58,7 +58,7 @@
     def __init__(self) -> None:
         self.pending_sequence = 0  # of the request that awaits a response; 0: none does
         self.requested_at = -inf
-        self.is_silent = False  # its response has not come within the time that requests may wait
+        self.is_silent = False  # whether a response is later than requests may wait for it
         self.may_have_more = False  # the owner granted all that was requested
 
 
