--- a/cartdeal/emulator/__init__.py
+++ b/cartdeal/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets of real reducers in simulated time."""
+"""The emulator: fleets of real reducers, with simulated servers, network and clients, in simulated time."""
--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -1,5 +1,4 @@
-"""Plays a world: builds its fleet, discovery service, clients and faults on one clock, and counts what came
-of it.
+"""Runs a world: its agents, discovery service, clients and faults on one simulated clock, and its figures.
 
 It must never start a thread, read a clock or touch a socket: the same world and seed give the same trace.
 """
@@ -19,40 +18,44 @@
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 COUNTED_COLUMNS = "shots", "crossings", "probes", "handshakes", "list calls"
-SETTLING_S = 10.0  # how long after the last arrival a world goes on, so that all is answered
-RESTART_DELAY_S = 1.0  # how long a killed agent is away
+SETTLING_S = 10.0  # simulated after the last arrival, at least, so that all requests are answered
+RESTART_DELAY_S = 1.0  # before a killed agent starts again
 
 
 class DiscoveryService:
-    """Tells changes late; takes so many calls a second and turns away what would wait too long."""
+    """Publishes changes with a delay, and answers a limited number of calls per second.
+
+    A call that would wait longer than `timeout_s` fails.
+    """
 
     def __init__(self, fleet):
         self.fleet, self.clock, self.settings = fleet, fleet.clock, fleet.world.list
         self.entries, self.version, self.watchers = {}, 0, []
         self.free_at, self.is_down, self.extra_delay_s = 0.0, False, 0.0
-        self.calls_by_second = Counter()  # by second
+        self.calls_by_second = Counter()
 
     def complete_list(self) -> ServerList:
+        """The list of all servers."""
         return ServerList(self.version, True, tuple(self.entries.values()))
 
-    def schedule_change(self, server_entry: ServerEntry):
-        """What happens to a server; told when it is, and to those who watch then."""
-        self.clock.after(self.settings.late_s + self.extra_delay_s, self.publish, server_entry)
+    def schedule_change(self, entry: ServerEntry):
+        """Publishes a server's new entry after the delay, to the agents that watch then."""
+        self.clock.after(self.settings.late_s + self.extra_delay_s, self.publish, entry)
 
-    def publish(self, server_entry):
+    def publish(self, entry):
+        """Changes the list, and sends the entry to the watchers that can be reached."""
         self.version += 1
-        self.entries.pop(server_entry.name, None)
-        if server_entry.state != "left":
-            self.entries[server_entry.name] = server_entry
-        self.fleet.rule_checker.on_server_list_changed(
-            self.clock.now, server_entry.name, server_entry.state == "active"
-        )
-        server_list = ServerList(self.version, False, (server_entry,))
+        self.entries.pop(entry.name, None)
+        if entry.state != "left":
+            self.entries[entry.name] = entry
+        self.fleet.rule_checker.on_server_list_changed(self.clock.now, entry.name, entry.state == "active")
+        server_list = ServerList(self.version, False, (entry,))
         for agent in self.watchers:
             if self.fleet.reaches_discovery(agent):
                 self.clock.after(self.fleet.world.network.cross_s, agent.on_discovery_answer, server_list)
 
     def on_call(self, agent):
+        """Takes an agent's call: answers it in its turn, or fails it."""
         now, self.calls_by_second[int(self.clock.now)] = (
             self.clock.now,
             self.calls_by_second[int(self.clock.now)] + 1,
@@ -68,6 +71,7 @@
         self.clock.at(self.free_at, self.answer_call, agent, agent.generation)
 
     def answer_call(self, agent, generation):
+        """Answers a call, unless the agent was started anew since, and adds the agent to the watchers."""
         if self.is_down or agent.generation != generation:
             return agent.generation == generation and agent.on_discovery_answer(None)
         self.watchers.append(agent)
@@ -75,31 +79,41 @@
         agent.on_discovery_answer(self.complete_list() if is_outdated else ServerList(self.version))
 
     def remove_watcher(self, agent):
+        """Ends an agent's watch."""
         if agent in self.watchers:
             self.watchers.remove(agent)
 
     def fail(self):
+        """Stops the service: all watches fail, and so do calls until it is up again."""
         self.is_down, watchers, self.watchers = True, self.watchers, []
         for agent in watchers:
             agent.on_discovery_answer(None)
 
 
 class Fleet:
+    """A world's agents, servers, discovery service and clients; `run` runs it once.
+
+    Args:
+        world: The world.
+        seed: What all random draws come from.
+        make_reducer: Creates an agent's reducer.
+        trace: A list for a line per answer; None if none are wanted.
+        included_arrivals: The arrivals, as (agent, number of its arrival), that send requests; None for all.
+    """
+
     def __init__(self, world: World, seed: int, make_reducer=Reducer, trace=None, included_arrivals=None):
         self.world, self.seed, self.clock, self.trace = world, seed, SimulatedClock(), trace
         self.rule_checker, self.counts = RuleChecker(world), Counter()
-        self.arrivals, self.included_arrivals = (
-            [],
-            included_arrivals,
-        )  # (agent, which of its arrivals); all, or these alone
+        # (agent, number of its arrival): those so far, and those that send requests
+        self.arrivals, self.included_arrivals = [], included_arrivals
         self.random, self.work_random = seeded_random(seed, "network"), seeded_random(seed, "work")
-        self.isolated_zones = set()  # zones cut off from the others
+        self.isolated_zones = set()  # by index
         self.hot_key_share = 0.0
         self.offered_value = self.served_value = 0.0
-        self.latencies = []  # seconds from due to answer, of those completed
+        self.latencies = []  # seconds from the arrival to the answer, of completed requests
         self.cumulative_shares = list(accumulate(each.share for each in world.request_class))
         self.cumulative_popularity = list(
-            accumulate((1 + place) ** -world.clients.popularity for place in range(world.clients.keys))
+            accumulate((1 + rank) ** -world.clients.popularity for rank in range(world.clients.keys))
         )
         self.servers, self.next_server_number = {}, 0
         self.discovery = DiscoveryService(self)
@@ -110,66 +124,73 @@
             SimulatedAgent(self, number, number % len(world.zones), make_reducer)
             for number in range(world.agents)
         ]
-        self.open_requests = {}  # request -> request class, key, due, repeats so far, stand
+        self.open_requests = {}  # request -> (index of its class, key, due_at, repeat_count, agent)
 
     # Servers
 
     def add_server(self, zone, started=0.0):
+        """Adds a server with a new name; it is in slow start if it has a start time."""
         name = f"s{self.next_server_number}"
         self.next_server_number += 1
         random = seeded_random(self.seed, name)
         speed = max(0.3, 1 + self.world.servers.spread * random.uniform(-1, 1))
         server = Server(self.clock, self.world.servers, name, zone, speed, random, started)
         self.servers[name] = server
-        server_entry = self.server_entry(server)
+        entry = self.server_entry(server)
         if started:
-            self.discovery.schedule_change(server_entry)
+            self.discovery.schedule_change(entry)
         else:
-            self.discovery.entries[name] = server_entry
+            self.discovery.entries[name] = entry
         return server
 
     def server_entry(self, server, state="active") -> ServerEntry:
+        """The server's entry of the server list."""
         zone = self.world.zones[server.zone]
         return ServerEntry(server.name, server.name, zone, 0, state, 1.0, server.started * 1e3)
 
-    def draw_work(self, request, probe) -> float:
-        if probe:
+    def draw_work(self, request, is_probe) -> float:
+        """Draws the seconds of work of a request or a probe."""
+        if is_probe:
             return self.world.servers.probe_s
         request_class = self.world.request_class[request.request_class]
         return request_class.work_s * (
             self.work_random.expovariate(1.0) if request_class.spread == "exponential" else 1.0
         )
 
-    def one_way_delay(self, here, there) -> float | None:
-        if here != there and (here in self.isolated_zones or there in self.isolated_zones):
+    def one_way_delay(self, from_zone, to_zone) -> float | None:
+        """Draws a message's delay in seconds from one zone to another; None if they are cut off."""
+        if from_zone != to_zone and (from_zone in self.isolated_zones or to_zone in self.isolated_zones):
             return None
-        base = self.world.network.same_s if here == there else self.world.network.cross_s
+        base = self.world.network.same_s if from_zone == to_zone else self.world.network.cross_s
         return base * (1 + self.world.network.jitter * self.random.random())
 
     def reaches_discovery(self, agent) -> bool:
-        return agent.zone not in self.isolated_zones  # it stands outside of all zones
+        """Whether messages pass between an agent and the discovery service, which is outside all zones."""
+        return agent.zone not in self.isolated_zones
 
     # Clients
 
     def on_arrival(self, agent, random, rate):
+        """Sends a request of a random class and key, and schedules the agent's next arrival."""
         if self.clock.now >= self.world.seconds:
             return
         self.clock.after(
             random.expovariate(rate * self.arrival_rate_factor), self.on_arrival, agent, random, rate
         )
         class_index = bisect_left(self.cumulative_shares, random.random() * self.cumulative_shares[-1])
-        is_hot, place = random.random() < self.hot_key_share, random.random() * self.cumulative_popularity[-1]
-        key = 0 if is_hot else bisect_left(self.cumulative_popularity, place)
+        is_hot, draw = random.random() < self.hot_key_share, random.random() * self.cumulative_popularity[-1]
+        key = 0 if is_hot else bisect_left(self.cumulative_popularity, draw)
         agent.arrival_count += 1
         arrival = agent.number, agent.arrival_count
         self.arrivals.append(arrival)
         if self.included_arrivals is not None and arrival not in self.included_arrivals:
             return
-        if agent.is_running:  # an application stops with its agent
+        if agent.is_running:  # an agent's application stops with it
             self.offered_value += self.world.request_class[class_index].priority
         self.send_request(agent, class_index, key, self.clock.now, 0)
 
     def send_request(self, agent, class_index, key, due_at, repeat_count):
+        """Gives an agent a request that was due at `due_at`; `repeat_count` counts its earlier tries."""
         request_class, now = self.world.request_class[class_index], self.clock.now
         time_left = due_at + request_class.limit_s - now
         if not agent.is_running or time_left <= 0:
@@ -181,6 +202,7 @@
         agent.accept_request(request, class_index, zlib.crc32(b"%d" % key) + 1, time_left, repeat_count > 0)
 
     def on_answer(self, request, status, wait):
+        """Takes a client's answer; a rejected request is retried after `wait` seconds or more."""
         now = self.clock.now
         self.rule_checker.on_answer(now, request, status)
         class_index, key, due_at, repeat_count, agent = self.open_requests.pop(request, (0, 0, 0.0, 99, None))
@@ -197,20 +219,23 @@
 
     # Faults
 
-    def choose_affected(self, fault, place):
-        """Who meets it: a part of the servers (or agents), the same for the same seed."""
-        random = seeded_random(self.seed, f"fault {place}")
+    def choose_affected(self, fault, index):
+        """Draws the servers or agents that a fault affects, the same for the same seed."""
+        random = seeded_random(self.seed, f"fault {index}")
         if fault.kind == "kill":
             return random.sample(self.agents, max(1, round(fault.part * len(self.agents))))
         zone = self.world.zones.index(fault.zone) if fault.zone else None
-        here = [each for each in self.servers.values() if not each.is_draining and zone in (None, each.zone)]
-        return random.sample(here, max(1, round(fault.part * len(here)))) if here else []
+        candidates = [
+            each for each in self.servers.values() if not each.is_draining and zone in (None, each.zone)
+        ]
+        return random.sample(candidates, max(1, round(fault.part * len(candidates)))) if candidates else []
 
-    def start_fault(self, fault, place):
-        affected, kind, size = self.choose_affected(fault, place), fault.kind, fault.size
+    def start_fault(self, fault, index):
+        """Begins a fault, and schedules its end."""
+        affected, kind, size = self.choose_affected(fault, index), fault.kind, fault.size
         if kind == "replace":
-            for index, server in enumerate(affected):
-                self.clock.after(index * fault.lasts_s / len(affected), self.replace_server, server)
+            for position, server in enumerate(affected):
+                self.clock.after(position * fault.lasts_s / len(affected), self.replace_server, server)
             return
         if kind == "kill":
             for agent in affected:
@@ -248,30 +273,34 @@
             self.clock.after(fault.lasts_s, undo)
 
     def set_temporarily(self, target, name, value):
-        before = getattr(target, name)
+        """Sets an attribute; returns a function that sets it back."""
+        old_value = getattr(target, name)
         setattr(target, name, value)
-        return lambda: setattr(target, name, before)
+        return lambda: setattr(target, name, old_value)
 
     def restart_server(self, server):
+        """Starts a crashed server again, in slow start, and publishes its new start."""
         server.restart()
         self.discovery.schedule_change(self.server_entry(server))
 
     def replace_server(self, server):
-        """It drains, is gone when its work is done, and one under a new id starts cold."""
+        """Drains a server, and removes it when its work is done; a new server starts in its place."""
         server.is_draining = True
         self.discovery.schedule_change(self.server_entry(server, "leaving"))
         self.clock.after(self.world.list.late_s + 2.0, self.remove_server, server)
         self.add_server(server.zone, max(self.clock.now, 1e-3))
 
     def remove_server(self, server):
+        """Stops a drained server, and publishes that it has left."""
         server.stop()
         self.discovery.schedule_change(self.server_entry(server, "left"))
 
-    # The day
+    # The run
 
     arrival_rate_factor = 1.0
 
     def run(self):
+        """Runs the world to its end, and checks the rules; returns the fleet."""
         world = self.world
         shares = seeded_random(self.seed, "shares")
         variance = world.clients.unevenness**2
@@ -282,14 +311,15 @@
             agent.known_servers = self.discovery.complete_list()
             self.clock.after(0.0, agent.start)
             self.clock.after(0.1 + random.expovariate(rate), self.on_arrival, agent, random, rate)
-        for place, fault in enumerate(world.fault):
-            self.clock.at(fault.begins_s, self.start_fault, fault, place)
+        for index, fault in enumerate(world.fault):
+            self.clock.at(fault.begins_s, self.start_fault, fault, index)
         max_timeout = max(each.limit_s for each in world.request_class)
         self.clock.run(world.seconds + max(SETTLING_S, 2 * max_timeout))
         self.rule_checker.check_unanswered(self.clock.now)
         return self
 
     def figures(self) -> dict:
+        """The figures of the run, by the names of their columns."""
         loads = [server.busy_s for server in self.servers.values()]
         mean = sum(loads) / len(loads)
         deviation = sqrt(sum((load - mean) ** 2 for load in loads) / len(loads))
--- a/cartdeal/emulator/report.py
+++ b/cartdeal/emulator/report.py
@@ -1,7 +1,7 @@
-"""Plays a world once for each seed, and prints one line of figures each, tab-separated.
+"""Runs a world once for each seed, and prints one tab-separated line of figures for each run.
 
-Exit status 0: the rules were kept. 1: one was broken; each violation stands on standard error. 2: the file
-can't be used, and nothing was runner (`cli.py` says so).
+The exit status is 0 if no rule was broken, and 1 if one was; each violation is printed on standard error.
+`cli.py` exits with status 2, before any run, if the file of the world is invalid.
 """
 
 import click
@@ -11,7 +11,13 @@
 
 
 def run_seeds(make_runner, seeds, trace=None) -> int:
-    """`make` gives what has played the world on a seed, on whichever clock."""
+    """Prints the figures and violations of each seed's run; returns the exit status.
+
+    Args:
+        make_runner: Takes a seed and returns the finished run, in simulated time or on sockets.
+        seeds: The seeds to run.
+        trace: A file for the trace lines of all runs; None if none are wanted.
+    """
     broken = False
     for place, seed in enumerate(seeds):
         runner = make_runner(seed)
@@ -28,7 +34,7 @@
 
 
 def percentiles(latencies) -> dict:
-    """In milliseconds, counted from when each request was due."""
+    """Percentiles, in milliseconds, of latencies in seconds, each counted from when its request was due."""
     histogram = HdrHistogram(1, 3_600_000_000, 3)
     for each in latencies:
         histogram.record_value(max(1, int(each * 1e6)))
--- a/cartdeal/emulator/servers.py
+++ b/cartdeal/emulator/servers.py
@@ -1,19 +1,19 @@
-"""A server: cores, a waiting room, a warm-up, a bound on connections, and what can go wrong with it.
+"""A simulated server: cores, a bounded queue, slow start, a bound on connections, and injected faults.
 
-It works off what it is given, first come first served, and must never know who sent it or why.
+It runs its jobs first come, first served, and must never know who sent them or why.
 """
 
 from collections import deque
 
 
 def capacity_share(settings, started, now) -> float:
-    """Share of its capacity that a server has; one that started long ago (0) has all."""
+    """The share of its full capacity that a server has; all of it if `started` is 0.0, for long ago."""
     age = (now - started) / settings.cold_s
     return min(1.0, settings.cold_from + (1 - settings.cold_from) * age) if started else 1.0
 
 
 class Job:
-    """Work at a server; `done` is called with a status once, `began` when it starts to run."""
+    """Seconds of work at a server. `on_done` gets its status once; `on_started` is called when it starts."""
 
     __slots__ = ("work", "on_done", "on_started", "request_class", "is_running", "is_cancelled")
 
@@ -28,13 +28,15 @@
 
 
 class Server:
+    """A server in simulated time. `speed` is a factor of its capacity; `settings` are those of its world."""
+
     def __init__(self, clock, settings, name, zone, speed, random, started=0.0):
         self.clock, self.settings, self.name, self.zone, self.speed = clock, settings, name, zone, speed
         self.random = random
-        self.started = started  # 0: long ago
+        self.started = started  # simulated seconds; 0.0 if long ago
         self.is_up, self.is_draining, self.generation = True, False, 0
         self.slowdown, self.is_silent, self.error_rate, self.reset_rate = 1.0, False, 0.0, 0.0
-        self.error_rates_by_class = {}  # request class -> share that fails
+        self.error_rates_by_class = {}  # request class -> share of its requests that fail
         self.queue, self.running_count, self.open_connections = deque(), 0, 0
         self.busy_s, self.served_count, self.rejected_count, self.handshake_count, self.probe_count = (
             0.0,
@@ -45,18 +47,20 @@
         )
 
     def capacity_share(self) -> float:
+        """The share of its full capacity that the server has now, in slow start or after it."""
         return capacity_share(self.settings, self.started, self.clock.now)
 
     def capacity(self) -> float:
-        """Seconds of work that it does in a second."""
+        """Seconds of work that the server does in a second."""
         return self.settings.cores * self.speed * self.capacity_share() / self.slowdown
 
     @property
     def job_count(self) -> int:
+        """The number of jobs that run or wait."""
         return self.running_count + len(self.queue)
 
     def accept(self, job: Job) -> bool:
-        """False where there is no room, or it drains: then it has not run and never will."""
+        """Takes a job; false if the queue is full or the server drains, in which case the job never runs."""
         if self.is_draining or self.job_count >= self.settings.cores + self.settings.waiting:
             self.rejected_count += 1
             return False
@@ -65,6 +69,7 @@
         return True
 
     def start_jobs(self):
+        """Starts waiting jobs while a core is free."""
         while self.queue and self.running_count < self.settings.cores:
             job = self.queue.popleft()
             if job.is_cancelled:
@@ -80,6 +85,7 @@
             self.clock.after(duration, self.finish, job, self.generation)
 
     def finish(self, job, generation):
+        """Ends a job that was started in `generation`; those of before a restart are dropped."""
         if generation != self.generation:
             return
         self.running_count -= 1
@@ -91,20 +97,24 @@
         self.start_jobs()
 
     def cancel(self, job):
+        """Takes a waiting job out of the queue, if the world's servers do so."""
         if not job.is_running and self.settings.on_cancel == "waiting":
             job.is_cancelled = True
             if job in self.queue:
                 self.queue.remove(job)
 
     def start_handshake(self):
+        """Puts the work of a new connection before all waiting jobs."""
         self.handshake_count += 1
         self.queue.appendleft(Job(self.settings.handshake_s, lambda status: None))
         self.start_jobs()
 
     def stop(self):
+        """Ends the server's process: its jobs and connections are lost."""
         self.is_up, self.generation = False, self.generation + 1
         self.queue.clear()
         self.running_count = self.open_connections = 0
 
     def restart(self):
+        """Starts the process anew; the server is in slow start."""
         self.is_up, self.started = True, self.clock.now
--- a/cartdeal/emulator/shrink.py
+++ b/cartdeal/emulator/shrink.py
@@ -1,7 +1,7 @@
-"""Cuts a run down to the faults and arrivals that a violation needs, by leaving out ever smaller parts.
+"""Shrinks a world and its arrivals to those that a violation needs, by leaving out smaller and smaller parts.
 
-What is left breaks the same rule; it is small, not the smallest there is. It must never call something needed
-that was not tried without.
+The shrunk world breaks the same rule; it is small, but not always the smallest such world. A fault or arrival
+is kept only after a run without it did not break the rule, or when MAX_RUN_COUNT runs are used up.
 """
 
 from typing import NamedTuple
@@ -13,21 +13,26 @@
 from cartdeal.emulator.rule_checker import Violation
 from cartdeal.emulator.world import World
 
-MAX_RUN_COUNT = 400  # plays
+MAX_RUN_COUNT = 400
 
 
 class ShrunkWorld(NamedTuple):
+    """A small world that still breaks the rule, and the number of runs that it took to find it."""
+
     world: World
-    arrivals: list  # (agent, which of its arrivals)
+    arrivals: list  # (agent, number of its arrival)
     violation: Violation
     run_count: int
 
 
 class Shrinker:
+    """Runs smaller worlds on one seed, to see whether they still break `rule`."""
+
     def __init__(self, seed, make_reducer, rule):
         self.seed, self.make_reducer, self.rule, self.run_count = seed, make_reducer, rule, 0
 
     def reproduces(self, world, arrivals) -> Violation | None:
+        """Runs a world with these arrivals alone; returns its first violation of the rule, if any."""
         self.run_count += 1
         found = (
             Fleet(world, self.seed, self.make_reducer, included_arrivals=set(arrivals))
@@ -37,7 +42,7 @@
         return next((each for each in found if each.rule == self.rule), None)
 
     def reduce_parts(self, parts, test):
-        """Fewer of `parts` for which `test` still holds."""
+        """Returns a sublist of `parts` for which `test` still holds."""
         size = len(parts)
         while size >= 1 and self.run_count < MAX_RUN_COUNT:
             at = 0
@@ -52,7 +57,7 @@
 
 
 def shrink(world: World, seed: int, make_reducer=Reducer) -> ShrunkWorld | None:
-    """None where the run breaks no rule."""
+    """Shrinks the world to what its first violation needs; None if its run breaks no rule."""
     full_run = Fleet(world, seed, make_reducer).run()
     if not full_run.rule_checker.violations:
         return None
--- a/cartdeal/emulator/simulated_agent.py
+++ b/cartdeal/emulator/simulated_agent.py
@@ -1,7 +1,7 @@
-"""An agent of the emulated fleet: the real reducer, with the emulated network where sockets would be.
+"""An agent of the emulated fleet: the real reducer, with a simulated network in place of sockets.
 
-It carries out what the reducer asks for, as effects.py does on sockets, and reports to the judge what the
-network sees. It must never decide anything, nor show the judge what the agent thinks.
+It carries out the reducer's effects, as effects.py does on sockets, and reports to the rule checker what
+passes over the network. It must never decide anything, nor pass the agent's state to the checker.
 """
 
 from msgspec import convert
@@ -12,11 +12,13 @@
 from cartdeal.emulator.world import agent_settings
 from cartdeal.settings import Settings
 
-DEADLINE_MARGIN_S = 0.01  # kept free of a request_id's time, as the front does
-IDLE_TIMEOUT_S = 6.0  # how long a connection is kept
+DEADLINE_MARGIN_S = 0.01  # taken off each request's timeout, as agent/front.py does
+IDLE_TIMEOUT_S = 6.0  # after which an idle connection is closed
 
 
 class Attempt:
+    """An attempt or a probe on its way to a server."""
+
     def __init__(self, name, request, server, deadline):
         self.name, self.request, self.server, self.deadline = name, request, server, deadline
         self.progress, self.is_over, self.job, self.is_connected = Progress.NOT_CONNECTED, False, None, False
@@ -24,21 +26,19 @@
 
 
 class SimulatedAgent:
+    """One agent, which may be killed and started again; `generation` counts its starts."""
+
     def __init__(self, fleet, number, zone, make_reducer=Reducer):
         self.fleet, self.clock, self.number, self.zone = fleet, fleet.clock, number, zone
-        self.make_reducer, self.generation, self.is_running, self.arrival_count = (
-            make_reducer,
-            0,
-            False,
-            0,
-        )  # came: arrivals so far
+        self.make_reducer, self.generation, self.is_running, self.arrival_count = make_reducer, 0, False, 0
         self.known_servers = ServerList()
         self.is_watching = False
         self.attempts, self.idle_connections = {}, {}
 
-    # Its life
+    # Start, stop and events
 
     def start(self):
+        """Starts the agent with a new reducer, which knows the last server list that the agent received."""
         world = self.fleet.world
         self.generation, self.is_running, self.is_watching = self.generation + 1, True, False
         self.attempts, self.idle_connections = {}, {}
@@ -53,6 +53,7 @@
         self.run_effects()
 
     def stop(self):
+        """Kills the agent: its connections and its watch end."""
         self.is_running = False
         self.fleet.rule_checker.on_agent_killed(self.number)
         for attempt in self.attempts.values():
@@ -63,68 +64,79 @@
         self.fleet.discovery.remove_watcher(self)
 
     def dispatch(self, event, *args):
+        """Has the reducer handle one event, and carries out its effects."""
         self.reducer.now = self.clock.now
         getattr(self.reducer, event)(*args)
         self.run_effects()
 
     def dispatch_at(self, time, event, *args):
+        """Dispatches an event at a time, unless the agent has ended by then."""
         generation = self.generation
         self.clock.at(
             time, lambda: self.is_running and self.generation == generation and self.dispatch(event, *args)
         )
 
     def run_effects(self):
+        """Calls the method of each effect that the reducer has asked for."""
         effects, self.reducer.effects = self.reducer.effects, []
         for handler, *args in effects:
             getattr(self, handler)(*args)
 
-    # What the reducer asks for
+    # Effects of the reducer
 
     def request_accepted(self, request_id, number):
-        pass  # the fleet knows a request_id by its id
+        """Does nothing: the fleet identifies a request by its id alone."""
 
     def refuse_request(self, request_id, status, detail):
+        """Answers a request that the reducer did not accept."""
         self.fleet.on_answer(request_id, status, 0.0)
 
     def answer(self, request_id, status, content_type, body, wait):
+        """Answers a request; `wait` is the retry-after time in seconds."""
         self.fleet.on_answer(request_id, status, wait)
 
     def set_timer(self, token, at):
+        """Sets a timer of the reducer."""
         self.dispatch_at(at, "on_timer", token)
 
     def set_deadline_timer(self, number, at):
+        """Sets the timer of a request's deadline."""
         self.dispatch_at(at, "on_deadline_passed", number)
 
     def watch(self, is_on=True):
+        """Starts a watch of the server list, if there is none."""
         if is_on and not self.is_watching:
             self.is_watching = True
             self.fleet.discovery.on_call(self)
 
     def fetch_servers(self):
+        """Fetches the server list."""
         self.fleet.discovery.on_call(self)
 
     def close_idle(self, index):
-        pass  # the emulated network tells no more of a connection than of its server
+        """Does nothing: idle connections of a server close with it or after IDLE_TIMEOUT_S."""
 
     def send_peer_message(self, agent, message):
-        pass
+        """Does nothing: the emulated agents have no peers."""
 
     def log_note(self, text):
-        pass
+        """Does nothing: the emulator keeps no log."""
 
     def log(self, message, fields):
-        pass
+        """Does nothing: the emulator keeps no log."""
 
     def log_violation(self, fields):
+        """Passes on a violation that the agent's own checks found."""
         self.fleet.rule_checker.agent_violations.append(fields)
 
-    def accept_request(self, request_id, request_class, key, wait, is_retry):
+    def accept_request(self, request_id, request_class, key, timeout, is_retry):
+        """Has the reducer handle a client's request, with a timeout in seconds."""
         request = Request(
             request_class,
             False,
             0,
             key,
-            wait - DEADLINE_MARGIN_S,
+            timeout - DEADLINE_MARGIN_S,
             is_retry,
             b"POST",
             b"/",
@@ -138,6 +150,7 @@
     # Attempts
 
     def send_attempt(self, number, attempt_number, index, address, request, deadline):
+        """Sends an attempt of a request to a server."""
         fleet = self.fleet
         attempt = self.attempts[number, attempt_number] = Attempt(
             request.id.decode(), request, fleet.servers[address], deadline
@@ -156,14 +169,14 @@
         self.reducer.on_attempt_started(number, attempt_number, index, 0.0)
         self.connect(attempt, on_result)
 
-    def connect(self, attempt, on_result, probe=False):
-        """Up to where the last byte is written; `end` gets the result, once."""
+    def connect(self, attempt, on_result, is_probe=False):
+        """Takes an idle connection or opens one, and writes the request; `on_result` gets one result."""
         fleet, server, now = self.fleet, attempt.server, self.clock.now
         attempt.sent_at, network = now, fleet.world.network
         self.clock.at(max(now, attempt.deadline), self.on_timeout, attempt, on_result)
         attempt.generation, attempt.is_connected = server.generation, self.take_idle(server)
         delay = fleet.one_way_delay(self.zone, server.zone)
-        if delay is None:  # cut off: nothing comes back
+        if delay is None:  # the server is cut off
             return self.clock.after(
                 network.connect_s, self.on_connection_broken, attempt, on_result, "never came up", True
             )
@@ -178,10 +191,10 @@
             server.start_handshake()
             fleet.counts["handshakes"] += 1
         attempt.is_connected = True
-        self.clock.after(3 * delay, self.write, attempt, on_result, probe)
+        self.clock.after(3 * delay, self.write, attempt, on_result, is_probe)
 
     def take_idle(self, server) -> bool:
-        """Whether a kept connection could be had; one from before the server started again is none."""
+        """Takes an idle connection to the server; false if none is left from since the server started."""
         connections = self.idle_connections.get(server, [])
         while connections:
             if connections.pop()[1] == server.generation:
@@ -189,27 +202,29 @@
         return False
 
     def close_expired(self, server, age=IDLE_TIMEOUT_S - 1e-6):
-        old = [each for each in self.idle_connections.get(server, ()) if each[0] <= self.clock.now - age]
-        server.open_connections -= sum(generation == server.generation for _, generation in old)
+        """Closes connections to the server that have been idle for `age` seconds."""
+        expired = [each for each in self.idle_connections.get(server, ()) if each[0] <= self.clock.now - age]
+        server.open_connections -= sum(generation == server.generation for _, generation in expired)
         self.idle_connections[server] = [
-            each for each in self.idle_connections.get(server, ()) if each not in old
+            each for each in self.idle_connections.get(server, ()) if each not in expired
         ]
         if not self.idle_connections[server]:
             del self.idle_connections[server]
 
-    def write(self, attempt, on_result, probe):
+    def write(self, attempt, on_result, is_probe):
+        """Delivers the whole request to the server, which queues it or answers 503."""
         fleet, server = self.fleet, attempt.server
         if attempt.is_over:
             return
         if attempt.generation != server.generation:
             return self.on_connection_broken(attempt, on_result, "reset")
         attempt.progress = Progress.WRITTEN
-        work = fleet.draw_work(attempt.request, probe)
+        work = fleet.draw_work(attempt.request, is_probe)
         if server.started and server.capacity_share() < 1:
             fleet.rule_checker.on_work_at_cold_server(
-                self.clock.now, server, work, None if probe else self.number
+                self.clock.now, server, work, None if is_probe else self.number
             )
-        class_name = "" if probe else fleet.world.request_class[attempt.request.request_class].name
+        class_name = "" if is_probe else fleet.world.request_class[attempt.request.request_class].name
         attempt.job = Job(
             work, lambda status: self.send_answer(attempt, on_result, status), request_class=class_name
         )
@@ -218,16 +233,18 @@
         if not server.accept(attempt.job):
             attempt.job = None
             return self.send_answer(attempt, on_result, 503)
-        loss = max(fleet.world.network.loss, server.reset_rate)
-        if loss and not probe and fleet.random.random() < loss:
+        reset_rate = max(fleet.world.network.loss, server.reset_rate)
+        if reset_rate and not is_probe and fleet.random.random() < reset_rate:
             self.clock.after(0.01, self.on_connection_broken, attempt, on_result, "reset")
 
     def send_answer(self, attempt, on_result, status):
+        """Sends the server's answer to the agent, unless they are cut off."""
         delay = self.fleet.one_way_delay(self.zone, attempt.server.zone)
         if delay is not None and not attempt.is_over:
             self.clock.after(delay, self.on_answer_received, attempt, on_result, status)
 
     def on_answer_received(self, attempt, on_result, status):
+        """Ends the attempt with an answer; its connection becomes idle."""
         if not attempt.is_over and attempt.generation == attempt.server.generation:
             attempt.progress = Progress.COMPLETE
             self.idle_connections.setdefault(attempt.server, []).append((self.clock.now, attempt.generation))
@@ -235,15 +252,18 @@
             attempt.is_connected = False
             on_result(self.make_result(attempt, FailureReason.ANSWERED, status, status == 503))
 
-    def on_connection_broken(self, attempt, on_result, detail, never_up=False):
+    def on_connection_broken(self, attempt, on_result, detail, is_never_connected=False):
+        """Ends the attempt because its connection broke or was never made."""
         if not attempt.is_over:
             on_result(self.make_result(attempt, FailureReason.CONNECTION_BROKEN, detail=detail))
 
     def on_timeout(self, attempt, on_result):
+        """Ends the attempt at its deadline."""
         if not attempt.is_over:
             on_result(self.make_result(attempt, FailureReason.TIMED_OUT))
 
     def make_result(self, attempt, reason, status=0, not_processed=False, detail=""):
+        """Marks the attempt as over, closes its connection unless it was answered, and returns its result."""
         attempt.is_over = True
         if reason is not FailureReason.ANSWERED:
             self.close_connection(attempt)
@@ -252,7 +272,7 @@
         )
 
     def close_connection(self, attempt):
-        """Closes its connection, which is all that a server sees of an attempt given up."""
+        """Closes the attempt's connection; by this alone the server learns that the attempt was abandoned."""
         if attempt.is_connected and attempt.generation == attempt.server.generation:
             attempt.server.open_connections -= 1
             if attempt.job:
@@ -260,6 +280,7 @@
         attempt.is_connected = False
 
     def on_attempt_ended(self, number, attempt_number, index, result):
+        """Reports the end of an attempt to the rule checker and to the reducer."""
         attempt = self.attempts.pop((number, attempt_number))
         if not self.is_running:
             return
@@ -269,13 +290,17 @@
         self.dispatch("on_attempt_ended", number, index, attempt_number, result)
 
     def cancel(self, number, attempt_number):
+        """Cancels an attempt, if it has not ended."""
         attempt = self.attempts.get((number, attempt_number))
         if attempt and not attempt.is_over:
-            index = next(i for i, each in self.reducer.servers.items() if each.address == attempt.server.name)
+            index = next(
+                index for index, each in self.reducer.servers.items() if each.address == attempt.server.name
+            )
             result = self.make_result(attempt, FailureReason.CANCELLED)
             self.clock.after(0.0, self.on_attempt_ended, number, attempt_number, index, result)
 
     def probe(self, index, address):
+        """Sends a probe to a server."""
         server, generation = self.fleet.servers[address], self.generation
         attempt = Attempt("", None, server, self.clock.now + 2 * self.fleet.world.network.connect_s)
         server.probe_count += 1
@@ -285,18 +310,19 @@
             lambda result: self.is_running
             and generation == self.generation
             and self.dispatch("on_probe_ended", index, result),
-            probe=True,
+            is_probe=True,
         )
 
-    # The list
+    # The server list
 
     def report_received_state(self, entry):
+        """Tells the rule checker that the agent received a server's entry."""
         self.fleet.rule_checker.on_server_state_received(
             self.clock.now, self.number, entry.name, entry.state == "active", entry.started_ms / 1e3
         )
 
     def on_discovery_answer(self, server_list: ServerList | None):
-        """Of a call or a watch; None: it failed."""
+        """Takes a list from a call or a watch, or None if it failed."""
         if not self.is_running:
             return
         if server_list is None:
