--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator against theory, against itself, and its judge against planted faults."""
+"""The emulator: waiting times against theory, determinism, and whether the checker finds injected faults."""
 
 import os
 import subprocess
@@ -16,7 +16,7 @@
 from cartdeal.emulator.shrink import shrink
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-HARD = {
+FAULTY_WORLD = {
     "seconds": 14.0,
     "agents": 12,
     "clients": {"per_s": 120.0, "retries": 1, "unevenness": 1.0},
@@ -33,8 +33,9 @@
         {"kind": "list_late", "begins_s": 2.0, "lasts_s": 6.0, "size": 1.0},
     ],
 }
-# Its limits keep the module under the usual multiple here even with no ramp, so this world allows less.
-COLD = {
+# In this world the agents' other limits keep within the usual multiple of 3 even without slow start, so the
+# world allows less.
+SLOW_START_WORLD = {
     "seconds": 12.0,
     "agents": 30,
     "zones": ["a"],
@@ -45,66 +46,74 @@
 }
 
 
-def play(world, seed=5, make=Reducer, **more):
-    return Fleet(worlds.world_from_dict(world), seed, make, **more).run()
+def run_world(world, seed=5, make_reducer=Reducer, **options):
+    return Fleet(worlds.world_from_dict(world), seed, make_reducer, **options).run()
 
 
 # Theory
 
 
-def waits(cores, load, count=60_000):
-    """Times from arrival to the start of work, at one server with Poisson arrivals and exponential work."""
+def measure_waiting(cores, load, count=60_000):
+    """Waiting times of one server with Poisson arrivals and exponential work.
+
+    Returns the times from arrival to the start of work, the mean job count, and the same by Little's law.
+    """
     clock, settings = SimulatedClock(), worlds.Servers(cores=cores, waiting=100_000)
-    server, random, found = (
+    server, random, waiting_times = (
         Server(clock, settings, "s", 0, 1.0, seeded_random(1, "s")),
         seeded_random(3, f"{cores}"),
         [],
     )
-    area, last = [0.0], [0.0]
+    job_seconds, last_at = [0.0], [0.0]
 
-    def count_held():
-        area[0] += server.job_count * (clock.now - last[0])
-        last[0] = clock.now
+    def count_jobs():
+        job_seconds[0] += server.job_count * (clock.now - last_at[0])
+        last_at[0] = clock.now
 
-    def arrive(left):
-        count_held()
-        came = clock.now
+    def arrive(remaining):
+        count_jobs()
+        arrived_at = clock.now
         server.accept(
             Job(
                 random.expovariate(1.0),
-                lambda status: times.append(clock.now - came),
-                lambda: found.append(clock.now - came),
+                lambda status: sojourn_times.append(clock.now - arrived_at),
+                lambda: waiting_times.append(clock.now - arrived_at),
             )
         )
-        if left:
-            clock.after(random.expovariate(load * cores), arrive, left - 1)
+        if remaining:
+            clock.after(random.expovariate(load * cores), arrive, remaining - 1)
 
-    times, finish = [], server.finish
-    server.finish = lambda job, life: (count_held(), finish(job, life))
+    sojourn_times, finish = [], server.finish
+    server.finish = lambda job, generation: (count_jobs(), finish(job, generation))
     clock.after(0.0, arrive, count)
     clock.run(count / (load * cores) * 2)
-    end = last[0]
-    return found, area[0] / end, len(times) / end * sum(times) / len(times)
+    end = last_at[0]
+    return (
+        waiting_times,
+        job_seconds[0] / end,
+        len(sojourn_times) / end * sum(sojourn_times) / len(sojourn_times),
+    )
 
 
 @pytest.mark.parametrize("cores, load", [(1, 0.5), (1, 0.8), (4, 0.7)])
-def test_waiting_times_agree_with_erlang_and_with_little(cores, load):
-    found, held, by_little = waits(cores, load)
+def test_waiting_times_agree_with_erlang_c_and_littles_law(cores, load):
+    waiting_times, job_count, littles_job_count = measure_waiting(cores, load)
     offered = cores * load
     queue = offered**cores / factorial(cores) / (1 - load)
     waiting = queue / (queue + sum(offered**k / factorial(k) for k in range(cores)))
     expected = waiting / (cores - offered)
-    batches = [sum(found[n : n + 2000]) / 2000 for n in range(0, 60_000, 2000)]  # batch means
+    batches = [sum(waiting_times[n : n + 2000]) / 2000 for n in range(0, 60_000, 2000)]  # batch means
     mean = sum(batches) / len(batches)
     error = sqrt(sum((each - mean) ** 2 for each in batches) / (len(batches) - 1) / len(batches))
     assert abs(mean - expected) < 3 * error
-    assert held == pytest.approx(by_little, rel=1e-6)
+    assert job_count == pytest.approx(littles_job_count, rel=1e-6)
 
 
-def test_requests_in_equal_requests_out_and_the_rules_are_kept():
-    fleet = play(HARD)
+def test_each_request_is_answered_or_excused_and_no_rule_is_broken():
+    fleet = run_world(FAULTY_WORLD)
     rule_checker = fleet.rule_checker
-    assert not rule_checker.violations and rule_checker.excused_count  # agents were killed with requests open
+    # Requests are excused because agents were killed while they were open.
+    assert not rule_checker.violations and rule_checker.excused_count
     assert (
         rule_checker.accepted_count
         == rule_checker.answered_count + rule_checker.excused_count
@@ -118,89 +127,89 @@
     ]
 
 
-def test_same_seed_same_trace_in_another_process_with_another_hash_seed():
-    words = (
-        "import zlib; from tests.test_emulator import *; trace = []; play(HARD, 9, trace=trace);"
+def test_a_seed_gives_the_same_trace_in_processes_of_different_hash_seeds():
+    program = (
+        "import zlib; from tests.test_emulator import *; trace = []; run_world(FAULTY_WORLD, 9, trace=trace);"
         "print(zlib.crc32(repr(trace).encode()), len(trace))"
     )
-    said = {
+    outputs = {
         subprocess.run(
-            [sys.executable, "-c", words],
+            [sys.executable, "-c", program],
             env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True,
             check=True,
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(said) == 1 and int(said.pop().split()[1]) > 1000
+    assert len(outputs) == 1 and int(outputs.pop().split()[1]) > 1000
 
 
-# The judge
+# The rule checker
 
 
 class DrainIgnored(Reducer):
-    def listed_server(self, line):
-        found = super().listed_server(line)
+    def listed_server(self, entry):
+        found = super().listed_server(entry)
         return found._replace(state=ServerState.READY)
 
 
 class GoneIgnored(Reducer):
     def remove_server(self, name):
         self.server_indices[name] = self.server_indices[name]
-        return self.balancer.servers and super().listed_server(self.lines[name])
+        return self.balancer.servers and super().listed_server(self.entries[name])
 
-    def listed_server(self, line):
-        self.lines = getattr(self, "lines", {}) | {line.name.encode(): line}
-        return super().listed_server(line)._replace(state=ServerState.READY)
+    def listed_server(self, entry):
+        self.entries = getattr(self, "entries", {}) | {entry.name.encode(): entry}
+        return super().listed_server(entry)._replace(state=ServerState.READY)
 
 
-class SentAgain(Reducer):
+class AlwaysSentAgain(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
         self.balancer.is_attempt_safe = lambda request, server, now: True
 
 
-class NoRamp(Reducer):
+class NoSlowStart(Reducer):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.slow_start_allows = lambda server, now, like: True
+        self.balancer.slow_start_allows = lambda server, now, rate: True
 
 
 class TwoAnswers(Reducer):
-    def answer(self, number, status, kind, body, wait):
+    def answer(self, number, status, content_type, body, wait):
         pending = self.requests.get(number)
         if pending and pending.client is not None and number % 50 == 0:
-            self.effects.append(("answer", pending.client, status, kind, body, wait))
-        super().answer(number, status, kind, body, wait)
+            self.effects.append(("answer", pending.client, status, content_type, body, wait))
+        super().answer(number, status, content_type, body, wait)
 
 
-class Forgotten(Reducer):
+class AnswerForgotten(Reducer):
     def answer(self, number, *args):
         if number % 50:
             super().answer(number, *args)
 
 
-class Overdue(Reducer):
-    def on_request(self, asker, request):
-        super().on_request(asker, request._replace(timeout=request.timeout + 1.0))
+class LateAnswers(Reducer):
+    def on_request(self, client, request):
+        super().on_request(client, request._replace(timeout=request.timeout + 1.0))
 
 
-class RejectedInDoubt(Reducer):
+class RejectedWhenUncertain(Reducer):
     def fail(self, request):
         self.reject(request, 0.0)
 
 
 class SentAfterAnswer(Reducer):
-    def on_attempt_ended(self, number, server, attempt, ending, load=None):
+    def on_attempt_ended(self, number, server, attempt, result, load=None):
         pending = self.requests.get(number)
-        super().on_attempt_ended(number, server, attempt, ending, load)
+        super().on_attempt_ended(number, server, attempt, result, load)
         if pending and number % 50 == 0 and server in self.servers and number not in self.requests:
             self.requests[number] = pending
             self.send_attempt(number, server, 0.0)
             del self.requests[number]
 
 
-class BothAtOnce(Reducer):
+class TwoAttemptsAtOnce(Reducer):
     def send_attempt(self, request, server, until):
         super().send_attempt(request, server, until)
         if self.requests[request].attempt_count == 1 and request % 50 == 0:
@@ -208,59 +217,62 @@
 
 
 @pytest.mark.parametrize(
-    "breakage, world, rule",
+    "faulty_reducer, world, rule",
     [
-        (DrainIgnored, HARD, 3),
-        (GoneIgnored, HARD, 3),
-        (SentAgain, HARD, 2),
-        (RejectedInDoubt, HARD, 2),
-        (BothAtOnce, HARD, 2),
-        (TwoAnswers, HARD, 1),
-        (Forgotten, HARD, 1),
-        (Overdue, HARD, 1),
-        (SentAfterAnswer, HARD, 1),
-        (NoRamp, COLD, 4),
+        (DrainIgnored, FAULTY_WORLD, 3),
+        (GoneIgnored, FAULTY_WORLD, 3),
+        (AlwaysSentAgain, FAULTY_WORLD, 2),
+        (RejectedWhenUncertain, FAULTY_WORLD, 2),
+        (TwoAttemptsAtOnce, FAULTY_WORLD, 2),
+        (TwoAnswers, FAULTY_WORLD, 1),
+        (AnswerForgotten, FAULTY_WORLD, 1),
+        (LateAnswers, FAULTY_WORLD, 1),
+        (SentAfterAnswer, FAULTY_WORLD, 1),
+        (NoSlowStart, SLOW_START_WORLD, 4),
     ],
 )
-def test_judge_finds_a_planted_fault_and_names_its_rule(breakage, world, rule):
-    found = play(world, make=breakage).rule_checker.violations
-    assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
-    assert all(each.text and each.subject for each in found)
+def test_rule_checker_reports_an_injected_fault_by_its_rule(faulty_reducer, world, rule):
+    violations = run_world(world, make_reducer=faulty_reducer).rule_checker.violations
+    assert Counter(each.rule for each in violations).most_common(1)[0][0] == rule
+    assert all(each.text and each.subject for each in violations)
 
 
 @pytest.mark.parametrize(
-    "breakage, invariant",
+    "faulty_reducer, invariant",
     [
-        (SentAgain, "no_second_effect"),
-        (RejectedInDoubt, "no_unsafe_rejection"),
+        (AlwaysSentAgain, "no_second_effect"),
+        (RejectedWhenUncertain, "no_unsafe_rejection"),
     ],
 )
-def test_agents_find_a_planted_fault_by_their_own_checks(breakage, invariant):
-    """By a record of their own, whatever their decisions believe."""
+def test_agents_report_an_injected_fault_by_their_own_checks(faulty_reducer, invariant):
+    """The agents' checks keep a record of their own, apart from the state that the decisions use."""
     assert invariant in {
-        each["invariant"] for each in play(HARD, make=breakage).rule_checker.agent_violations
+        each["invariant"]
+        for each in run_world(FAULTY_WORLD, make_reducer=faulty_reducer).rule_checker.agent_violations
     }
 
 
-@pytest.mark.parametrize("world", [HARD, COLD])
-def test_agents_that_keep_the_rules_find_nothing_by_their_own_checks(world):
-    assert not play(world).rule_checker.agent_violations
+@pytest.mark.parametrize("world", [FAULTY_WORLD, SLOW_START_WORLD])
+def test_agents_without_a_fault_report_nothing_by_their_own_checks(world):
+    assert not run_world(world).rule_checker.agent_violations
 
 
-def test_a_run_is_cut_down_to_what_its_violation_needs():
-    left = shrink(worlds.world_from_dict(HARD), 5, DrainIgnored)
-    assert left.violation.rule == 3 and len(left.arrivals) <= 3
-    assert [each.kind for each in left.world.fault] == ["replace"]
-    again = (
-        Fleet(left.world, 5, DrainIgnored, included_arrivals=set(left.arrivals)).run().rule_checker.violations
+def test_shrink_keeps_only_what_the_violation_needs():
+    shrunk = shrink(worlds.world_from_dict(FAULTY_WORLD), 5, DrainIgnored)
+    assert shrunk.violation.rule == 3 and len(shrunk.arrivals) <= 3
+    assert [each.kind for each in shrunk.world.fault] == ["replace"]
+    violations = (
+        Fleet(shrunk.world, 5, DrainIgnored, included_arrivals=set(shrunk.arrivals))
+        .run()
+        .rule_checker.violations
     )
-    assert left.violation in again
-    assert shrink(worlds.world_from_dict(HARD), 5) is None
+    assert shrunk.violation in violations
+    assert shrink(worlds.world_from_dict(FAULTY_WORLD), 5) is None
 
 
 @pytest.mark.parametrize("seed", [5, 6])
-def test_cold_world_keeps_the_rules_unbroken(seed):
-    fleet = play(COLD, seed)
+def test_world_with_slow_start_breaks_no_rule(seed):
+    fleet = run_world(SLOW_START_WORLD, seed)
     assert not fleet.rule_checker.violations and any(
         each.started and each.served_count for each in fleet.servers.values()
     )
@@ -269,13 +281,13 @@
 # The command
 
 
-def emulate(*words):
-    words = [sys.executable, "-m", "cartdeal", "emulate", *words]
-    return subprocess.run(words, capture_output=True, text=True)
+def emulate(*arguments):
+    command = [sys.executable, "-m", "cartdeal", "emulate", *arguments]
+    return subprocess.run(command, capture_output=True, text=True)
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, message",
     [
         ("agents = 0", "agents"),
         ("agnets = 3", "agnets"),
@@ -289,24 +301,24 @@
         ("[[fault]]\nkind = 'errors'\nbegins_s = 1\nsize = 2.0", "fault[0].size"),
     ],
 )
-def test_world_that_cannot_be_used_gets_one_line_and_status_2(tmp_path, text, words):
+def test_invalid_world_gives_one_line_and_status_2(tmp_path, text, message):
     file = tmp_path / "world.toml"
     file.write_text(text)
-    done = emulate(file)
-    assert done.returncode == 2 and not done.stdout and done.stderr.count("\n") == 1
-    assert words in done.stderr and "world.toml" in done.stderr
+    process = emulate(file)
+    assert process.returncode == 2 and not process.stdout and process.stderr.count("\n") == 1
+    assert message in process.stderr and "world.toml" in process.stderr
 
 
-def test_command_prints_figures_and_says_by_its_status_whether_rules_were_kept(tmp_path):
+def test_command_prints_figures_and_exits_with_0_if_no_rule_is_broken(tmp_path):
     file = tmp_path / "world.toml"
     file.write_text("seconds = 2.0\nagents = 3")
-    done = emulate(file, "--seed", "1", "--seed", "2")
-    assert done.returncode == 0 and done.stdout.count("\n") == 3 and "p99" in done.stdout
+    process = emulate(file, "--seed", "1", "--seed", "2")
+    assert process.returncode == 0 and process.stdout.count("\n") == 3 and "p99" in process.stdout
 
 
-def test_agent_starts_without_the_lab():
-    words = "import sys, cartdeal.__main__; print(*sys.modules)"
-    loaded = subprocess.run([sys.executable, "-c", words], capture_output=True, text=True).stdout.split()
-    tops = {name.split(".")[0] for name in loaded}
-    assert "gevent" in tops and not tops & {"click", "hdrh", "scipy", "numpy", "matplotlib"}
-    assert not any(name.startswith(("cartdeal.emulator", "cartdeal.lab", "cartdeal.cli")) for name in loaded)
+def test_agent_imports_neither_emulator_nor_lab():
+    program = "import sys, cartdeal.__main__; print(*sys.modules)"
+    modules = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True).stdout.split()
+    packages = {name.split(".")[0] for name in modules}
+    assert "gevent" in packages and not packages & {"click", "hdrh", "scipy", "numpy", "matplotlib"}
+    assert not any(name.startswith(("cartdeal.emulator", "cartdeal.lab", "cartdeal.cli")) for name in modules)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from cartdeal.lab import experiment, fleets
 from cartdeal.lab.baselines import POLICIES
 from cartdeal.lab.compare import compared, interval
-from tests.test_emulator import HARD
+from tests.test_emulator import FAULTY_WORLD
 
 WORLD = "seconds = 2.0\nagents = 4\n"
 PLAN = (
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("policy", [name for name in POLICIES if name != "cartdeal"])
 def test_baselines_keep_the_rules(policy):
-    assert not Fleet(worlds.world_from_dict(HARD), 3, POLICIES[policy]).run().rule_checker.violations
+    assert not Fleet(worlds.world_from_dict(FAULTY_WORLD), 3, POLICIES[policy]).run().rule_checker.violations
 
 
 @pytest.mark.parametrize(
