--- a/cartdeal/fleet/simulation/client_traffic.py
+++ b/cartdeal/fleet/simulation/client_traffic.py
@@ -1,4 +1,4 @@
-"""Random client traffic over an in-memory fleet: requests of many kinds, and those of one busy tenant."""
+"""Random client traffic over an in-memory fleet: requests of many kinds, and of one overloaded tenant."""
 
 from random import Random
 
@@ -7,38 +7,38 @@
 from cartdeal.fleet.simulation.clients import COMPLETED
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
-LIMITS = {
-    "shop": RateLimit(60.0, 60.0),  # lent by rates
-    "deli": RateLimit(1.5, 2.0),  # lent by single tokens
+TENANT_LIMITS = {
+    "shop": RateLimit(60.0, 60.0),  # high enough that its rate is leased in shares
+    "deli": RateLimit(1.5, 2.0),  # so low that single tokens are leased
 }
 SHOP_REQUEST = AdmissionRequest(tenant="shop", workload="w")
-OVERLOAD_FACTOR = 1.4  # requests of the shop's clients, in shares of its limit
-SESSIONS = 40  # that clients share, so that their attempt records stand side by side
-PAUSED_RATE = 1e-9  # requests per second: none within a simulation
-IMPATIENT_SHARE = 0.2  # of clients, which retry before their answer can come
-RETRY_ALLOWANCE_S = 0.8  # for what a retry takes beside the client's patience
+OVERLOAD_FACTOR = 1.4  # request rate of the tenant shop, as a multiple of its limit
+SESSION_COUNT = 40  # few, so that many clients' attempt records are in one session
+PAUSED_REQUEST_RATE = 1e-9  # requests per second; no request comes within a simulation
+IMPATIENT_CLIENT_SHARE = 0.2  # share of clients that retry before the server can answer
+RETRY_OVERHEAD_S = 0.8  # duration of a retry in addition to the client's patience
 
 
 class ClientTraffic:
-    """Submits requests at a rate per second, by their own source of random draws."""
+    """Submits requests at a rate per second; all random draws come from `random`."""
 
     def __init__(self, fleet: InMemoryFleet, random: Random, request_rate: float):
         self.fleet = fleet
         self.random = random
         self.configured_rate = request_rate
         self.request_rate = request_rate
-        self.shop_rate = OVERLOAD_FACTOR * LIMITS["shop"].rate
-        self.patient_intents: list[str] = []  # whose clients wait for their answers
+        self.shop_rate = OVERLOAD_FACTOR * TENANT_LIMITS["shop"].rate
+        self.patient_intents: list[str] = []  # intents of clients that wait for their answers
 
     def pause(self) -> None:
-        """Has no more requests come once the next ones have."""
-        self.request_rate = PAUSED_RATE
-        self.shop_rate = PAUSED_RATE
+        """Stops the traffic; the requests already scheduled still come."""
+        self.request_rate = PAUSED_REQUEST_RATE
+        self.shop_rate = PAUSED_REQUEST_RATE
 
     def resume(self) -> None:
-        """Has requests come as before the pause, from now on."""
+        """Resumes the traffic at the rates from before the pause."""
         self.request_rate = self.configured_rate
-        self.shop_rate = OVERLOAD_FACTOR * LIMITS["shop"].rate
+        self.shop_rate = OVERLOAD_FACTOR * TENANT_LIMITS["shop"].rate
         self.submit_random()
         self.submit_shop()
 
@@ -51,12 +51,12 @@
         group = random.choice(["all", "zone", "cell"]) if repeat == "d" else "all"
         window_s = random.uniform(0.5, 8.0) if repeat == "d" else 0.0
         work_s, patience_s = self._draw_times(f"i{number + 1}")
-        # A client retries until its deadline only: no attempt record lasts longer.
+        # A client retries only until its deadline, since no attempt record is kept longer.
         limit_s = fleet.settings.longest_mark_s - window_s
-        tries = min(random.randrange(1, 5), int(limit_s / (patience_s + RETRY_ALLOWANCE_S)))
+        tries = min(random.randrange(1, 5), int(limit_s / (patience_s + RETRY_OVERHEAD_S)))
         request = AdmissionRequest(
             tenant=tenant,
-            session=f"{random.randrange(SESSIONS):02}",
+            session=f"{random.randrange(SESSION_COUNT):02}",
             key=f"k{number}",
             repeat=repeat,
             group=group,
@@ -72,7 +72,7 @@
         """Draws how long the server works and how long the client waits, in seconds."""
         random = self.random
         work_s = random.choice([0.02, 0.05, 0.5, 1.5])
-        if random.random() < IMPATIENT_SHARE:
+        if random.random() < IMPATIENT_CLIENT_SHARE:
             work_s = random.choice([0.02, 1.0, 8.0])
             return work_s, work_s * random.uniform(0.3, 0.7)
         self.patient_intents.append(intent)
@@ -84,6 +84,6 @@
         self.fleet.clock.after(self.random.expovariate(self.shop_rate), self.submit_shop)
 
     def completed_share(self, intents: list[str]) -> float:
-        """The share of these that completed; tenants ask for more than their limits."""
+        """The share of these intents that completed, below 1 since tenants exceed their limits."""
         completed = sum(COMPLETED in self.fleet.outcomes[intent] for intent in intents)
         return round(completed / len(intents), 4)
--- a/cartdeal/fleet/simulation/clients.py
+++ b/cartdeal/fleet/simulation/clients.py
@@ -1,6 +1,6 @@
-"""Simulated clients: each wants one effect, and retries at another agent when its agent dies or rejects it.
+"""Simulated clients: each wants one effect, and retries at another agent when its agent ends or rejects it.
 
-They also stand for the balancer and the servers behind an agent: one attempt for each admitted request.
+It also simulates the balancer and the servers behind an agent: one attempt for each admitted request.
 """
 
 from __future__ import annotations
@@ -21,33 +21,34 @@
 if TYPE_CHECKING:
     from cartdeal.fleet.simulation.host import SimulatedHost
 
-CELLS_PER_ZONE = 2  # where servers stand
-RETRY_DELAY_S = 0.05  # of a client whose connection broke
-MIN_RETRY_DELAY_S = 0.01  # of a client that was rejected
-DISCONNECTED = "broke off"  # an outcome
-COMPLETED = "completed"  # an outcome; the others are the values of AdmissionDecision
+CELL_COUNT_PER_ZONE = 2  # cells in which servers run
+RETRY_DELAY_S = 0.05  # after which a disconnected client retries
+MIN_RETRY_DELAY_S = 0.01  # after which a rejected client retries, at least
+# Outcomes of a request; the others are the values of AdmissionDecision.
+DISCONNECTED = "broke off"
+COMPLETED = "completed"
 
 
 class Client(NamedTuple):
-    """One that wants one effect, and comes to `agents` in turn."""
+    """A client that wants one effect, and sends its tries to `agents` in turn."""
 
-    intent: str  # identifies the effect, whatever the number of attempts
+    intent: str  # identifies the effect, the same for all tries
     request: AdmissionRequest
     max_tries: int
     agents: tuple[str, ...]
-    work_s: float  # how long a server works on it
+    work_s: float  # how long a server works on the request
     patience_s: float  # how long the client waits for its answer
 
 
 class PendingRequest(NamedTuple):
-    """A client's request at an agent; `tries_before`: how often the client came before."""
+    """A client's request at an agent; `tries_before` is the number of the client's earlier tries."""
 
     client: Client
     tries_before: int
 
 
 class SimulatedClients:
-    """All clients of a fleet, and what became of their requests."""
+    """All clients of a fleet, and the outcomes of their requests."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         self.checker = checker
         self.random = random
         self.submitted = 0
-        self.outcomes: dict[str, list[str]] = {}  # intent -> an outcome for each try
+        self.outcomes: dict[str, list[str]] = {}  # intent -> the outcome of each try
         self.decision_waits_s: list[float] = []
 
     def submit(
@@ -72,11 +73,15 @@
         work_s: float = 0.05,
         patience_s: float = 1.0,
     ) -> str:
-        """Has a client come to the first of the agents, then to the next ones; returns its intent."""
+        """Sends a client's request to the first of the agents, and its retries to the next ones.
+
+        Returns:
+            The client's intent.
+        """
         self.submitted += 1
         intent = f"i{self.submitted}"
         self.outcomes[intent] = []
-        self.checker.client_came(intent, request.repeat, request.group, request.window_s)
+        self.checker.on_intent(intent, request.repeat, request.group, request.window_s)
         client = Client(intent, request, max_tries, tuple(agents), work_s, patience_s)
         self._send_request(PendingRequest(client, 0))
         return intent
@@ -84,22 +89,22 @@
     def submit_retry(
         self, intent: str, request: AdmissionRequest, agent: str, work_s: float, patience_s: float
     ) -> None:
-        """Has the client of an earlier request come once more, at another agent."""
+        """Retries the request of an earlier client at another agent."""
         client = Client(intent, request, 2, (agent, agent), work_s, patience_s)
         self._send_request(PendingRequest(client, 1))
 
     def on_decision(self, host: SimulatedHost, effect: DeliverDecision) -> None:
-        """Takes the fleet's decision on a request: sends its attempt, or answers its client."""
+        """Carries out the fleet's decision on a request: sends its attempt, or answers its client."""
         ticket, decision, node = effect.ticket, effect.decision, host.node
         assert node is not None
         name = host.settings.name
         if ticket in host.undecided_since:
             wait_s = self.clock.now - host.undecided_since.pop(ticket)
             self.decision_waits_s.append(wait_s)
-            self.checker.decision_waited(name, wait_s)
+            self.checker.on_decision(name, wait_s)
         pending = host.requests.get(ticket)
         if pending is None:
-            # Its client is gone: an admitted request ends without an attempt.
+            # The client has disconnected: an admitted request ends without an attempt.
             if decision is AdmissionDecision.ADMIT:
                 node.on_request_ended(ticket, RanOutcome.NEVER)
                 self.clock.after(0.0, self._flush_effects, host, node)
@@ -110,7 +115,7 @@
             self.clock.after(0.0, self._send_attempt, host, node, ticket, effect.earlier_attempts)
             return
         del host.requests[ticket]
-        self.checker.request_answered(client.intent, self.clock.now, name, decision.value)
+        self.checker.on_answer(client.intent, self.clock.now, name, decision.value)
         self.outcomes[client.intent].append(decision.value)
         if decision is not AdmissionDecision.FAIL:
             self._retry(pending, max(MIN_RETRY_DELAY_S, effect.retry_after_s))
@@ -148,10 +153,10 @@
 
     def _check_admission(self, host: SimulatedHost, node: Node, request: AdmissionRequest) -> None:
         name = host.settings.name
-        self.checker.request_admitted(request.tenant, self.clock.now)
+        self.checker.on_request_admitted(request.tenant, self.clock.now)
         if request.leaves_record:
             key = f"s/{request.session}"
-            self.checker.attempt_recorded(name, self.clock.now, key, request.key, attempt_ids(node, key))
+            self.checker.on_attempt_recorded(name, self.clock.now, key, request.key, attempt_ids(node, key))
 
     def _flush_effects(self, host: SimulatedHost, node: Node) -> None:
         if host.node is node:
@@ -160,12 +165,12 @@
     def _send_attempt(
         self, host: SimulatedHost, node: Node, ticket: int, earlier_attempts: Sequence[EarlierAttempt]
     ) -> None:
-        """Does what the balancer and the gate behind it would: one attempt, where earlier ones allow it."""
+        """Sends one attempt, as the balancer would, if the earlier attempts allow it."""
         pending = host.requests.get(ticket) if host.node is node else None
         if pending is None:
             return
         intent = pending.client.intent
-        zone, cell = host.settings.zone, self.random.randrange(CELLS_PER_ZONE)
+        zone, cell = host.settings.zone, self.random.randrange(CELL_COUNT_PER_ZONE)
         for earlier in earlier_attempts:
             if earlier.group == "zone":
                 zone = earlier.zone
@@ -178,7 +183,7 @@
             self.outcomes[intent].append(AdmissionDecision.FAIL.value)
             return
         host.dispatch(node.on_attempt_sent, ticket, zone, cell)
-        self.checker.attempt_executed(intent, self.clock.now, zone, cell, host.settings.name)
+        self.checker.on_attempt_executed(intent, self.clock.now, zone, cell, host.settings.name)
         self.clock.after(pending.client.work_s, self._complete, host, node, ticket)
 
     def _complete(self, host: SimulatedHost, node: Node, ticket: int) -> None:
@@ -190,18 +195,18 @@
             return
         intent = pending.client.intent
         host.dispatch(node.on_request_ended, ticket, RanOutcome.ANSWERED)
-        self.checker.request_answered(intent, self.clock.now, host.settings.name, COMPLETED)
+        self.checker.on_answer(intent, self.clock.now, host.settings.name, COMPLETED)
         self.outcomes[intent].append(COMPLETED)
 
 
 def attempt_ids(node: Node, key: str) -> tuple[str, ...]:
-    """The attempt records that the node has of a session, by their identifiers."""
+    """The identifiers of the attempt records that the node has of a session."""
     record = node.replica.store.get(key)
     return tuple(record.attempts) if isinstance(record, Session) else ()
 
 
 def _is_allowed(earlier: EarlierAttempt, zone: str, cell: int, wall_ms: float) -> bool:
-    """Whether one more attempt at the zone and cell is within what an earlier one allows."""
+    """Whether an earlier attempt allows one more at the zone and cell."""
     same_zone = zone == earlier.zone
     same_group = earlier.group == "all" or (same_zone and (earlier.group == "zone" or cell == earlier.cell))
     return same_group and wall_ms <= earlier.until_ms
--- a/cartdeal/fleet/simulation/fault_injector.py
+++ b/cartdeal/fleet/simulation/fault_injector.py
@@ -1,6 +1,6 @@
 """Draws random faults from a seed and carries them out on an in-memory fleet.
 
-It must never let a fault depend on what an agent thinks: what goes wrong is drawn from the seed alone.
+A fault must never depend on an agent's state: it is drawn from the seed alone.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 from cartdeal.fleet.simulation.network import NetworkConditions
 
-MAX_JOINS = 3
+MAX_JOIN_COUNT = 3
 RESTART_DELAYS_S = (0.05, 1.0, 4.0, 12.0)
 CUT_DURATIONS_S = (1.0, 4.0, 10.0, 20.0)
 CRASH_LOOP_PERIOD_S = 1.5
@@ -19,7 +19,7 @@
 
 
 class Fault(Enum):
-    """Kinds of faults. Their order and weights set the draws."""
+    """Kinds of faults. The random draws depend on their order and weights."""
 
     KILL = "kill"
     CRASH_LOOP = "crash loop"
@@ -57,9 +57,9 @@
         self.random = random
         self.mean_pause_s = mean_pause_s
         self.duration_s = duration_s
-        self.began_at = 0.0
-        self.cuts: list[set[tuple[str, str]]] = []  # those that last
-        self.joined = 0
+        self.started_at = 0.0
+        self.cuts: list[set[tuple[str, str]]] = []  # cuts that have not ended, as pairs (sender, recipient)
+        self.joined_count = 0
         self.inject_by_kind: dict[Fault, Callable[[str], None]] = {
             Fault.KILL: self._kill,
             Fault.CRASH_LOOP: self._crash_loop,
@@ -75,12 +75,12 @@
         }
 
     def begin(self) -> None:
-        """Begins now; the first fault comes with `inject`."""
-        self.began_at = self.fleet.clock.now
+        """Sets the beginning of the faults to now; `inject` injects the first one."""
+        self.started_at = self.fleet.clock.now
 
     def after(self, delay_s: float, callback: Callable[..., object], *args: object) -> None:
-        """Schedules a callback, unless the faults are over by then and all is healed."""
-        if self.fleet.clock.now + delay_s < self.began_at + self.duration_s:
+        """Schedules a callback, unless the time of faults is over by then."""
+        if self.fleet.clock.now + delay_s < self.started_at + self.duration_s:
             self.fleet.clock.after(delay_s, callback, *args)
 
     def inject(self) -> None:
@@ -94,7 +94,7 @@
         return self.random.choice(list(self.fleet.hosts))
 
     def restart(self, name: str, reads: tuple[int, int]) -> None:
-        """Restarts an agent with a program that reads other versions."""
+        """Restarts an agent with a program that reads the record versions `reads`, (lowest, highest)."""
         self.fleet.kill(name)
         self.fleet.start(name, reads=reads)
 
@@ -141,27 +141,27 @@
             self.after(self.random.uniform(2.0, 15.0), self._start, name)
 
     def _join(self, _: str) -> None:
-        if self.joined < MAX_JOINS:
-            self.joined += 1
+        if self.joined_count < MAX_JOIN_COUNT:
+            self.joined_count += 1
             capacity = self.random.choice([1.0, 2.0, 8.0])
-            self.fleet.add(f"b{self.joined}", zone=f"z{self.joined % 3}", capacity=capacity)
+            self.fleet.add(f"b{self.joined_count}", zone=f"z{self.joined_count % 3}", capacity=capacity)
 
     def _cut(self, _: str) -> None:
         names = list(self.fleet.hosts)
         side = self.random.sample(names, self.random.randrange(1, len(names)))
         others = [name for name in names if name not in side]
         pairs = {(name, other) for name in side for other in others}
-        self._cut_for_a_while(pairs | {(other, name) for name, other in pairs})
+        self._cut_temporarily(pairs | {(other, name) for name, other in pairs})
 
     def _cut_one_way(self, name: str) -> None:
         others = [other for other in self.fleet.hosts if other != name]
         others = self.random.sample(others, self.random.randrange(1, len(others) + 1))
         if self.random.random() < 0.5:
-            self._cut_for_a_while({(name, other) for other in others})
+            self._cut_temporarily({(name, other) for other in others})
         else:
-            self._cut_for_a_while({(other, name) for other in others})
+            self._cut_temporarily({(other, name) for other in others})
 
-    def _cut_for_a_while(self, cut: set[tuple[str, str]]) -> None:
+    def _cut_temporarily(self, cut: set[tuple[str, str]]) -> None:
         duration_s = self.random.choice(CUT_DURATIONS_S) * (0.5 + self.random.random())
         self.cuts.append(cut)
         self._apply_cuts()
@@ -189,5 +189,5 @@
         self.fleet.set_capacity(name, self.random.choice([0.5, 1.0, 1.1, 2.0, 4.0]))
 
     def _set_wall_clock(self, name: str) -> None:
-        """A wall clock is set while its agent runs; should it start anew, it begins with it."""
+        """Sets a wall clock while its agent runs; the agent keeps it when it restarts."""
         self.fleet.hosts[name].wall_offset_s = self.random.choice([0.0, 0.3, -0.3, 10.0, -10.0])
--- a/cartdeal/fleet/simulation/host.py
+++ b/cartdeal/fleet/simulation/host.py
@@ -1,6 +1,6 @@
 """A simulated host: the process, the clocks and the sockets of one agent.
 
-It must never use another path into a node than its events.
+It must change a node by its events alone.
 """
 
 from __future__ import annotations
@@ -16,22 +16,21 @@
     from cartdeal.fleet.simulation.clients import PendingRequest
     from cartdeal.fleet.simulation.in_memory_fleet import InMemoryFleet
 
-MAX_HELD_EVENTS = 2_000  # messages that the sockets of a stopped agent hold
-MONOTONIC_START_S = 1000.0  # what a host's monotonic clock shows when its agent starts
-WALL_START_S = (
-    1_700_000_000.0  # what all wall clocks show at the simulation's start, apart from their offsets
-)
+MAX_HELD_EVENTS = 2_000  # that the sockets of a stopped agent buffer; further ones are lost
+MONOTONIC_START_S = 1000.0  # reading of a host's monotonic clock when its agent starts
+# Reading of all wall clocks at the simulation's start, without their offsets.
+WALL_START_S = 1_700_000_000.0
 
 
 class HeldEvent(NamedTuple):
-    """An event that came to a stopped agent and waits in its sockets."""
+    """An event for a stopped agent, buffered in its sockets."""
 
     handler: Callable[..., object]
     args: tuple[object, ...]
 
 
 class SimulatedHost:
-    """Where an agent runs. `node` is None while its process is down."""
+    """The host of one agent. `node` is None while its process is down."""
 
     def __init__(self, fleet: InMemoryFleet, settings: FleetSettings):
         self.fleet = fleet
@@ -40,11 +39,11 @@
         self.start_count = 0
         self.is_stopped = False
         self.held_events: list[HeldEvent] = []
-        self.clock_rate = 1.0  # of the monotonic clock, in its seconds per simulated second
+        self.clock_rate = 1.0  # seconds of the monotonic clock per simulated second
         self.wall_offset_s = 0.0
         self.started_at = 0.0
-        self.requests: dict[int, PendingRequest] = {}  # by ticket, whose clients are still there
-        self.undecided_since: dict[int, float] = {}  # ticket -> when it asked for the fleet's decision
+        self.requests: dict[int, PendingRequest] = {}  # ticket -> a request whose client is still connected
+        self.undecided_since: dict[int, float] = {}  # ticket -> when the fleet's decision was requested
         self.last_ticket = 0
 
     @property
@@ -53,14 +52,14 @@
         return self.node is not None and not self.is_stopped
 
     def start(self) -> None:
-        """Starts the agent's process, with no state from before."""
+        """Starts the agent's process without any earlier state."""
         fleet = self.fleet
         self.start_count += 1
         self.is_stopped = False
         self.started_at = fleet.clock.now
         self.held_events = []
         self.requests = {}
-        fleet.checker.agent_started(self.settings.name, fleet.clock.now, self.settings.reads)
+        fleet.checker.on_agent_started(self.settings.name, fleet.clock.now, self.settings.reads)
         create_node = fleet.node_factories.get(self.settings.name, Node)
         seed = f"{fleet.seed}/{self.start_count}"
         self.node = create_node(self.settings, seed, MONOTONIC_START_S, self._wall_clock())
@@ -71,7 +70,7 @@
         """Ends the process at once; the connections of its clients break."""
         if self.node is None:
             return
-        self.fleet.checker.agent_died(self.settings.name, self.fleet.clock.now)
+        self.fleet.checker.on_agent_ended(self.settings.name, self.fleet.clock.now)
         self.node = None
         self.is_stopped = False
         self.held_events = []
@@ -81,12 +80,12 @@
         self.requests = {}
 
     def stop(self) -> None:
-        """Stops the process as SIGSTOP does: its sockets hold what comes."""
+        """Stops the process as SIGSTOP does: its sockets buffer the events."""
         self.is_stopped = True
         self.undecided_since = {}
 
     def resume(self) -> None:
-        """Has a stopped process go on as SIGCONT does, first with what its sockets held."""
+        """Continues a stopped process as SIGCONT does; it handles the buffered events first."""
         self.is_stopped = False
         held_events, self.held_events = self.held_events, []
         if self.node:
@@ -95,7 +94,7 @@
             self._tick(self.node, reschedule=False)
 
     def dispatch(self, handler: Callable[..., object], *args: object) -> None:
-        """Has the node handle one event, and applies its effects; a stopped node gets it when resumed."""
+        """Has the node handle one event, and applies its effects; a stopped node handles it when resumed."""
         node = self.node
         if node is None:
             return
@@ -108,7 +107,7 @@
         self.apply_effects(node)
 
     def apply_effects(self, node: Node) -> None:
-        """Carries out what the node wants done: messages, decisions, log lines."""
+        """Carries out the node's effects: messages, decisions, log events."""
         effects, node.effects = node.effects, []
         for effect in effects:
             if isinstance(effect, SendMessage):
--- a/cartdeal/fleet/simulation/in_memory_fleet.py
+++ b/cartdeal/fleet/simulation/in_memory_fleet.py
@@ -1,6 +1,6 @@
-"""The in-memory fleet: the same nodes as in processes, by a simulated clock and over a simulated network.
+"""The in-memory fleet: the same nodes as in processes, with a simulated clock and a simulated network.
 
-It must never use another path into a node than its events, nor hand the checker what a node thinks.
+It must change a node by its events alone, and never pass a node's state to the checker.
 """
 
 from collections import Counter
@@ -19,13 +19,13 @@
 from cartdeal.fleet.simulation.network import NetworkConditions, SimulatedNetwork
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
-HANDOFF_S = 1.0  # from SIGTERM to when an agent says goodbye
-GOODBYE_S = 0.1  # from then to the process's end
-NETWORK_RANDOM = "weather"  # seeds the network's draws: another text would give other draws
+HANDOFF_S = 1.0  # from SIGTERM to when an agent announces that it leaves
+SHUTDOWN_NOTICE_S = 0.1  # from the announcement to the end of the process
+NETWORK_RANDOM = "weather"  # seeds the network's random draws: another text would give other draws
 
 
 class InMemoryFleet:
-    """A fleet of simulated hosts. `settings` is what all share; agents differ in name, zone and capacity."""
+    """A fleet of simulated hosts. All agents have `settings`, with their own name, zone and capacity."""
 
     def __init__(self, settings: FleetSettings, seed: int, conditions: NetworkConditions | None = None):
         self.settings = settings
@@ -34,9 +34,8 @@
         self.random = seeded_random(seed, "fleet")
         self.checker = InvariantChecker(settings)
         self.hosts: dict[str, SimulatedHost] = {}
-        self.node_factories: dict[
-            str, Callable[..., Node]
-        ] = {}  # agent -> what creates its node, if not Node
+        # agent -> the function that creates its node, if it is not Node
+        self.node_factories: dict[str, Callable[..., Node]] = {}
         self.network = SimulatedNetwork(
             self.clock,
             self.hosts,
@@ -51,7 +50,7 @@
     # Agents
 
     def add(self, name: str, zone: str = "", start: bool = True, **changes: Any) -> SimulatedHost:
-        """Adds a host; `changes` are fields of FleetSettings that differ from what all share."""
+        """Adds a host; `changes` are the fields of its FleetSettings that differ from the fleet's."""
         address = f"10.0.0.1:{len(self.hosts) + 1}"
         settings = replace(self.settings, name=name, address=address, zone=zone, **changes)
         self.hosts[name] = host = SimulatedHost(self, settings)
@@ -64,13 +63,13 @@
         self.hosts[name].kill()
 
     def start(self, name: str, **changes: Any) -> None:
-        """Starts an agent anew, with `changes` to its settings."""
+        """Starts an agent that is down, with `changes` to its settings."""
         host = self.hosts[name]
         host.settings = replace(host.settings, **changes)
         host.start()
 
     def leave(self, name: str) -> None:
-        """Shuts an agent down as SIGTERM does: it hands its records over, says goodbye, and ends."""
+        """Shuts an agent down as SIGTERM does: it hands over its records, says that it leaves, and ends."""
         host = self.hosts[name]
         node = host.node
         assert node is not None
@@ -80,7 +79,7 @@
     def _finish_shutdown(self, host: SimulatedHost, node: Node) -> None:
         if host.node is node:
             host.dispatch(node.finish_shutdown)
-            self.clock.after(GOODBYE_S, self._kill_if_same, host, node)
+            self.clock.after(SHUTDOWN_NOTICE_S, self._kill_if_same, host, node)
 
     def stop(self, name: str, seconds: float) -> None:
         """Stops an agent as SIGSTOP does, and resumes it after `seconds` as SIGCONT does."""
@@ -113,12 +112,12 @@
 
     @property
     def conditions(self) -> NetworkConditions:
-        """What the network does to messages."""
+        """The faults and delays of the network."""
         return self.network.conditions
 
     @conditions.setter
     def conditions(self, conditions: NetworkConditions) -> None:
-        """Replaces them from the present moment on."""
+        """Replaces the network's conditions from now on."""
         self.network.conditions = conditions
 
     def cut(self, *sides: Collection[str]) -> None:
@@ -137,7 +136,7 @@
 
     @property
     def outcomes(self) -> dict[str, list[str]]:
-        """By intent, an outcome for each of its client's tries."""
+        """The outcome of each try of a client, by intent."""
         return self.clients.outcomes
 
     def submit(
@@ -148,7 +147,11 @@
         work_s: float = 0.05,
         patience_s: float = 1.0,
     ) -> str:
-        """Has a client come to the first of the agents, then to the next ones; returns its intent."""
+        """Sends a client's request to the first of the agents, and its retries to the next ones.
+
+        Returns:
+            The client's intent.
+        """
         return self.clients.submit(request, agents, tries, work_s, patience_s)
 
     def submit_retry(
@@ -159,33 +162,33 @@
         work_s: float = 0.05,
         patience_s: float = 1.0,
     ) -> None:
-        """Has the client of an earlier request come once more, at another agent."""
+        """Retries the request of an earlier client at another agent."""
         self.clients.submit_retry(intent, request, agent, work_s, patience_s)
 
     # Time
 
     def run(self, seconds: float) -> "InMemoryFleet":
-        """Moves simulated time on by `seconds`."""
+        """Advances simulated time by `seconds`."""
         self.clock.run(self.clock.now + seconds)
         return self
 
-    def run_until(self, condition: Callable[[], bool], most_s: float, step_s: float = 0.1) -> float:
-        """Runs until `condition()` holds and returns the seconds that took; inf if more than `most_s`."""
+    def run_until(self, condition: Callable[[], bool], max_duration_s: float, step_s: float = 0.1) -> float:
+        """Runs until `condition()` holds; returns the simulated seconds, inf above `max_duration_s`."""
         started_at = self.clock.now
-        while self.clock.now < started_at + most_s:
+        while self.clock.now < started_at + max_duration_s:
             if condition():
                 return self.clock.now - started_at
             self.run(step_s)
         return float("inf")
 
-    # What tests look at
+    # Queries for tests
 
     def nodes(self) -> dict[str, Node]:
-        """The nodes of the agents that run, by name."""
+        """The nodes of the running agents, by name."""
         return {name: host.node for name, host in self.hosts.items() if host.node and not host.is_stopped}
 
     def has_one_ring(self) -> bool:
-        """Whether all agents that run go by the same ring."""
+        """Whether all running agents use the same ring."""
         rings = {
             node.ring and (node.ring.epoch, node.ring.members, node.ring.written_version, node.ring.phase)
             for node in self.nodes().values()
@@ -193,7 +196,7 @@
         return len(rings) == 1 and None not in rings
 
     def attempt_ids_by_agent(self) -> dict[str, dict[str, tuple[str, ...]]]:
-        """Of each agent that runs, the attempt records in each session that it stores."""
+        """The identifiers of attempt records, by running agent and by session that it stores."""
         return {
             name: {
                 key: attempt_ids(node, key)
@@ -204,12 +207,12 @@
         }
 
     def count_lost_records(self) -> int:
-        """Counts attempt records that no agent has any more and that no clock shows as expired."""
+        """Counts attempt records that no agent has any more, though they have expired by no agent's clock."""
         wall = max((node.wall for node in self.nodes().values()), default=0.0)
         return self.checker.count_lost_records(self.attempt_ids_by_agent(), self.clock.now, wall * 1e3)
 
     def replicas_agree(self) -> bool:
-        """Whether each two agents have the same bytes of what both own."""
+        """Whether each two agents have the same bytes of the records that both own."""
         nodes = self.nodes()
         return all(
             node.replica.owned_digest(other_name) == other.replica.owned_digest(name)
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -1,8 +1,7 @@
-"""Checks a fleet's invariants from the network and the answers alone, never from what an agent thinks.
+"""Checks a fleet's invariants from the network and the answers alone, never from an agent's state.
 
-Pure bookkeeping: what was sent, what ran at servers, what was answered, when; and which program was started
-or ended where. It must never ask a node for its opinion, except for the bytes of copies, which are compared
-with each other.
+It records messages, attempts at servers, answers, and starts and ends of processes, with their times. It must
+never read a node's state, except for the bytes of copies, which are compared with each other.
 """
 
 from collections.abc import Collection, Mapping
@@ -17,7 +16,7 @@
 from cartdeal.fleet.simulation.tenant_limits import TenantLimitChecker
 from cartdeal.fleet.simulation.write_quorum import WriteQuorumChecker, WrittenRecord
 
-DECISION_SLACK_TICKS = 1.2  # an agent looks at its clock once a tick
+DECISION_SLACK_TICKS = 1.2  # an agent checks its timers once per tick, so a decision may be late
 
 
 class InvariantChecker:
@@ -38,59 +37,61 @@
 
     # Clients and servers
 
-    def client_came(self, intent: str, repeat: str, group: str, window_s: float) -> None:
-        """A client wants one effect, however often it comes."""
-        self.single_execution.client_came(intent, repeat, group, window_s)
+    def on_intent(self, intent: str, repeat: str, group: str, window_s: float) -> None:
+        """Records that a client wants one effect, however often it retries."""
+        self.single_execution.on_intent(intent, repeat, group, window_s)
 
-    def attempt_executed(self, intent: str, at: float, zone: str, cell: int, agent: str) -> None:
-        """An attempt reached a server."""
-        self.single_execution.attempt_executed(intent, Execution(at, zone, cell, agent))
+    def on_attempt_executed(self, intent: str, at: float, zone: str, cell: int, agent: str) -> None:
+        """Checks an attempt that reached a server."""
+        self.single_execution.on_attempt_executed(intent, Execution(at, zone, cell, agent))
 
-    def request_answered(self, intent: str, at: float, agent: str, answer: str) -> None:
-        """A client got its answer."""
-        self.single_execution.request_answered(intent, at, agent, answer)
+    def on_answer(self, intent: str, at: float, agent: str, answer: str) -> None:
+        """Checks a client's answer."""
+        self.single_execution.on_answer(intent, at, agent, answer)
 
-    def decision_waited(self, agent: str, seconds: float) -> None:
-        """A request waited for the fleet's decision."""
+    def on_decision(self, agent: str, seconds: float) -> None:
+        """Checks how many seconds a request waited for the fleet's decision."""
         if seconds > self.settings.wait_s + DECISION_SLACK_TICKS * self.settings.tick_s:
             self.report(f"{agent}: a request waited for {seconds:.3f} s")
 
-    def request_admitted(self, tenant: str, at: float) -> None:
-        """A request of a tenant goes on."""
-        self.tenant_limits.request_admitted(tenant, at)
+    def on_request_admitted(self, tenant: str, at: float) -> None:
+        """Records that a tenant's request was admitted."""
+        self.tenant_limits.on_request_admitted(tenant, at)
 
-    def attempt_recorded(
+    def on_attempt_recorded(
         self, agent: str, at: float, record: str, key: str, own_copy: Collection[str]
     ) -> None:
-        """A request that leaves an attempt record goes on; see WriteQuorumChecker."""
+        """Checks an admitted request that leaves an attempt record; see WriteQuorumChecker."""
         ring = self.ring_agreement.ring_of(agent)
-        self.write_quorum.attempt_recorded(agent, at, record, key, own_copy, ring)
+        self.write_quorum.on_attempt_recorded(agent, at, record, key, own_copy, ring)
 
     # Processes and the network
 
-    def agent_started(self, agent: str, at: float, readable_versions: tuple[int, int]) -> None:
-        """An agent's process was started."""
-        self.history.agent_started(agent, at, readable_versions)
+    def on_agent_started(self, agent: str, at: float, readable_versions: tuple[int, int]) -> None:
+        """Records the start of an agent's process."""
+        self.history.on_agent_started(agent, at, readable_versions)
 
-    def agent_died(self, agent: str, at: float) -> None:
-        """An agent's process ended."""
-        self.history.agent_died(agent, at)
+    def on_agent_ended(self, agent: str, at: float) -> None:
+        """Records the end of an agent's process."""
+        self.history.on_agent_ended(agent, at)
 
-    def recipient_unreachable(self, at: float) -> None:
-        """A message met a cut, or an agent that was stopped."""
-        self.write_quorum.recipient_unreachable(at)
+    def on_recipient_unreachable(self, at: float) -> None:
+        """Records that a message was lost at a cut, or went to a stopped agent."""
+        self.write_quorum.on_recipient_unreachable(at)
 
-    def message_sent(self, at: float, sender: str, incarnation: int, recipient: str, message: Struct) -> None:
-        """A message was sent, whether or not it arrives."""
+    def on_message_sent(
+        self, at: float, sender: str, incarnation: int, recipient: str, message: Struct
+    ) -> None:
+        """Checks a message that was sent, whether or not it arrives."""
         self.history.check_incarnation(sender, incarnation)
         if isinstance(message, messages.WriteRequest):
-            self.write_quorum.write_requested(sender, message)
+            self.write_quorum.on_write_request(sender, message)
         elif isinstance(message, messages.WriteResponse):
-            self.write_quorum.write_answered(sender, recipient, message)
+            self.write_quorum.on_write_response(sender, recipient, message)
         elif str(type(message).__struct_config__.tag).startswith(CONSENSUS_TAG_PREFIX):
-            self.ring_agreement.message_sent(at, sender, recipient, message)
+            self.ring_agreement.on_message_sent(at, sender, recipient, message)
 
-    # Results
+    # Results and final checks
 
     @property
     def executions(self) -> dict[str, list[Execution]]:
@@ -104,11 +105,11 @@
 
     @property
     def attempt_records(self) -> dict[tuple[str, str], WrittenRecord]:
-        """The attempt records of requests that went on, by record and attempt."""
+        """The attempt records of admitted requests, by record and attempt."""
         return self.write_quorum.attempt_records
 
     def excess(self, tenant: str) -> float:
-        """The most tokens by which the tenant was served over its limit, in any time. At most 0 is right."""
+        """The most tokens by which the tenant exceeded its limit in any span; at most 0 if the limit held."""
         return self.tenant_limits.excess(tenant, self.ring_agreement.governing_versions())
 
     def count_lost_records(
@@ -118,12 +119,12 @@
         return self.write_quorum.count_lost_records(attempt_ids, now, wall_ms)
 
     def check_equal(self, copies: Mapping[str, bytes], subject: str) -> None:
-        """Checks that copies have converged. `copies`: by agent."""
+        """Checks that copies of `subject` have converged. `copies` are their bytes, by agent."""
         if len(set(copies.values())) > 1:
             digests = ", ".join(f"{name} {value.hex()[:8]}" for name, value in sorted(copies.items()))
             self.report(f"{subject}: copies differ: {digests}")
 
     def close(self) -> list[str]:
-        """Checks what can be told only when the simulation is over; returns all violations."""
+        """Makes the checks that need the whole simulation, and returns all violations."""
         self.tenant_limits.check(self.ring_agreement.governing_versions())
         return self.violations
--- a/cartdeal/fleet/simulation/network.py
+++ b/cartdeal/fleet/simulation/network.py
@@ -1,7 +1,6 @@
-"""The simulated network: it drops, delays, duplicates and reorders messages, and is cut one way or both.
+"""The simulated network: it drops, delays, duplicates and reorders messages, and may be cut one way or both.
 
-Every message goes through the codec as it does on sockets. It must never use another path into a node than
-its events.
+Every message goes through the codec, as on sockets. The network must change a node by its events alone.
 """
 
 from __future__ import annotations
@@ -22,17 +21,17 @@
 if TYPE_CHECKING:
     from cartdeal.fleet.simulation.host import SimulatedHost
 
-STREAM_LOSS_FACTOR = 0.3  # a stream retransmits: it loses only what is on its way when it breaks
+STREAM_LOSS_FACTOR = 0.3  # streams retransmit, and lose only the messages in flight when they break
 
 
 class NetworkConditions(Struct):
-    """What the network does to messages; rates are shares from 0 to 1, times in seconds."""
+    """The faults and delays of the network; rates are shares of messages, from 0 to 1, and times seconds."""
 
     loss_rate: float = 0.0
     duplication_rate: float = 0.0
-    least_s: float = 0.001
-    jitter_s: float = 0.002
-    late_rate: float = 0.0  # share of messages that are delayed by up to `max_late_s` more
+    least_s: float = 0.001  # shortest delay
+    jitter_s: float = 0.002  # longest random addition to it
+    late_rate: float = 0.0  # share of messages with a further delay of up to `max_late_s`
     max_late_s: float = 5.0
 
 
@@ -74,18 +73,18 @@
         self.cuts = set()
 
     def send(self, host: SimulatedHost, node: Node, effect: SendMessage) -> None:
-        """Sends a node's message: encodes it, and has it arrive as the conditions say, or not at all."""
+        """Encodes a node's message, and schedules its deliveries by the network's conditions."""
         message, recipient = effect.message, effect.recipient
         message_type: Any = type(message)
         data = codec.encode(
             host.settings, node.name, node.incarnation, node.address, int(node.wall * 1e3), message
         )
         self._count(node.name, str(message_type.__struct_config__.tag), len(data))
-        self.checker.message_sent(self.clock.now, node.name, node.incarnation, recipient, message)
+        self.checker.on_message_sent(self.clock.now, node.name, node.incarnation, recipient, message)
         target = self.hosts.get(recipient)
         is_cut = (node.name, recipient) in self.cuts
         if is_cut or (target and target.is_stopped):
-            self.checker.recipient_unreachable(self.clock.now)
+            self.checker.on_recipient_unreachable(self.clock.now)
         if target is None or target.settings.address != effect.address or is_cut:
             return
         self._schedule_deliveries(node.name, target, data, is_datagram=message_type.DATAGRAM)
--- a/cartdeal/fleet/simulation/ring_agreement.py
+++ b/cartdeal/fleet/simulation/ring_agreement.py
@@ -1,6 +1,6 @@
 """The invariants of rings: one ring for each epoch, agreed on by a majority, and reached by allowed steps.
 
-Rings are told from the consensus messages on the network alone.
+The checker learns of rings from the consensus messages on the network alone.
 """
 
 from collections import defaultdict
@@ -17,10 +17,10 @@
 from cartdeal.fleet.simulation.agent_history import AgentHistory
 
 CONSENSUS_TAG_PREFIX = "e."
-SAMPLED_KEYS = 300  # whose owners are compared when a ring changes
-SAMPLING_ALLOWANCE = 0.06  # share of the keys, for sampling so few
-PROGRAM_NEWS_S = 5.0  # in which the ring may not know yet that an agent was started with an older program
-NEXT_PHASES = {  # within a version; "narrow" has no way back
+SAMPLED_KEY_COUNT = 300  # keys whose owners are compared when a ring changes
+SAMPLING_TOLERANCE_SHARE = 0.06  # tolerated share of the sampled keys, as so few are sampled
+PROGRAM_ANNOUNCEMENT_S = 5.0  # after a restart, in which the ring may not know the agent's program yet
+NEXT_PHASES = {  # within a version; no step back leads from "narrow"
     "steady": ("steady", "widen"),
     "widen": ("widen", "move", "steady"),
     "move": ("move", "narrow", "widen"),
@@ -29,7 +29,7 @@
 
 
 class RingAgreementChecker:
-    """Rings by their digests, who voted for them, and which agents go by them."""
+    """Rings by their digests, the members that voted for them, and the agents that use them."""
 
     def __init__(self, settings: FleetSettings, history: AgentHistory, report: Callable[[str], None]):
         self.history = history
@@ -37,21 +37,23 @@
         seeds = tuple(RingMember(name, "", 1.0) for name in sorted(settings.seeds))
         initial = Ring(0, seeds)
         self.rings: dict[bytes, Ring] = {initial.digest: initial}
-        self.previous_digests: dict[bytes, bytes] = {}  # ring -> the one that it was made from
+        self.previous_digests: dict[bytes, bytes] = {}  # ring -> the ring that it follows
         self.ballots: dict[tuple[bytes, int, str], bytes] = {}  # (previous ring, number, proposer) -> ring
         self.voters: dict[bytes, dict[str, None]] = defaultdict(dict)
-        self.adopted_at: dict[bytes, float] = {}  # rings that agents go by -> when the first one did
+        self.adopted_at: dict[bytes, float] = {}  # ring -> when the first agent used it
         self.digest_by_agent: dict[str, bytes] = {}
-        self.last_announced: dict[bytes, dict[str, float]] = defaultdict(dict)  # ring -> agent -> when
+        self.last_announced: dict[bytes, dict[str, float]] = defaultdict(
+            dict
+        )  # ring -> agent -> when it last announced it
         self.newest_founding_ms = 0
         self.digest_by_epoch: dict[tuple[int, int], bytes] = {}  # (founding, epoch) -> ring
 
     def ring_of(self, agent: str) -> Ring | None:
-        """The ring that an agent goes by, as far as its messages say."""
+        """The ring that an agent uses by its latest message; None if it is not known."""
         return self.rings.get(self.digest_by_agent.get(agent, b""))
 
-    def message_sent(self, at: float, sender: str, recipient: str, message: Any) -> None:
-        """Takes in a consensus message: rings, votes, and the ring that its sender goes by."""
+    def on_message_sent(self, at: float, sender: str, recipient: str, message: Any) -> None:
+        """Records the ring, the vote and the sender's current ring in a consensus message."""
         if isinstance(message, messages.RingSnapshot):
             self.rings.setdefault(message.previous_ring.digest, message.previous_ring)
             self._add_ring(message.previous_ring.digest, message.step)
@@ -71,7 +73,7 @@
             self.digest_by_agent[sender] = message.ring_digest
             self.last_announced[message.ring_digest][sender] = at
             if message.ring_digest not in self.adopted_at:
-                self._ring_adopted(at, sender, message.epoch, message.ring_digest)
+                self._on_ring_adopted(at, sender, message.epoch, message.ring_digest)
 
     def _add_ring(self, previous_digest: bytes, step: Any) -> Ring | None:
         if previous_digest not in self.rings:
@@ -81,8 +83,8 @@
         self.previous_digests.setdefault(ring.digest, previous_digest)
         return ring
 
-    def _ring_adopted(self, at: float, agent: str, epoch: int, digest: bytes) -> None:
-        """Checks a ring when the first agent goes by it."""
+    def _on_ring_adopted(self, at: float, agent: str, epoch: int, digest: bytes) -> None:
+        """Checks a ring when the first agent adopts it."""
         self.adopted_at[digest] = at
         self._check_conflicts(agent, epoch, digest)
         ring, previous = self.rings.get(digest), self.rings.get(self.previous_digests.get(digest, b""))
@@ -97,7 +99,7 @@
             self._check_movement(previous, ring)
 
     def _check_conflicts(self, agent: str, epoch: int, digest: bytes) -> None:
-        """No two fleets, and no two rings of one epoch."""
+        """Checks that there is only one fleet, and only one ring in each epoch."""
         founding_ms = self.rings[digest].founded_ms if digest in self.rings else 0
         self.newest_founding_ms = max(self.newest_founding_ms, founding_ms)
         if founding_ms < self.newest_founding_ms:
@@ -108,12 +110,12 @@
         self.digest_by_epoch[founding_ms, epoch] = digest
 
     def _is_forgotten(self, digest: bytes) -> bool:
-        """Whether all that went by a ring have ended since: what was agreed is gone with them."""
+        """Whether all agents that used a ring have ended since, so that nobody remembers its agreement."""
         last_announced = self.last_announced[digest]
-        return all(self.history.died_since(agent, last) for agent, last in last_announced.items())
+        return all(self.history.has_ended_since(agent, last) for agent, last in last_announced.items())
 
     def _check_phase(self, at: float, previous: Ring, ring: Ring) -> None:
-        """A schema's phases follow in order, and a version is raised only when enough members can read it."""
+        """Checks that schema phases follow in order, and that enough members can read a raised version."""
         old, new = (previous.written_version, previous.phase), (ring.written_version, ring.phase)
         if old == new or not previous.epoch:
             return
@@ -125,7 +127,7 @@
             self.report(f"{step}: no such step")
             return
         if (new[1], old[1]) in (("steady", "widen"), ("widen", "move")):
-            return  # back: that needs nobody
+            return  # a step back needs no reader of the next version
         able = [name for name in previous.names if self._can_read(name, target, at)]
         size = len(previous.members)
         needed = size if new[1] == "narrow" else size // 2 + 1
@@ -133,13 +135,13 @@
             self.report(f"{step}: {len(able)} of {size} can read {target}")
 
     def _can_read(self, agent: str, version: int, at: float) -> bool:
-        recently_started = at - self.history.starts[agent][-1] < PROGRAM_NEWS_S
+        recently_started = at - self.history.starts[agent][-1] < PROGRAM_ANNOUNCEMENT_S
         return self.history.readable_versions[agent][1] >= version or recently_started
 
     def _check_movement(self, previous: Ring, ring: Ring) -> None:
-        """Keys move only from or to members that changed, and no more of them than have to."""
+        """Checks that keys move only from or to members that changed, and few more than necessary."""
         moved = 0
-        for number in range(SAMPLED_KEYS):
+        for number in range(SAMPLED_KEY_COUNT):
             key = f"s/{number}".encode()
             old_owner, new_owner = owners(previous, key, 1)[0], owners(ring, key, 1)[0]
             if old_owner == new_owner:
@@ -152,13 +154,13 @@
                 self.report(f"epoch {ring.epoch}: a key moved from {old_owner} to {new_owner}, which stayed")
                 return
         share = minimal_movement(previous, ring)
-        if moved / SAMPLED_KEYS > 2 * share / (1 + share) + SAMPLING_ALLOWANCE:
+        if moved / SAMPLED_KEY_COUNT > 2 * share / (1 + share) + SAMPLING_TOLERANCE_SHARE:
             self.report(
-                f"epoch {ring.epoch}: {moved / SAMPLED_KEYS:.2f} of the keys moved, {share:.2f} had to"
+                f"epoch {ring.epoch}: {moved / SAMPLED_KEY_COUNT:.2f} of the keys moved, {share:.2f} had to"
             )
 
     def governing_versions(self) -> list[tuple[float, int]]:
-        """By which versions' rules limits were lent, each with when it began, as the newest ring says."""
+        """The versions whose rules governed leases, as (since when, version), by the newest rings."""
         versions, newest_epoch = [(0.0, 1)], 0
         for digest, at in self.adopted_at.items():
             ring = self.rings.get(digest)
--- a/cartdeal/fleet/simulation/single_execution.py
+++ b/cartdeal/fleet/simulation/single_execution.py
@@ -1,4 +1,4 @@
-"""The invariant of single execution: no effect happens twice, nor is a client told to cause it again."""
+"""The invariant of single execution: no effect happens twice, and no answer invites a client to repeat it."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from cartdeal.fleet.idempotency import AdmissionDecision
 
-TIME_TOLERANCE_S = 1e-6  # for the rounding of sums of times
+TIME_TOLERANCE_S = 1e-6  # for rounding errors of sums of times
 RETRYABLE_ANSWERS = (AdmissionDecision.REJECT.value, AdmissionDecision.RATE_LIMITED.value)
 
 
@@ -20,11 +20,11 @@
 
 
 class Intent(NamedTuple):
-    """The effect that a client wants. `repeat`: "i" idempotent, "d" deduplicated, "u" neither."""
+    """The effect that a client wants. `repeat` is "i" idempotent, "d" deduplicated, or "u" non-idempotent."""
 
     repeat: str
-    group: str  # servers among which repeats are dropped: "all", of the same "zone", of the same "cell"
-    window_s: float  # for how long repeats are dropped
+    group: str  # servers that drop repeats: "all", those of the same "zone", or of the same "cell"
+    window_s: float  # seconds in which they drop repeats
 
 
 class SingleExecutionChecker:
@@ -35,37 +35,39 @@
         self.intents: dict[str, Intent] = {}
         self.executions: dict[str, list[Execution]] = defaultdict(list)  # by intent
 
-    def client_came(self, intent: str, repeat: str, group: str, window_s: float) -> None:
-        """Takes in that a client wants one effect, however often it comes."""
+    def on_intent(self, intent: str, repeat: str, group: str, window_s: float) -> None:
+        """Records that a client wants one effect, however often it retries."""
         self.intents[intent] = Intent(repeat, group, window_s)
 
-    def attempt_executed(self, intent: str, execution: Execution) -> None:
+    def on_attempt_executed(self, intent: str, execution: Execution) -> None:
         """Checks an attempt that reached a server."""
-        wanted, earlier_executions = self.intents[intent], self.executions[intent]
-        if wanted.repeat != "i":
+        intent_details, earlier_executions = self.intents[intent], self.executions[intent]
+        if intent_details.repeat != "i":
             for earlier in earlier_executions:
-                self._check_pair(intent, wanted, earlier, execution)
+                self._check_pair(intent, intent_details, earlier, execution)
         earlier_executions.append(execution)
 
-    def _check_pair(self, intent: str, wanted: Intent, earlier: Execution, later: Execution) -> None:
+    def _check_pair(self, intent: str, intent_details: Intent, earlier: Execution, later: Execution) -> None:
         apart_s = later.at - earlier.at
         where = f"ran {apart_s:.3f} s apart at {earlier.agent} and {later.agent}"
-        if wanted.repeat == "u":
+        if intent_details.repeat == "u":
             self.report(f"{intent}: non-idempotent, {where}")
             return
-        same_cell = wanted.group == "zone" or earlier.cell == later.cell
-        same_group = wanted.group == "all" or (earlier.zone == later.zone and same_cell)
-        if apart_s > wanted.window_s + TIME_TOLERANCE_S or not same_group:
+        same_cell = intent_details.group == "zone" or earlier.cell == later.cell
+        same_group = intent_details.group == "all" or (earlier.zone == later.zone and same_cell)
+        if apart_s > intent_details.window_s + TIME_TOLERANCE_S or not same_group:
             locations = f"{earlier.zone}/{earlier.cell} and {later.zone}/{later.cell}"
             self.report(f"{intent}: deduplicated, {where}, {locations}")
 
-    def request_answered(self, intent: str, at: float, agent: str, answer: str) -> None:
-        """Checks an answer by which a client may come again."""
+    def on_answer(self, intent: str, at: float, agent: str, answer: str) -> None:
+        """Checks an answer after which the client may retry."""
         if answer not in RETRYABLE_ANSWERS:
             return
-        wanted = self.intents[intent]
+        intent_details = self.intents[intent]
         for earlier in self.executions[intent]:
             apart_s = at - earlier.at
-            in_window = wanted.group == "all" and apart_s <= wanted.window_s + TIME_TOLERANCE_S
-            if wanted.repeat == "u" or (wanted.repeat == "d" and not in_window):
+            in_window = (
+                intent_details.group == "all" and apart_s <= intent_details.window_s + TIME_TOLERANCE_S
+            )
+            if intent_details.repeat == "u" or (intent_details.repeat == "d" and not in_window):
                 self.report(f"{intent}: rejected at {agent}, {apart_s:.3f} s after it ran")
--- a/cartdeal/fleet/simulation/tenant_limits.py
+++ b/cartdeal/fleet/simulation/tenant_limits.py
@@ -5,11 +5,11 @@
 
 from cartdeal.fleet.settings import FleetSettings
 
-TOKEN_TOLERANCE = 1e-6  # for the rounding of sums of tokens
+TOKEN_TOLERANCE = 1e-6  # for rounding errors of sums of tokens
 
 
 class TenantLimitChecker:
-    """Keeps when requests of limited tenants were admitted."""
+    """Records when requests of limited tenants were admitted, and checks them against the limits."""
 
     def __init__(self, settings: FleetSettings, report: Callable[[str], None]):
         self.settings = settings
@@ -17,17 +17,21 @@
         self.report = report
         self.admission_times: dict[str, list[float]] = defaultdict(list)  # by tenant
 
-    def request_admitted(self, tenant: str, at: float) -> None:
-        """Takes in an admission."""
+    def on_request_admitted(self, tenant: str, at: float) -> None:
+        """Records an admission."""
         if tenant in self.limits:
             self.admission_times[tenant].append(at)
 
     def excess(self, tenant: str, versions: Sequence[tuple[float, int]]) -> float:
-        """The most tokens by which the tenant was served over its limit, in any time. At most 0 is right.
+        """The most tokens by which the tenant exceeded its limit in any span; at most 0 if the limit held.
 
-        Runs a bucket of the limit over what was served, as a server of the whole fleet would have; anew
-        where another version came to govern, and once with room for a change over the whole time.
-        `versions`: (since when, version by whose rules limits were lent), in order.
+        Runs one token bucket of the limit over all admissions, as a single server for the whole fleet would.
+        This is done separately for each period in which one version governed, and once over the whole time
+        with the additional burst that a change of version allows.
+
+        Args:
+            tenant: The tenant.
+            versions: (since when, version whose rules governed the leases), in order.
         """
         limit, settings = self.limits[tenant], self.settings
         times = sorted(self.admission_times[tenant])
--- a/cartdeal/fleet/simulation/write_quorum.py
+++ b/cartdeal/fleet/simulation/write_quorum.py
@@ -1,6 +1,6 @@
-"""The invariant of write quorums: a request goes on only when enough owners have its attempt record.
+"""The invariant of write quorums: a request is admitted only when enough owners have its attempt record.
 
-What was written is told from the replication messages on the network alone.
+The checker learns of writes from the replication messages on the network alone.
 """
 
 from collections import defaultdict
@@ -16,7 +16,7 @@
 
 
 class WrittenRecord(NamedTuple):
-    """An attempt record of a request that went on: its agent said that it was written."""
+    """The attempt record of an admitted request, which its agent takes as written."""
 
     at: float
     agent: str
@@ -24,36 +24,34 @@
 
 
 class WriteQuorumChecker:
-    """Attempt records, by their identifiers, and which agents have said that they wrote them."""
+    """Attempt records by their identifiers, and the agents that have confirmed to have written them."""
 
     def __init__(self, settings: FleetSettings, history: AgentHistory, report: Callable[[str], None]):
         self.settings = settings
         self.history = history
         self.report = report
-        self.fixed_fields: dict[str, tuple[object, ...]] = {}  # attempt -> what never changes of it
+        self.fixed_fields: dict[str, tuple[object, ...]] = {}  # attempt -> its unchanging fields
         self.expires_ms: dict[str, int] = {}
-        self.attempt_of_write: dict[
-            tuple[str, int, int], str
-        ] = {}  # (agent, incarnation, request) -> attempt
-        self.latest_attempt: dict[
-            tuple[str, str, str], str
-        ] = {}  # (agent, record, idempotency key) -> attempt
+        # (agent, incarnation, number of the write request) -> attempt
+        self.attempt_of_write: dict[tuple[str, int, int], str] = {}
+        # (agent, record, idempotency key) -> attempt
+        self.latest_attempt: dict[tuple[str, str, str], str] = {}
         self.writers: dict[str | None, dict[str, None]] = defaultdict(dict)
         self.attempt_records: dict[tuple[str, str], WrittenRecord] = {}  # by record and attempt
-        self.last_unreachable = -1.0  # when a message last met a cut, or an agent that was stopped
+        self.last_unreachable = -1.0  # when a message was last lost at a cut, or went to a stopped agent
 
-    def recipient_unreachable(self, at: float) -> None:
-        """Takes in that a message met a cut, or an agent that was stopped."""
+    def on_recipient_unreachable(self, at: float) -> None:
+        """Records that a message was lost at a cut, or went to a stopped agent."""
         self.last_unreachable = at
 
-    def write_requested(self, agent: str, message: messages.WriteRequest) -> None:
-        """Checks a write: it has the record that it names, and no identifier is used for two attempts."""
+    def on_write_request(self, agent: str, message: messages.WriteRequest) -> None:
+        """Checks that a write has the attempt that it names, and that identifiers are unique."""
         attempt_id = message.attempt_id
         if not attempt_id:
             return
         attempt = self._decode_attempt(message)
         if attempt is None:
-            self.report(f"{agent}: claims {attempt_id} without it")
+            self.report(f"{agent}: writes {attempt_id} without its record")
             return
         fixed_fields = (
             message.key,
@@ -65,7 +63,7 @@
             attempt.sent_ms,
         )
         if self.fixed_fields.setdefault(attempt_id, fixed_fields) != fixed_fields:
-            self.report(f"{agent}: gave out {attempt_id} twice")
+            self.report(f"{agent}: used {attempt_id} twice")
         self.expires_ms[attempt_id] = attempt.expires_ms
         self.attempt_of_write[agent, message.incarnation, message.request_id] = attempt_id
         self.latest_attempt[agent, message.key, attempt.key] = attempt_id
@@ -77,34 +75,36 @@
             return None
         return record.attempts.get(message.attempt_id)
 
-    def write_answered(self, owner: str, writer: str, message: messages.WriteResponse) -> None:
-        """Takes in that an owner wrote an attempt record."""
+    def on_write_response(self, owner: str, writer: str, message: messages.WriteResponse) -> None:
+        """Records that an owner wrote an attempt record."""
         attempt_id = self.attempt_of_write.get((writer, message.incarnation, message.request_id))
         if message.written and attempt_id is not None:
             self.writers[attempt_id][owner] = None
 
-    def attempt_recorded(
+    def on_attempt_recorded(
         self, agent: str, at: float, record: str, key: str, own_copy: Collection[str], ring: Ring | None
     ) -> None:
-        """Checks that enough owners have the attempt record of a request that goes on.
+        """Checks that enough owners have the attempt record of an admitted request.
 
         Args:
-            agent: The agent that lets the request go on.
+            agent: The agent that admits the request.
             at: When it does, in simulated seconds.
             record: The key of the session's record.
             key: The request's idempotency key.
             own_copy: The attempts in the agent's own copy of the record, since it may be an owner.
-            ring: The ring that the agent goes by.
+            ring: The ring that the agent uses.
         """
         attempt_id = self.latest_attempt.get((agent, record, key))
         if attempt_id is None and ring is not None and len(ring.members) == 1:
-            return  # it has nobody to send it to
+            return  # the only member writes to no other agent
         writers = set(self.writers[attempt_id])
         if attempt_id in own_copy:
             writers.add(agent)
         needed = quorum(self.settings, ring).writes if ring else self.settings.write_by
         if len(writers) < needed:
-            self.report(f"{agent}: went on though {attempt_id} was written at {len(writers)} of {needed}")
+            self.report(
+                f"{agent}: admitted a request though {attempt_id} was written at {len(writers)} of {needed}"
+            )
         if attempt_id:
             self.attempt_records[record, attempt_id] = WrittenRecord(at, agent, self.expires_ms[attempt_id])
 
@@ -113,8 +113,8 @@
     ) -> int:
         """Counts attempt records that have not expired and that no agent has.
 
-        There is no excuse for one unless as many agents as there are copies have been down at once since; as
-        many as it was written to, where an owner may have been out of reach.
+        A lost record is a violation unless, since it was written, as many agents were down at once as there
+        are copies. If an owner may have been unreachable at that time, the write quorum counts instead.
 
         Args:
             attempt_ids: Agent -> record -> the attempts in its copy.
@@ -128,7 +128,7 @@
             if any(attempt_id in copies.get(record, ()) for copies in attempt_ids.values()):
                 continue
             lost += 1
-            down = self.history.max_down_at_once(written.at, now)
+            down = self.history.max_simultaneous_outages(written.at, now)
             all_reachable = self.last_unreachable < written.at
             copies_made = self.settings.copies if all_reachable else self.settings.write_by
             if down < min(copies_made, len(self.settings.seeds)):
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -260,11 +260,11 @@
         seed,
         terms.agents,
         terms.seconds,
-        quiet=terms.quiet,
-        pause_s=terms.pause_s,
-        requests=terms.requests,
-        upgrade=terms.upgrade,
-        apart=terms.apart,
+        recovery_timeout=terms.quiet,
+        mean_pause_s=terms.pause_s,
+        request_rate=terms.requests,
+        has_upgrade=terms.upgrade,
+        clock_rate_spread=terms.apart,
     )
     row = msgspec.structs.asdict(result)
     return {key: value for key, value in row.items() if key not in ("seed", "found", "events")}
--- a/tests/fleet/test_fault_schedule.py
+++ b/tests/fleet/test_fault_schedule.py
@@ -1,4 +1,4 @@
-"""A few short days of random faults; hundreds are played by the lab."""
+"""A few short schedules of random faults; the lab runs hundreds."""
 
 import os
 import subprocess
@@ -8,21 +8,21 @@
 
 from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule
 
-TERMS = {"agents": 5, "seconds": 10.0, "pause_s": 1.5, "requests": 10.0}
+SCHEDULE = {"agents": 5, "seconds": 10.0, "mean_pause_s": 1.5, "request_rate": 10.0}
 PRINT_RESULT = (
     "from cartdeal.fleet.simulation.fault_schedule import run_fault_schedule; "
-    f"print(run_fault_schedule(3, **{TERMS}))"
+    f"print(run_fault_schedule(3, **{SCHEDULE}))"
 )
 
 
-@pytest.mark.parametrize("seed, upgrade", [(3, False), (7, True)])
-def test_no_invariant_is_violated_and_the_fleet_recovers_soon(seed, upgrade):
-    result = run_fault_schedule(seed, upgrade=upgrade, **TERMS)
+@pytest.mark.parametrize("seed, has_upgrade", [(3, False), (7, True)])
+def test_fault_schedule_violates_no_invariant_and_the_fleet_recovers(seed, has_upgrade):
+    result = run_fault_schedule(seed, has_upgrade=has_upgrade, **SCHEDULE)
     assert result.found == []
     assert result.one_ring_s < 30.0 and result.equal_s < 30.0 and result.served_after > 0.5
 
 
-def test_the_same_seed_gives_the_same_result_in_every_process():
+def test_a_seed_gives_the_same_result_in_every_process():
     outputs = [
         subprocess.run(
             [sys.executable, "-c", PRINT_RESULT],
