--- a/tests/fleet/stories/schema.feature
+++ b/tests/fleet/stories/schema.feature
@@ -1,86 +1,86 @@
-Feature: A rolling upgrade loses and doubles nothing
+Feature: A rolling upgrade loses no record and repeats no effect
 
   Scenario: A rolling upgrade, agent by agent
     Given a fleet of 4 agents in 2 zones
     And all agents run the old program
     And the fleet has settled
-    When 10 clients submit their sheets at all agents
-    And a0 and a1 start from nothing with the new program
+    When 10 clients send non-idempotent requests to all agents
+    And a0 and a1 restart without state and with the new program
     And 8 seconds pass
-    And a2 starts from nothing with the new program
+    And a2 restarts without state and with the new program
     And 8 seconds pass
-    And a3 starts from nothing with the new program
-    And 10 clients submit their sheets at all agents over 5 seconds
+    And a3 restarts without state and with the new program
+    And 10 clients send non-idempotent requests to all agents over 5 seconds
     Then the fleet writes version 2 within 25 seconds
     And all copies are equal within 5 seconds
 
-  Scenario: The agent that drives a step dies between its phases
+  Scenario: The agent that proposes a ring dies between two phases
     Given a fleet of 5 agents in 3 zones
     And all agents run the old program
     And the fleet has settled
-    When all agents start from nothing with the new program
+    When all agents restart without state and with the new program
     And the fleet is in phase widen
-    And whoever proposes the next ring is killed
+    And the agent that proposes the next ring is killed
     And the fleet is in phase move
-    And whoever proposes the next ring is killed
+    And the agent that proposes the next ring is killed
     Then the fleet writes version 2 within 40 seconds
 
-  Scenario: An old agent that was cut off comes back after narrowing
+  Scenario: An agent with the old program is reconnected after the phase narrow
     Given a fleet of 5 agents in 3 zones
-    And 60 seconds marks last
+    And attempt records are kept for 60 seconds
     And a4 runs the old program
     And the fleet has settled
-    When a client submits its sheet at a4, which takes 3 seconds
+    When a client sends a non-idempotent request to a4, which takes 3 seconds
     And a4 is cut off
     Then the fleet writes version 2 within 45 seconds
-    And all owners know that the sheet may have run
-    When the cuts heal
+    And all owners have recorded that the request may have run
+    When the cuts end
     And 8 seconds pass
-    Then all owners know that the sheet was answered
-    And an operator was told of: fenced
-    When a client submits its sheet at a0, which takes 9 seconds, and would come again at a4
+    Then all owners have recorded that the request was answered
+    And an agent has logged: fenced
+    When a client sends a non-idempotent request to a0, which takes 9 seconds, and would retry at a4
     And a0 is killed
     And 2 seconds pass
-    Then its sheet ran once
-    And the client was told: broke off, fail
+    Then its request ran once
+    And the outcomes of the client's tries are: broke off, fail
 
-  Scenario: Half the fleet is rolled back in mid-move
+  Scenario: Half the fleet is rolled back in the phase move
     Given a fleet of 6 agents in 3 zones
     And a5 runs the old program
     And the fleet has settled
-    When 20 clients submit their sheets at all agents over 2 seconds
-    And a5 starts from nothing with the new program
+    When 20 clients send non-idempotent requests to all agents over 2 seconds
+    And a5 restarts without state and with the new program
     And the fleet is in phase move
-    And a0, a1 and a2 start from nothing with the old program
+    And a0, a1 and a2 restart without state and with the old program
     And 12 seconds pass
     Then the fleet writes version 1 within 10 seconds
     And all copies are equal within 15 seconds
-    When a0, a1 and a2 start from nothing with the new program
+    When a0, a1 and a2 restart without state and with the new program
     Then the fleet writes version 2 within 40 seconds
 
-  Scenario: A new field is written, passed through an old agent, and back
+  Scenario: A new field is written, stored by agents with the old program, and read again
     Given a fleet of 3 agents in 3 zones
     And a1 and a2 run the old program
     And the fleet has settled
-    When a client submits its sheet at a0
+    When a client sends a non-idempotent request to a0
     And a newer program adds a field to the session at a0
     And 5 seconds pass
-    And a0 starts from nothing
+    And a0 restarts without state
     And 8 seconds pass
-    Then a0 has the newer field back
+    Then a0 has the newer field again
     And all copies are equal within 5 seconds
 
-  Scenario: An operator holds the fleet at its version
+  Scenario: The settings keep the fleet at its version
     Given a fleet of 3 agents in 3 zones
-    And 1 is the highest version held
+    And the highest allowed version is 1
     And the fleet has settled
     When 10 seconds pass
     Then the fleet writes version 1 within 1 second
 
-  Scenario: A step back is refused once the fleet has narrowed
+  Scenario: An agent with the old program is refused after the phase narrow
     Given a fleet of 3 agents in 3 zones
     And the fleet has settled
-    When a1 starts from nothing with the old program
+    When a1 restarts without state and with the old program
     And 8 seconds pass
     Then the fleet writes version 2 within 1 second
-    And an operator was told of: fenced
+    And an agent has logged: fenced
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -1,5 +1,8 @@
-"""Faults, each injected into otherwise correct agents at test time: the checker has to find and name it, and
-finds nothing in the same scenario without it. A scenario in which nothing can be found proves nothing."""
+"""Injects faults into otherwise correct agents: the invariant checker must report each fault.
+
+Without the fault the checker must report nothing in the same scenario. A scenario proves something only if it
+can reveal a fault.
+"""
 
 import pytest
 
@@ -24,21 +27,26 @@
 SHOP_REQUEST = AdmissionRequest(tenant="shop", workload="read")
 
 
-def fleet(size, **terms):
+def fleet(size, **settings):
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(size)}
     memory = InMemoryFleet(
         FleetSettings(
-            fleet="f", name="", key=b"k" * 32, seeds=seeds, limits={"shop": RateLimit(100.0, 90.0)}, **terms
+            fleet="f",
+            name="",
+            key=b"k" * 32,
+            seeds=seeds,
+            limits={"shop": RateLimit(100.0, 90.0)},
+            **settings,
         ),
         1,
     )
-    for each in range(size):
-        memory.add(f"a{each}", zone=f"z{each % 3}")
+    for number in range(size):
+        memory.add(f"a{number}", zone=f"z{number % 3}")
     memory.run_until(memory.has_one_ring, 20.0)
     return memory.run(46.0)
 
 
-def request(name, repeat="u", **more):
+def request(name, repeat="u", **fields):
     return AdmissionRequest(
         **{
             "session": f"s{name}",
@@ -46,7 +54,7 @@
             "repeat": repeat,
             "limit_s": 20.0,
             "workload": "sheet",
-            **more,
+            **fields,
         }
     )
 
@@ -61,7 +69,7 @@
 # Scenarios
 
 
-def restarts(memory):
+def agent_restarts(memory):
     for _ in range(2):
         for turn in range(5):
             memory.submit(request(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
@@ -79,7 +87,7 @@
 
 
 def owner_restarts(memory):
-    """An owner comes back from nothing, again and again, while one that doesn't hear of it uses its loan."""
+    """An owner restarts without state again and again, while a cut-off agent uses a lease from before."""
     for _ in range(8):
         submit_shop_requests(memory, 1.5, ["a1", "a2"])
         memory.cut(["a0"], ["a1"])
@@ -90,7 +98,7 @@
 
 
 def all_owners_restart(memory):
-    """All owners of a sheet's session come back from nothing, and its client comes again."""
+    """All owners of a session restart without state while its request runs, and the client retries."""
     ring = memory.nodes()["a0"].ring
     name = next(n for n in range(99) if "a0" not in owners(ring, f"s/s{n}".encode(), 3))
     memory.submit(request(name), ["a0", "a1", "a2"], 3, work_s=9.0, patience_s=20.0)
@@ -121,8 +129,8 @@
     memory.run(14.0)
 
 
-def unknown_at_isolated_agent(memory):
-    """A client comes again at an agent that can ask nobody."""
+def retry_at_isolated_agent(memory):
+    """A client retries at an agent that is cut off from all others."""
     memory.submit(request(0), ["a0", "a1"], 2, work_s=9.0, patience_s=9.0)
     memory.run(0.3)
     memory.cut(["a1"], ["a0", "a2"])
@@ -130,13 +138,13 @@
     memory.run(1.0)
 
 
-def another_zone(memory):
+def retry_in_another_zone(memory):
     memory.submit(request(0, "d", group="zone", window_s=9.0), ["a0", "a1"], 2, work_s=9.0, patience_s=1.0)
     memory.run(2.0)
 
 
 def reordered_messages(memory):
-    """Sheets of few sessions are answered while messages come in any order."""
+    """Requests of few sessions are answered while messages arrive out of order."""
     memory.conditions = NetworkConditions(duplication_rate=0.3, jitter_s=0.2, late_rate=0.2, max_late_s=2.0)
     for turn in range(120):
         memory.submit(request(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
@@ -146,8 +154,8 @@
     memory.count_lost_records()
 
 
-def newer_field(memory):
-    """A newer program writes a field, dies, and gets its record back from older ones."""
+def newer_field_is_restored(memory):
+    """A newer program writes a field, restarts, and gets its record back from agents with older programs."""
     memory.submit(request(0), ["a0"])
     memory.run(1.0)
     store = memory.nodes()["a0"].replica.store
@@ -173,15 +181,15 @@
     memory.run(20.0)
 
 
-def clock_ahead(memory):
-    """One that goes by a clock 40 s ahead, whatever it hears, joins while a sheet is on its way."""
+def agent_with_clock_ahead_joins(memory):
+    """An agent joins while a request runs; its clock is 40 s ahead, and it ignores other clocks."""
 
-    def stubborn(*args):
-        made = Node(*args)
-        made.fleet_clock.observe = lambda *_: True
-        return made
+    def create_node_with_own_clock(*args):
+        node = Node(*args)
+        node.fleet_clock.observe = lambda *_: True
+        return node
 
-    memory.node_factories["a9"] = stubborn
+    memory.node_factories["a9"] = create_node_with_own_clock
     memory.submit(request(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
     memory.run(0.3)
     memory.add("a9", zone="z1", start=False).wall_offset_s = 40.0
@@ -194,31 +202,31 @@
 # Faults
 
 
-def last_write_wins(patch):
+def keep_last_arrival(patch):
     patch(records, "merge", lambda a, b: b)
 
 
-def incarnation_reused(patch):
+def reuse_incarnation(patch):
     def init(self, fleet_settings, seed, now, wall):
-        before(self, fleet_settings, "the same", now, 1_700_000_000.0)
+        original(self, fleet_settings, "the same", now, 1_700_000_000.0)
         self.fleet_clock.offset_s = wall - now
 
-    before = Node.__init__
+    original = Node.__init__
     patch(Node, "__init__", init)
 
 
-def lease_without_end(patch):
-    before = HeldLease.__init__
+def never_expire_leases(patch):
+    original = HeldLease.__init__
     patch(
         HeldLease,
         "__init__",
-        lambda self, incarnation, response, requested_at, expires_at: before(
+        lambda self, incarnation, response, requested_at, expires_at: original(
             self, incarnation, response, requested_at, 1e9
         ),
     )
 
 
-def no_fence(patch):
+def remove_fence(patch):
     patch(
         lease_owner,
         "OwnershipHistory",
@@ -226,55 +234,55 @@
     )
 
 
-def minority_is_majority(patch):
+def accept_minority(patch):
     patch(Ring, "majority", property(lambda ring: max(1, len(ring.members) // 2)))
 
 
-def lease_not_required(patch):
+def require_no_lease(patch):
     patch(RingConsensus, "has_valid_lease", lambda self: self.ring is not None)
 
 
-def field_dropped(patch):
+def drop_unknown_fields(patch):
     def decode(*args):
-        record = before(*args)
+        record = original(*args)
         record.unknown_fields = {}
         return record
 
-    before = record_codec.decode
+    original = record_codec.decode
     patch(record_codec, "decode", decode)
 
 
-def answers_before_catch_up(patch):
+def answer_before_catch_up(patch):
     patch(CatchUp, "has_caught_up", lambda *_: True)
     patch(CatchUp, "complete_ranges", lambda *_: ALL_RANGES)
 
 
-def records_expire_early(patch):
-    before = records.without_expired
-    patch(records, "without_expired", lambda record, wall, slack: before(record, wall + 20_000, slack))
+def expire_records_early(patch):
+    original = records.without_expired
+    patch(records, "without_expired", lambda record, wall, slack: original(record, wall + 20_000, slack))
 
 
-def duplicate_response_applied(patch):
+def apply_duplicate_responses(patch):
     def on_response(self, sender, incarnation, response, now):
         quota = self.quotas.get(response.tenant)
         exchange = quota.exchanges[sender] if quota is not None else None
         if exchange is None or exchange.pending_sequence == response.sequence:
-            return before(self, sender, incarnation, response, now)
+            return original(self, sender, incarnation, response, now)
         pending_sequence, exchange.pending_sequence = exchange.pending_sequence, response.sequence
-        quota = before(self, sender, incarnation, response, now)
+        quota = original(self, sender, incarnation, response, now)
         exchange.pending_sequence = pending_sequence
         return quota
 
-    before = LeaseHolder.on_response
+    original = LeaseHolder.on_response
     patch(LeaseHolder, "on_response", on_response)
 
 
-def all_read_newer_version(patch):
-    def agree(ring, live, fleet_settings):
-        able = {name: schema_peer(peer) for name, peer in live.items()}
-        return before(ring, able, fleet_settings)
+def assume_newer_versions(patch):
+    def next_step(ring, live, fleet_settings):
+        newer_peers = {name: with_newer_versions(peer) for name, peer in live.items()}
+        return original(ring, newer_peers, fleet_settings)
 
-    def schema_peer(peer):
+    def with_newer_versions(peer):
         return type(peer)(
             peer.name,
             peer.address,
@@ -287,27 +295,27 @@
             9,
         )
 
-    before = migration.next_step
-    patch(migration, "next_step", agree)
+    original = migration.next_step
+    patch(migration, "next_step", next_step)
 
 
-def one_write_is_enough(patch):
-    class Eager(quorum.PendingOperation):
+def require_one_write(patch):
+    class SingleResponseOperation(quorum.PendingOperation):
         required = property(lambda self: quorum.RequiredResponses(1, 1), lambda self, required: None)
 
-    patch(quorum, "PendingOperation", Eager)
+    patch(quorum, "PendingOperation", SingleResponseOperation)
 
 
-def rejects_when_unknown(patch):
+def reject_when_unknown(patch):
     patch(pending_admissions, "decide_unknown", lambda *_: AdmissionDecision.REJECT)
 
 
-def earlier_attempts_forgotten(patch):
-    before = pending_admissions.decide
-    patch(pending_admissions, "decide", lambda *args: (before(*args)[0], ()))
+def forget_earlier_attempts(patch):
+    original = pending_admissions.decide
+    patch(pending_admissions, "decide", lambda *args: (original(*args)[0], ()))
 
 
-def by_remainder(patch):
+def choose_owners_by_remainder(patch):
     def compute_owners(self, key, n):
         first = hash_number(key) % len(self.names)
         return tuple(sorted(self.names)[(first + turn) % len(self.names)] for turn in range(n))
@@ -315,7 +323,7 @@
     patch(RendezvousHash, "compute_owners", compute_owners)
 
 
-def any_clock_believed(patch):
+def accept_any_clock(patch):
     patch(
         HybridClock,
         "observe",
@@ -325,54 +333,84 @@
 
 
 FAULTS = {
-    "a merge that takes the last to arrive": (last_write_wins, reordered_messages, 3, {}, "lost, though"),
-    "a number used again after a restart": (incarnation_reused, restarts, 3, {}, "twice"),
-    "a lease that does not end": (lease_without_end, cut_in_two, 5, {}, "over its limit"),
-    "an owner that forgets its fence": (no_fence, owner_restarts, 3, {}, "over its limit"),
-    "a minority that draws a ring": (minority_is_majority, cut_in_two, 5, {}, "drawn by 2 of 5"),
-    "an owner whom nobody has to vouch for": (lease_not_required, cut_in_two, 5, {}, "over its limit"),
-    "a field dropped": (field_dropped, newer_field, 3, {}, "newer field: copies differ"),
-    "a handover that answers too early": (
-        answers_before_catch_up,
+    "a merge that keeps the record that arrives last": (
+        keep_last_arrival,
+        reordered_messages,
+        3,
+        {},
+        "lost, though",
+    ),
+    "an incarnation used again after a restart": (reuse_incarnation, agent_restarts, 3, {}, "twice"),
+    "a lease that does not expire": (never_expire_leases, cut_in_two, 5, {}, "over its limit"),
+    "an owner without a fence after a restart": (remove_fence, owner_restarts, 3, {}, "over its limit"),
+    "a minority that decides on a ring": (accept_minority, cut_in_two, 5, {}, "drawn by 2 of 5"),
+    "an owner that needs no lease from a majority": (require_no_lease, cut_in_two, 5, {}, "over its limit"),
+    "a codec that drops unknown fields": (
+        drop_unknown_fields,
+        newer_field_is_restored,
+        3,
+        {},
+        "newer field: copies differ",
+    ),
+    "an owner that answers before it has caught up": (
+        answer_before_catch_up,
         all_owners_restart,
         5,
         {},
         "non-idempotent, ran",
     ),
-    "marks forgotten too early": (records_expire_early, retry_after_expiry, 3, {}, "non-idempotent, ran"),
-    "a doubled answer taken twice": (
-        duplicate_response_applied,
+    "attempt records that expire too early": (
+        expire_records_early,
+        retry_after_expiry,
+        3,
+        {},
+        "non-idempotent, ran",
+    ),
+    "a duplicated response that is applied twice": (
+        apply_duplicate_responses,
         bad_network,
         3,
         {"hold_version": 1},
         "over its limit",
     ),
-    "a version gone up without a majority": (
-        all_read_newer_version,
+    "a version that is raised without a majority": (
+        assume_newer_versions,
         minority_upgraded,
         5,
         {"reads": (1, 1)},
         "can read 2",
     ),
-    "a mark that one owner is enough for": (
-        one_write_is_enough,
+    "an attempt record that one owner is enough for": (
+        require_one_write,
         requests_at_isolated_agent,
         3,
         {},
         "written at 1 of 2",
     ),
-    "one in doubt that sends its client elsewhere": (
-        rejects_when_unknown,
-        unknown_at_isolated_agent,
+    "an agent that rejects a request that may have run": (
+        reject_when_unknown,
+        retry_at_isolated_agent,
         3,
         {},
         "rejected",
     ),
-    "a repeat sent to another zone": (earlier_attempts_forgotten, another_zone, 3, {}, "deduplicated, ran"),
-    "owners by remainder": (by_remainder, agent_joins, 5, {}, "which stayed"),
-    "a clock that is believed whatever it says": (
-        any_clock_believed,
-        clock_ahead,
+    "a retry that is sent to another zone": (
+        forget_earlier_attempts,
+        retry_in_another_zone,
+        3,
+        {},
+        "deduplicated, ran",
+    ),
+    "owners chosen by the remainder of a hash": (
+        choose_owners_by_remainder,
+        agent_joins,
+        5,
+        {},
+        "which stayed",
+    ),
+    "a clock that is believed however far ahead it is": (
+        accept_any_clock,
+        agent_with_clock_ahead_joins,
         3,
         {},
         "non-idempotent, ran",
@@ -380,22 +418,22 @@
 }
 
 
-@pytest.mark.parametrize("which", FAULTS)
-def test_checker_reports_the_injected_fault(which, monkeypatch):
-    inject, scenario, size, terms, words = FAULTS[which]
+@pytest.mark.parametrize("fault", FAULTS)
+def test_checker_reports_the_injected_fault(fault, monkeypatch):
+    inject, scenario, size, settings, message = FAULTS[fault]
     inject(monkeypatch.setattr)
-    memory = fleet(size, **terms)
+    memory = fleet(size, **settings)
     scenario(memory)
-    found = memory.checker.close()
-    assert any(words in each for each in found), found
+    violations = memory.checker.close()
+    assert any(message in each for each in violations), violations
 
 
-SCENARIOS = {scenario: (size, terms) for _, scenario, size, terms, _ in FAULTS.values()}
+SCENARIOS = {scenario: (size, settings) for _, scenario, size, settings, _ in FAULTS.values()}
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_checker_reports_nothing_in_the_same_scenario_without_the_fault(scenario):
-    size, terms = SCENARIOS[scenario]
-    memory = fleet(size, **terms)
+    size, settings = SCENARIOS[scenario]
+    memory = fleet(size, **settings)
     scenario(memory)
     assert memory.checker.close() == []
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -1,5 +1,7 @@
-"""The stories of tests/fleet/stories/, played over the in-memory fleet: seeded, with no sleep. Whatever else
-a story asks, the judge has the last word on it."""
+"""Runs the stories of tests/fleet/stories/ over the in-memory fleet: with a seed, and without sleeping.
+
+In addition to the steps of a story, the invariant checker must report nothing at its end.
+"""
 
 import re
 
@@ -17,93 +19,95 @@
 
 scenarios("stories")
 
-SHOP = AdmissionRequest(tenant="shop", workload="read")
-TERMS = {  # an operator's words -> keys of the operator file
-    "marks last": "longest_mark_s",
-    "hints are kept": "most_hints",
-    "records are kept": "most_records",
-    "marks fit in a session": "most_marks_a_session",
-    "is the highest version held": "hold_version",
+SHOP_REQUEST = AdmissionRequest(tenant="shop", workload="read")
+SETTING_KEYS = {  # words of a step -> key of FleetSettings
+    "attempt records are kept for": "longest_mark_s",
+    "the limit of hints is": "most_hints",
+    "the limit of records is": "most_records",
+    "the limit of attempt records in a session is": "most_marks_a_session",
+    "the highest allowed version is": "hold_version",
 }
 
 
 class Story:
-    """A fleet, the clients that came, and what was seen at one moment, to be held against a later one."""
+    """A fleet, its clients, and a noted ring or time for comparison with a later one."""
 
     def __init__(self):
-        self.size, self.zones, self.terms, self.each = 3, 3, {}, {}
-        self.memory, self.clients, self.before = None, [], None
+        self.size, self.zones, self.settings, self.settings_by_agent = 3, 3, {}, {}
+        self.memory, self.clients, self.noted = None, [], None
 
-    def begin(self):
-        """Agents that come later are known to all by name, but are no seeds."""
+    def start_fleet(self):
+        """Starts the fleet, and waits until it has settled. Agents that join later are no seeds."""
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(self.size)}
-        fleet_settings = FleetSettings(fleet="f", name="", key=b"k" * 32, seeds=seeds, **self.terms)
+        fleet_settings = FleetSettings(fleet="f", name="", key=b"k" * 32, seeds=seeds, **self.settings)
         self.memory = memory = InMemoryFleet(fleet_settings, 1)
         for number in range(self.size):
             self.add(f"a{number}")
         assert memory.run_until(memory.has_one_ring, 20.0) < 20.0
-        memory.run(fleet_settings.longest_mark_s + 16.0)  # until nothing of before its founding may be due
+        memory.run(fleet_settings.longest_mark_s + 16.0)  # until no earlier attempt can count
 
     def add(self, name, **changes):
-        terms = {**self.each.get(name, {}), **changes}
-        skew = terms.pop("skew", 0.0)
-        host = self.memory.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **terms)
-        host.wall_offset_s = skew
+        settings = {**self.settings_by_agent.get(name, {}), **changes}
+        wall_offset_s = settings.pop("wall_offset_s", 0.0)
+        host = self.memory.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **settings)
+        host.wall_offset_s = wall_offset_s
         host.start()
 
-    def named(self, text):
-        """Agents by name, or those that run, or the owners of the last client's session."""
+    def agents_named(self, text):
+        """Agents by their names, the running agents, or the owners of the last client's session."""
         if text.startswith("all owners"):
             return list(self.owners())
         return list(self.memory.nodes()) if text == "all agents" else re.findall(r"a\d+", text)
 
-    def others(self, names):
+    def other_agents(self, names):
         return [name for name in self.memory.hosts if name not in names]
 
-    def come(self, agents, repeat="u", take=0.05, patience=None, **more):
-        """A client comes to the first agent, and to the next one when it breaks off or is rejected."""
+    def submit(self, agents, repeat="u", work_s=0.05, patience_s=None, **fields):
+        """A client's request goes to the first agent, and after a disconnect or rejection to the next one."""
         number = len(self.clients)
-        question = AdmissionRequest(
+        request = AdmissionRequest(
             **{
                 "session": f"s{number}",
                 "key": f"k{number}",
                 "repeat": repeat,
                 "limit_s": 20.0,
                 "workload": "sheet",
-                **more,
+                **fields,
             }
         )
-        intent = self.memory.submit(question, agents, len(agents), take, patience or take + 1.0)
-        self.clients.append((intent, question))
+        intent = self.memory.submit(request, agents, len(agents), work_s, patience_s or work_s + 1.0)
+        self.clients.append((intent, request))
 
     def outcomes(self, client=-1):
         return self.memory.outcomes[self.clients[client][0]]
 
-    def ran(self, client=-1):
+    def run_count(self, client=-1):
         return len(self.memory.checker.executions[self.clients[client][0]])
 
-    def key(self, client=-1):
+    def record_key(self, client=-1):
         return f"s/{self.clients[client][1].session}"
 
     @property
     def ring(self):
-        """The newest."""
+        """The ring of the newest epoch that an agent has."""
         rings = [node.ring for node in self.memory.nodes().values() if node.ring]
         return max(rings, key=lambda ring: ring.epoch, default=Ring(0, ()))
 
     def owners(self, client=-1):
-        return owners(self.ring, self.key(client).encode(), 3)
+        return owners(self.ring, self.record_key(client).encode(), 3)
 
-    def marks(self, client=-1):
-        """Of each owner that runs, what it knows of the request."""
+    def attempts_by_owner(self, client=-1):
+        """The attempt records of the request, by running owner."""
         nodes = self.memory.nodes()
         records = {
-            name: nodes[name].replica.store.get(self.key(client))
+            name: nodes[name].replica.store.get(self.record_key(client))
             for name in self.owners(client)
             if name in nodes
         }
         return {
-            name: [mark for mark in record.attempts.values() if mark.key == self.clients[client][1].key]
+            name: [
+                attempt for attempt in record.attempts.values() if attempt.key == self.clients[client][1].key
+            ]
             if record
             else []
             for name, record in records.items()
@@ -118,21 +122,21 @@
 
 
 def steps(decorator, *patterns):
-    """One function for several sentences; groups of the pattern become its arguments."""
+    """One function for several patterns of a step; their groups become its arguments."""
 
-    def wrapped(do):
+    def decorate(function):
         for pattern in patterns:
-            do = decorator(parsers.re(pattern), stacklevel=2)(do)
-        return do
+            function = decorator(parsers.re(pattern), stacklevel=2)(function)
+        return function
 
-    return wrapped
+    return decorate
 
 
 WHO = r"(?P<who>all agents|all owners[a-z ]*|a\d+(?:(?:, | and )a\d+)*)"
 SECONDS = r"(?P<seconds>\d+(?:\.\d+)?) seconds?"
 
 
-# What there is
+# The fleet and its settings
 
 
 @steps(given, r"a fleet of (?P<size>\d+) agents in (?P<zones>\d+) zones?")
@@ -140,38 +144,40 @@
     story.size, story.zones = int(size), int(zones)
 
 
-@steps(given, r"shop may have (?P<rate>\d+) requests a second and (?P<burst>\d+) at once")
+@steps(given, r"tenant shop has a limit of (?P<rate>\d+) requests per second and a burst of (?P<burst>\d+)")
 def _(story, rate, burst):
-    story.terms["limits"] = {"shop": RateLimit(float(rate), float(burst))}
+    story.settings["limits"] = {"shop": RateLimit(float(rate), float(burst))}
 
 
-@steps(given, rf"(?P<most>\d+) (?:seconds )?(?P<what>{'|'.join(TERMS)})")
-def _(story, most, what):
-    story.terms[TERMS[what]] = int(most)
+@steps(given, rf"(?P<setting>{'|'.join(SETTING_KEYS)}) (?P<value>\d+)(?: seconds)?")
+def _(story, value, setting):
+    story.settings[SETTING_KEYS[setting]] = int(value)
 
 
 @steps(given, rf"{WHO} runs? the old program")
 def _(story, who):
-    for name in [f"a{n}" for n in range(story.size)] if who == "all agents" else story.named(who):
-        story.each.setdefault(name, {})["reads"] = (1, 1)
+    for name in [f"a{n}" for n in range(story.size)] if who == "all agents" else story.agents_named(who):
+        story.settings_by_agent.setdefault(name, {})["reads"] = (1, 1)
 
 
 @steps(given, rf"{WHO} has capacity (?P<capacity>\d+)")
 def _(story, who, capacity):
-    story.each.setdefault(who, {})["capacity"] = float(capacity)
+    story.settings_by_agent.setdefault(who, {})["capacity"] = float(capacity)
 
 
-@steps(given, rf"the clock of {WHO} is (?P<by>\d+) seconds (?P<way>ahead|back)")
-def _(story, who, by, way):
-    story.each.setdefault(who, {})["skew"] = float(by) * (1 if way == "ahead" else -1)
+@steps(given, rf"the clock of {WHO} is (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
+def _(story, who, offset_s, direction):
+    story.settings_by_agent.setdefault(who, {})["wall_offset_s"] = float(offset_s) * (
+        1 if direction == "ahead" else -1
+    )
 
 
 @given("the fleet has settled")
 def _(story):
-    story.begin()
+    story.start_fleet()
 
 
-# What happens to agents and between them
+# Faults and changes
 
 
 @steps(when, rf"{SECONDS} pass(?:es)?")
@@ -181,25 +187,25 @@
 
 @steps(when, rf"{WHO} (?:is|are) killed")
 def _(story, who):
-    for name in story.named(who):
+    for name in story.agents_named(who):
         story.memory.kill(name)
 
 
 @steps(
     when,
-    rf"{WHO} starts? from nothing(?: with the (?P<program>old|new) program)?",
+    rf"{WHO} restarts? without state(?: and with the (?P<program>old|new) program)?",
     rf"{WHO} (?:is|are) started(?: with the (?P<program>old|new) program)?",
 )
 def _(story, who, program):
     reads = {} if program is None else {"reads": (1, 1) if program == "old" else (1, 2)}
-    for name in story.named(who):
+    for name in story.agents_named(who):
         story.memory.kill(name)
         story.memory.start(name, **reads)
 
 
 @steps(when, rf"{WHO} (?:is|are) stopped for {SECONDS}")
 def _(story, who, seconds):
-    for name in story.named(who):
+    for name in story.agents_named(who):
         story.memory.stop(name, float(seconds))
 
 
@@ -210,48 +216,48 @@
 
 @steps(when, rf"{WHO} joins?(?: with capacity (?P<capacity>\d+))?")
 def _(story, who, capacity):
-    for name in story.named(who):
+    for name in story.agents_named(who):
         story.add(name, capacity=float(capacity or 1))
 
 
 @steps(when, rf"{WHO} (?:is|are) cut off")
 def _(story, who):
-    story.memory.cut(story.named(who), story.others(story.named(who)))
+    story.memory.cut(story.agents_named(who), story.other_agents(story.agents_named(who)))
 
 
-@steps(when, rf"{WHO} hears? nobody any more")
+@steps(when, rf"{WHO} no longer receives? messages")
 def _(story, who):
-    story.memory.cut_inbound(story.others(story.named(who)), story.named(who))
+    story.memory.cut_inbound(story.other_agents(story.agents_named(who)), story.agents_named(who))
 
 
-@steps(when, rf"{WHO} no longer hears? (?P<speaker>a\d+)")
-def _(story, who, speaker):
-    story.memory.cut_inbound([speaker], story.named(who))
+@steps(when, rf"{WHO} no longer receives? messages from (?P<sender>a\d+)")
+def _(story, who, sender):
+    story.memory.cut_inbound([sender], story.agents_named(who))
 
 
-@when("the cuts heal")
+@when("the cuts end")
 def _(story):
     story.memory.heal()
 
 
-@when("messages are lost, doubled, up to 5 seconds late and out of order")
+@when("messages are lost, duplicated, up to 5 seconds late and out of order")
 def _(story):
     story.memory.conditions = NetworkConditions(
         loss_rate=0.05, duplication_rate=0.3, jitter_s=0.01, late_rate=0.1, max_late_s=5.0
     )
 
 
-@when("the network is well again")
+@when("the network recovers")
 def _(story):
     story.memory.conditions = NetworkConditions()
 
 
-@steps(when, rf"the clock of {WHO} is set (?P<by>\d+) seconds (?P<way>ahead|back)")
-def _(story, who, by, way):
-    story.memory.hosts[who].wall_offset_s += float(by) * (1 if way == "ahead" else -1)
+@steps(when, rf"the clock of {WHO} is set (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
+def _(story, who, offset_s, direction):
+    story.memory.hosts[who].wall_offset_s += float(offset_s) * (1 if direction == "ahead" else -1)
 
 
-@steps(when, rf"{WHO} dies and comes back (?P<times>\d+) times in {SECONDS}")
+@steps(when, rf"{WHO} crashes and restarts (?P<times>\d+) times in {SECONDS}")
 def _(story, who, times, seconds):
     for _ in range(int(times)):
         story.memory.kill(who)
@@ -260,10 +266,10 @@
         story.memory.run(float(seconds) / int(times) / 2)
 
 
-@steps(when, rf"the capacities? of {WHO} wobbles? by (?P<share>\d+)% each second for {SECONDS}")
+@steps(when, rf"the capacities? of {WHO} fluctuates? by (?P<share>\d+)% each second for {SECONDS}")
 def _(story, who, share, seconds):
     for turn in range(int(float(seconds))):
-        for name in story.named(who):
+        for name in story.agents_named(who):
             story.memory.set_capacity(name, 1.0 + (-1) ** turn * int(share) / 100)
         story.memory.run(1.0)
 
@@ -273,14 +279,14 @@
     assert story.memory.run_until(lambda: story.ring.phase == phase, 40.0) < 40.0
 
 
-@when("whoever proposes the next ring is killed")
+@when("the agent that proposes the next ring is killed")
 def _(story):
     story.memory.kill(next(name for name in story.ring.names if name in story.memory.nodes()))
 
 
 @when("a newer program adds a field to the session at a0")
 def _(story):
-    key, node = story.key(), story.memory.nodes()["a0"]
+    key, node = story.record_key(), story.memory.nodes()["a0"]
     store = node.replica.store
     store.merge(key, Session(store.get(key).attempts, {"new": {"by": "a0", "n": [7]}}))
 
@@ -290,24 +296,24 @@
 
 @steps(
     when,
-    r"a client submits its sheet at (?P<first>a\d+)(?:, which takes (?P<take>\d+) seconds)?"
-    r"(?:, and would come again at (?P<then>a\d+(?:(?:, | and )a\d+)*))?",
+    r"a client sends a non-idempotent request to (?P<first>a\d+)(?:, which takes (?P<work_s>\d+) seconds)?"
+    r"(?:, and would retry at (?P<others>a\d+(?:(?:, | and )a\d+)*))?",
 )
-def _(story, first, take, then):
-    story.come([first, *re.findall(r"a\d+", then or "")], take=float(take or 0.05))
+def _(story, first, work_s, others):
+    story.submit([first, *re.findall(r"a\d+", others or "")], work_s=float(work_s or 0.05))
     story.memory.run(0.2)
 
 
 @steps(
     when,
-    rf"(?P<count>\d+) clients(?: of (?P<tenant>\w+))? submit their sheets at {WHO}"
+    rf"(?P<count>\d+) clients(?: of tenant (?P<tenant>\w+))? send non-idempotent requests to {WHO}"
     rf"(?: over {SECONDS})?",
 )
 def _(story, count, tenant, who, seconds):
-    agents = story.named(who)
+    agents = story.agents_named(who)
     for number in range(int(count)):
-        turns = [agents[(number + turn) % len(agents)] for turn in range(len(agents))]
-        story.come(turns, tenant=tenant or "")
+        rotated_agents = [agents[(number + turn) % len(agents)] for turn in range(len(agents))]
+        story.submit(rotated_agents, tenant=tenant or "")
         story.memory.run(float(seconds or 1) / int(count))
     story.memory.run(0.3)
 
@@ -315,97 +321,99 @@
 @steps(
     when,
     r"a client sends a request that is deduplicated (?P<group>everywhere|in its zone) for "
-    rf"{SECONDS} to (?P<first>a\d+), and comes again at (?P<then>a\d+(?:(?:, | and )a\d+)*) after "
-    r"(?P<patience>\d+) seconds?",
+    rf"{SECONDS} to (?P<first>a\d+), and retries at (?P<others>a\d+(?:(?:, | and )a\d+)*) after "
+    r"(?P<patience_s>\d+) seconds?",
 )
-def _(story, group, seconds, first, then, patience):
-    story.come(
-        [first, *re.findall(r"a\d+", then)],
+def _(story, group, seconds, first, others, patience_s):
+    story.submit(
+        [first, *re.findall(r"a\d+", others)],
         "d",
         60.0,
-        float(patience),
+        float(patience_s),
         window_s=float(seconds),
         group="all" if group == "everywhere" else "zone",
     )
     story.memory.run(0.2)
 
 
-@steps(when, rf"(?P<count>\d+) clients of one session submit their sheets at {WHO}")
+@steps(when, rf"(?P<count>\d+) clients of one session send non-idempotent requests to {WHO}")
 def _(story, count, who):
     for number in range(int(count)):
-        story.come([story.named(who)[number % len(story.named(who))]], session="crowd")
+        story.submit([story.agents_named(who)[number % len(story.agents_named(who))]], session="crowd")
         story.memory.run(0.1)
 
 
-@steps(when, r"the client comes again at (?P<who>a\d+)")
+@steps(when, r"the client retries at (?P<who>a\d+)")
 def _(story, who):
-    intent, question = story.clients[-1]
-    story.memory.submit_retry(intent, question, who)
+    intent, request = story.clients[-1]
+    story.memory.submit_retry(intent, request, who)
     story.memory.run(0.3)
 
 
-@steps(when, rf"shop asks (?P<rate>\d+) times a second at {WHO} for {SECONDS}")
+@steps(when, rf"shop sends (?P<rate>\d+) requests per second to {WHO} for {SECONDS}")
 def _(story, rate, who, seconds):
-    story.before = story.memory.clock.now
-    agents = story.named(who)
+    story.noted = story.memory.clock.now
+    agents = story.agents_named(who)
     for turn in range(int(int(rate) * float(seconds))):
-        story.memory.submit(SHOP, [agents[turn % len(agents)]])
+        story.memory.submit(SHOP_REQUEST, [agents[turn % len(agents)]])
         story.memory.run(1 / int(rate))
 
 
-# What is seen
+# Expected results
 
 
-@steps(then, r"the client was told: (?P<message>.*)")
-def _(story, message):
-    assert story.outcomes() == message.split(", ")
+@steps(then, r"the outcomes of the client's tries are: (?P<outcomes>.*)")
+def _(story, outcomes):
+    assert story.outcomes() == outcomes.split(", ")
 
 
-@steps(then, r"its sheet ran (?P<times>once|never)")
+@steps(then, r"its request ran (?P<times>once|never)")
 def _(story, times):
-    assert story.ran() == (times == "once")
+    assert story.run_count() == (times == "once")
 
 
-@steps(then, r"(?P<some>all|none|most|some) of the (?P<count>\d+) sheets ran")
-def _(story, some, count):
-    ran = sum(story.ran(client) for client in range(-int(count), 0))
-    least, most = {"all": (1, 1), "none": (0, 0), "most": (0.8, 1), "some": (0.01, 0.99)}[some]
-    assert least * int(count) <= ran <= most * int(count), ran
+@steps(then, r"(?P<quantity>all|none|most|some) of the (?P<count>\d+) requests ran")
+def _(story, quantity, count):
+    run_count = sum(story.run_count(client) for client in range(-int(count), 0))
+    min_share, max_share = {"all": (1, 1), "none": (0, 0), "most": (0.8, 1), "some": (0.01, 0.99)}[quantity]
+    assert min_share * int(count) <= run_count <= max_share * int(count), run_count
 
 
 @steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS}")
 def _(story, times, seconds):
-    ran = story.memory.checker.executions[story.clients[-1][0]]
-    assert len(ran) == int(times) and len({each.zone for each in ran}) == 1
-    assert ran[-1].at - ran[0].at <= float(seconds)
+    executions = story.memory.checker.executions[story.clients[-1][0]]
+    assert len(executions) == int(times) and len({each.zone for each in executions}) == 1
+    assert executions[-1].at - executions[0].at <= float(seconds)
 
 
-@steps(then, r"shop got at least (?P<share>\d+)% of its limit(?: in the last (?P<last>\d+) seconds)?")
-def _(story, share, last):
-    now, limit = story.memory.clock.now, story.terms["limits"]["shop"]
-    since = now - float(last) if last else story.before
+@steps(
+    then, r"shop was served at least (?P<share>\d+)% of its limit(?: in the last (?P<last_s>\d+) seconds)?"
+)
+def _(story, share, last_s):
+    now, limit = story.memory.clock.now, story.settings["limits"]["shop"]
+    since = now - float(last_s) if last_s else story.noted
     served = sum(since <= at <= now for at in story.memory.checker.admission_times["shop"])
     assert served >= int(share) / 100 * limit.rate * (now - since), served / limit.rate / (now - since)
 
 
-@steps(then, rf"all agents have one ring of (?P<seats>\d+) within {SECONDS}")
-def _(story, seats, seconds):
+@steps(then, rf"all agents use one ring of (?P<size>\d+) members within {SECONDS}")
+def _(story, size, seconds):
     memory = story.memory
     duration_s = memory.run_until(
-        lambda: memory.has_one_ring() and len(story.ring.members) == int(seats), float(seconds)
+        lambda: memory.has_one_ring() and len(story.ring.members) == int(size), float(seconds)
     )
     assert duration_s < float(seconds), [(name, node.ring) for name, node in memory.nodes().items()]
 
 
 @steps(then, rf"the fleet writes version (?P<version>\d) within {SECONDS}")
 def _(story, version, seconds):
-    def found():
+    def is_upgraded():
         nodes, ring = story.memory.nodes(), story.ring
         return (ring.written_version, ring.phase) == (int(version), "steady") and all(
             nodes[name].ring == ring for name in ring.names if name in nodes
         )
 
-    assert story.memory.run_until(found, float(seconds)) < float(seconds), story.ring
+    assert story.memory.run_until(is_upgraded, float(seconds)) < float(seconds), story.ring
 
 
 @steps(then, rf"all copies are equal within {SECONDS}")
@@ -414,63 +422,64 @@
     assert memory.run_until(memory.replicas_agree, float(seconds), 0.5) < float(seconds)
 
 
-@steps(then, r"no mark of the (?P<count>\d+) sheets is lost")
+@steps(then, r"no attempt record of the (?P<count>\d+) requests is lost")
 def _(story, count):
     memory = story.memory
     assert memory.count_lost_records() == 0
     assert len(memory.checker.attempt_records) >= int(count)
 
 
-@steps(then, r"all owners know that the sheet (?P<what>was answered|may have run)")
-def _(story, what):
+@steps(then, r"all owners have recorded that the request (?P<certainty>was answered|may have run)")
+def _(story, certainty):
     story.memory.run(3.0)
-    least = Certainty.ANSWERED if what == "was answered" else Certainty.CLAIMED
-    found = story.marks()
-    assert found and all(
-        marks and min(mark.certainty for mark in marks) >= least for marks in found.values()
-    ), found
+    min_certainty = Certainty.ANSWERED if certainty == "was answered" else Certainty.CLAIMED
+    attempts_by_owner = story.attempts_by_owner()
+    assert attempts_by_owner and all(
+        attempts and min(attempt.certainty for attempt in attempts) >= min_certainty
+        for attempts in attempts_by_owner.values()
+    ), attempts_by_owner
 
 
-@steps(then, r"(?:an operator was told of: )(?P<note>.*)")
-def _(story, note):
-    assert story.memory.event_counts[note]
+@steps(then, r"(?:an agent has logged: )(?P<event>.*)")
+def _(story, event):
+    assert story.memory.event_counts[event]
 
 
-@steps(then, r"it was counted: (?P<what>.*)")
-def _(story, what):
-    assert sum(node.counters[what] for node in story.memory.nodes().values())
+@steps(then, r"an agent has counted: (?P<counter>.*)")
+def _(story, counter):
+    assert sum(node.counters[counter] for node in story.memory.nodes().values())
 
 
-@when("the ring is looked at")
+@when("the current ring is noted")
 def _(story):
     assert story.memory.has_one_ring()
-    story.before = story.ring
+    story.noted = story.ring
 
 
-@then("the ring is the same as before")
+@then("the ring is the noted one")
 def _(story):
-    assert story.memory.has_one_ring() and story.ring == story.before
+    assert story.memory.has_one_ring() and story.ring == story.noted
 
 
-@steps(then, r"no more keys have moved than had to")
+@steps(then, r"no more keys have moved than necessary")
 def _(story):
-    """The judge has held each step to that; here the sum of them, by the first owners of 2,000 keys."""
+    """Compares the first owners of 2,000 keys; the invariant checker checks each ring on the way."""
     keys = [f"s/{n}".encode() for n in range(2000)]
-    moved = sum(owners(story.before, key, 1) != owners(story.ring, key, 1) for key in keys) / 2000
-    assert moved <= minimal_movement(story.before, story.ring) + 0.03 and story.before != story.ring, moved
+    moved = sum(owners(story.noted, key, 1) != owners(story.ring, key, 1) for key in keys) / 2000
+    assert moved <= minimal_movement(story.noted, story.ring) + 0.03 and story.noted != story.ring, moved
 
 
-@steps(then, r"each agent keeps its share of the keys")
+@steps(then, r"each agent owns its share of the keys")
 def _(story):
-    firsts = [owners(story.ring, f"s/{n}".encode(), 1)[0] for n in range(4000)]
-    for seat in story.ring.members:
-        share = seat.capacity / story.ring.capacity
-        assert abs(firsts.count(seat.name) / 4000 - share) < 0.03, seat
+    first_owners = [owners(story.ring, f"s/{n}".encode(), 1)[0] for n in range(4000)]
+    for member in story.ring.members:
+        share = member.capacity / story.ring.capacity
+        assert abs(first_owners.count(member.name) / 4000 - share) < 0.03, member
 
 
-@steps(then, r"a0 has the newer field back")
+@steps(then, r"a0 has the newer field again")
 def _(story):
-    assert story.memory.nodes()["a0"].replica.store.get(story.key()).unknown_fields["new"] == {
+    assert story.memory.nodes()["a0"].replica.store.get(story.record_key()).unknown_fields["new"] == {
         "by": "a0",
         "n": [7],
     }
