--- a/cartdeal/agent/configuration.py
+++ b/cartdeal/agent/configuration.py
@@ -1,7 +1,7 @@
-"""Reads what the agent is told, at its start and on SIGHUP, checks it and fills in defaults.
+"""Reads and validates the agent's configuration, at startup and on SIGHUP, and fills in defaults.
 
-The one place that looks at the environment and the configuration file, and the one that knows their names. It
-must never guess around a wrong value: a fault names its key, what was found and what is wanted.
+No other module reads the environment or the configuration file, or knows their key names. An invalid value is
+never replaced by a guess: the error names the key, the value found and the value expected.
 """
 
 import errno
@@ -15,23 +15,27 @@
 from cartdeal.settings import Settings
 
 Address = tuple[str, int]
-TAKEN_OVER = ("discovery", "seed", "known")  # on SIGHUP; the last two matter at a start only
+# Attributes whose change needs no restart. `seed` and `initial_servers` are used at startup only.
+RELOADABLE_KEYS = ("discovery", "seed", "initial_servers")
 
 
-class Fault(Exception):
-    """A value of the configuration can't be used; the message names its key."""
+class ConfigurationError(Exception):
+    """The configuration has an invalid value; the message names its key."""
 
 
-class Unreadable(Fault):
-    """The file can't be read; `is_passing`: for want of what the machine may have again in a moment."""
+class UnreadableFileError(ConfigurationError):
+    """The configuration file can't be read.
 
-    def __init__(self, path: str, trouble: OSError):
-        super().__init__(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({trouble.strerror})")
-        self.is_passing = is_own_limit(trouble) or trouble.errno == errno.EIO
+    `is_transient`: the machine lacked a resource that may be available again in a moment.
+    """
+
+    def __init__(self, path: str, error: OSError):
+        super().__init__(f"PROXY_CONFIG: found {path!r}, wanted a readable file ({error.strerror})")
+        self.is_transient = is_own_limit(error) or error.errno == errno.EIO
 
 
 class ServerEntry(msgspec.Struct):
-    """One line of the server list, as the discovery service writes it."""
+    """One entry of the server list, in the form that the discovery service sends."""
 
     name: str = field(name="uid")
     address: str = field(default="", name="endpoint")
@@ -39,79 +43,84 @@
     cell: int = field(default=0, name="pod_group")
     state: str = "active"
     weight: float = field(default=1.0, name="capacity_hint")
-    started: float = field(default=0.0, name="boot_ms")
+    started_ms: float = field(default=0.0, name="boot_ms")
 
 
 class ServerList(msgspec.Struct):
-    """A server list, whole or the lines that changed."""
+    """A server list: all entries if `is_complete`, otherwise the entries that changed."""
 
     version: int = field(default=0, name="rev")
-    whole: bool = field(default=False, name="all")
+    is_complete: bool = field(default=False, name="all")
     entries: tuple[ServerEntry, ...] = field(default=(), name="targets")
 
 
 class Limits(msgspec.Struct):
-    memory: float = field(default=192.0, name="memory_mb")
+    """The resources that the agent may use."""
+
+    memory_mb: float = field(default=192.0, name="memory_mb")
     descriptors: int = field(default=1024, name="sockets")
 
 
 class ConfigurationFile(msgspec.Struct):
-    """The file as it is written; `Station` is what the agent goes by."""
+    """The configuration file as written; `AgentConfiguration` is its validated form."""
 
     name: str | None = None
     listen: str | None = None
     discovery: str | None = field(default=None, name="discovery")
     seed: str = "0"
     limits: Limits = field(default_factory=Limits)
-    tell_listen: str | None = field(default=None, name="peer_listen")
-    neighbours: tuple[str, ...] = field(default=(), name="peers")
-    everyone: str | None = field(default=None, name="peers_all")
-    known: ServerList = field(default_factory=ServerList)
+    peer_listen: str | None = field(default=None, name="peer_listen")
+    peers: tuple[str, ...] = field(default=(), name="peers")
+    peers_broadcast: str | None = field(default=None, name="peers_all")
+    initial_servers: ServerList = field(default_factory=ServerList, name="known")
     settings: Settings | None = field(default=None, name="settings")
 
 
 class AgentConfiguration(msgspec.Struct):
-    """All that an agent is told of itself."""
+    """The validated configuration of an agent."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
     limits: Limits
-    tell_listen: Address | None
-    neighbours: tuple[Address, ...]
-    everyone: Address | None
-    known: ServerList
+    peer_listen: Address | None
+    peers: tuple[Address, ...]
+    peers_broadcast: Address | None
+    initial_servers: ServerList
     settings: Settings
 
 
-def address(key: str, text: str | None) -> Address:
+def parse_address(key: str, text: str | None) -> Address:
+    """Parse `host:port`. Raises ConfigurationError, which names `key`."""
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise Fault(f"{key}: found {text!r}, wanted an address such as '127.0.0.1:8080'")
+        raise ConfigurationError(f"{key}: found {text!r}, wanted an address such as '127.0.0.1:8080'")
     return host, int(port)
 
 
-def number(key: str, text: str, base: int) -> int:
+def parse_number(key: str, text: str, base: int) -> int:
+    """Parse an integer in `base`. Raises ConfigurationError, which names `key`."""
     try:
         return int(text, base)
     except ValueError:
-        raise Fault(f"{key}: found {text!r}, wanted a number in base {base}") from None
+        raise ConfigurationError(f"{key}: found {text!r}, wanted a number in base {base}") from None
 
 
-def check(settings: Settings, limits: Limits):
-    # Where a word of the settings decides what the balancer does, another word is a fault and no guess.
-    words = [
+def validate(settings: Settings, limits: Limits):
+    """Raise ConfigurationError for the first invalid value."""
+    # These values select what the balancer does: an unknown one is an error, not a default.
+    enumerated_settings = [
         ("family", settings.family, ("mesh", "proxy")),
         ("discovery", settings.discovery_mode, ("pushed", "on_request")),
         ("weightKind", settings.weight_kind, ("none", "nominal", "rough", "live")),
         ("feedback.how", settings.load_reports.source, ("none", "probe", "answers")),
     ]
-    wrong = [
-        (f"settings.{key}", word, f"one of {', '.join(known)}", word not in known)
-        for key, word, known in words
+    checks = [
+        (f"settings.{key}", value, f"one of {', '.join(allowed)}", value not in allowed)
+        for key, value, allowed in enumerated_settings
     ]
-    wrong += [
+    checks += [
         (
             "settings.feedback.how",
             "probe",
@@ -133,7 +142,7 @@
         (
             "settings.az",
             settings.own_zone,
-            f"a place in areas, under {max(1, len(settings.zones))}",
+            f"an index into areas, less than {max(1, len(settings.zones))}",
             not 0 <= settings.own_zone < max(1, len(settings.zones)),
         ),
         ("settings.groupSize", settings.agent_count, "1 or more", settings.agent_count < 1),
@@ -150,70 +159,76 @@
             settings.permissions.max_attempts < 1,
         ),
         ("limits.sockets", limits.descriptors, "64 or more", limits.descriptors < 64),
-        ("limits.memory_mb", limits.memory, "24 or more", limits.memory < 24),
+        ("limits.memory_mb", limits.memory_mb, "24 or more", limits.memory_mb < 24),
     ]
-    for place, kind in enumerate(settings.request_classes):
-        wrong.append(
+    for index, request_class in enumerate(settings.request_classes):
+        checks.append(
             (
-                f"settings.workloads[{place}].name",
-                kind.name,
-                "a name of its own",
-                not kind.name or any(other.name == kind.name for other in settings.request_classes[:place]),
+                f"settings.workloads[{index}].name",
+                request_class.name,
+                "a unique name",
+                not request_class.name
+                or any(other.name == request_class.name for other in settings.request_classes[:index]),
             )
         )
-        for key, micros in (("goalTimeUs", kind.latency_target_us), ("timeLimitUs", kind.timeout_us)):
-            wrong.append(
+        for key, duration_us in (
+            ("goalTimeUs", request_class.latency_target_us),
+            ("timeLimitUs", request_class.timeout_us),
+        ):
+            checks.append(
                 (
-                    f"settings.workloads[{place}].{key}",
-                    micros,
+                    f"settings.workloads[{index}].{key}",
+                    duration_us,
                     "more than 0",
-                    micros is not None and micros <= 0,
+                    duration_us is not None and duration_us <= 0,
                 )
             )
-    for key, found, wanted, is_wrong in wrong:
-        if is_wrong:
-            raise Fault(f"{key}: found {found!r}, wanted {wanted}")
+    for key, found, wanted, is_invalid in checks:
+        if is_invalid:
+            raise ConfigurationError(f"{key}: found {found!r}, wanted {wanted}")
 
 
-def needs_restart(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
-    """The keys that differ and that a running agent can't take over."""
+def restart_keys(old: AgentConfiguration, new: AgentConfiguration) -> list[str]:
+    """The outer names of the changed keys that take effect only after a restart."""
     return [
         key.encode_name
         for key in msgspec.structs.fields(ConfigurationFile)
-        if key.name not in TAKEN_OVER and getattr(old, key.name) != getattr(new, key.name)
+        if key.name not in RELOADABLE_KEYS and getattr(old, key.name) != getattr(new, key.name)
     ]
 
 
 def read(environment=os.environ) -> AgentConfiguration:
+    """Read the file that PROXY_CONFIG names. Raises ConfigurationError."""
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise Fault("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
+        raise ConfigurationError("PROXY_CONFIG: found nothing, wanted the path of a configuration file")
     try:
         text = Path(path).read_bytes()
-    except OSError as trouble:
-        raise Unreadable(path, trouble) from None
+    except OSError as error:
+        raise UnreadableFileError(path, error) from None
     return decode(text, path, environment)
 
 
 def decode(text: bytes, path: str, environment) -> AgentConfiguration:
+    """Decode and validate the file's text; `path` is for error messages. Raises ConfigurationError."""
     try:
         found = msgspec.json.decode(text, type=ConfigurationFile)
-    except (msgspec.MsgspecError, UnicodeError) as trouble:
-        raise Fault(f"PROXY_CONFIG: {path!r} can't be used: {trouble}") from None
+    except (msgspec.MsgspecError, UnicodeError) as error:
+        raise ConfigurationError(f"PROXY_CONFIG: {path!r} can't be used: {error}") from None
     if found.settings is None:
-        raise Fault("settings: found nothing, wanted the settings of the deployment")
-    check(found.settings, found.limits)
-    for line in found.known.entries:
-        address("known.targets[].endpoint", line.address)
+        raise ConfigurationError("settings: found nothing, wanted the settings of the deployment")
+    validate(found.settings, found.limits)
+    for entry in found.initial_servers.entries:
+        parse_address("known.targets[].endpoint", entry.address)
     return AgentConfiguration(
         name=found.name or environment.get("PROXY_NAME", "agent"),
-        listen=address("listen", found.listen or environment.get("PROXY_LISTEN")),
-        discovery=address("discovery", found.discovery or environment.get("PROXY_DISCOVERY")),
-        seed=number("seed", found.seed, 16),
+        listen=parse_address("listen", found.listen or environment.get("PROXY_LISTEN")),
+        discovery=parse_address("discovery", found.discovery or environment.get("PROXY_DISCOVERY")),
+        seed=parse_number("seed", found.seed, 16),
         limits=found.limits,
-        tell_listen=address("peer_listen", found.tell_listen) if found.tell_listen else None,
-        neighbours=tuple(address("peers", each) for each in found.neighbours),
-        everyone=address("peers_all", found.everyone) if found.everyone else None,
-        known=found.known,
+        peer_listen=parse_address("peer_listen", found.peer_listen) if found.peer_listen else None,
+        peers=tuple(parse_address("peers", each) for each in found.peers),
+        peers_broadcast=parse_address("peers_all", found.peers_broadcast) if found.peers_broadcast else None,
+        initial_servers=found.initial_servers,
         settings=found.settings,
     )
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -1,10 +1,10 @@
-"""All state of an agent: the requests that wait for an answer, the servers it has heard of, and the balancer
-whose host it is.
+"""The state of an agent: open requests, known servers, and the balancer, whose host the reducer is.
 
-One event comes in by one method; what it leads to stands in `effects` afterwards, for effects.py to carry
-out. In a fleet (`longest_requests` is then given) a request waits for admission before the balancer has it,
-and no attempt goes where an earlier one, at another agent, forbids it.
-It must never do I/O, wait, read a clock or yield to another greenlet, and decides nothing the balancer can.
+Each event is a method call. It appends its effects to `effects`, and effects.py runs them afterwards. In a
+fleet, where `max_request_durations` is set, a request waits for admission before the balancer gets it, and no
+attempt is sent to a server where an earlier attempt at another agent forbids it.
+The reducer does no I/O, never waits, reads no clock and never yields to another greenlet. It makes no
+decision that the balancer can make.
 """
 
 from dataclasses import replace
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from cartdeal.agent.configuration import AgentConfiguration, ServerList
-from cartdeal.agent.invariants import Invariant, InvariantMonitor, Place
+from cartdeal.agent.invariants import Destination, Invariant, InvariantMonitor
 from cartdeal.agent.metrics import Metrics
 from cartdeal.agent.start_times import StartTimes
 from cartdeal.balancer import Balancer
@@ -27,161 +27,174 @@
     ServerState,
 )
 
-STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
-ID_MEMORY = 5.0  # seconds for which a request's id is known, twice that at most
-MOST_IDS = 1 << 15  # that are known at least, twice that at most; less long than ID_MEMORY where more come
-MOST_ZONES = 64  # that are told apart, those of the settings among them
-OVERDUE = 0.02  # how long after its deadline a request that the balancer forgot is answered all the same
+SERVER_STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING}
+RECENT_ID_S = 5.0  # a request id is remembered for at least this long, and at most twice as long
+# This many ids are remembered, and at most twice as many; if more arrive, for less than RECENT_ID_S.
+MAX_RECENT_IDS = 1 << 15
+MAX_ZONES = 64  # that are distinguished, including those of the settings
+DEADLINE_GRACE_S = 0.02  # a request that the balancer missed is answered this long after its deadline
 
 
 class Progress(IntEnum):
-    """How far an attempt had come."""
+    """How far an attempt got."""
 
     NOT_CONNECTED = 0
     PARTLY_WRITTEN = 1
     WRITTEN = 2
-    HEAD = 3
-    WHOLE = 4
+    HEAD_RECEIVED = 3
+    COMPLETE = 4
 
 
 class FailureReason(IntEnum):
-    """What ended an attempt."""
+    """Why an attempt ended."""
 
     ANSWERED = 0
-    BROKEN = 1
+    CONNECTION_BROKEN = 1
     TIMED_OUT = 2
-    GIVEN_UP = 3
-    SPOILT = 4  # what came back can't be read, or can in two ways
-    NO_CONNECTION = 5  # the agent's own limits left none for it
-    NOT_BEGUN = 6  # what it was decided on no longer held when its first byte was due
+    CANCELLED = 3
+    MALFORMED_RESPONSE = 4  # the response is invalid or ambiguous
+    NO_CONNECTION = 5  # the agent's own limits left no connection for it
+    NOT_SENT = 6  # its preconditions no longer held when the first byte was due
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt or a probe ended; `progress` alone tells whether it may have run."""
+    """The result of an attempt or a probe. `progress` alone decides whether it may have run.
+
+    `duration` is in seconds.
+    """
 
     reason: FailureReason
     progress: Progress
-    took: float
+    duration: float
     status: int = 0
     not_processed: bool = False
-    kind: bytes = b""  # the body's content type
+    content_type: bytes = b""
     body: bytes = b""
-    report: bytes = b""  # what the server says of its load
+    raw_load_report: bytes = b""  # the server's load report as received
     detail: str = ""
 
     def outcome(self) -> Outcome:
-        written = self.progress >= Progress.WRITTEN
+        """Return the outcome as the balancer classifies it."""
+        is_written = self.progress >= Progress.WRITTEN
         if self.reason is FailureReason.ANSWERED:
             if self.status == 200:
                 return Outcome.COMPLETED
             if 400 <= self.status < 500:
-                return Outcome.UNUSABLE  # the request's fault, not the server's
+                return Outcome.UNUSABLE  # the request is at fault, not the server
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
-        # neither is the server's doing
-        if self.reason in (FailureReason.GIVEN_UP, FailureReason.NO_CONNECTION, FailureReason.NOT_BEGUN):
-            return Outcome.CANCELLED if written else Outcome.NEVER_SENT
-        if not written:
+        # none of these is the server's fault
+        if self.reason in (FailureReason.CANCELLED, FailureReason.NO_CONNECTION, FailureReason.NOT_SENT):
+            return Outcome.CANCELLED if is_written else Outcome.NEVER_SENT
+        if not is_written:
             return Outcome.NOT_CONNECTED
         return Outcome.TIMED_OUT if self.reason is FailureReason.TIMED_OUT else Outcome.RESET
 
 
 class Request(NamedTuple):
-    """A request as the application asked it."""
+    """A request as the application sent it."""
 
     request_class: int
-    non_idempotent: bool  # its form promises less than its request class: it may run once at most
+    non_idempotent: bool  # it lacks what makes its request class repeatable, so it may run at most once
     tenant: int
-    key: int
-    wait: float  # how long the client still waits, in seconds; none is left where it is not above 0
-    repeat: bool
+    session_hash: int  # 0 without a session
+    timeout: float  # seconds that the client still waits; not positive if none are left
+    is_retry: bool
     method: bytes
     path: bytes
     id: bytes
-    idempotency_key: bytes  # by which servers know a repeat
-    kind: bytes
+    idempotency_key: bytes  # by which servers detect a repeated request
+    content_type: bytes
     body: bytes
-    tenant_name: bytes = b""  # the tenant as the client names it
+    tenant_name: bytes = b""  # as the client sent it
 
 
 class PendingRequest:
-    """A request that is not answered yet, or whose attempts are still out."""
+    """A request that is not answered yet or has attempts in flight."""
 
-    waits = False  # for admission
+    awaits_admission = False
     earlier_attempts: tuple = ()  # of EarlierAttempt
-    sent = 0  # attempts that were let out, but for those that provably never ran
-    ran = served = False  # whether it may have run; whether its client had the answer
+    sent_count = 0  # attempts that were sent, except those that provably never ran
+    may_have_run = was_served = False  # `was_served`: its client got a server's answer
 
     def __init__(self, client, request: Request, deadline: float):
         self.client, self.request, self.deadline = client, request, deadline
-        self.attempts, self.out = 0, 0
+        self.attempt_count, self.in_flight_count = 0, 0
         self.last_outcome: Outcome | None = None
-        self.chosen: dict[int, KnownServer] = {}  # by attempt that is out: what the list said of its server
+        # By attempt in flight: its server as listed when the attempt was sent.
+        self.target_servers: dict[int, KnownServer] = {}
 
-    def ended_as(self) -> str:
-        """How its last attempt that has ended did."""
+    def last_outcome_name(self) -> str:
+        """Return the outcome of the attempt that ended last, as the log names it."""
         return self.last_outcome.value if self.last_outcome else "none"
 
 
 class EarlierAttempt(NamedTuple):
-    """An earlier attempt, at another agent, that may have run: others go to its group, before `until`."""
+    """An earlier attempt at another agent that may have run.
+
+    Further attempts may go only to servers in its group, and only before `repeat_until`.
+    """
 
     zone: int
     cell: int
     group: DeduplicationScope
-    until: float
+    repeat_until: float
 
 
-class Past(NamedTuple):
-    """Where an earlier attempt went, as the balancer looks at it."""
+class AttemptDestination(NamedTuple):
+    """The location of an earlier attempt, in the form that the balancer expects."""
 
     zone: int
     cell: int
 
 
 class OtherAttempts(NamedTuple):
-    """A request's attempts but for one, as the balancer looks at them."""
+    """The attempts of a request except one, in the form that the balancer expects."""
 
     request_class: RequestClass
     possible_executions: dict
 
 
 class KnownServer(NamedTuple):
-    """What the list says of a server that the balancer has no use for."""
+    """What the reducer needs of a listed server in addition to the balancer's data."""
 
     address: str
-    started: float
+    started_at: float
 
 
 class Reducer:
+    """Handles the events of one agent. All times are seconds of the host's monotonic clock, `now`."""
+
     def __init__(
         self,
         config: AgentConfiguration,
         now: float,
-        wall: float,
-        longest_requests: tuple[float, ...] | None = None,
+        wall_now: float,
+        max_request_durations: tuple[float, ...] | None = None,
         metrics: Metrics | None = None,
     ):
-        """`longest_requests`: by request class, the seconds that a request may last where admission control
-        keeps idempotency records; None: there is none.
+        """`max_request_durations`: the maximum duration of a request in seconds, by request class, as bounded
+        by the idempotency records of admission control; None without admission control.
         """
-        self.config, self.now, self.longest_requests = config, now, longest_requests
-        self.start_times = StartTimes(now, wall)
+        self.config, self.now, self.max_request_durations = config, now, max_request_durations
+        self.start_times = StartTimes(now, wall_now)
         self.metrics = metrics or Metrics()
         self.monitor = InvariantMonitor(self.report_violation)
         self.effects = []
-        self.count = 0
-        self.end_at = inf  # when the agent is to have answered all
+        self.request_count = 0
+        self.shutdown_deadline = inf  # by which every request must be answered
         self.requests: dict[int, PendingRequest] = {}
-        # Those of ID_MEMORY seconds and of as many before: longer than any copy is on its way.
-        self.ids, self.previous_ids, self.ids_until = set(), set(), now
-        self.version = 0
-        self.servers_named = 0  # servers so far: each gets an index of its own, which is never another's
-        self.indices: dict[bytes, int] = {}  # these two hold a server until the list says that it is gone
+        # The ids of the last RECENT_ID_S seconds and of the interval before: longer than any duplicate of a
+        # request is in transit.
+        self.recent_ids, self.previous_ids, self.ids_rotate_at = set(), set(), now
+        self.list_version = 0
+        self.next_server_index = 0  # an index is never reused
+        # These two contain a server until the list reports it as gone.
+        self.server_indices: dict[bytes, int] = {}
         self.servers: dict[int, KnownServer] = {}
-        self.zones = {name: place for place, name in enumerate(config.settings.zones)}
+        self.zone_indices = {name: index for index, name in enumerate(config.settings.zones)}
         settings = config.settings.balancer_settings(config.seed)
-        # A second set, for requests whose form promises less than their request class: these may run once at
-        # most.
+        # A second set of classes, for requests that lack what makes their class repeatable: they may run at
+        # most once.
         non_idempotent = tuple(
             each._replace(idempotency=Idempotency.NON_IDEMPOTENT) for each in settings.request_classes
         )
@@ -190,250 +203,286 @@
         )
         self.balancer.on_transition = self.report_transition
         if not settings.polls_discovery:
-            # The balancer asks for no list that comes unasked; here it comes by a watch that the host begins.
+            # The balancer does not request a list that is pushed; it comes by a watch that the host starts.
             self.watch()
-        self.apply_list(config.known, fresh=False)
+        self.apply_list(config.initial_servers, is_current_watch=False)
 
     @property
     def pending_count(self) -> int:
+        """The number of requests without an answer."""
         return sum(each.client is not None for each in self.requests.values())
 
     @property
-    def ready(self) -> bool:
-        return bool(self.servers_named)
+    def is_ready(self) -> bool:
+        """Whether the agent has known any server so far."""
+        return bool(self.next_server_index)
 
     # Events
 
-    def taken(self, client, request: Request):
-        if request.id in self.ids or request.id in self.previous_ids:
-            # Whose it is can't be told: its answer, or its end, would be another request's.
+    def on_request(self, client, request: Request):
+        """A client has sent a request."""
+        if request.id in self.recent_ids or request.id in self.previous_ids:
+            # Its answer or its end could be attributed to the other request.
             self.metrics.count("requests_with_a_known_id")
-            return self.effects.append(("refuse", client, 409, "an X-Request-ID that was used just now"))
-        if self.now > self.ids_until or len(self.ids) >= MOST_IDS:
-            self.previous_ids, self.ids = self.ids, set()
-            self.ids_until = self.now + ID_MEMORY
-        self.ids.add(request.id)
-        self.count += 1
-        # A record that is over before its request is would let a repeat of it through.
-        wait = (
-            request.wait
-            if self.longest_requests is None
-            else min(request.wait, self.longest_requests[request.request_class])
+            return self.effects.append(
+                ("refuse_request", client, 409, "an X-Request-ID that was used just now")
+            )
+        if self.now > self.ids_rotate_at or len(self.recent_ids) >= MAX_RECENT_IDS:
+            self.previous_ids, self.recent_ids = self.recent_ids, set()
+            self.ids_rotate_at = self.now + RECENT_ID_S
+        self.recent_ids.add(request.id)
+        self.request_count += 1
+        # If the idempotency record expired before the request ended, a repeat would be admitted.
+        timeout = (
+            request.timeout
+            if self.max_request_durations is None
+            else min(request.timeout, self.max_request_durations[request.request_class])
         )
-        number, deadline = self.count, min(self.now + wait, self.end_at)
+        number, deadline = self.request_count, min(self.now + timeout, self.shutdown_deadline)
         pending = self.requests[number] = PendingRequest(client, request, deadline)
         self.metrics.count("requests")
-        # One whose time was over before its turn, behind others of its connection, can't be answered in time.
-        due = max(deadline, self.now)
-        self.monitor.request_taken(number, request.id, self.effective_class(request), due)
-        self.effects.append(("begun", client, number))
-        self.effects.append(("remind", number, deadline + OVERDUE))
-        pending.waits = self.longest_requests is not None
-        if pending.deadline <= self.now:  # it waited for those ahead of it, or the agent ends
-            return self.overdue(number)
-        if not pending.waits:
+        # A request whose time was over while it waited behind others on its connection can't be in time.
+        answer_due_at = max(deadline, self.now)
+        self.monitor.on_request(number, request.id, self.effective_class(request), answer_due_at)
+        self.effects.append(("request_accepted", client, number))
+        self.effects.append(("set_deadline_timer", number, deadline + DEADLINE_GRACE_S))
+        pending.awaits_admission = self.max_request_durations is not None
+        if pending.deadline <= self.now:  # it waited behind other requests, or the agent shuts down
+            return self.on_deadline_passed(number)
+        if not pending.awaits_admission:
             return self.route(number, pending)
         self.effects.append(("admit", number, request, deadline))
 
     def class_index(self, request: Request) -> int:
-        """The balancer's class of it: those that may run once at most come behind all others."""
+        """Return the balancer's index of its class; the non-idempotent variants follow all other classes."""
         return request.request_class + request.non_idempotent * len(self.config.settings.request_classes)
 
     def effective_class(self, request: Request) -> RequestClass:
+        """Return the class whose rules apply to the request."""
         return self.balancer.settings.request_classes[self.class_index(request)]
 
     def route(self, number: int, pending: PendingRequest):
+        """Pass an admitted request to the balancer."""
         request = pending.request
         self.balancer.on_request(
-            number, self.class_index(request), request.tenant, request.key, pending.deadline, request.repeat
+            number,
+            self.class_index(request),
+            request.tenant,
+            request.session_hash,
+            pending.deadline,
+            request.is_retry,
         )
 
-    def admitted(self, number: int, earlier_attempts: tuple):
-        """Admission control lets it go on. Each earlier attempt: zone (by name), cell, group, until when."""
+    def on_admitted(self, number: int, earlier_attempts: tuple):
+        """Admission control has admitted a request.
+
+        `earlier_attempts`: tuples of zone name, cell, group and the time until which a repeat is safe.
+        """
         pending = self.requests.get(number)
-        if pending and pending.waits:
-            pending.waits = False
+        if pending and pending.awaits_admission:
+            pending.awaits_admission = False
             pending.earlier_attempts = tuple(
-                EarlierAttempt(self.zones.get(zone, -1), cell, DeduplicationScope(group), until)
+                EarlierAttempt(self.zone_indices.get(zone, -1), cell, DeduplicationScope(group), until)
                 for zone, cell, group, until in earlier_attempts
             )
             self.route(number, pending)
 
-    def declined(self, number: int, status: int, wait: float):
+    def on_declined(self, number: int, status: int, retry_after: float):
+        """Admission control has declined a request."""
         pending = self.requests.get(number)
-        if pending and pending.waits:
-            self.answer(number, status, b"", b"", wait)
+        if pending and pending.awaits_admission:
+            self.answer(number, status, b"", b"", retry_after)
 
-    def client_disconnected(self, number: int):
+    def on_client_disconnected(self, number: int):
+        """The client of a request has disconnected."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             pending.client = None
             self.metrics.count("clients_gone")
-            self.log("client gone", pending.request, attempts=pending.attempts, out=pending.out)
-            self.monitor.client_gone(number)
-            self.drop(number, pending)
+            self.log(
+                "client gone", pending.request, attempts=pending.attempt_count, out=pending.in_flight_count
+            )
+            self.monitor.on_client_disconnected(number)
+            self.forget_if_finished(number, pending)
             self.balancer.on_client_disconnected(number)
 
-    def attempt_begins(self, number: int, attempt: int, server: int, told: float):
-        """The first byte of an attempt goes now; `told`: the seconds for which its server hears it is due."""
-        where = self.balancer.servers.get(server)
-        place = where and Place(where.zone, where.cell, where.state is ServerState.READY)
+    def on_attempt_started(self, number: int, attempt: int, server: int, timeout_sent: float):
+        """The first byte of an attempt is being sent; `timeout_sent`: the timeout in it, in seconds."""
+        target = self.balancer.servers.get(server)
+        destination = target and Destination(target.zone, target.cell, target.state is ServerState.READY)
         self.metrics.count("attempts")
-        self.monitor.attempt_begins(number, attempt, place, told, self.now)
+        self.monitor.on_attempt_started(number, attempt, destination, timeout_sent, self.now)
 
-    def attempt_ended(
+    def on_attempt_ended(
         self, number: int, server: int, attempt: int, result: AttemptResult, load: LoadReport | None = None
     ):
+        """An attempt has ended. Answers the client if the result is final."""
         pending = self.requests.get(number)
         if pending is None:
             return
-        pending.out -= 1
+        pending.in_flight_count -= 1
         outcome = pending.last_outcome = result.outcome()
         self.metrics.count("attempts_" + outcome.name.lower())
-        self.monitor.attempt_ended(number, attempt, outcome.never_ran)
-        if pending.chosen.pop(attempt, None) and outcome.never_ran:
-            pending.sent -= 1  # else its client would be left in doubt for nothing once its time is over
-        pending.ran = pending.ran or not outcome.never_ran
+        self.monitor.on_attempt_ended(number, attempt, outcome.never_ran)
+        if pending.target_servers.pop(attempt, None) and outcome.never_ran:
+            # Otherwise the request would be failed instead of rejected at its deadline, without need.
+            pending.sent_count -= 1
+        pending.may_have_run = pending.may_have_run or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.client is not None:
-            pending.served = True
-            self.answer(number, 200, result.kind, result.body, 0.0)
+            pending.was_served = True
+            self.answer(number, 200, result.content_type, result.body, 0.0)
         elif outcome is Outcome.UNUSABLE:
             self.answer(number, 400, b"", b"", 0.0)
-        finished = pending.client is None
-        self.drop(number, pending)
-        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.took, finished, load)
+        is_finished = pending.client is None
+        self.forget_if_finished(number, pending)
+        self.balancer.on_attempt_ended(number, server, outcome, attempt, result.duration, is_finished, load)
 
-    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None = None):
-        self.balancer.on_probe_ended(server, result.outcome(), result.took, load)
+    def on_probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None = None):
+        """A probe has ended."""
+        self.balancer.on_probe_ended(server, result.outcome(), result.duration, load)
 
-    def woken(self, token: int):
+    def on_timer(self, token: int):
+        """A timer of the balancer has expired."""
         self.balancer.on_timer(token)
 
-    def ending(self, end_at: float):
-        """What is out by then is failed: an agent that is killed loses what it has not answered."""
-        self.end_at = end_at
+    def on_shutdown(self, shutdown_deadline: float):
+        """The agent shuts down. Requests still open at `shutdown_deadline` get an answer then.
+
+        A killed agent would lose the requests that it has not answered.
+        """
+        self.shutdown_deadline = shutdown_deadline
         for number, pending in self.requests.items():
-            if pending.deadline > end_at:
-                self.effects.append(("remind", number, end_at))
+            if pending.deadline > shutdown_deadline:
+                self.effects.append(("set_deadline_timer", number, shutdown_deadline))
 
-    def overdue(self, number: int):
-        """The balancer answers every request; should a fault have kept it from it, this does."""
+    def on_deadline_passed(self, number: int):
+        """Answer a request that the balancer should have answered but missed because of a fault."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.log_note(f"request {pending.request.id.decode('latin-1')} overdue")
-            # What never went out may be asked again; to fail it would leave its client in doubt. But an
-            # earlier try of one that still waits may have run at another agent: only the fleet would know.
-            doubt = (
-                pending.sent
-                or pending.waits
-                and self.repeat_of(pending.request) is not Idempotency.IDEMPOTENT
+            # A request that was never sent may be retried, so failing it would be needlessly ambiguous. But
+            # if it awaits admission, an earlier try may have run at another agent: only the fleet knows.
+            is_ambiguous = (
+                pending.sent_count
+                or pending.awaits_admission
+                and self.idempotency_of(pending.request) is not Idempotency.IDEMPOTENT
             )
-            self.fail(number) if doubt else self.reject(number, 0.0)
+            self.fail(number) if is_ambiguous else self.reject(number, 0.0)
             self.balancer.on_client_disconnected(number)
 
-    def listed(self, server_list: ServerList, fresh: bool = True):
-        """A list came from discovery; `fresh`: on the watch that stands."""
-        self.apply_list(server_list, fresh)
-        self.start_times.heard(self.now)
+    def on_server_list(self, server_list: ServerList, is_current_watch: bool = True):
+        """A server list has arrived; `is_current_watch`: from the current watch."""
+        self.apply_list(server_list, is_current_watch)
+        self.start_times.on_discovery_response(self.now)
 
-    def apply_list(self, server_list: ServerList, fresh: bool):
-        self.version = server_list.version
+    def apply_list(self, server_list: ServerList, is_current_watch: bool):
+        """Update the known servers, and pass the changes to the balancer."""
+        self.list_version = server_list.version
         self.log_note(
-            f"list {server_list.version}: {len(server_list.entries)} lines{' in all' * server_list.whole}"
+            f"list {server_list.version}: {len(server_list.entries)} lines"
+            f"{' in all' * server_list.is_complete}"
         )
-        gone = [line.name.encode() for line in server_list.entries if line.state == "left"]
-        # Where an attempt may have run is its server's group of then: one in another group is another server.
-        lines = [
-            self.remove_server(line.name.encode()) for line in server_list.entries if self.changed_group(line)
+        removed_names = [entry.name.encode() for entry in server_list.entries if entry.state == "left"]
+        # An attempt may have run in the group that its server had then. A server that moves to another group
+        # is therefore treated as another server.
+        changes = [
+            self.remove_server(entry.name.encode())
+            for entry in server_list.entries
+            if self.has_changed_group(entry)
         ]
-        lines += [self.listing(line) for line in server_list.entries if line.state != "left"]
-        if server_list.whole:
-            here = {line.name for line in lines}
-            gone += [name for name in self.indices if name not in here]
-        lines += [self.remove_server(name) for name in gone if name in self.indices]
-        self.balancer.on_server_list(lines, fresh)
-
-    def watch_stands(self):
-        """A watch was answered, with nothing new."""
-        self.start_times.heard(self.now)
+        changes += [self.listed_server(entry) for entry in server_list.entries if entry.state != "left"]
+        if server_list.is_complete:
+            listed_names = {entry.name for entry in changes}
+            removed_names += [name for name in self.server_indices if name not in listed_names]
+        changes += [self.remove_server(name) for name in removed_names if name in self.server_indices]
+        self.balancer.on_server_list(changes, is_current_watch)
+
+    def on_watch_established(self):
+        """A watch was established, and the list has not changed."""
+        self.start_times.on_discovery_response(self.now)
         self.balancer.on_server_list([], True)
 
-    def watch_beat(self):
-        """A watch that stands says that there is still nothing new."""
-        self.start_times.heard(self.now)
+    def on_watch_heartbeat(self):
+        """An established watch reports that the list has not changed."""
+        self.start_times.on_discovery_response(self.now)
 
-    def watch_failed(self, silent: bool = False):
-        """The watch ended or, `silent`, sent nothing for too long; or the call for one got no list."""
-        self.balancer.on_watch_failed(silent)
+    def on_watch_failed(self, was_silent: bool = False):
+        """The watch ended, was silent for too long (`was_silent`), or a call for a list failed."""
+        self.balancer.on_watch_failed(was_silent)
 
-    def discovery_moved(self):
-        """The discovery service has another address."""
+    def on_discovery_moved(self):
+        """The discovery service has a new address."""
         self.balancer.on_discovery_moved()
 
-    def told(self, sender: int, words: bytes):
-        """Agents need no words from each other."""
+    def on_peer_message(self, sender: int, message: bytes):
+        """A peer has sent a message. The balancer needs none, so it is ignored."""
 
     def remove_server(self, name: bytes) -> ListedServer:
-        index = self.indices.pop(name)
+        """Forget a server; return its removal for the balancer."""
+        index = self.server_indices.pop(name)
         del self.servers[index]
         self.start_times.remove(name)
         self.close_idle(index)
         return ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
 
-    def changed_group(self, line) -> bool:
-        if line.state == "left":  # it may say no zone
+    def has_changed_group(self, entry) -> bool:
+        """Whether a known server has moved to another zone or cell."""
+        if entry.state == "left":  # its entry may lack the zone
             return False
-        index = self.indices.get(line.name.encode())
+        index = self.server_indices.get(entry.name.encode())
         known = self.balancer.servers.get(index)
-        return known is not None and (known.zone, known.cell) != (self.zone_of(line), line.cell)
-
-    def listing(self, line) -> ListedServer:
-        name = line.name.encode()
-        if name not in self.indices:
-            self.indices[name] = self.servers_named
-            self.servers_named += 1
-        index = self.indices[name]
-        started = self.start_times.started_at(name, line.started, self.now)
-        known = KnownServer(line.address, started)
+        return known is not None and (known.zone, known.cell) != (self.zone_index(entry), entry.cell)
+
+    def listed_server(self, entry) -> ListedServer:
+        """Record a list entry; return it in the balancer's form."""
+        name = entry.name.encode()
+        if name not in self.server_indices:
+            self.server_indices[name] = self.next_server_index
+            self.next_server_index += 1
+        index = self.server_indices[name]
+        started_at = self.start_times.started_at(name, entry.started_ms, self.now)
+        known = KnownServer(entry.address, started_at)
         if self.servers.setdefault(index, known) != known:
-            self.close_idle(index)  # a kept connection to what stood there before would cost an attempt
+            self.close_idle(index)  # on a connection to the previous process an attempt would fail
             self.servers[index] = known
-        state = STATES.get(line.state, ServerState.DRAINING)
-        zone = self.zone_of(line)
-        if zone >= MOST_ZONES:
-            state = ServerState.DRAINING  # among zones that are not told apart a repeat might run twice
-        return ListedServer(index, name, zone, 0, line.cell, state, line.weight, started)
+        state = SERVER_STATES.get(entry.state, ServerState.DRAINING)
+        zone = self.zone_index(entry)
+        if zone >= MAX_ZONES:
+            state = ServerState.DRAINING  # in zones that are not distinguished, a repeat might run twice
+        return ListedServer(index, name, zone, 0, entry.cell, state, entry.weight, started_at)
 
-    def zone_of(self, line) -> int:
-        """A zone's place; one that the settings don't name is another one than all that they do.
+    def zone_index(self, entry) -> int:
+        """Return the index of the entry's zone. A zone that is not in the settings gets an index of its own.
 
-        Taken for one of these, its servers would be sent repeats that only the group of that zone drops.
+        If it shared the index of a configured zone, its servers would get repeats that only the servers of
+        that zone deduplicate.
         """
         if not self.config.settings.zones:
             return 0
-        if line.zone not in self.zones and len(self.zones) < MOST_ZONES:
-            self.log_note(f"zone {line.zone} is none of the settings'")
-            self.zones[line.zone] = len(self.zones)
-        return self.zones.get(line.zone, MOST_ZONES)
+        if entry.zone not in self.zone_indices and len(self.zone_indices) < MAX_ZONES:
+            self.log_note(f"zone {entry.zone} is none of the settings'")
+            self.zone_indices[entry.zone] = len(self.zone_indices)
+        return self.zone_indices.get(entry.zone, MAX_ZONES)
 
-    # What the balancer asks for
+    # The balancer's host
 
     def send_attempt(self, request: int, server: int, deadline: float):
+        """Send an attempt by the earlier of both deadlines (0: the request's own), if it is safe."""
         pending = self.requests[request]
-        attempt, pending.attempts = pending.attempts, pending.attempts + 1
-        pending.out += 1
+        attempt, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
+        pending.in_flight_count += 1
         if attempt:
             self.metrics.count("retries")
-            self.log("request retried", pending.request, attempt=attempt, after=pending.ended_as())
+            self.log("request retried", pending.request, attempt=attempt, after=pending.last_outcome_name())
         deadline = min(deadline, pending.deadline) if deadline else pending.deadline
-        if self.longest_requests is not None:
-            where = self.balancer.servers[server]
-            if not all(self.within(each, where) for each in pending.earlier_attempts):
-                return self.withhold(request, server, attempt, pending)
-            zones = tuple(self.zones)
-            self.effects.append(("went", request, zones[where.zone] if zones else "", where.cell))
-        pending.sent += 1
-        pending.chosen[attempt] = self.servers[server]
+        if self.max_request_durations is not None:
+            target = self.balancer.servers[server]
+            if not all(self.allows_attempt(each, target) for each in pending.earlier_attempts):
+                return self.suppress_attempt(request, server, attempt, pending)
+            zones = tuple(self.zone_indices)
+            self.effects.append(("attempt_sent", request, zones[target.zone] if zones else "", target.cell))
+        pending.sent_count += 1
+        pending.target_servers[attempt] = self.servers[server]
         self.effects.append(
             (
                 "send_attempt",
@@ -446,137 +495,159 @@
             )
         )
 
-    def may_begin(self, number: int, attempt: int, server: int) -> bool:
-        """Whether an attempt that was asked for may still send its first byte, now.
+    def may_send(self, number: int, attempt: int, server: int) -> bool:
+        """Whether an attempt may still send its first byte now.
 
-        Connecting takes up to seconds. A request that is answered, or whose client has gone, wants nothing
-        more; a server that drains, has gone, moved or started again since is not the one that was chosen; and
-        an attempt that is harmless within a window must reach its server within it.
+        Connecting may take seconds. In that time the request may be answered or lose its client, the server
+        may start to drain, leave, move or restart, and the window in which the attempt is safe may end.
         """
         pending = self.requests.get(number)
         if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
-        where, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
-        if where is None or known is None or where.state is not ServerState.READY:
+        target, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
+        if target is None or known is None or target.state is not ServerState.READY:
             return False
-        if self.servers.get(server) != pending.chosen.get(attempt):
+        if self.servers.get(server) != pending.target_servers.get(attempt):
             return False
-        others = {each: past for each, past in known.possible_executions.items() if each != attempt}
+        other_executions = {
+            each: execution for each, execution in known.possible_executions.items() if each != attempt
+        }
         return self.balancer.is_attempt_safe(
-            OtherAttempts(known.request_class, others), where, self.now
-        ) and all(self.within(each, where) for each in pending.earlier_attempts)
+            OtherAttempts(known.request_class, other_executions), target, self.now
+        ) and all(self.allows_attempt(each, target) for each in pending.earlier_attempts)
 
-    def client_of(self, number: int):
-        """Who waits for the request's answer; None where nobody does."""
+    def waiting_client(self, number: int):
+        """Return the client that waits for the answer, or None."""
         pending = self.requests.get(number)
         return pending and pending.client
 
-    def withhold(self, request: int, server: int, attempt: int, pending: PendingRequest):
-        """An attempt that could cause a second effect. It ends as one never sent, and the balancer learns of
-        the earlier ones as of its own: it then looks for a server where a further one does no harm."""
+    def suppress_attempt(self, request: int, server: int, attempt: int, pending: PendingRequest):
+        """End an attempt that could run the request a second time, as one that was never sent.
+
+        The earlier attempts are added to the balancer's own, so that it selects a server where a further
+        attempt is safe.
+        """
         known = self.balancer.requests[request]
-        for place, each in enumerate(pending.earlier_attempts):
-            known.possible_executions[-1 - place] = (
-                Past(each.zone, each.cell),
-                each.until - known.request_class.deduplication_window,
+        for index, each in enumerate(pending.earlier_attempts):
+            known.possible_executions[-1 - index] = (
+                AttemptDestination(each.zone, each.cell),
+                each.repeat_until - known.request_class.deduplication_window,
             )
-        unsent = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
-        self.effects.append(("withhold", request, server, attempt, unsent))
-
-    def within(self, earlier_attempts: EarlierAttempt, where) -> bool:
-        """Whether an attempt there, now, fits the earlier one: servers of its group drop a repeat."""
-        return self.now < earlier_attempts.until and (
-            earlier_attempts.group is DeduplicationScope.ALL
-            or where.zone == earlier_attempts.zone
-            and (earlier_attempts.group is DeduplicationScope.ZONE or where.cell == earlier_attempts.cell)
+        result = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
+        self.effects.append(("suppress_attempt", request, server, attempt, result))
+
+    def allows_attempt(self, earlier_attempt: EarlierAttempt, target) -> bool:
+        """Whether an attempt at `target` is safe now, because the earlier one's group drops a repeat."""
+        return self.now < earlier_attempt.repeat_until and (
+            earlier_attempt.group is DeduplicationScope.ALL
+            or target.zone == earlier_attempt.zone
+            and (earlier_attempt.group is DeduplicationScope.ZONE or target.cell == earlier_attempt.cell)
         )
 
-    def repeat_of(self, request: Request) -> Idempotency:
+    def idempotency_of(self, request: Request) -> Idempotency:
+        """Return the idempotency of a request, which may be lower than that of its class."""
         return (
             Idempotency.NON_IDEMPOTENT
             if request.non_idempotent
             else self.balancer.settings.request_classes[request.request_class].idempotency
         )
 
-    def reject(self, request: int, wait: float):
+    def reject(self, request: int, retry_after: float):
+        """Answer that the request did not run; fail it if it may have run at another agent."""
         pending = self.requests.get(request)
         if pending and not all(
-            each.group is DeduplicationScope.ALL and self.now < each.until
+            each.group is DeduplicationScope.ALL and self.now < each.repeat_until
             for each in pending.earlier_attempts
         ):
-            return self.fail(request)  # its client would come again, to where it may run once more
-        self.answer(request, 503, b"", b"", wait)
+            return self.fail(request)  # its client would retry, and the request might run again
+        self.answer(request, 503, b"", b"", retry_after)
 
     def fail(self, request: int):
+        """Answer that the request failed and may have run."""
         self.answer(request, 502, b"", b"", 0.0)
 
-    def answer(self, number: int, status: int, kind: bytes, body: bytes, wait: float):
-        """The one final answer; whatever comes for the request after it is passed over."""
+    def answer(self, number: int, status: int, content_type: bytes, body: bytes, retry_after: float):
+        """Send the only answer of the request; later ones are ignored."""
         pending = self.requests.get(number)
         if pending and pending.client is not None:
             self.metrics.count(f"answers_{status}")
-            self.monitor.request_answered(number, status, self.now)
+            self.monitor.on_answer(number, status, self.now)
             if status != 200:
-                left = round(pending.deadline - self.now, 3)
+                remaining_s = round(pending.deadline - self.now, 3)
                 self.log(
                     "request not served",
                     pending.request,
                     status=status,
-                    attempts=pending.attempts,
-                    after=pending.ended_as(),
-                    left_s=left,
+                    attempts=pending.attempt_count,
+                    after=pending.last_outcome_name(),
+                    left_s=remaining_s,
                 )
-            self.effects.append(("answer", pending.client, status, kind, body, wait))
+            self.effects.append(("answer", pending.client, status, content_type, body, retry_after))
             pending.client = None
-            self.drop(number, pending)
+            self.forget_if_finished(number, pending)
 
-    def drop(self, number: int, pending: PendingRequest):
-        over = pending.client is None and not pending.out and self.requests.pop(number, None)
-        if over:
+    def forget_if_finished(self, number: int, pending: PendingRequest):
+        """Drop a request without a waiting client and without attempts in flight."""
+        is_finished = (
+            pending.client is None and not pending.in_flight_count and self.requests.pop(number, None)
+        )
+        if is_finished:
             self.monitor.forget(number)
-        if over and self.longest_requests is not None:
-            ran = "never" if not pending.ran else "answered" if pending.served else "maybe"
-            self.effects.append(("settled", number, ran))
+        if is_finished and self.max_request_durations is not None:
+            ran_outcome = (
+                "never" if not pending.may_have_run else "answered" if pending.was_served else "maybe"
+            )
+            self.effects.append(("request_ended", number, ran_outcome))
 
     def cancel(self, request: int, attempt: int):
+        """Cancel an attempt in flight."""
         self.effects.append(("cancel", request, attempt))
 
     def probe(self, server: int):
+        """Send a probe to a server."""
         self.effects.append(("probe", server, self.servers[server].address))
 
-    def watch(self, on: bool = True):
-        self.effects.append(("watch", on))
+    def watch(self, is_wanted: bool = True):
+        """Start a watch of the server list, or stop it."""
+        self.effects.append(("watch", is_wanted))
 
     def fetch_servers(self):
+        """Request the complete server list once."""
         self.effects.append(("fetch_servers",))
 
     def close_idle(self, server: int):
+        """Close the idle connections to a server."""
         self.effects.append(("close_idle", server))
 
     def send_peer_message(self, agent: int, message: bytes):
+        """Send a message to one agent, or to all if `agent` is negative."""
         self.effects.append(("send_peer_message", agent, message))
 
     def set_timer(self, token: int, delay: float):
+        """Call `on_timer` with `token` after `delay` seconds."""
         self.effects.append(("set_timer", token, self.now + delay))
 
     def log_note(self, text: str):
+        """Write a note to the log."""
         self.effects.append(("log_note", text))
 
-    # What the log and the counts say
+    # Log and metrics
 
     def log(self, message: str, request: Request, **fields):
+        """Log an event of a request."""
         name = self.config.settings.request_classes[request.request_class].name
         self.effects.append(
             ("log", message, {"request": request.id.decode("latin-1"), "request_class": name} | fields)
         )
 
-    def report_transition(self, what: str, server, why: str):
-        """A circuit, or the zone that the agent stands on, changed. `server`: None where it is about none."""
-        self.metrics.count(what.replace(" ", "_"))
+    def report_transition(self, transition: str, server, reason: str):
+        """A circuit or the agent's current zone has changed; `server` is None for a zone."""
+        self.metrics.count(transition.replace(" ", "_"))
         known = server and self.servers.get(server.index)
-        self.effects.append(("log", what, {"server": known.address if known else "", "reason": why}))
+        self.effects.append(("log", transition, {"server": known.address if known else "", "reason": reason}))
 
     def report_violation(self, invariant: Invariant, id: bytes, detail: str):
+        """Count and log a violated invariant."""
         self.metrics.count(f"violations_{invariant}")
         fields = {"invariant": str(invariant), "request": id.decode("latin-1"), "reason": detail}
-        self.effects.append(("violation", fields))
+        self.effects.append(("log_violation", fields))
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -235,7 +235,7 @@
 
     def connect(self):
         """Opens a client connection to the agent."""
-        return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), answers=True)
+        return Client(socket.create_connection(("127.0.0.1", self.agent.front.port)), reads_responses=True)
 
     def ask(self, path="/read/x", method="GET", body=b"", connection=None, **headers):
         """Sends a request and returns the status and body of its answer."""
@@ -249,7 +249,7 @@
 
     def stop(self):
         """Stops the agent, the servers and the discovery service."""
-        gevent.killall(self.agent.works)
+        gevent.killall(self.agent.background_tasks)
         if self.agent.admission:
             self.agent.admission.stop()
         self.agent.front.stop_accepting()
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -5,8 +5,8 @@
 import gevent
 import pytest
 
-from cartdeal.agent.reducer import MOST_ZONES
-from cartdeal.agent.start import lasts, still_open
+from cartdeal.agent.reducer import MAX_ZONES
+from cartdeal.agent.start import accept_duration, shutdown_duration
 from cartdeal.balancer_types import ServerState
 from cartdeal.settings import decode
 from tests.scene import SETTINGS, answered, worded
@@ -80,7 +80,7 @@
     assert deployment.ask() == (200, b"s0 ")
     server, upstream = deployment.servers[0], deployment.agent.upstream
     idle_connection = upstream.idle[0][0]
-    idle_connection.since -= 0.09  # no sweep has run since; the server may have closed it
+    idle_connection.last_active_at -= 0.09  # no sweep has run since; the server may have closed it
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ") and idle_connection.closed
     assert idle_connection not in upstream.idle.get(0, ()) and len(server.seen) == 2
 
@@ -132,7 +132,7 @@
             for line, zone in zip(list(deployment.service.lines.values()), zones, strict=True)
         )
     )
-    while reducer.version < 2:
+    while reducer.list_version < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k")[0] == 502
     assert len(deployment.seen()) == attempts and deployment.ask("/mark/x", "POST")[0] == 200
@@ -142,14 +142,14 @@
     deployment = deploy()
     reducer, line = deployment.agent.reducer, deployment.servers[0].line()
     deployment.service.tell(
-        *(line | {"uid": f"n{index}", "az": f"z{index}"} for index in range(2 * MOST_ZONES))
+        *(line | {"uid": f"n{index}", "az": f"z{index}"} for index in range(2 * MAX_ZONES))
     )
-    while reducer.version < 2:
+    while reducer.list_version < 2:
         gevent.sleep(0.002)
     servers = reducer.balancer.servers.values()
-    assert len(reducer.zones) == MOST_ZONES and len(reducer.balancer.zones) == MOST_ZONES + 1
+    assert len(reducer.zone_indices) == MAX_ZONES and len(reducer.balancer.zones) == MAX_ZONES + 1
     # The ready servers include s0; zone b has none.
-    assert sum(each.state is ServerState.READY for each in servers) == MOST_ZONES - 1
+    assert sum(each.state is ServerState.READY for each in servers) == MAX_ZONES - 1
     assert deployment.ask()[0] == 200
 
 
@@ -184,5 +184,5 @@
     settings = decode(json.dumps({"workloads": [{"name": "read", "timeLimitUs": millis * 1000}]}).encode())
     kill_delay = min(3.0, millis / 1e3) + 0.7
     # Connections arrive for 0.4 s; a request on the last one has its full time, and all are closed in order.
-    assert 0.4 < still_open(settings) <= lasts(settings) - 0.2
-    assert min(3.0, millis / 1e3) < lasts(settings) <= kill_delay - 0.1
+    assert 0.4 < accept_duration(settings) <= shutdown_duration(settings) - 0.2
+    assert min(3.0, millis / 1e3) < shutdown_duration(settings) <= kill_delay - 0.1
--- a/tests/test_cold_share.py
+++ b/tests/test_cold_share.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cartdeal import settings
-from cartdeal.agent.configuration import Fault
+from cartdeal.agent.configuration import ConfigurationError
 from tests.scene import SETTINGS, TracingHost, agent_config
 
 
@@ -35,5 +35,5 @@
 @pytest.mark.parametrize("overload_factor", [0, -1.0])
 def test_overload_factor_that_would_starve_a_new_server_is_refused(tmp_path, overload_factor):
     invalid_settings = SETTINGS | {"rules": SETTINGS["rules"] | {"overloadFactor": overload_factor}}
-    with pytest.raises(Fault, match="overloadFactor"):
+    with pytest.raises(ConfigurationError, match="overloadFactor"):
         agent_config(tmp_path, settings=invalid_settings)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -11,8 +11,8 @@
 
 from cartdeal.agent.reducer import Reducer
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.judge import Judge
 from cartdeal.emulator.play import Fleet
+from cartdeal.emulator.rule_checker import RuleChecker
 
 ALL_OF_A = {"kind": "replace", "zone": "a", "part": 1.0, "begins_s": 3.0, "lasts_s": 0.1}
 SIX_IN_TEN = {"kind": "replace", "part": 0.6, "begins_s": 3.0, "lasts_s": 1.0}
@@ -53,12 +53,12 @@
         "workload": [{"name": "read", "work_s": 0.05, "spread": "fixed"}],
         **more,
     }
-    return Fleet(worlds.made(world), seed, make).play().judge
+    return Fleet(worlds.world_from_dict(world), seed, make).run().rule_checker
 
 
 def max_share(checker):
     """The most requests in a window at any server in slow start, as a share of what is allowed."""
-    return max(checker.closest.values(), default=0.0)
+    return max(checker.max_cold_load_ratios.values(), default=0.0)
 
 
 @pytest.mark.parametrize("agents, seed", [(20, 1), (30, 2), (200, 3)])
@@ -88,9 +88,9 @@
 class FullTokens(Reducer):
     """Each agent may send a request at once to a server in slow start."""
 
-    def listed(self, server_list, fresh=True):
+    def on_server_list(self, server_list, fresh=True):
         known = set(self.balancer.servers)
-        super().listed(server_list, fresh)
+        super().on_server_list(server_list, fresh)
         for index in set(self.balancer.servers) - known:
             self.balancer.servers[index].slow_start_tokens = 1.0
 
@@ -113,7 +113,7 @@
     print(*violations, sep="\n")
     assert violations and {each.rule for each in violations} == {4}
     # With few agents, their limits keep the sum within the margin for chance; only the work exceeds it.
-    assert agents < 200 or [each for each in violations if "requests" in each.words]
+    assert agents < 200 or [each for each in violations if "requests" in each.text]
 
 
 # The rule checker
@@ -121,8 +121,8 @@
 
 def violations(requests, agent, work=0.0, known_start=5.0):
     """The rules that requests at a server in slow start break."""
-    checker = Judge(
-        worlds.made(
+    checker = RuleChecker(
+        worlds.world_from_dict(
             {
                 "fall_multiple": 2.0,
                 "fall_s": 2.0,
@@ -134,9 +134,9 @@
         )
     )
     server = SimpleNamespace(name="s", started=5.0, capacity=lambda: 0.8)
-    checker.agent_told(5.0, 1, "s", True, known_start)
+    checker.on_server_state_received(5.0, 1, "s", True, known_start)
     for index in range(requests):
-        checker.work_reached(6.0 + index / 1000, server, work, agent)
+        checker.on_work_at_cold_server(6.0 + index / 1000, server, work, agent)
     return [each.rule for each in checker.violations]
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -7,9 +7,9 @@
 import pytest
 from gevent import socket
 
-from cartdeal.agent.connection import BODY_LIMIT, Connection, Malformed
+from cartdeal.agent.connection import MAX_BODY_BYTES, Connection, MalformedMessageError
 from cartdeal.agent.reducer import FailureReason, Progress, Request
-from cartdeal.agent.upstream import Attempt, milliseconds_left, written
+from cartdeal.agent.upstream import Attempt, encode_request, milliseconds_left
 from examples.toy import Server
 from tests.scene import Deployment, until
 
@@ -30,7 +30,7 @@
     new_deployment.stop()
 
 
-def connection_pair(until_close=True):
+def connection_pair(allows_close_delimited=True):
     """An upstream connection and the server's socket."""
     listener = socket.socket()
     listener.bind(("127.0.0.1", 0))
@@ -38,7 +38,9 @@
     client_socket = socket.create_connection(listener.getsockname())
     server_socket, _ = listener.accept()
     listener.close()
-    return Connection(client_socket, answers=True, until_close=until_close), server_socket
+    return Connection(
+        client_socket, reads_responses=True, allows_close_delimited=allows_close_delimited
+    ), server_socket
 
 
 def reset(sock):
@@ -61,9 +63,9 @@
     server_socket.sendall(text)
     received_bytes = 0
     while received_bytes < len(text):
-        before = connection.kept
+        before = connection.body_end
         assert connection.receive(5.0)
-        received_bytes += connection.came - before
+        received_bytes += connection.input_end - before
     end(server_socket)
     return connection
 
@@ -84,9 +86,9 @@
     assert read_body(connection) == text.partition(b"\r\n\r\n")[2] and not connection.messages[0].keep_alive
     with pytest.raises(ConnectionResetError):
         read_body(received_answer(text, reset))
-    strict, server_socket = connection_pair(until_close=False)
+    strict, server_socket = connection_pair(allows_close_delimited=False)
     server_socket.sendall(text)
-    with pytest.raises(Malformed):  # this connection does not accept such answers
+    with pytest.raises(MalformedMessageError):  # this connection does not accept such answers
         read_body(strict)
 
 
@@ -97,10 +99,10 @@
 
 def test_answer_without_a_length_is_bounded():
     connection, server_socket = connection_pair()
-    sender = gevent.spawn(server_socket.sendall, HEAD + b"\r\n" + bytes(10 * BODY_LIMIT))
-    with pytest.raises(Malformed):
+    sender = gevent.spawn(server_socket.sendall, HEAD + b"\r\n" + bytes(10 * MAX_BODY_BYTES))
+    with pytest.raises(MalformedMessageError):
         read_body(connection)
-    assert len(connection.buffer) <= 4 * BODY_LIMIT
+    assert len(connection.buffer) <= 4 * MAX_BODY_BYTES
     sender.kill()
 
 
@@ -133,12 +135,12 @@
     request = Request(2, True, 0, 0, 1.0, False, b"POST", b"/once/x", b"late", b"", b"", b"")
     if is_reused:
         connection = upstream.connect(0, address, monotonic() + 1.0)
-        upstream.pool(0, connection)
-        connection.since -= 1.0
+        upstream.keep_idle(0, connection)
+        connection.last_active_at -= 1.0
     deadline = monotonic() + time_left
 
     def request_bytes():
-        return written(request, milliseconds_left(deadline))
+        return encode_request(request, milliseconds_left(deadline))
 
     result = upstream.exchange(Attempt(), 0, address, deadline, request_bytes)
     assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -16,11 +16,11 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.discovery import DiscoveryClient
-from cartdeal.agent.effects import room_for
+from cartdeal.agent.effects import connection_capacity
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
-from cartdeal.emulator.world import Unusable
+from cartdeal.emulator.world import InvalidInputError
 from cartdeal.fleet import codec
 from cartdeal.fleet import configuration as fleet_configuration
 from cartdeal.fleet.consensus.messages import LeaseRenewal, LeaseRenewalAck, Prepare, RingSnapshot
@@ -63,7 +63,7 @@
 
 def send_list(reducer, version, numbers, is_complete=False, state="active"):
     """Sends the reducer a server list with servers of these numbers."""
-    reducer.listed(
+    reducer.on_server_list(
         ServerList(
             version,
             is_complete,
@@ -74,23 +74,23 @@
 
 def serve_requests(reducer, requests):
     """Serves requests with different keys at once; returns their number by server address."""
-    counts, result = Counter(), AttemptResult(FailureReason.ANSWERED, Progress.WHOLE, 0.01, 200)
-    for number in range(reducer.count + 1, reducer.count + 1 + requests):
+    counts, result = Counter(), AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
+    for number in range(reducer.request_count + 1, reducer.request_count + 1 + requests):
         reducer.now += 0.01
         key, name = 7919 * number, b"%d" % number
-        reducer.taken("asker", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b""))
+        reducer.on_request("asker", Request(0, False, 0, key, 2.0, False, b"GET", b"/", name, b"", b"", b""))
         sent = [args for verb, *args in reducer.effects if verb == "send_attempt"]
         reducer.effects.clear()
         for request, attempt, server, address, *_ in sent:
             counts[address] += 1
-            reducer.attempt_ended(request, server, attempt, result)
+            reducer.on_attempt_ended(request, server, attempt, result)
     return counts
 
 
 def test_requests_reach_the_servers_of_a_list_of_1024_and_its_changes():
     config = decode_configuration(limits={"memory_mb": 24, "sockets": 64})
     reducer, first = Reducer(config, 100.0, 1100.0), range(MAX_AGENTS)
-    connections, long_bodies = room_for(config.limits)
+    connections, long_bodies = connection_capacity(config.limits)
     assert connections == 32 and long_bodies > 2_000_000  # the lowest limits, whatever the length of the list
     send_list(reducer, 1, first, is_complete=True)
     assert (
@@ -112,9 +112,9 @@
         and len(counts) > 0.2 * MAX_AGENTS
     )
     send_list(reducer, 4, drained, state="left")
-    assert len(reducer.servers) == len(reducer.indices) == MAX_AGENTS
+    assert len(reducer.servers) == len(reducer.server_indices) == MAX_AGENTS
     send_list(reducer, 5, first, is_complete=True)
-    assert set(reducer.indices) == {b"s%d" % n for n in first}
+    assert set(reducer.server_indices) == {b"s%d" % n for n in first}
 
 
 def long_list(entry_count: int) -> bytes:
@@ -166,7 +166,7 @@
 
 def test_configuration_and_fleet_file_with_1024_agents(tmp_path):
     config = decode_configuration(peers=[f"10.0.{n >> 8}.{n & 255}:7946" for n in range(MAX_AGENTS)])
-    assert len(set(config.neighbours)) == MAX_AGENTS
+    assert len(set(config.peers)) == MAX_AGENTS
     file = tmp_path / "fleet.toml"
     file.write_text(
         f'fleet = "f"\nkey = "{"k" * 32}"\n[seeds]\n'
@@ -178,9 +178,9 @@
 
 
 def test_bounds_of_rig_and_lab():
-    play.check(worlds.made({"agents": MAX_AGENTS}))
-    with pytest.raises(Unusable, match="agents: found 1025, wanted 1024 at most"):
-        play.check(worlds.made({"agents": MAX_AGENTS + 1}))
+    play.check(worlds.world_from_dict({"agents": MAX_AGENTS}))
+    with pytest.raises(InvalidInputError, match="agents: found 1025, wanted 1024 at most"):
+        play.check(worlds.world_from_dict({"agents": MAX_AGENTS + 1}))
     starts = list(product(range(3), range(MAX_AGENTS), range(play.LIVES)))
     assert len({play.agent_seed(*start) for start in starts}) == len(starts)
     for kind in ("ring", "copies", "days", "upgrade"):
@@ -188,7 +188,11 @@
 
 
 def test_rig_starts_its_agents_a_bounded_number_at_a_time(monkeypatch):
-    rig, starting, start_counts = play.Rig(worlds.made({"agents": MAX_AGENTS}), 1, "true"), set(), []
+    rig, starting, start_counts = (
+        play.Rig(worlds.world_from_dict({"agents": MAX_AGENTS}), 1, "true"),
+        set(),
+        [],
+    )
 
     def start(self):
         starting.add(self)
@@ -313,7 +317,7 @@
 
 
 def test_1024_connections_fit_the_backlog_of_a_peer_and_of_the_fake_service(make_transport):
-    service = DiscoveryService(play.Rig(worlds.made({}), 1, "true"))
+    service = DiscoveryService(play.Rig(worlds.world_from_dict({}), 1, "true"))
     max_backlog = int(Path("/proc/sys/net/core/somaxconn").read_text())
     for listener in (make_transport("a", start=False).listener, service.socket):
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 192)
