--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -174,8 +174,8 @@
                 self.watch.called(now)
             self.set_timer_by(self.watch.next_call_at)
 
-    def on_request(self, number, class_index, tenant, key, deadline, is_repeat):
-        """A request arrived; `is_repeat`: the client has sent it before."""
+    def on_request(self, number, class_index, tenant, key, deadline, is_retry):
+        """A request arrived; `is_retry`: the client has sent it before."""
         now, request_class = self.host.now, self.settings.request_classes[class_index]
         self.arrivals.add(now)
         self.priority.add(now, request_class.priority)
@@ -184,8 +184,8 @@
             if self.is_pool_member
             else request_class.priority
         )
-        # A repeat has used part of its time already: served first, it would make new requests late too.
-        priority_weight *= self.tenant_factor(tenant, now) * (0.5 if is_repeat else 1.0)
+        # A retry has used part of its time already: served first, it would make new requests late too.
+        priority_weight *= self.tenant_factor(tenant, now) * (0.5 if is_retry else 1.0)
         request = self.requests[number] = RoutedRequest(
             number,
             request_class,
@@ -221,16 +221,16 @@
         overage = 1.0 - 1.1 * quota / max(all_, 1e-9) * self.arrivals.amount / arrivals.amount
         return self.settings.overage_priority_factor if self.random_fraction() < overage else 1.0
 
-    def route(self, request, now, is_retry=False, is_final=False):
+    def route(self, request, now, has_failed_attempt=False, is_final=False):
         """Sends an attempt to the preferred zone or, failing that, to another zone; else queues the request.
 
-        `is_retry`: an attempt has failed before. `is_final`: without capacity now, the request gives up.
+        `has_failed_attempt`: an earlier attempt failed. `is_final`: without capacity, the request gives up.
         """
         home, preferred = self.zone_order[self.current_zone_rank], self.preferred_zone(request)
         server = self.select_server(self.zones[preferred], request, now)
         if server is None:
             self.capacity_misses.add(now)
-            may_cross = self.is_crossing_worthwhile(request, now, is_retry or is_final)
+            may_cross = self.is_crossing_worthwhile(request, now, has_failed_attempt or is_final)
             for zone in self.zone_order:
                 if (
                     server is None
@@ -608,7 +608,7 @@
         )
         others = (s for zone in self.zones for s in zone if s not in request.tried_servers)
         if may_retry and not is_overloaded and any(self.is_attempt_safe(request, s, now) for s in others):
-            self.route(request, now, is_retry=True)
+            self.route(request, now, has_failed_attempt=True)
         else:
             self.give_up(request, now)
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -130,9 +130,9 @@
             self.answer_probes()
         self.now = end
 
-    def submit(self, request, request_class=0, key=0, timeout=2.0, repeat=False):
+    def submit(self, request, request_class=0, key=0, timeout=2.0, is_retry=False):
         """Submits a request; returns the server of its attempt, or nothing if none was sent."""
-        self.balancer.on_request(request, request_class, 0, key or request, self.now + timeout, repeat)
+        self.balancer.on_request(request, request_class, 0, key or request, self.now + timeout, is_retry)
         self.answer_probes()
         return chr(self.attempts[request][0]) if request in self.attempts else ""
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -285,10 +285,10 @@
     host.check_trace("overload")
 
 
-def test_repeats_wait_behind_new_requests():
+def test_retries_wait_behind_new_requests():
     host = TracingHost("a0", agent_count=8, cross_zone_fee=9.0)
     for request in range(1, 5):
-        host.submit(request, repeat=request == 2)
+        host.submit(request, is_retry=request == 2)
     host.wait(0.05)
     host.end_attempt(1)
     assert 3 in host.attempts and 2 not in host.attempts
