--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -12,7 +12,7 @@
 from cartdeal.fleet.effects import DeliverDecision
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
 from cartdeal.fleet.settings import FleetSettings
-from tests.scene import SETTINGS, Deployment, agent_config, answered, until, worded
+from tests.scene import SETTINGS, Deployment, agent_config, encode_request, read_answer, until
 from tests.test_reducer import ReducerHarness
 
 WORKLOADS = SETTINGS["workloads"] + [
@@ -328,7 +328,7 @@
 def send_and_receive(deployment, *args, **headers):
     """Status and Retry-After."""
     connection = deployment.connect()
-    connection.sock.sendall(worded(*args, **headers))
+    connection.sock.sendall(encode_request(*args, **headers))
     while not connection.messages:
         assert connection.receive(5.0)
     return connection.messages[0].status, connection.messages[0].headers.get(b"retry-after")
@@ -379,7 +379,9 @@
 def test_declined_request_reaches_no_server(deploy, decision, status, pause):
     deployment, node = deploy()
     node.decisions["once"] = decision
-    assert send_and_receive(deployment, "/once/1", "POST") == (status, pause) and not deployment.seen()
+    assert (
+        send_and_receive(deployment, "/once/1", "POST") == (status, pause) and not deployment.received_paths()
+    )
     assert send_and_receive(deployment, "/read/1") == (200, None)
 
 
@@ -407,24 +409,28 @@
     if broken:
         node.request_admission = None  # an error in the middle of the event
     assert send_and_receive(deployment, path, "POST" if "once" in path else "GET", **headers)[0] == status
-    assert not deployment.seen() and not deployment.agent.admission.pending and deployment.agent.reducer.now
+    assert (
+        not deployment.received_paths()
+        and not deployment.agent.admission.pending
+        and deployment.agent.reducer.now
+    )
     deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
     gevent.sleep(0)
-    assert not deployment.seen()
+    assert not deployment.received_paths()
 
 
 def test_decision_that_comes_by_a_message_lets_the_request_go_on(deploy):
     deployment, node = deploy(servers=2)
     node.decisions.clear()
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/mark/1", "POST", Idempotency_Key="k"))
+    waiting.sock.sendall(encode_request("/mark/1", "POST", Idempotency_Key="k"))
     until(lambda: node.calls)
     deployment.agent.admission.transport.dispatch(
         "deliver", 1, "admit", 0.0, (("", -1, "all", int(node.wall * 1e3) + 900),)
     )
     (earlier_attempts,) = deployment.agent.reducer.requests[1].earlier_attempts
     assert earlier_attempts.repeat_until == pytest.approx(deployment.agent.reducer.now + 0.9, abs=0.05)
-    assert answered(waiting) == (200, b"s0 ")
+    assert read_answer(waiting) == (200, b"s0 ")
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "answered"))
 
 
@@ -432,13 +438,13 @@
     deployment, node = deploy()
     node.decisions.clear()
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/once/1", "POST"))
+    waiting.sock.sendall(encode_request("/once/1", "POST"))
     until(lambda: node.calls)
     waiting.close()
     until(lambda: node.calls[-1] == ("on_request_ended", 1, "never"))
     assert not deployment.agent.admission.pending
     deployment.agent.admission.transport.dispatch("deliver", 1, "admit")
-    assert not deployment.agent.reducer.requests and not deployment.seen()
+    assert not deployment.agent.reducer.requests and not deployment.received_paths()
 
 
 def test_event_that_comes_of_an_effect_is_played_after_the_others(deploy):
@@ -456,7 +462,7 @@
     deployment, node = deploy(servers=2)
     node.decisions["zoned"] = ("admit", 0.0, (("b", 1, "zone", int(time.time() * 1e3) + 3000),))
     assert send_and_receive(deployment, "/zoned/1", "POST", Idempotency_Key="k")[0] == 502
-    assert not deployment.seen() and ("on_request_ended", 1, "never") in node.calls
+    assert not deployment.received_paths() and ("on_request_ended", 1, "never") in node.calls
 
 
 def test_file_that_is_read_again(deploy, tmp_path, monkeypatch, caplog):
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -156,12 +156,12 @@
                     request, (outcomes or {}).get(chr(self.attempts[request][0]), Outcome.COMPLETED)
                 )
 
-    def check_trace(self, name):
+    def assert_matches_trace(self, name):
         """Compares the trace with its file."""
-        kept(name, self.lines)
+        assert_matches_trace(name, self.lines)
 
 
-def kept(name, lines):
+def assert_matches_trace(name, lines):
     """Compares the lines with a trace file, or writes them to it if TRACES=write."""
     file, trace = TRACES / f"{name}.txt", "\n".join(lines) + "\n"
     if os.environ.get("TRACES") == "write":
@@ -240,10 +240,10 @@
     def ask(self, path="/read/x", method="GET", body=b"", connection=None, **headers):
         """Sends a request and returns the status and body of its answer."""
         connection = connection or self.connect()
-        connection.sock.sendall(worded(path, method, body, **headers))
-        return answered(connection)
+        connection.sock.sendall(encode_request(path, method, body, **headers))
+        return read_answer(connection)
 
-    def seen(self):
+    def received_paths(self):
         """The paths of the requests that the servers received."""
         return [message.path.decode() for server in self.servers for message in server.seen]
 
@@ -258,7 +258,7 @@
             each.stop()
 
 
-def worded(path="/read/x", method="GET", body=b"", **headers):
+def encode_request(path="/read/x", method="GET", body=b"", **headers):
     """The bytes of a request; a header of None is left out, and `_` in its name stands for `-`."""
     fields = {"X-Request-ID": str(next(IDS)), "Content-Length": str(len(body))}
     fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -266,7 +266,7 @@
     return f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
-def answered(connection):
+def read_answer(connection):
     """Waits for an answer; returns its status and body, or None if the connection ends."""
     while not connection.messages:
         if not connection.receive(5.0):
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -9,7 +9,7 @@
 from cartdeal.agent.start import accept_duration, shutdown_duration
 from cartdeal.balancer_types import ServerState
 from cartdeal.settings import decode
-from tests.scene import SETTINGS, answered, worded
+from tests.scene import SETTINGS, encode_request, read_answer
 
 pytestmark = pytest.mark.usefixtures("bounded")
 
@@ -26,9 +26,9 @@
 def test_request_class_without_settings_is_executed_once(deploy, method):
     deployment = deploy(servers=2, settings=MINIMAL_SETTINGS)
     assert deployment.ask("/any/x?do=reset", method, Idempotency_Key="k") == (502, b"")
-    assert len(deployment.seen()) == 1
+    assert len(deployment.received_paths()) == 1
     assert deployment.ask("/any/x?do=full", method) == (503, b"")
-    assert len(deployment.seen()) == 3
+    assert len(deployment.received_paths()) == 3
     assert deployment.ask("/any/x", method)[0] == 200
 
 
@@ -37,7 +37,7 @@
 def test_deduplicated_request_is_retried_only_with_an_idempotency_key(deploy, method, key, attempts):
     deployment = deploy(servers=2)
     assert deployment.ask("/mark/x?do=reset", method, Idempotency_Key=key)[0] in (502, 503)
-    assert len(deployment.seen()) == attempts
+    assert len(deployment.received_paths()) == attempts
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
     while len({each.zone for each in deployment.agent.reducer.balancer.servers.values()}) < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k") == (status, b"")
-    assert len(deployment.seen()) == attempts
+    assert len(deployment.received_paths()) == attempts
 
 
 def test_tenants_without_a_quota_never_exceed_their_share():
@@ -90,8 +90,8 @@
     idle, busy = [deployment.connect() for _ in range(40)], []
     for _ in range(10):
         busy.append(deployment.connect())
-        busy[-1].sock.sendall(worded())  # a connection idle as long as the others may be closed
-    assert [answered(connection) for connection in busy] == [(200, b"s0 ")] * 10
+        busy[-1].sock.sendall(encode_request())  # a connection idle as long as the others may be closed
+    assert [read_answer(connection) for connection in busy] == [(200, b"s0 ")] * 10
     for connection in idle + busy:
         connection.close()
 
@@ -118,7 +118,7 @@
         while [each.cell for each in balancer.servers.values()] != list(cells):
             gevent.sleep(0.002)
         assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k") == (502, b"")
-        assert len(deployment.seen()) == attempts
+        assert len(deployment.received_paths()) == attempts
 
 
 @pytest.mark.parametrize("zones, attempts", [("xy", 1), ("xx", 2), ("ax", 1), ("ay", 1)])
@@ -135,7 +135,7 @@
     while reducer.list_version < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k")[0] == 502
-    assert len(deployment.seen()) == attempts and deployment.ask("/mark/x", "POST")[0] == 200
+    assert len(deployment.received_paths()) == attempts and deployment.ask("/mark/x", "POST")[0] == 200
 
 
 def test_number_of_zones_named_by_a_list_is_bounded(deploy):
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -25,7 +25,7 @@
     host.serve(range(20, 60), dict.fromkeys("abcd", Outcome.NOT_CONNECTED))
     host.is_trace_paused = False
     host.serve(range(60, 62))
-    host.check_trace("zones")
+    host.assert_matches_trace("zones")
 
 
 def test_circuit_opens_and_after_a_probe_closes_again():
@@ -38,7 +38,7 @@
     host.trace("the probe was answered: one trial request at a time")
     for request in range(13, 20):
         host.submit(request)
-    host.check_trace("circuit")
+    host.assert_matches_trace("circuit")
 
 
 def test_circuit_of_a_silent_server_opens_before_its_attempts_end():
@@ -56,7 +56,7 @@
     host.end_attempt(first, Outcome.CANCELLED)
     host.wait(2)
     host.end_attempt(second, Outcome.TIMED_OUT)
-    host.check_trace("silent")
+    host.assert_matches_trace("silent")
 
 
 def test_server_that_fails_for_one_class_is_avoided_by_that_class_only():
@@ -86,7 +86,7 @@
         host.end_attempt(number)
     for number in range(130, 136):
         host.submit(number, 3)
-    host.check_trace("workload")
+    host.assert_matches_trace("workload")
 
 
 def test_overtaken_attempts_are_cancelled_and_their_class_backs_off():
@@ -103,7 +103,7 @@
     host.trace(f"a's circuit is closed: {host.balancer.servers[ord('a')].is_circuit_closed}")
     host.submit(50, 3)
     host.submit(51)
-    host.check_trace("overtaken")
+    host.assert_matches_trace("overtaken")
 
 
 def test_failed_attempt_is_retried_while_other_requests_are_briefly_queued():
@@ -134,7 +134,7 @@
     host = TracingHost("a0 b0 e0 f0")
     for request in range(1, 9):
         host.submit(request, key=5)
-    host.check_trace("yield")
+    host.assert_matches_trace("yield")
 
 
 def test_no_retry_can_cause_a_second_execution():
@@ -161,7 +161,7 @@
             host.end_attempt(1, outcome)
         lines += host.lines
     host.lines = lines
-    host.check_trace("effects")
+    host.assert_matches_trace("effects")
 
 
 def test_deduplicated_request_stays_in_its_scope():
@@ -169,7 +169,7 @@
     host.submit(1, 2)
     host.trace("an error; only servers of another zone are left")
     host.end_attempt(1, Outcome.ERROR)
-    host.check_trace("group")
+    host.assert_matches_trace("group")
 
 
 def test_draining_and_gone_servers_get_no_requests():
@@ -186,7 +186,7 @@
     for _ in range(5):
         host.balancer.on_watch_failed()
         host.wait(5)
-    host.check_trace("watch")
+    host.assert_matches_trace("watch")
 
 
 def test_agent_with_few_requests_probes_first_and_skips_a_late_server():
@@ -199,7 +199,7 @@
     host.trace("the answer to the probe is late")
     host.balancer.on_probe_ended(ord("c"), Outcome.COMPLETED, 0.001, None)
     host.wait(0.5)
-    host.check_trace("asked")
+    host.assert_matches_trace("asked")
 
 
 def test_server_without_capacity_is_probed_once_per_request():
@@ -282,7 +282,7 @@
     host.wait(0.2)
     host.end_attempt(3)
     host.wait(0.2)
-    host.check_trace("overload")
+    host.assert_matches_trace("overload")
 
 
 def test_retries_wait_behind_new_requests():
@@ -300,7 +300,7 @@
     host.wait(0.1)
     host.trace("a try with less left than a sweep")
     host.submit(2, timeout=0.01)
-    host.check_trace("short_try")
+    host.assert_matches_trace("short_try")
 
 
 def test_instant_refusals_attract_no_further_attempts():
@@ -317,7 +317,7 @@
     host = TracingHost("a0", agent_count=12)
     host.serve(range(1, 8), duration=0.7)
     assert host.balancer.servers[ord("a")].concurrency_limit < 1.0
-    host.check_trace("pauses")
+    host.assert_matches_trace("pauses")
 
 
 def test_slow_server_does_not_count_as_silent():
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -11,7 +11,7 @@
 from gevent import socket, subprocess
 
 from examples.toy import DiscoveryService, Server
-from tests.scene import Client, answered, config_file, worded
+from tests.scene import Client, config_file, encode_request, read_answer
 
 MIN_DESCRIPTOR_COUNT = 64
 
@@ -64,17 +64,17 @@
     for _ in range(2 * MIN_DESCRIPTOR_COUNT):
         idle.append(Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True))
         if clients != "silent":
-            idle[-1].sock.sendall(worded("/health/ready"))
+            idle[-1].sock.sendall(encode_request("/health/ready"))
         if clients == "midway":
-            idle[-1].sock.sendall(worded()[:20])
+            idle[-1].sock.sendall(encode_request()[:20])
     until(lambda: len(list(descriptors.iterdir())) >= before + held)
     server, service = Server("s0"), DiscoveryService(port)
     service.lines = {"s0": server.line()}
     until(lambda: b"1 lines in all" in log.read_bytes())
     if clients != "midway":  # clients in the middle of a request are not idle, and keep their connections
         identified = Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True)
-        identified.sock.sendall(worded())
-        assert answered(identified) == (200, b"s0 ")
+        identified.sock.sendall(encode_request())
+        assert read_answer(identified) == (200, b"s0 ")
     assert b"Too many open files" not in log.read_bytes()
     for each in (server, service):
         each.stop()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
 from tests.fleet.test_admission import MARK as ADMISSION_MARK
 from tests.fleet.test_admission import AdmissionHarness
-from tests.scene import SETTINGS, Deployment, answered, until, worded
+from tests.scene import SETTINGS, Deployment, encode_request, read_answer, until
 from tests.test_reducer import ReducerHarness
 
 READ, MARK, ONCE = range(3)
@@ -93,59 +93,59 @@
 @pytest.mark.parametrize("path", ["/once/x", "/read/x"])
 def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, more, path):
     client = deployment.connect()
-    client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
+    client.sock.sendall(encode_request(path, "POST" if "once" in path else "GET"))
     until(lambda: late.sockets)
     deployment.service.tell(deployment.servers[0].line(**more))
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: the answer must say so (503, not 502).
-    assert answered(client)[0] == 503 and not deployment.seen()
+    assert read_answer(client)[0] == 503 and not deployment.received_paths()
     wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_server_left_the_list_while_connecting(deployment, late):
     client, service = deployment.connect(), deployment.service
-    client.sock.sendall(worded("/read/x"))
+    client.sock.sendall(encode_request("/read/x"))
     until(lambda: late.sockets)
     service.version += 1
     for watch in service.watches:
         service.write(watch, service.server_list([], True) + b"\n")
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
-    assert answered(client)[0] == 503 and not deployment.seen()
+    assert read_answer(client)[0] == 503 and not deployment.received_paths()
     wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_client_closed_while_connecting(deployment, late):
     client = deployment.connect()
-    client.sock.sendall(worded("/once/x", "POST"))
+    client.sock.sendall(encode_request("/once/x", "POST"))
     until(lambda: late.sockets)
     client.close()
     until(lambda: not deployment.agent.front.clients)
     late.gate.set()
     wait_until_settled(deployment)
-    assert not deployment.seen() and not deployment.agent.reducer.requests
+    assert not deployment.received_paths() and not deployment.agent.reducer.requests
 
 
 @pytest.mark.parametrize("ends", ["cancel", "overdue"])
 def test_nothing_is_sent_if_the_attempt_was_cancelled_while_connecting(deployment, late, ends):
     client = deployment.connect()
-    client.sock.sendall(worded("/once/x", "POST"))
+    client.sock.sendall(encode_request("/once/x", "POST"))
     until(lambda: late.sockets)
     if ends == "cancel":
         deployment.agent.upstream.cancel(1, 0)
     else:
         deployment.agent.dispatch("on_deadline_passed", 1)
     late.gate.set()
-    assert answered(client)[0] in (502, 503)
+    assert read_answer(client)[0] in (502, 503)
     wait_until_settled(deployment)
-    assert not deployment.seen()
+    assert not deployment.received_paths()
 
 
 @pytest.mark.parametrize("after_window", [True, False])
 def test_delayed_write_is_completed_only_within_the_repeat_window(deployment, narrow, after_window):
     reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
-    client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
+    client.sock.sendall(encode_request("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
     attempts = deployment.agent.upstream.attempts
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
     if after_window:  # an earlier attempt that may have run, before the repeat window
@@ -153,8 +153,8 @@
         balancer.requests[1].possible_executions[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
     # Outside the window it must not be sent again, and its client must not be told that it never ran.
-    assert answered(client) == ((502, b"") if after_window else (200, b"s0 " + body))
-    assert len(deployment.seen()) == 1 - after_window
+    assert read_answer(client) == ((502, b"") if after_window else (200, b"s0 " + body))
+    assert len(deployment.received_paths()) == 1 - after_window
     until(lambda: not attempts)
 
 
@@ -163,7 +163,7 @@
     assert deployment.ask("/once/x", "POST", body, X_Timeout="300m") == (503, b"")
     narrow()
     assert deployment.ask("/once/y", "POST")[0] == 200  # its connection is accepted after that of the first
-    assert deployment.seen() == ["/once/y"]
+    assert deployment.received_paths() == ["/once/y"]
 
 
 @pytest.mark.parametrize(
@@ -175,7 +175,7 @@
     deployment.agent.dispatch("on_server_list", ServerList(2, False, (draining,)))
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
-        client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
+        client.sock.sendall(encode_request("/once/x", "POST", X_Timeout="15000m"))
     held = deployment.agent.reducer.balancer.queued_requests
     until(lambda: len(held) == len(clients))
     for client in clients:
@@ -188,13 +188,13 @@
     assert deployment.agent.upstream.attempts
     until(lambda: not deployment.agent.front.clients)
     wait_until_settled(deployment)
-    assert not deployment.seen() and not deployment.agent.reducer.requests
+    assert not deployment.received_paths() and not deployment.agent.reducer.requests
 
 
 def test_pipelined_request_is_dropped_when_its_client_disconnects(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded("/read/1?do=wait") + worded("/once/2", "POST"))
-    until(deployment.seen)
+    client.sock.sendall(encode_request("/read/1?do=wait") + encode_request("/once/2", "POST"))
+    until(deployment.received_paths)
     client.close()
     wait_for_unread_ends(deployment, 1)
     result = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
@@ -202,13 +202,16 @@
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.attempts)
-    assert deployment.seen() == ["/read/1?do=wait"]
+    assert deployment.received_paths() == ["/read/1?do=wait"]
 
 
 def test_disconnect_is_noticed_after_input_is_discarded(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded("/read/1?do=wait") + b"no request\r\n\r\n")
-    until(lambda: deployment.seen() and any(each.discards_input for each in deployment.agent.front.clients))
+    client.sock.sendall(encode_request("/read/1?do=wait") + b"no request\r\n\r\n")
+    until(
+        lambda: deployment.received_paths()
+        and any(each.discards_input for each in deployment.agent.front.clients)
+    )
     client.close()
     until(lambda: not deployment.agent.reducer.pending_count)
 
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -6,7 +6,7 @@
 import pytest
 
 from examples.toy import DiscoveryService, Server
-from tests.scene import Deployment, answered, until, worded
+from tests.scene import Deployment, encode_request, read_answer, until
 
 BLANKS = pytest.mark.parametrize("blank", [" ", "\t", " \t "], ids=["blank", "tab", "several"])
 CODING_BLANKS = pytest.mark.parametrize("blank", [" ", "   "], ids=["blank", "several"])
@@ -26,9 +26,11 @@
 
 def ask_in_chunks(deployment, coding):
     connection = deployment.connect()
-    head = worded("/mark/x", "POST", Content_Length=None, Idempotency_Key="k", Transfer_Encoding=coding)
+    head = encode_request(
+        "/mark/x", "POST", Content_Length=None, Idempotency_Key="k", Transfer_Encoding=coding
+    )
     connection.sock.sendall(head + b"3\r\nabc\r\n0\r\n\r\n")
-    return answered(connection)[0]
+    return read_answer(connection)[0]
 
 
 @BLANKS
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -7,7 +7,7 @@
 from cartdeal.agent.invariants import Destination, Invariant, InvariantMonitor
 from cartdeal.agent.metrics import Metrics
 from cartdeal.balancer_types import DeduplicationScope, Idempotency, RequestClass
-from tests.scene import Deployment, answered, until, worded
+from tests.scene import Deployment, encode_request, read_answer, until
 
 SAME_CELL, SAME_ZONE, OTHER_ZONE = Destination(0, 0, True), Destination(0, 1, True), Destination(1, 2, True)
 ONCE = RequestClass(Idempotency.NON_IDEMPOTENT, DeduplicationScope.CELL, 0.0, 1.0, 1.0)
@@ -129,7 +129,7 @@
                 connection=client,
                 X_Timeout="60m",
             )
-            client.sock.sendall(worded()[:30])
+            client.sock.sendall(encode_request()[:30])
             client.close()
     until(lambda: not deployment.agent.front.clients)
     assert not violations(deployment)
@@ -158,7 +158,7 @@
 
 def test_close_with_a_partly_read_request_is_counted(deployment, monkeypatch):
     client = deployment.connect()
-    client.sock.sendall(worded()[:30])
+    client.sock.sendall(encode_request()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
     (connection,) = deployment.agent.front.clients
     connection.close()
@@ -167,11 +167,11 @@
 
 def test_client_that_is_answered_before_the_close_is_no_violation(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded()[:30])
+    client.sock.sendall(encode_request()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
     (connection,) = deployment.agent.front.clients
     deployment.agent.front.end_connection(connection, front.EndReason.CAPACITY, front.NO_CAPACITY_ERROR)
-    assert answered(client)[0] == 503 and answered(client) is None
+    assert read_answer(client)[0] == 503 and read_answer(client) is None
     client.close()
     until(lambda: not deployment.agent.front.lingering)
     assert not violations(deployment)
@@ -180,8 +180,8 @@
 
 def test_client_that_disconnects_with_waiting_requests_is_no_violation(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded("/read/x?do=wait") + worded() + worded())
-    until(deployment.seen)
+    client.sock.sendall(encode_request("/read/x?do=wait") + encode_request() + encode_request())
+    until(deployment.received_paths)
     agent = deployment.agent
     (connection,) = agent.front.clients
     until(lambda: len(connection.messages) == 2)
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -15,7 +15,7 @@
 from cartdeal.agent import log_output
 from cartdeal.agent.log_output import MAX_LINE_BYTES, NonBlockingHandler, shorten
 from cartdeal.rig.system_faults import PIPE_PAGE
-from tests.scene import Client, answered, config_file, worded
+from tests.scene import Client, config_file, encode_request, read_answer
 
 F_SETPIPE_SZ = 1031
 TIMEOUT_S = 30.0
@@ -60,8 +60,8 @@
     with gevent.Timeout(TIMEOUT_S, False):
         for _ in range(request_count):
             client = connect(port)
-            client.sock.sendall(worded("/none/" + "x" * 500))
-            if answered(client)[0] != 404:
+            client.sock.sendall(encode_request("/none/" + "x" * 500))
+            if read_answer(client)[0] != 404:
                 return False
             client.close()
         return True
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -6,7 +6,7 @@
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
 from cartdeal.balancer_types import Outcome
-from tests.scene import agent_config, config_file, kept
+from tests.scene import agent_config, assert_matches_trace, config_file
 
 SERVERS = [{"uid": f"s{n}", "endpoint": f"127.0.0.1:{n}", "az": "a"} for n in (1, 2)]
 
@@ -86,7 +86,7 @@
     harness.run_event(0.0, "on_client_disconnected", 3)
     harness.end_attempt(3, 0)
     assert not harness.reducer.requests
-    kept("answers", harness.lines)
+    assert_matches_trace("answers", harness.lines)
 
 
 def test_non_idempotent_variant_of_a_request_runs_at_most_once(tmp_path):
@@ -95,7 +95,7 @@
     harness.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
     harness.send_request(0, non_idempotent=True)
     harness.end_attempt(2, 0, FailureReason.CONNECTION_BROKEN, Progress.PARTLY_WRITTEN)
-    kept("non_idempotent", harness.lines)
+    assert_matches_trace("non_idempotent", harness.lines)
 
 
 def test_server_list_follows_restarts_moves_and_complete_lists(tmp_path):
@@ -115,7 +115,7 @@
     harness.run_event(1.0, "on_watch_failed")
     harness.run_event(0.0, "on_watch_established")
     assert harness.reducer.balancer.watch.is_active
-    kept("list", harness.lines)
+    assert_matches_trace("list", harness.lines)
 
 
 def test_state_stays_bounded_with_many_new_servers_ids_and_requests(tmp_path):
@@ -151,7 +151,7 @@
     harness.run_event(0.0, "on_shutdown", harness.reducer.now + 3.0)
     harness.send_request(0, timeout=6.0)
     harness.run_event(2.9, "on_deadline_passed", 1)
-    kept("ending", harness.lines)
+    assert_matches_trace("ending", harness.lines)
 
 
 def test_overdue_request_that_was_never_sent_is_rejected(tmp_path):
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -112,7 +112,7 @@
 )
 def test_non_idempotent_request_whose_answer_has_no_length(deployment, behaviour, answer):
     assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m") == answer
-    assert len(deployment.seen()) == 1
+    assert len(deployment.received_paths()) == 1
     until(lambda: not any(server.open for server in deployment.servers))  # the connection is closed
 
 
@@ -121,11 +121,11 @@
     for behaviour in ("open", "torn"):
         monkeypatch.setitem(Server.DOES, behaviour, refusal)
         # The not-processed header counts once the answer is complete: a cut-off answer may have said more.
-        received_count = len(deployment.seen())
+        received_count = len(deployment.received_paths())
         assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m")[0] == (
             503 if behaviour == "open" else 502
         )
-        assert len(deployment.seen()) - received_count == (2 if behaviour == "open" else 1)
+        assert len(deployment.received_paths()) - received_count == (2 if behaviour == "open" else 1)
 
 
 @pytest.mark.parametrize("time_left", [-1.0, 0.0, 0.0009])
@@ -144,5 +144,5 @@
 
     result = upstream.exchange(Attempt(), 0, address, deadline, request_bytes)
     assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
-    assert result.outcome().never_ran and not deployment.seen()
+    assert result.outcome().never_ran and not deployment.received_paths()
     until(lambda: not any(server.open for server in deployment.servers))
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 
 from cartdeal.agent import front
 from cartdeal.agent.front import ClientConnection
-from tests.scene import Deployment, answered, config_file, until, worded
+from tests.scene import Deployment, config_file, encode_request, read_answer, until
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
@@ -32,7 +32,7 @@
 
 def arrive(connection, client, path):
     """Sends a request and waits until it is unread at the agent's end; no other greenlet runs meanwhile."""
-    connection.sock.sendall(worded(path, "POST"))
+    connection.sock.sendall(encode_request(path, "POST"))
     while not has_unread_input(client):
         pass
 
@@ -54,7 +54,7 @@
 
 def ends_in_order(deployment, connection):
     """Whether the client sees an orderly end without a reset, and the crossing request was not sent on."""
-    return answered(connection) is None and "/once/crossing" not in deployment.seen()
+    return read_answer(connection) is None and "/once/crossing" not in deployment.received_paths()
 
 
 @pytest.mark.parametrize(
@@ -89,7 +89,7 @@
     crosses(connection)
     assert deployment.ask(connection=connection) == (200, b"s0 ")
     for _ in "ab":  # a write to a closed connection would fail at the second one
-        connection.sock.sendall(worded("/once/crossing", "POST"))
+        connection.sock.sendall(encode_request("/once/crossing", "POST"))
     assert ends_in_order(deployment, connection)
 
 
@@ -123,27 +123,27 @@
 
     monkeypatch.setattr(ClientConnection, "is_between_requests", check_then_send)
     agent.close(0.0)
-    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+    assert read_answer(connection) == (200, b"s0 ") and read_answer(connection) is None
 
 
 def test_requests_read_before_shutdown_are_all_answered(deployment):
     agent, connection = deployment.agent.front, deployment.connect()
-    connection.sock.sendall(b"".join(worded(f"/once/{n}?do=wait", "POST") for n in range(3)))
-    until(deployment.seen)
+    connection.sock.sendall(b"".join(encode_request(f"/once/{n}?do=wait", "POST") for n in range(3)))
+    until(deployment.received_paths)
     agent.is_ending = agent.is_closing_idle = True
     deployment.servers[0].released.set()
-    assert [answered(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
+    assert [read_answer(connection) for _ in range(4)] == [(200, b"waited")] * 3 + [None]
 
 
 def test_partial_request_at_shutdown_is_answered_when_complete(deployment):
-    agent, connection, request = deployment.agent.front, deployment.connect(), worded()
+    agent, connection, request = deployment.agent.front, deployment.connect(), encode_request()
     assert deployment.ask(connection=connection)[0] == 200
     connection.sock.sendall(request[:9])
     client = next(iter(agent.clients))
     until(lambda: client.mid_message)
     agent.close(0.0)
     connection.sock.sendall(request[9:])
-    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+    assert read_answer(connection) == (200, b"s0 ") and read_answer(connection) is None
 
 
 def test_partly_written_answer_at_shutdown_is_completed(deployment):
@@ -153,19 +153,21 @@
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
     for number in range(8):  # more than the system's buffers take
-        connection.sock.sendall(worded(f"/mark/{number}", "POST", body, Idempotency_Key="k"))
-    until(lambda: client.writer and len(client.messages) + len(deployment.seen()) == 8)
+        connection.sock.sendall(encode_request(f"/mark/{number}", "POST", body, Idempotency_Key="k"))
+    until(lambda: client.writer and len(client.messages) + len(deployment.received_paths()) == 8)
     agent.close(0.0)
     assert client.writer and not client.half_closed
-    assert [answered(connection) for _ in range(8)] == [(200, b"s0 " + body)] * 8
-    assert answered(connection) is None
+    assert [read_answer(connection) for _ in range(8)] == [(200, b"s0 " + body)] * 8
+    assert read_answer(connection) is None
 
 
 def test_requests_after_connection_close_are_ignored(deployment):
     connection = deployment.connect()
-    connection.sock.sendall(worded("/read/x", Connection="close") + worded("/once/behind", "POST"))
-    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
-    assert deployment.seen() == ["/read/x"] and not deployment.agent.reducer.requests
+    connection.sock.sendall(
+        encode_request("/read/x", Connection="close") + encode_request("/once/behind", "POST")
+    )
+    assert read_answer(connection) == (200, b"s0 ") and read_answer(connection) is None
+    assert deployment.received_paths() == ["/read/x"] and not deployment.agent.reducer.requests
 
 
 @pytest.mark.parametrize("requests", [1, 16, 40, 400])
@@ -173,21 +175,21 @@
     agent = deployment.agent.front
     for _ in range(20):
         connection = deployment.connect()
-        connection.sock.sendall(b"".join(worded("/once/x", "POST") for _ in range(requests)))
+        connection.sock.sendall(b"".join(encode_request("/once/x", "POST") for _ in range(requests)))
         connection.sock.shutdown(
             socket.SHUT_RDWR
         )  # takes effect at once, while a close waits for the event loop
         connection.close()
     until(lambda: not (agent.clients or agent.lingering or deployment.agent.reducer.requests))
     until(lambda: not deployment.agent.upstream.attempts)
-    assert deployment.ask() == (200, b"s0 ") and deployment.seen() == ["/read/x"]
+    assert deployment.ask() == (200, b"s0 ") and deployment.received_paths() == ["/read/x"]
 
 
 def refused_connection(deployment):
     """A connection whose bad request has been refused."""
     connection = deployment.connect()
     connection.sock.sendall(b"no request\r\n\r\n")
-    assert answered(connection)[0] == 400 and answered(connection) is None
+    assert read_answer(connection)[0] == 400 and read_answer(connection) is None
     return connection
 
 
@@ -227,9 +229,9 @@
     ].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(20)]
     for each in waiting:
-        each.sock.sendall(worded())
+        each.sock.sendall(encode_request())
     agent.stop_accepting()
-    assert [answered(each) for each in waiting] == [(200, b"s0 ")] * 20
+    assert [read_answer(each) for each in waiting] == [(200, b"s0 ")] * 20
     with pytest.raises(ConnectionError):
         deployment.connect()
 
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from cartdeal.agent import front
-from tests.scene import Deployment, answered, until, worded
+from tests.scene import Deployment, encode_request, read_answer, until
 
 PIECE_COUNT = 8
 SWEEP_STEP_S = 0.2  # between two searches for overdue connections
@@ -91,19 +91,19 @@
 )
 def test_slowly_written_request_is_answered(deployment, clock, known, seconds):
     connection, client = connect_client(deployment, known)
-    text = worded("/once/x", "POST", b"b" * 40)
+    text = encode_request("/once/x", "POST", b"b" * 40)
     write_slowly(deployment, clock, connection, client, text, seconds)
-    assert answered(connection) == (200, b"s0 " + b"b" * 40)
+    assert read_answer(connection) == (200, b"s0 " + b"b" * 40)
 
 
 @pytest.mark.parametrize("known", [False, True])
 @pytest.mark.parametrize("size", [1, 9, -1])
 def test_partial_request_is_answered_with_an_error_within_3_s(deployment, clock, known, size):
     connection, client = connect_client(deployment, known)
-    write(connection, client, worded("/once/x", "POST", b"body")[:size])
+    write(connection, client, encode_request("/once/x", "POST", b"body")[:size])
     pass_time(deployment, clock, 3.0)
-    assert answered(connection)[0] == 408 and answered(connection) is None
-    assert not deployment.seen()[known:]
+    assert read_answer(connection)[0] == 408 and read_answer(connection) is None
+    assert not deployment.received_paths()[known:]
 
 
 def test_endless_request_is_answered_with_an_error_in_time(deployment, clock):
@@ -114,31 +114,31 @@
         write(connection, client, b"x")
         pass_time(deployment, clock, 0.4)
     assert clock.now - started_at < front.REQUEST_READ_TIMEOUT_S + 1.0
-    assert answered(connection)[0] == 408 and answered(connection) is None
+    assert read_answer(connection)[0] == 408 and read_answer(connection) is None
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_stated_timeout_is_available_for_writing_the_request(deployment, clock, known):
     connection, client = connect_client(deployment, known)
-    text = worded("/once/x", "POST", b"b" * 40, X_Timeout="20000m")
+    text = encode_request("/once/x", "POST", b"b" * 40, X_Timeout="20000m")
     head = text.index(b"\r\n\r\n") + 4
     write(connection, client, text[:head])
     write_slowly(deployment, clock, connection, client, text[head:], 12.0)
-    assert answered(connection)[0] == 200
+    assert read_answer(connection)[0] == 200
 
 
 def test_partial_request_closed_for_capacity_is_answered(deployment, clock):
     connection, client = connect_client(deployment, False)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     assert deployment.agent.front.close_unidentified()
-    assert answered(connection)[0] == 503 and answered(connection) is None
+    assert read_answer(connection)[0] == 503 and read_answer(connection) is None
 
 
 def test_partial_request_at_shutdown_is_answered(deployment, clock):
     connection, client = connect_client(deployment, True)
     write(connection, client, b"GET /read/x HTTP/1.1\r\n")
     deployment.agent.front.close_all()
-    assert answered(connection)[0] == 503 and answered(connection) is None
+    assert read_answer(connection)[0] == 503 and read_answer(connection) is None
 
 
 def test_slow_clients_do_not_block_prompt_clients(tmp_path, clock, bounded):
@@ -163,7 +163,7 @@
         assert deployment.ask()[0] == 200
         assert budget.connection_count <= budget.max_connections
         pass_time(deployment, clock, front.REQUEST_READ_TIMEOUT_S + 1.0)
-        assert {answered(each)[0] for each in slow} <= {408, 503}
+        assert {read_answer(each)[0] for each in slow} <= {408, 503}
     finally:
         deployment.stop()
 
@@ -173,17 +173,17 @@
 
 def test_every_pipelined_request_is_answered(deployment):
     connection = deployment.connect()
-    connection.sock.sendall(b"".join(worded(f"/read/{n}") for n in range(200)))
-    assert [answered(connection)[0] for _ in range(200)] == [200] * 200
+    connection.sock.sendall(b"".join(encode_request(f"/read/{n}") for n in range(200)))
+    assert [read_answer(connection)[0] for _ in range(200)] == [200] * 200
     assert deployment.ask(connection=connection)[0] == 200
 
 
 def test_few_pipelined_requests_are_read_ahead(deployment):
     connection = deployment.connect()
-    connection.sock.sendall(worded("/read/first?do=wait"))
-    until(deployment.seen)
+    connection.sock.sendall(encode_request("/read/first?do=wait"))
+    until(deployment.received_paths)
     (client,) = deployment.agent.front.clients
-    requests = [worded(f"/read/{n}", X_Fill="x" * 400) for n in range(400)]
+    requests = [encode_request(f"/read/{n}", X_Fill="x" * 400) for n in range(400)]
     sender = gevent.spawn(connection.sock.sendall, b"".join(requests))
     until(lambda: len(client.messages) >= front.MAX_PIPELINED_REQUESTS)
     gevent.sleep(0.3)
@@ -192,7 +192,7 @@
         and len(client.messages) < front.MAX_PIPELINED_REQUESTS + 4096 / len(requests[0]) + 1
     )
     deployment.servers[0].released.set()
-    assert [answered(connection)[0] for _ in range(401)] == [200] * 401
+    assert [read_answer(connection)[0] for _ in range(401)] == [200] * 401
     sender.join()
 
 
@@ -202,29 +202,29 @@
 def test_requests_read_after_a_bad_one_are_rejected_and_not_sent(deployment, bad, status, behind, part):
     """Only after 100 requests some may be left unread, without an answer."""
     connection = deployment.connect()
-    requests = [worded("/read/first", X_Request_ID="first"), worded(**bad)]
-    requests += [worded("/read/behind") for _ in range(behind)]
-    connection.sock.sendall(b"".join(requests) + worded("/read/part")[:part])
-    statuses = [status_and_body[0] for status_and_body in iter(lambda: answered(connection), None)]
+    requests = [encode_request("/read/first", X_Request_ID="first"), encode_request(**bad)]
+    requests += [encode_request("/read/behind") for _ in range(behind)]
+    connection.sock.sendall(b"".join(requests) + encode_request("/read/part")[:part])
+    statuses = [status_and_body[0] for status_and_body in iter(lambda: read_answer(connection), None)]
     rejected = statuses[2:]
     assert statuses[:2] == [200, status] and set(rejected) <= {503}
     assert len(rejected) == behind + bool(part) or behind == 100 and len(rejected) > 20
-    assert deployment.seen() == ["/read/first"]
+    assert deployment.received_paths() == ["/read/first"]
 
 
 def test_timeout_runs_while_earlier_pipelined_requests_are_served(deployment, clock):
     """The second request waits 200 of its 300 ms; the third one times out before its turn."""
     connection = deployment.connect()
     requests = [
-        worded("/read/0?do=wait"),
-        worded("/read/1", X_Timeout="300m"),
-        worded("/read/2", X_Timeout="150m"),
+        encode_request("/read/0?do=wait"),
+        encode_request("/read/1", X_Timeout="300m"),
+        encode_request("/read/2", X_Timeout="150m"),
     ]
     connection.sock.sendall(b"".join(requests))
-    until(deployment.seen)
+    until(deployment.received_paths)
     clock.now += 0.2
     deployment.servers[0].released.set()
-    assert [answered(connection)[0] for _ in requests] == [200, 200, 503]
+    assert [read_answer(connection)[0] for _ in requests] == [200, 200, 503]
     (sent_timeout,) = [
         each.headers[b"x-timeout"] for each in deployment.servers[0].seen if each.path == b"/read/1"
     ]
@@ -234,15 +234,16 @@
 def test_timeout_runs_while_a_request_is_unread(deployment, clock):
     connection = deployment.connect()
     earlier = [
-        worded(f"/read/{n}?do=wait", X_Fill="x" * 4000) for n in range(front.MAX_PIPELINED_REQUESTS + 3)
+        encode_request(f"/read/{n}?do=wait", X_Fill="x" * 4000)
+        for n in range(front.MAX_PIPELINED_REQUESTS + 3)
     ]
-    connection.sock.sendall(b"".join(earlier) + worded("/read/late", X_Timeout="300m"))
+    connection.sock.sendall(b"".join(earlier) + encode_request("/read/late", X_Timeout="300m"))
     (client,) = until_some(lambda: deployment.agent.front.clients)
     until(lambda: client.unread_since)
     clock.now += 0.4
     deployment.servers[0].released.set()
-    assert [answered(connection)[0] for _ in earlier] == [200] * len(earlier)
-    assert answered(connection)[0] == 503
+    assert [read_answer(connection)[0] for _ in earlier] == [200] * len(earlier)
+    assert read_answer(connection)[0] == 503
 
 
 def until_some(condition):
@@ -254,8 +255,10 @@
 @pytest.mark.parametrize("ends", ["close", "reset"])
 def test_disconnect_with_unread_requests_is_noticed(deployment, ends):
     connection = deployment.connect()
-    connection.sock.sendall(worded("/read/0?do=wait") + b"".join(worded() for _ in range(400)))
-    until(deployment.seen)
+    connection.sock.sendall(
+        encode_request("/read/0?do=wait") + b"".join(encode_request() for _ in range(400))
+    )
+    until(deployment.received_paths)
     (client,) = deployment.agent.front.clients
     until(lambda: client.unread_since)
     if ends == "reset":
@@ -263,4 +266,4 @@
     connection.close()
     until(lambda: not deployment.agent.front.clients)
     assert deployment.agent.reducer.pending_count == 0
-    assert len(deployment.seen()) == 1
+    assert len(deployment.received_paths()) == 1
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -17,7 +17,7 @@
 from cartdeal.balancer_types import LoadReport, Outcome
 from cartdeal.settings import ClassSettings, Settings
 from examples.toy import DiscoveryService, Server, answer
-from tests.scene import IDS, SETTINGS, answered, until, worded
+from tests.scene import IDS, SETTINGS, encode_request, read_answer, until
 
 pytestmark = pytest.mark.usefixtures("bounded")
 
@@ -55,7 +55,7 @@
 def test_non_idempotent_request_has_the_outcome_of_its_attempt(deploy, does, status, body, attempts):
     deployment = deploy(servers=2)
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="300m") == (status, body)
-    assert len(deployment.seen()) == attempts
+    assert len(deployment.received_paths()) == attempts
 
 
 SPOILT = (
@@ -82,7 +82,7 @@
     deployment = deploy(servers=2)
     # Had it taken its deadline to notice, the test would be over.
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="60000m") == (502, b"")
-    assert len(deployment.seen()) == 1
+    assert len(deployment.received_paths()) == 1
     until(lambda: not any(server.open for server in deployment.servers))
 
 
@@ -119,7 +119,10 @@
     deployment = deploy()
     for _ in range(4):
         assert deployment.ask("/read/x?do=unusable") == (400, b"")
-    assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed and len(deployment.seen()) == 4
+    assert (
+        deployment.agent.reducer.balancer.servers[0].is_circuit_closed
+        and len(deployment.received_paths()) == 4
+    )
 
 
 def test_request_and_answer_are_forwarded_unchanged(deploy):
@@ -169,17 +172,24 @@
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
     deployment = deploy()
     connection = deployment.connect()
-    for place in worded("/mark/1", "POST", b"one", Idempotency_Key="k"):
+    for place in encode_request("/mark/1", "POST", b"one", Idempotency_Key="k"):
         connection.sock.sendall(bytes([place]))
         gevent.sleep(0)
-    assert answered(connection) == (200, b"s0 one")
+    assert read_answer(connection) == (200, b"s0 one")
     chunked = (
         b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
         b"2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
     )
-    connection.sock.sendall(chunked + worded("/read/3") + worded("/read/4", Connection="close"))
-    assert [answered(connection) for _ in range(4)] == [(200, b"s0 two"), (200, b"s0 "), (200, b"s0 "), None]
-    assert deployment.seen() == ["/mark/1", "/once/2", "/read/3", "/read/4"]
+    connection.sock.sendall(
+        chunked + encode_request("/read/3") + encode_request("/read/4", Connection="close")
+    )
+    assert [read_answer(connection) for _ in range(4)] == [
+        (200, b"s0 two"),
+        (200, b"s0 "),
+        (200, b"s0 "),
+        None,
+    ]
+    assert deployment.received_paths() == ["/mark/1", "/once/2", "/read/3", "/read/4"]
     assert len(deployment.servers[0].open) == 1  # one connection to the server carried them all
 
 
@@ -187,11 +197,13 @@
     deployment, body = deploy(), bytes(65000)
     connection = deployment.connect()
     for place in range(12):
-        connection.sock.sendall(worded(f"/mark/{place}", "POST", body + b"%02d" % place, Idempotency_Key="k"))
-    connection.sock.sendall(worded("/read/last", Connection="close"))
-    until(lambda: len(deployment.seen()) == 13)
-    assert [answered(connection)[1][-2:] for _ in range(12)] == [b"%02d" % place for place in range(12)]
-    assert answered(connection) == (200, b"s0 ") and answered(connection) is None
+        connection.sock.sendall(
+            encode_request(f"/mark/{place}", "POST", body + b"%02d" % place, Idempotency_Key="k")
+        )
+    connection.sock.sendall(encode_request("/read/last", Connection="close"))
+    until(lambda: len(deployment.received_paths()) == 13)
+    assert [read_answer(connection)[1][-2:] for _ in range(12)] == [b"%02d" % place for place in range(12)]
+    assert read_answer(connection) == (200, b"s0 ") and read_answer(connection) is None
 
 
 def test_idle_connection_closed_by_the_server_is_not_reused(deploy):
@@ -200,7 +212,7 @@
     for connection in list(deployment.servers[0].open):
         connection.close()
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ")
-    assert deployment.seen() == ["/read/x", "/once/x"]
+    assert deployment.received_paths() == ["/read/x", "/once/x"]
 
 
 def post(*headers, body=b"abc", line=b"POST /mark/x HTTP/1.1", id=b"X-Request-ID: %d"):
@@ -221,7 +233,7 @@
     "method",
     "body of a GET",
 ]
-CHUNKED, HIDDEN = b"Transfer-Encoding: chunked", b"0\r\n\r\n" + worded("/read/hidden")
+CHUNKED, HIDDEN = b"Transfer-Encoding: chunked", b"0\r\n\r\n" + encode_request("/read/hidden")
 FILLING = b"x" * 40000
 
 
@@ -230,18 +242,18 @@
     [
         ("noise", b"what is this\r\n\r\n", 400),
         ("no colon", b"GET /read/x HTTP/1.1\r\nno colon\r\n\r\n", 400),
-        ("no id", worded("/read/x", X_Request_ID=None), 400),
+        ("no id", encode_request("/read/x", X_Request_ID=None), 400),
         ("two ids", post(b"X-Request-ID: 7", b"Content-Length: 3"), 400),
-        ("long id", worded("/read/x", X_Request_ID="x" * 300), 400),
-        ("no time", worded("/read/x", X_Timeout="soon"), 400),
-        ("negative time", worded("/read/x", X_Timeout="-5m"), 400),
+        ("long id", encode_request("/read/x", X_Request_ID="x" * 300), 400),
+        ("no time", encode_request("/read/x", X_Timeout="soon"), 400),
+        ("negative time", encode_request("/read/x", X_Timeout="-5m"), 400),
         ("two times", post(b"X-Timeout: 5m", b"X-Timeout: 900m", b"Content-Length: 3"), 400),
-        ("two sessions", worded("/read/x", Cookie="sid=a; sid=b"), 400),
+        ("two sessions", encode_request("/read/x", Cookie="sid=a; sid=b"), 400),
         ("two marks", post(b"Idempotency-Key: a", b"Idempotency-Key: b", b"Content-Length: 3"), 400),
-        ("workload", worded("/other/x"), 404),
-        ("method", worded("/read/x", "DELETE"), 405),
-        ("body of a GET", worded("/read/x", body=b"abc"), 400),
-        ("long", worded("/mark/x", "POST", bytes(MAX_BODY_BYTES + 1)), 413),
+        ("workload", encode_request("/other/x"), 404),
+        ("method", encode_request("/read/x", "DELETE"), 405),
+        ("body of a GET", encode_request("/read/x", body=b"abc"), 400),
+        ("long", encode_request("/mark/x", "POST", bytes(MAX_BODY_BYTES + 1)), 413),
         ("huge", post(b"Content-Length: 60000000"), 413),
         ("over 64 bits", post(b"Content-Length: 99999999999999999999"), 400),
         ("negative", post(b"Content-Length: -3"), 400),
@@ -256,7 +268,7 @@
         ("16 F, extended", post(CHUNKED, body=b"3\r\nabc\r\n" + b"F" * 16 + b";x=1\r\n"), 413),
         ("17 F", post(CHUNKED, body=b"F" * 17 + b"\r\nabc"), 400),  # some read only the last 16 of them
         ("negative chunk", post(CHUNKED, body=b"-3\r\nabc\r\n0\r\n\r\n"), 400),
-        ("head", worded("/read/x", Filling="x" * 30000), 431),
+        ("head", encode_request("/read/x", Filling="x" * 30000), 431),
         ("trailers", post(CHUNKED, body=b"0\r\nX: " + FILLING), 431),
         ("extensions", post(CHUNKED, body=b"3;" + FILLING), 431),
         ("both", post(b"Content-Length: 53", CHUNKED, body=HIDDEN), 400),
@@ -275,16 +287,16 @@
     """Where the end of the bad request can be told, the one read behind it is rejected, else not read."""
     deployment = deploy()
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/read/x?do=wait"))
-    until(deployment.seen)
+    waiting.sock.sendall(encode_request("/read/x?do=wait"))
+    until(deployment.received_paths)
     bad = deployment.connect()
-    bad.sock.sendall(text + worded("/read/behind"))
-    assert answered(bad)[0] == status
+    bad.sock.sendall(text + encode_request("/read/behind"))
+    assert read_answer(bad)[0] == status
     if name in WELL_FRAMED:
-        assert answered(bad)[0] == 503
-    assert answered(bad) is None
+        assert read_answer(bad)[0] == 503
+    assert read_answer(bad) is None
     deployment.servers[0].released.set()
-    assert answered(waiting) == (200, b"waited") and len(deployment.seen()) == 1
+    assert read_answer(waiting) == (200, b"waited") and len(deployment.received_paths()) == 1
 
 
 def test_chunk_size_is_parsed_across_any_split_of_the_input(deploy):
@@ -295,8 +307,8 @@
         for place in range(len(text)):
             connection.sock.sendall(text[place : place + 1])
             gevent.sleep(0)
-    assert answered(fine) == (200, b"s0 \n\r\nFFFFF\r") and answered(bad)[0] == 413
-    assert len(deployment.seen()) == 1
+    assert read_answer(fine) == (200, b"s0 \n\r\nFFFFF\r") and read_answer(bad)[0] == 413
+    assert len(deployment.received_paths()) == 1
 
 
 def test_trailers_do_not_change_the_headers_of_a_request(deploy):
@@ -310,7 +322,7 @@
             body=b"3\r\nabc\r\n0\r\nX-Request-ID: 9\r\nIdempotency-Key: n\r\n\r\n",
         )
     )
-    assert answered(connection) == (200, b"s0 abc")
+    assert read_answer(connection) == (200, b"s0 abc")
     headers = deployment.servers[0].seen[0].headers
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
 
@@ -318,11 +330,11 @@
 def test_request_id_in_use_or_recently_used_is_refused(deploy):
     deployment = deploy()
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/read/x?do=wait", X_Request_ID="same"))
-    until(deployment.seen)
+    waiting.sock.sendall(encode_request("/read/x?do=wait", X_Request_ID="same"))
+    until(deployment.received_paths)
     assert deployment.ask(X_Request_ID="same")[0] == 409
     deployment.servers[0].released.set()
-    assert answered(waiting) == (200, b"waited")
+    assert read_answer(waiting) == (200, b"waited")
     reducer = deployment.agent.reducer
     for _ in "ab":
         assert deployment.ask(X_Request_ID="same")[0] == 409
@@ -338,12 +350,12 @@
     assert room.max_connections == 224 and room.long_body_bytes > 20 * 3 * MAX_BODY_BYTES
     left = room.long_body_bytes = 30000
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/mark/x?do=wait", "POST", body, Idempotency_Key="k"))
-    until(deployment.seen)
+    waiting.sock.sendall(encode_request("/mark/x?do=wait", "POST", body, Idempotency_Key="k"))
+    until(deployment.received_paths)
     assert deployment.ask("/mark/x", "POST", body, Idempotency_Key="k")[0] == 503
     assert deployment.ask("/mark/x", "POST", b"short", Idempotency_Key="k")[0] == 200
     deployment.servers[0].released.set()
-    assert answered(waiting)[0] == 200 and deployment.ask(connection=waiting)[0] == 200
+    assert read_answer(waiting)[0] == 200 and deployment.ask(connection=waiting)[0] == 200
     waiting.close()
     until(lambda: room.long_body_bytes == left)
 
@@ -362,17 +374,17 @@
     half = deployment.connect()
     half.sock.sendall(b"GET /read/x HT")
     monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
-    assert all(answered(each) is None for each in silent)
-    assert answered(half)[0] == 408 and answered(half) is None
+    assert all(read_answer(each) is None for each in silent)
+    assert read_answer(half)[0] == 408 and read_answer(half) is None
     assert len(front.clients) <= 5
 
 
 def test_request_followed_by_garbage_is_answered(deploy):
     deployment = deploy()
     connection = deployment.connect()
-    connection.sock.sendall(worded("/read/x") + b"no request\r\n\r\n")
-    assert answered(connection) == (200, b"s0 ") and answered(connection)[0] == 400
-    assert answered(connection) is None
+    connection.sock.sendall(encode_request("/read/x") + b"no request\r\n\r\n")
+    assert read_answer(connection) == (200, b"s0 ") and read_answer(connection)[0] == 400
+    assert read_answer(connection) is None
 
 
 def test_partial_request_and_idle_connection_time_out(deploy, monkeypatch):
@@ -382,10 +394,10 @@
     for each in (connection, idle):
         assert deployment.ask(connection=each)[0] == 200
     connection.sock.sendall(b"GET /read/x HT")
-    assert answered(connection)[0] == 408 and answered(connection) is None
+    assert read_answer(connection)[0] == 408 and read_answer(connection) is None
     assert len(deployment.agent.front.clients) == 1
     monkeypatch.setattr("cartdeal.agent.front.IDLE_TIMEOUT_S", 0.05)
-    assert answered(idle) is None and not deployment.agent.front.clients
+    assert read_answer(idle) is None and not deployment.agent.front.clients
 
 
 def test_input_in_time_is_read_although_the_agent_is_late():
@@ -416,8 +428,8 @@
 def test_client_disconnect_is_noticed_at_once(deploy):
     deployment = deploy()
     connection = deployment.connect()
-    connection.sock.sendall(worded("/read/x?do=silent"))
-    until(deployment.seen)
+    connection.sock.sendall(encode_request("/read/x?do=silent"))
+    until(deployment.received_paths)
     assert deployment.agent.reducer.pending_count == 1
     connection.close()
     until(lambda: not deployment.agent.reducer.pending_count)
@@ -427,10 +439,10 @@
 def test_cancelled_attempt_closes_its_connection(deploy):
     deployment = deploy()
     connection = deployment.connect()
-    connection.sock.sendall(worded("/once/x?do=silent", "POST"))
-    until(deployment.seen)
+    connection.sock.sendall(encode_request("/once/x?do=silent", "POST"))
+    until(deployment.received_paths)
     deployment.agent.upstream.cancel(1, 0)
-    assert answered(connection) == (502, b"")
+    assert read_answer(connection) == (502, b"")
     until(lambda: not deployment.servers[0].open)
     # Given up before its greenlet ran, an attempt still ends with an event.
     deployment.agent.upstream.send_attempt(9, 0, 0, deployment.servers[0].address, None, 0.0)
@@ -498,22 +510,22 @@
     assert deployment.ask(connection=idle)[0] == 200
     room.max_connections = room.connection_count + 1  # two clients, a kept connection, the next client's
     assert deployment.ask(connection=busy) == (200, b"s0 ")
-    busy.sock.sendall(worded("/once/1?do=wait", "POST"))
-    until(lambda: "/once/1?do=wait" in deployment.seen())
+    busy.sock.sendall(encode_request("/once/1?do=wait", "POST"))
+    until(lambda: "/once/1?do=wait" in deployment.received_paths())
     another = deployment.connect()
     assert deployment.ask(connection=another) == (200, b"s0 ")  # in place of the one that stood idle
-    assert answered(idle) is None
+    assert read_answer(idle) is None
     room.max_connections = 2  # less than what is in use: nobody else comes in
     assert deployment.ask("/health/ready", connection=deployment.connect()) == (200, b"")
     waiting = deployment.connect()
-    waiting.sock.sendall(worded("/once/2", "POST"))
+    waiting.sock.sendall(encode_request("/once/2", "POST"))
     for _ in range(20):
         gevent.sleep(0)
-    assert "/once/2" not in deployment.seen()
+    assert "/once/2" not in deployment.received_paths()
     room.max_connections = 10
     deployment.servers[0].released.set()
-    assert answered(busy) == (200, b"waited")
-    assert answered(waiting) == (200, b"s0 ")
+    assert read_answer(busy) == (200, b"waited")
+    assert read_answer(waiting) == (200, b"s0 ")
 
 
 def test_request_without_a_free_connection_for_its_attempt_is_rejected(deploy):
@@ -521,7 +533,7 @@
     deployment.agent.budget.max_connections = 2
     for _ in range(4):
         assert deployment.ask("/once/x", "POST", X_Timeout="300m") == (503, b"")
-    assert not deployment.seen()
+    assert not deployment.received_paths()
     assert deployment.agent.reducer.balancer.servers[0].is_circuit_closed  # the lack of room is not its doing
 
 
@@ -584,8 +596,8 @@
     assert "attempt died" in caplog.text and deployment.ask() == (200, b"s0 ")
     deployment.agent.front.parse_request = None
     connection = deployment.connect()
-    connection.sock.sendall(worded() + worded() + worded()[:20])
-    assert [answered(connection)[0] for _ in range(2)] == [503] * 2 and answered(connection) is None
+    connection.sock.sendall(encode_request() + encode_request() + encode_request()[:20])
+    assert [read_answer(connection)[0] for _ in range(2)] == [503] * 2 and read_answer(connection) is None
     del deployment.agent.front.parse_request
     assert deployment.ask() == (200, b"s0 ")
 
@@ -668,8 +680,8 @@
     lead_to(agent, deployment)
     assert deployment.ask("/health/ready")[0] == 200
     waiting, kept = deployment.connect(), deployment.connect()
-    waiting.sock.sendall(worded("/once/1?do=wait", "POST"))
-    until(deployment.seen)
+    waiting.sock.sendall(encode_request("/once/1?do=wait", "POST"))
+    until(deployment.received_paths)
     agent.send_signal(signal.SIGTERM)
     line_with(agent, b"msg=ending")
     assert deployment.ask() == (200, b"s0 ") == deployment.ask(connection=kept)
@@ -679,8 +691,8 @@
     assert deployment.ask(connection=kept) == (200, b"s0 ")
     assert agent.poll() is None  # it still owes an answer
     deployment.servers[0].released.set()
-    assert answered(waiting) == (200, b"waited") and answered(waiting) is None
-    assert answered(kept) is None  # closed between requests
+    assert read_answer(waiting) == (200, b"waited") and read_answer(waiting) is None
+    assert read_answer(kept) is None  # closed between requests
     assert agent.wait() == 0
 
 
@@ -690,8 +702,8 @@
     lead_to(agent, deployment)
     until(lambda: len(deployment.service.open) == 2)  # the agent in this process watches too
     waiting, file = deployment.connect(), tmp_path / "agent.json"
-    waiting.sock.sendall(worded("/once/1?do=wait", "POST"))
-    until(deployment.seen)
+    waiting.sock.sendall(encode_request("/once/1?do=wait", "POST"))
+    until(deployment.received_paths)
     for text, words in (
         (json.dumps(deployment.config)[:-90], b"can't be used"),
         (json.dumps(deployment.config | {"discovery": "nowhere"}), b"discovery: found"),
@@ -712,7 +724,7 @@
     agent.send_signal(signal.SIGHUP)
     line_with(agent, b"configuration read")
     deployment.servers[0].released.set()
-    assert answered(waiting) == (200, b"waited") and deployment.ask() == (200, b"s0 ")
+    assert read_answer(waiting) == (200, b"waited") and deployment.ask() == (200, b"s0 ")
     assert len(there.calls) == 1
     agent.terminate()
     agent.send_signal(signal.SIGHUP)
@@ -756,7 +768,7 @@
     front, turns, asked_in = deploy().agent.front, [0], []
     front.ready = lambda: asked_in.append(turns[0]) or True
     client = socket.create_connection(("127.0.0.1", front.port))
-    client.sendall(worded("/health/ready", X_Padding="x" * 300) * 200)  # lies there before it is read
+    client.sendall(encode_request("/health/ready", X_Padding="x" * 300) * 200)  # lies there before it is read
 
     def take_turns():
         while True:
@@ -800,10 +812,10 @@
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
     connection = deployment.connect()
-    connection.sock.sendall(worded("/once/1?do=silent", "POST", X_Timeout="9000m"))
-    until(deployment.seen)
+    connection.sock.sendall(encode_request("/once/1?do=silent", "POST", X_Timeout="9000m"))
+    until(deployment.received_paths)
     agent.send_signal(signal.SIGTERM)
-    assert answered(connection) == (502, b"") and answered(connection) is None
+    assert read_answer(connection) == (502, b"") and read_answer(connection) is None
     assert agent.wait() == 0
 
 
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -14,7 +14,7 @@
 from cartdeal.agent import stalls
 from cartdeal.agent.stalls import StallDetector
 from examples.toy import DiscoveryService, Server
-from tests.scene import SETTINGS, Client, Deployment, answered, config_file, until, worded
+from tests.scene import SETTINGS, Client, Deployment, config_file, encode_request, read_answer, until
 
 STALL_S = 1.0
 TOLERANCE_S = 0.15  # by which the timeout sent to a server may exceed what its client has left
@@ -51,17 +51,17 @@
     process, port, server = agent
     client = connect(port)
     if connections == "known":
-        client.sock.sendall(worded())
-        assert answered(client)[0] == 200
+        client.sock.sendall(encode_request())
+        assert read_answer(client)[0] == 200
     os.kill(process.pid, signal.SIGSTOP)
-    client.sock.sendall(worded("/once/long", "POST", X_Timeout="2000m"))
+    client.sock.sendall(encode_request("/once/long", "POST", X_Timeout="2000m"))
     short_client = connect(port)
-    short_client.sock.sendall(worded("/once/short", "POST", X_Timeout="500m"))
+    short_client.sock.sendall(encode_request("/once/short", "POST", X_Timeout="500m"))
     sent_at = monotonic()
     until(lambda: monotonic() >= sent_at + STALL_S)
     os.kill(process.pid, signal.SIGCONT)
-    assert answered(client)[0] == 200
-    assert answered(short_client)[0] == 503
+    assert read_answer(client)[0] == 200
+    assert read_answer(short_client)[0] == 503
     (sent_timeout,) = [each.headers[b"x-timeout"] for each in server.seen if each.path == b"/once/long"]
     assert int(sent_timeout[:-1]) / 1e3 <= 2.0 - STALL_S + TOLERANCE_S
 
@@ -106,10 +106,10 @@
         agent.background_tasks[3].kill()  # it accepts: new clients stay in the listen queue
         waiting = [deployment.connect() for _ in range(3)]
         for number, client in enumerate((connected, *waiting)):
-            client.sock.sendall(worded(f"/read/{number}", X_Timeout="10000m"))
+            client.sock.sendall(encode_request(f"/read/{number}", X_Timeout="10000m"))
         agent.stalls.listeners[0](monotonic() - 4.0)
         accepting = gevent.spawn(front.accept)
-        assert [answered(client)[0] for client in (connected, *waiting)] == [200] * 4
+        assert [read_answer(client)[0] for client in (connected, *waiting)] == [200] * 4
         assert all(timeouts[b"/read/%d" % number] < 6.0 for number in range(4)), timeouts
         late = deployment.connect()
         assert deployment.ask("/read/late", connection=late, X_Timeout="10000m")[0] == 200
@@ -140,16 +140,16 @@
         until(lambda: service.watches)
         clients = [connect(int(match[1])) for _ in range(20)]
         for client in clients:
-            client.sock.sendall(worded())
-            assert answered(client)[0] == 200
+            client.sock.sendall(encode_request())
+            assert read_answer(client)[0] == 200
         drained = max(servers, key=lambda server: len(server.seen))
         os.kill(process.pid, signal.SIGSTOP)
         served_before = len(drained.seen)
         for client in clients:
-            client.sock.sendall(worded())
+            client.sock.sendall(encode_request())
         service.tell(drained.line(state="leaving"))
         os.kill(process.pid, signal.SIGCONT)
-        assert {answered(client)[0] for client in clients} == {200}
+        assert {read_answer(client)[0] for client in clients} == {200}
         assert len(drained.seen) == served_before
     finally:
         process.kill()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -14,7 +14,7 @@
 from cartdeal.rig.system_faults import OWN_LIMITS, SystemFaults
 from cartdeal.sockets import BindError, bind_socket
 from examples.toy import DiscoveryService
-from tests.scene import Deployment, answered, until, worded
+from tests.scene import Deployment, encode_request, read_answer, until
 
 FAILURE_COUNT = 200  # more than the budget has connections
 LOCAL_ERRNOS = (*OWN_LIMITS, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
@@ -104,7 +104,7 @@
 def test_request_write_is_retried_when_buffers_run_out(deployment, faults, error):
     faults.fail("send", error, times=5, only=to_servers(deployment))
     status, body = deployment.ask("/once/x", "POST", b"body")
-    assert status == 200 and body.endswith(b" body") and len(deployment.seen()) == 1
+    assert status == 200 and body.endswith(b" body") and len(deployment.received_paths()) == 1
     assert faults.counts["send"] == 5
 
 
@@ -135,10 +135,10 @@
     ].kill()  # the greenlet that accepts: new clients stay in the listen queue
     waiting = [deployment.connect() for _ in range(3)]
     for client in waiting:
-        client.sock.sendall(worded())
+        client.sock.sendall(encode_request())
     faults.fail("accept", error, times=2, only=lambda sock: sock is front.listener)
     front.stop_accepting()
-    assert [answered(client)[0] for client in waiting] == [200] * 3
+    assert [read_answer(client)[0] for client in waiting] == [200] * 3
 
 
 @pytest.mark.parametrize("error", [errno.ENOBUFS, errno.ENOMEM], ids=errno.errorcode.get)
--- a/tests/test_unbounded.py
+++ b/tests/test_unbounded.py
@@ -12,7 +12,7 @@
 from cartdeal.agent.connection import MAX_BODY_BYTES
 from cartdeal.agent.discovery import ListStream
 from cartdeal.agent.front import MAX_PIPELINED_REQUESTS
-from tests.scene import Deployment, until, worded
+from tests.scene import Deployment, encode_request, until
 
 BODY = b"x" * (MAX_BODY_BYTES - 100)
 REQUESTS = 100
@@ -40,7 +40,7 @@
 
     front.dispatch = recording_dispatch
     sender = gevent.spawn(
-        client.sock.sendall, b"".join(worded("/once/x", "POST", BODY) for _ in range(REQUESTS))
+        client.sock.sendall, b"".join(encode_request("/once/x", "POST", BODY) for _ in range(REQUESTS))
     )
     until(
         lambda: early_requests or (connection.writer and len(connection.messages) >= MAX_PIPELINED_REQUESTS)
@@ -107,7 +107,7 @@
     for _ in range(300):
         assert deployment.ask(connection=client, X_Timeout="60000m")[0] == 200
         assert len(deployment.agent.timers) <= 60
-    client.sock.sendall(worded("/once/x?do=wait", "POST", X_Timeout="60000m"))
+    client.sock.sendall(encode_request("/once/x?do=wait", "POST", X_Timeout="60000m"))
     until(lambda: deployment.agent.reducer.requests)
     (number,) = deployment.agent.reducer.requests
     deployment.agent.drop_obsolete_timers()
