--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -13,8 +13,8 @@
 from gevent import socket
 
 from cartdeal.agent.configuration import ConfigurationError, ServerList, parse_address
-from cartdeal.agent.connection import Connection, Malformed
-from cartdeal.agent.system_errors import is_silence
+from cartdeal.agent.connection import Connection, MalformedMessageError
+from cartdeal.agent.system_errors import is_wait_timeout
 
 SERVER_LIST_PATH = "/registry/instances"
 MAX_LIST_BYTES = 4 << 20  # of a list or one line of it; enough for 3,200 entries with long names, indented
@@ -37,7 +37,7 @@
 SILENCE_REASON = "silent"  # the logged reason of a watch that received nothing in time
 
 # The ways in which a call may fail.
-CALL_ERRORS = (OSError, Malformed, ConfigurationError, msgspec.MsgspecError, UnicodeError)
+CALL_ERRORS = (OSError, MalformedMessageError, ConfigurationError, msgspec.MsgspecError, UnicodeError)
 
 log = logging.getLogger("cartdeal.discovery")
 
@@ -98,7 +98,7 @@
             reason = ""
         except CALL_ERRORS as error:
             reason = str(error) or repr(error)  # an empty reason means that the watch was stopped
-            if isinstance(error, OSError) and is_silence(error):
+            if isinstance(error, OSError) and is_wait_timeout(error):
                 reason = SILENCE_REASON
         except Exception:
             log.exception("watch died")
@@ -119,9 +119,9 @@
             connection = self.call(SERVER_LIST_PATH, CALL_TIMEOUT_S)
             while not connection.messages:
                 if not receive_until(connection, deadline):
-                    raise Malformed(400, "ended early")
+                    raise MalformedMessageError(400, "ended early")
             if connection.messages[0].status != 200:
-                raise Malformed(400, f"status {connection.messages[0].status}")
+                raise MalformedMessageError(400, f"status {connection.messages[0].status}")
             server_list = decode_list(connection.messages[0].body)
             # A watch or another service may have delivered a newer list, which this one would revert.
             if state_at_call == (self.address, self.lists_received):
@@ -158,7 +158,7 @@
                 if stream.has_ended:
                     return
         except TimeoutError as error:
-            if self.current_watch is watch and is_silence(error):
+            if self.current_watch is watch and is_wait_timeout(error):
                 self.use_short_timeout = is_established
             raise
         finally:
@@ -189,11 +189,11 @@
     def call(self, path: str, timeout: float) -> Connection:
         """Connect and send a request within `timeout` seconds. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        connection = Connection(sock, answers=True, body_limit=MAX_LIST_BYTES)
+        connection = Connection(sock, reads_responses=True, max_body_bytes=MAX_LIST_BYTES)
         try:
             sock.settimeout(timeout)
             sock.connect(self.address)
-            connection.push(b"GET %b HTTP/1.1\r\nHost: registry\r\n\r\n" % path.encode())
+            connection.write(b"GET %b HTTP/1.1\r\nHost: registry\r\n\r\n" % path.encode())
         except BaseException:
             connection.close()
             raise
@@ -224,7 +224,7 @@
             return False
         status = self.connection.message.status
         if status and status != 200:
-            raise Malformed(400, f"status {status}")
+            raise MalformedMessageError(400, f"status {status}")
         if status and not self.has_head:
             self.has_head = True
             self.deadline = monotonic() + SILENCE_TIMEOUT_S
@@ -244,7 +244,7 @@
         """Take the complete lines received so far; of a complete response, all remaining lines."""
         if self.connection.messages:
             return self.connection.messages[0].body.splitlines()
-        return self.connection.lines()
+        return self.connection.take_lines()
 
     def is_complete(self, last_line: bytes) -> bool:
         """Whether the partial list is complete, or can't become a list.
@@ -252,7 +252,7 @@
         It is parsed only if its last line can be the end, because a list may have thousands of lines.
         """
         if len(self.partial_list) > MAX_LIST_BYTES:
-            raise Malformed(413, f"a list of over {MAX_LIST_BYTES} bytes")
+            raise MalformedMessageError(413, f"a list of over {MAX_LIST_BYTES} bytes")
         if not last_line.rstrip().endswith(b"}"):
             return False
         try:
@@ -271,7 +271,7 @@
         try:
             return connection.receive(remaining)
         except TimeoutError as error:
-            if not is_silence(error):
+            if not is_wait_timeout(error):
                 raise
             # Otherwise wait again: the clock of the event loop may lag, and then its timers fire early.
     try:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -545,7 +545,7 @@
         relocation.move().tell(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
     text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
-    open_fetches[0].push(answer(200, text))
+    open_fetches[0].write(answer(200, text))
     until(lambda: open_fetches[0] not in relocation.old_service.open)
     assert b"s7" in relocation.reducer.server_indices and relocation.reducer.list_version == 2
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -170,7 +170,7 @@
     client.sock.sendall(worded()[:30])
     until(lambda: any(each.mid_message for each in deployment.agent.front.clients))
     (connection,) = deployment.agent.front.clients
-    deployment.agent.front.end(connection, front.EndReason.ROOM, front.NO_ROOM)
+    deployment.agent.front.end_connection(connection, front.EndReason.CAPACITY, front.NO_CAPACITY_ERROR)
     assert answered(client)[0] == 503 and answered(client) is None
     client.close()
     until(lambda: not deployment.agent.front.lingering)
@@ -186,7 +186,7 @@
     (connection,) = agent.front.clients
     until(lambda: len(connection.messages) == 2)
     client.close()
-    assert not agent.may_send(connection.request, 0, 0)
+    assert not agent.may_send(connection.request_number, 0, 0)
     assert not violations(deployment) and agent.metrics.counts["clients_gone"] == 1
 
 
