--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -143,10 +143,10 @@
 
     def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
-        for verb, *arguments in effects:
-            if verb == "set_timer":
+        for effect, *arguments in effects:
+            if effect == "set_timer":
                 self.fleet.clock.at(arguments[1], self.dispatch, "on_timer", arguments[0])
-            elif verb == "watch":
+            elif effect == "watch":
                 self.discovery.watch(*arguments)
 
     def move(self):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -118,13 +118,13 @@
 
     def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
-        for verb, *args in effects:
-            if verb == "set_timer":
+        for effect, *args in effects:
+            if effect == "set_timer":
                 self.timer_sequence += 1
                 heappush(self.timers, (args[1], self.timer_sequence))
-            elif verb == "watch":
+            elif effect == "watch":
                 self.discovery.watch(*args)
-            elif verb == "send_attempt":
+            elif effect == "send_attempt":
                 self.attempts.append(args[2])
 
     def play(self, until):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -52,8 +52,8 @@
                 "client", Request(0, False, 0, session_hash, 2.0, False, b"GET", b"/", name, b"", b"", b"")
             )
             self.reducer.on_timer(0)
-            for verb, *args in self.reducer.effects:
-                if verb == "send_attempt":
+            for effect, *args in self.reducer.effects:
+                if effect == "send_attempt":
                     request, attempt, server, address = args[:4]
                     attempts_by_address[address] = attempts_by_address.get(address, 0) + 1
                     self.reducer.on_attempt_ended(request, server, attempt, ANSWERED)
