--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -1,4 +1,4 @@
-"""Runs a world: its agents, discovery service, clients and faults on one simulated clock, and its figures.
+"""Runs a world: agents, discovery service, clients and faults on one simulated clock; computes its figures.
 
 It must never start a thread, read a clock or touch a socket: the same world and seed give the same trace.
 """
@@ -18,7 +18,7 @@
 from cartdeal.simulated_time import SimulatedClock, seeded_random
 
 COUNTED_COLUMNS = "shots", "crossings", "probes", "handshakes", "list calls"
-SETTLING_S = 10.0  # simulated after the last arrival, at least, so that all requests are answered
+MIN_SETTLING_S = 10.0  # simulated after the last arrival, so that all requests are answered
 RESTART_DELAY_S = 1.0  # before a killed agent starts again
 
 
@@ -43,7 +43,7 @@
         self.clock.after(self.settings.late_s + self.extra_delay_s, self.publish, entry)
 
     def publish(self, entry):
-        """Changes the list, and sends the entry to the watchers that can be reached."""
+        """Changes the list, and sends the entry to the watching agents that are not cut off."""
         self.version += 1
         self.entries.pop(entry.name, None)
         if entry.state != "left":
@@ -202,7 +202,7 @@
         agent.accept_request(request, class_index, zlib.crc32(b"%d" % key) + 1, time_left, repeat_count > 0)
 
     def on_answer(self, request, status, wait):
-        """Takes a client's answer; a rejected request is retried after `wait` seconds or more."""
+        """Records a client's answer; after a rejection the client retries `wait` seconds later or more."""
         now = self.clock.now
         self.rule_checker.on_answer(now, request, status)
         class_index, key, due_at, repeat_count, agent = self.open_requests.pop(request, (0, 0, 0.0, 99, None))
@@ -314,7 +314,7 @@
         for index, fault in enumerate(world.fault):
             self.clock.at(fault.begins_s, self.start_fault, fault, index)
         max_timeout = max(each.limit_s for each in world.request_class)
-        self.clock.run(world.seconds + max(SETTLING_S, 2 * max_timeout))
+        self.clock.run(world.seconds + max(MIN_SETTLING_S, 2 * max_timeout))
         self.rule_checker.check_unanswered(self.clock.now)
         return self
 
--- a/cartdeal/emulator/rule_checker.py
+++ b/cartdeal/emulator/rule_checker.py
@@ -13,7 +13,7 @@
 from math import sqrt
 from typing import NamedTuple
 
-DEADLINE_TOLERANCE_S = 0.05  # an answer may come so long after its deadline, as on sockets
+DEADLINE_TOLERANCE_S = 0.05  # by which an answer may miss its deadline, as on sockets
 
 
 class Violation(NamedTuple):
@@ -69,7 +69,7 @@
         """Records one violation."""
         self.violations.append(Violation(rule, at, subject, text))
 
-    # Events of the network
+    # Events
 
     def on_request_accepted(self, at, agent, request, request_class, deadline):
         """Records that an agent accepted a request."""
--- a/cartdeal/emulator/world.py
+++ b/cartdeal/emulator/world.py
@@ -36,7 +36,7 @@
     probe_s: NonNegative = 0.001  # seconds of work for a probe
     cold_from: Fraction = 0.4  # share of the capacity at the beginning of slow start
     cold_s: Positive = 8.0  # seconds that slow start lasts
-    spread: Fraction = 0.0  # by which servers' speeds differ from 1
+    spread: Fraction = 0.0  # largest difference of a server's speed from 1
     on_cancel: Literal["nothing", "waiting"] = "waiting"  # the jobs that a cancelled attempt removes
     crowded_from: Positive = 1e6  # number of jobs above which work takes longer
     crowded_by: NonNegative = 0.0  # share by which each job above `crowded_from` lengthens work
@@ -48,7 +48,7 @@
     same_s: NonNegative = 0.0002  # one-way delay inside a zone
     cross_s: NonNegative = 0.001  # one-way delay between zones
     jitter: Fraction = 0.1  # share by which a delay grows at most, at random
-    connect_s: Positive = 0.25  # after which an attempt to connect fails
+    connect_s: Positive = 0.25  # timeout of a new connection
     loss: Fraction = 0.0  # share of connections that are reset after the last byte of a request
 
 
@@ -122,7 +122,7 @@
     seconds: Annotated[float, Meta(gt=0, le=86400)] = 20.0
     zones: tuple[str, ...] = ("a", "b")
     agents: PositiveCount = 20
-    drain_grace_s: Positive = 0.5  # in which an agent may still send to a server that drains
+    drain_grace_s: Positive = 0.5  # in which an informed agent may still send to a draining server
     fall_multiple: Positive = 3.0  # work that a server in slow start may get, as a multiple of its capacity
     fall_s: Positive = 2.0  # any window in which `fall_multiple` holds
     crossing_fee: NonNegative = 0.1
--- a/cartdeal/fleet/simulation/ring_agreement.py
+++ b/cartdeal/fleet/simulation/ring_agreement.py
@@ -42,9 +42,8 @@
         self.voters: dict[bytes, dict[str, None]] = defaultdict(dict)
         self.adopted_at: dict[bytes, float] = {}  # ring -> when the first agent used it
         self.digest_by_agent: dict[str, bytes] = {}
-        self.last_announced: dict[bytes, dict[str, float]] = defaultdict(
-            dict
-        )  # ring -> agent -> when it last announced it
+        # ring -> agent -> when it last announced the ring
+        self.last_announced: dict[bytes, dict[str, float]] = defaultdict(dict)
         self.newest_founding_ms = 0
         self.digest_by_epoch: dict[tuple[int, int], bytes] = {}  # (founding, epoch) -> ring
 
@@ -93,7 +92,7 @@
         voters = [name for name in self.voters[digest] if name in previous.member_by_name]
         size = len(previous.members)
         if 2 * len(voters) <= size and size > 1:
-            self.report(f"epoch {epoch}: drawn by {len(voters)} of {size}, at {agent}")
+            self.report(f"epoch {epoch}: accepted by {len(voters)} of {size}, at {agent}")
         self._check_phase(at, previous, ring)
         if previous.epoch:
             self._check_movement(previous, ring)
--- a/tests/fleet/test_injected_faults.py
+++ b/tests/fleet/test_injected_faults.py
@@ -27,9 +27,9 @@
 SHOP_REQUEST = AdmissionRequest(tenant="shop", workload="read")
 
 
-def fleet(size, **settings):
+def start_fleet(size, **settings):
     seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(size)}
-    memory = InMemoryFleet(
+    fleet = InMemoryFleet(
         FleetSettings(
             fleet="f",
             name="",
@@ -41,9 +41,9 @@
         1,
     )
     for number in range(size):
-        memory.add(f"a{number}", zone=f"z{number % 3}")
-    memory.run_until(memory.has_one_ring, 20.0)
-    return memory.run(46.0)
+        fleet.add(f"a{number}", zone=f"z{number % 3}")
+    fleet.run_until(fleet.has_one_ring, 20.0)
+    return fleet.run(46.0)
 
 
 def request(name, repeat="u", **fields):
@@ -59,129 +59,129 @@
     )
 
 
-def submit_shop_requests(memory, seconds, agents=None, rate=250):
-    names = agents or list(memory.hosts)
+def submit_shop_requests(fleet, seconds, agents=None, rate=250):
+    names = agents or list(fleet.hosts)
     for turn in range(int(rate * seconds)):
-        memory.submit(SHOP_REQUEST, [names[turn % len(names)]])
-        memory.run(1 / rate)
+        fleet.submit(SHOP_REQUEST, [names[turn % len(names)]])
+        fleet.run(1 / rate)
 
 
 # Scenarios
 
 
-def agent_restarts(memory):
+def agent_restarts(fleet):
     for _ in range(2):
         for turn in range(5):
-            memory.submit(request(f"{memory.hosts['a0'].start_count}/{turn}"), ["a0"])
-            memory.run(0.2)
-        memory.kill("a0")
-        memory.start("a0")
-        memory.run(15.0)
+            fleet.submit(request(f"{fleet.hosts['a0'].start_count}/{turn}"), ["a0"])
+            fleet.run(0.2)
+        fleet.kill("a0")
+        fleet.start("a0")
+        fleet.run(15.0)
 
 
-def cut_in_two(memory):
-    submit_shop_requests(memory, 2.0)
-    names = list(memory.hosts)
-    memory.cut(names[:2], names[2:])
-    submit_shop_requests(memory, 32.0)
+def cut_in_two(fleet):
+    submit_shop_requests(fleet, 2.0)
+    names = list(fleet.hosts)
+    fleet.cut(names[:2], names[2:])
+    submit_shop_requests(fleet, 32.0)
 
 
-def owner_restarts(memory):
+def owner_restarts(fleet):
     """An owner restarts without state again and again, while a cut-off agent uses a lease from before."""
     for _ in range(8):
-        submit_shop_requests(memory, 1.5, ["a1", "a2"])
-        memory.cut(["a0"], ["a1"])
-        memory.kill("a0")
-        memory.start("a0")
-        submit_shop_requests(memory, 2.0, ["a1", "a2"])
-        memory.heal()
+        submit_shop_requests(fleet, 1.5, ["a1", "a2"])
+        fleet.cut(["a0"], ["a1"])
+        fleet.kill("a0")
+        fleet.start("a0")
+        submit_shop_requests(fleet, 2.0, ["a1", "a2"])
+        fleet.heal()
 
 
-def all_owners_restart(memory):
+def all_owners_restart(fleet):
     """All owners of a session restart without state while its request runs, and the client retries."""
-    ring = memory.nodes()["a0"].ring
+    ring = fleet.nodes()["a0"].ring
     name = next(n for n in range(99) if "a0" not in owners(ring, f"s/s{n}".encode(), 3))
-    memory.submit(request(name), ["a0", "a1", "a2"], 3, work_s=9.0, patience_s=20.0)
-    memory.run(0.5)
+    fleet.submit(request(name), ["a0", "a1", "a2"], 3, work_s=9.0, patience_s=20.0)
+    fleet.run(0.5)
     for each in owners(ring, f"s/s{name}".encode(), 3):
-        memory.kill(each)
-        memory.start(each)
-    memory.run(6.0)
-    memory.kill("a0")
-    memory.run(2.0)
+        fleet.kill(each)
+        fleet.start(each)
+    fleet.run(6.0)
+    fleet.kill("a0")
+    fleet.run(2.0)
 
 
-def requests_at_isolated_agent(memory):
-    names = list(memory.hosts)
-    memory.cut(names[:1], names[1:])
+def requests_at_isolated_agent(fleet):
+    names = list(fleet.hosts)
+    fleet.cut(names[:1], names[1:])
     for turn in range(10):
-        memory.submit(request(turn), names[:1])
-        memory.run(0.1)
+        fleet.submit(request(turn), names[:1])
+        fleet.run(0.1)
 
 
-def bad_network(memory):
-    memory.conditions = NetworkConditions(duplication_rate=0.5, jitter_s=0.02, late_rate=0.1, max_late_s=1.0)
-    submit_shop_requests(memory, 10.0)
+def bad_network(fleet):
+    fleet.conditions = NetworkConditions(duplication_rate=0.5, jitter_s=0.02, late_rate=0.1, max_late_s=1.0)
+    submit_shop_requests(fleet, 10.0)
 
 
-def retry_after_expiry(memory):
-    memory.submit(request(0), ["a0", "a1"], 2, work_s=30.0, patience_s=12.0)
-    memory.run(14.0)
+def retry_after_expiry(fleet):
+    fleet.submit(request(0), ["a0", "a1"], 2, work_s=30.0, patience_s=12.0)
+    fleet.run(14.0)
 
 
-def retry_at_isolated_agent(memory):
+def retry_at_isolated_agent(fleet):
     """A client retries at an agent that is cut off from all others."""
-    memory.submit(request(0), ["a0", "a1"], 2, work_s=9.0, patience_s=9.0)
-    memory.run(0.3)
-    memory.cut(["a1"], ["a0", "a2"])
-    memory.kill("a0")
-    memory.run(1.0)
+    fleet.submit(request(0), ["a0", "a1"], 2, work_s=9.0, patience_s=9.0)
+    fleet.run(0.3)
+    fleet.cut(["a1"], ["a0", "a2"])
+    fleet.kill("a0")
+    fleet.run(1.0)
 
 
-def retry_in_another_zone(memory):
-    memory.submit(request(0, "d", group="zone", window_s=9.0), ["a0", "a1"], 2, work_s=9.0, patience_s=1.0)
-    memory.run(2.0)
+def retry_in_another_zone(fleet):
+    fleet.submit(request(0, "d", group="zone", window_s=9.0), ["a0", "a1"], 2, work_s=9.0, patience_s=1.0)
+    fleet.run(2.0)
 
 
-def reordered_messages(memory):
+def reordered_messages(fleet):
     """Requests of few sessions are answered while messages arrive out of order."""
-    memory.conditions = NetworkConditions(duplication_rate=0.3, jitter_s=0.2, late_rate=0.2, max_late_s=2.0)
+    fleet.conditions = NetworkConditions(duplication_rate=0.3, jitter_s=0.2, late_rate=0.2, max_late_s=2.0)
     for turn in range(120):
-        memory.submit(request(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
-        memory.run(0.1)
-    memory.conditions = NetworkConditions()
-    memory.run(6.0)
-    memory.count_lost_records()
+        fleet.submit(request(turn, session=f"s{turn % 10}"), [f"a{turn % 3}"])
+        fleet.run(0.1)
+    fleet.conditions = NetworkConditions()
+    fleet.run(6.0)
+    fleet.count_lost_records()
 
 
-def newer_field_is_restored(memory):
+def newer_field_is_restored(fleet):
     """A newer program writes a field, restarts, and gets its record back from agents with older programs."""
-    memory.submit(request(0), ["a0"])
-    memory.run(1.0)
-    store = memory.nodes()["a0"].replica.store
+    fleet.submit(request(0), ["a0"])
+    fleet.run(1.0)
+    store = fleet.nodes()["a0"].replica.store
     store.merge("s/s0", Session(store.get("s/s0").attempts, {"new": [7]}))
     before = store.records["s/s0"].digest
-    memory.run(5.0)
-    memory.kill("a0")
-    memory.start("a0")
-    memory.run(8.0)
-    after = memory.nodes()["a0"].replica.store.records["s/s0"].digest
-    memory.checker.check_equal({"before": before, "after": after}, "a session with a newer field")
+    fleet.run(5.0)
+    fleet.kill("a0")
+    fleet.start("a0")
+    fleet.run(8.0)
+    after = fleet.nodes()["a0"].replica.store.records["s/s0"].digest
+    fleet.checker.check_equal({"before": before, "after": after}, "a session with a newer field")
 
 
-def agent_joins(memory):
-    memory.add("a9", zone="z0")
-    memory.run(20.0)
+def agent_joins(fleet):
+    fleet.add("a9", zone="z0")
+    fleet.run(20.0)
 
 
-def minority_upgraded(memory):
-    for name in list(memory.hosts)[:2]:
-        memory.kill(name)
-        memory.start(name, reads=(1, 2))
-    memory.run(20.0)
+def minority_upgraded(fleet):
+    for name in list(fleet.hosts)[:2]:
+        fleet.kill(name)
+        fleet.start(name, reads=(1, 2))
+    fleet.run(20.0)
 
 
-def agent_with_clock_ahead_joins(memory):
+def agent_with_clock_ahead_joins(fleet):
     """An agent joins while a request runs; its clock is 40 s ahead, and it ignores other clocks."""
 
     def create_node_with_own_clock(*args):
@@ -189,14 +189,14 @@
         node.fleet_clock.observe = lambda *_: True
         return node
 
-    memory.node_factories["a9"] = create_node_with_own_clock
-    memory.submit(request(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
-    memory.run(0.3)
-    memory.add("a9", zone="z1", start=False).wall_offset_s = 40.0
-    memory.start("a9")
-    memory.run(6.0)
-    memory.kill("a0")
-    memory.run(1.0)
+    fleet.node_factories["a9"] = create_node_with_own_clock
+    fleet.submit(request(0), ["a0", "a1"], 2, work_s=30.0, patience_s=30.0)
+    fleet.run(0.3)
+    fleet.add("a9", zone="z1", start=False).wall_offset_s = 40.0
+    fleet.start("a9")
+    fleet.run(6.0)
+    fleet.kill("a0")
+    fleet.run(1.0)
 
 
 # Faults
@@ -343,7 +343,7 @@
     "an incarnation used again after a restart": (reuse_incarnation, agent_restarts, 3, {}, "twice"),
     "a lease that does not expire": (never_expire_leases, cut_in_two, 5, {}, "over its limit"),
     "an owner without a fence after a restart": (remove_fence, owner_restarts, 3, {}, "over its limit"),
-    "a minority that decides on a ring": (accept_minority, cut_in_two, 5, {}, "drawn by 2 of 5"),
+    "a minority that decides on a ring": (accept_minority, cut_in_two, 5, {}, "accepted by 2 of 5"),
     "an owner that needs no lease from a majority": (require_no_lease, cut_in_two, 5, {}, "over its limit"),
     "a codec that drops unknown fields": (
         drop_unknown_fields,
@@ -422,9 +422,9 @@
 def test_checker_reports_the_injected_fault(fault, monkeypatch):
     inject, scenario, size, settings, message = FAULTS[fault]
     inject(monkeypatch.setattr)
-    memory = fleet(size, **settings)
-    scenario(memory)
-    violations = memory.checker.close()
+    fleet = start_fleet(size, **settings)
+    scenario(fleet)
+    violations = fleet.checker.close()
     assert any(message in each for each in violations), violations
 
 
@@ -434,6 +434,6 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.__name__)
 def test_checker_reports_nothing_in_the_same_scenario_without_the_fault(scenario):
     size, settings = SCENARIOS[scenario]
-    memory = fleet(size, **settings)
-    scenario(memory)
-    assert memory.checker.close() == []
+    fleet = start_fleet(size, **settings)
+    scenario(fleet)
+    assert fleet.checker.close() == []
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -34,22 +34,22 @@
 
     def __init__(self):
         self.size, self.zones, self.settings, self.settings_by_agent = 3, 3, {}, {}
-        self.memory, self.clients, self.noted = None, [], None
+        self.fleet, self.clients, self.noted = None, [], None
 
     def start_fleet(self):
         """Starts the fleet, and waits until it has settled. Agents that join later are no seeds."""
         seeds = {f"a{n}": f"10.0.0.1:{n + 1}" for n in range(self.size)}
         fleet_settings = FleetSettings(fleet="f", name="", key=b"k" * 32, seeds=seeds, **self.settings)
-        self.memory = memory = InMemoryFleet(fleet_settings, 1)
+        self.fleet = fleet = InMemoryFleet(fleet_settings, 1)
         for number in range(self.size):
             self.add(f"a{number}")
-        assert memory.run_until(memory.has_one_ring, 20.0) < 20.0
-        memory.run(fleet_settings.longest_mark_s + 16.0)  # until no earlier attempt can count
+        assert fleet.run_until(fleet.has_one_ring, 20.0) < 20.0
+        fleet.run(fleet_settings.longest_mark_s + 16.0)  # until no earlier attempt can count
 
     def add(self, name, **changes):
         settings = {**self.settings_by_agent.get(name, {}), **changes}
         wall_offset_s = settings.pop("wall_offset_s", 0.0)
-        host = self.memory.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **settings)
+        host = self.fleet.add(name, zone=f"z{int(name[1:]) % self.zones}", start=False, **settings)
         host.wall_offset_s = wall_offset_s
         host.start()
 
@@ -57,10 +57,10 @@
         """Agents by their names, the running agents, or the owners of the last client's session."""
         if text.startswith("all owners"):
             return list(self.owners())
-        return list(self.memory.nodes()) if text == "all agents" else re.findall(r"a\d+", text)
+        return list(self.fleet.nodes()) if text == "all agents" else re.findall(r"a\d+", text)
 
     def other_agents(self, names):
-        return [name for name in self.memory.hosts if name not in names]
+        return [name for name in self.fleet.hosts if name not in names]
 
     def submit(self, agents, repeat="u", work_s=0.05, patience_s=None, **fields):
         """A client's request goes to the first agent, and after a disconnect or rejection to the next one."""
@@ -75,14 +75,14 @@
                 **fields,
             }
         )
-        intent = self.memory.submit(request, agents, len(agents), work_s, patience_s or work_s + 1.0)
+        intent = self.fleet.submit(request, agents, len(agents), work_s, patience_s or work_s + 1.0)
         self.clients.append((intent, request))
 
     def outcomes(self, client=-1):
-        return self.memory.outcomes[self.clients[client][0]]
+        return self.fleet.outcomes[self.clients[client][0]]
 
     def run_count(self, client=-1):
-        return len(self.memory.checker.executions[self.clients[client][0]])
+        return len(self.fleet.checker.executions[self.clients[client][0]])
 
     def record_key(self, client=-1):
         return f"s/{self.clients[client][1].session}"
@@ -90,7 +90,7 @@
     @property
     def ring(self):
         """The ring of the newest epoch that an agent has."""
-        rings = [node.ring for node in self.memory.nodes().values() if node.ring]
+        rings = [node.ring for node in self.fleet.nodes().values() if node.ring]
         return max(rings, key=lambda ring: ring.epoch, default=Ring(0, ()))
 
     def owners(self, client=-1):
@@ -98,7 +98,7 @@
 
     def attempts_by_owner(self, client=-1):
         """The attempt records of the request, by running owner."""
-        nodes = self.memory.nodes()
+        nodes = self.fleet.nodes()
         records = {
             name: nodes[name].replica.store.get(self.record_key(client))
             for name in self.owners(client)
@@ -118,7 +118,7 @@
 def story():
     story = Story()
     yield story
-    assert story.memory.checker.close() == []
+    assert story.fleet.checker.close() == []
 
 
 def steps(decorator, *patterns):
@@ -182,13 +182,13 @@
 
 @steps(when, rf"{SECONDS} pass(?:es)?")
 def _(story, seconds):
-    story.memory.run(float(seconds))
+    story.fleet.run(float(seconds))
 
 
 @steps(when, rf"{WHO} (?:is|are) killed")
 def _(story, who):
     for name in story.agents_named(who):
-        story.memory.kill(name)
+        story.fleet.kill(name)
 
 
 @steps(
@@ -199,19 +199,19 @@
 def _(story, who, program):
     reads = {} if program is None else {"reads": (1, 1) if program == "old" else (1, 2)}
     for name in story.agents_named(who):
-        story.memory.kill(name)
-        story.memory.start(name, **reads)
+        story.fleet.kill(name)
+        story.fleet.start(name, **reads)
 
 
 @steps(when, rf"{WHO} (?:is|are) stopped for {SECONDS}")
 def _(story, who, seconds):
     for name in story.agents_named(who):
-        story.memory.stop(name, float(seconds))
+        story.fleet.stop(name, float(seconds))
 
 
 @steps(when, rf"{WHO} leaves")
 def _(story, who):
-    story.memory.leave(who)
+    story.fleet.leave(who)
 
 
 @steps(when, rf"{WHO} joins?(?: with capacity (?P<capacity>\d+))?")
@@ -222,71 +222,71 @@
 
 @steps(when, rf"{WHO} (?:is|are) cut off")
 def _(story, who):
-    story.memory.cut(story.agents_named(who), story.other_agents(story.agents_named(who)))
+    story.fleet.cut(story.agents_named(who), story.other_agents(story.agents_named(who)))
 
 
 @steps(when, rf"{WHO} no longer receives? messages")
 def _(story, who):
-    story.memory.cut_inbound(story.other_agents(story.agents_named(who)), story.agents_named(who))
+    story.fleet.cut_inbound(story.other_agents(story.agents_named(who)), story.agents_named(who))
 
 
 @steps(when, rf"{WHO} no longer receives? messages from (?P<sender>a\d+)")
 def _(story, who, sender):
-    story.memory.cut_inbound([sender], story.agents_named(who))
+    story.fleet.cut_inbound([sender], story.agents_named(who))
 
 
 @when("the cuts end")
 def _(story):
-    story.memory.heal()
+    story.fleet.heal()
 
 
 @when("messages are lost, duplicated, up to 5 seconds late and out of order")
 def _(story):
-    story.memory.conditions = NetworkConditions(
+    story.fleet.conditions = NetworkConditions(
         loss_rate=0.05, duplication_rate=0.3, jitter_s=0.01, late_rate=0.1, max_late_s=5.0
     )
 
 
 @when("the network recovers")
 def _(story):
-    story.memory.conditions = NetworkConditions()
+    story.fleet.conditions = NetworkConditions()
 
 
 @steps(when, rf"the clock of {WHO} is set (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
 def _(story, who, offset_s, direction):
-    story.memory.hosts[who].wall_offset_s += float(offset_s) * (1 if direction == "ahead" else -1)
+    story.fleet.hosts[who].wall_offset_s += float(offset_s) * (1 if direction == "ahead" else -1)
 
 
 @steps(when, rf"{WHO} crashes and restarts (?P<times>\d+) times in {SECONDS}")
 def _(story, who, times, seconds):
     for _ in range(int(times)):
-        story.memory.kill(who)
-        story.memory.run(float(seconds) / int(times) / 2)
-        story.memory.start(who)
-        story.memory.run(float(seconds) / int(times) / 2)
+        story.fleet.kill(who)
+        story.fleet.run(float(seconds) / int(times) / 2)
+        story.fleet.start(who)
+        story.fleet.run(float(seconds) / int(times) / 2)
 
 
 @steps(when, rf"the capacities? of {WHO} fluctuates? by (?P<share>\d+)% each second for {SECONDS}")
 def _(story, who, share, seconds):
     for turn in range(int(float(seconds))):
         for name in story.agents_named(who):
-            story.memory.set_capacity(name, 1.0 + (-1) ** turn * int(share) / 100)
-        story.memory.run(1.0)
+            story.fleet.set_capacity(name, 1.0 + (-1) ** turn * int(share) / 100)
+        story.fleet.run(1.0)
 
 
 @steps(when, r"the fleet is in phase (?P<phase>\w+)")
 def _(story, phase):
-    assert story.memory.run_until(lambda: story.ring.phase == phase, 40.0) < 40.0
+    assert story.fleet.run_until(lambda: story.ring.phase == phase, 40.0) < 40.0
 
 
 @when("the agent that proposes the next ring is killed")
 def _(story):
-    story.memory.kill(next(name for name in story.ring.names if name in story.memory.nodes()))
+    story.fleet.kill(next(name for name in story.ring.names if name in story.fleet.nodes()))
 
 
 @when("a newer program adds a field to the session at a0")
 def _(story):
-    key, node = story.record_key(), story.memory.nodes()["a0"]
+    key, node = story.record_key(), story.fleet.nodes()["a0"]
     store = node.replica.store
     store.merge(key, Session(store.get(key).attempts, {"new": {"by": "a0", "n": [7]}}))
 
@@ -301,7 +301,7 @@
 )
 def _(story, first, work_s, others):
     story.submit([first, *re.findall(r"a\d+", others or "")], work_s=float(work_s or 0.05))
-    story.memory.run(0.2)
+    story.fleet.run(0.2)
 
 
 @steps(
@@ -314,8 +314,8 @@
     for number in range(int(count)):
         rotated_agents = [agents[(number + turn) % len(agents)] for turn in range(len(agents))]
         story.submit(rotated_agents, tenant=tenant or "")
-        story.memory.run(float(seconds or 1) / int(count))
-    story.memory.run(0.3)
+        story.fleet.run(float(seconds or 1) / int(count))
+    story.fleet.run(0.3)
 
 
 @steps(
@@ -333,30 +333,30 @@
         window_s=float(seconds),
         group="all" if group == "everywhere" else "zone",
     )
-    story.memory.run(0.2)
+    story.fleet.run(0.2)
 
 
 @steps(when, rf"(?P<count>\d+) clients of one session send non-idempotent requests to {WHO}")
 def _(story, count, who):
     for number in range(int(count)):
         story.submit([story.agents_named(who)[number % len(story.agents_named(who))]], session="crowd")
-        story.memory.run(0.1)
+        story.fleet.run(0.1)
 
 
 @steps(when, r"the client retries at (?P<who>a\d+)")
 def _(story, who):
     intent, request = story.clients[-1]
-    story.memory.submit_retry(intent, request, who)
-    story.memory.run(0.3)
+    story.fleet.submit_retry(intent, request, who)
+    story.fleet.run(0.3)
 
 
 @steps(when, rf"shop sends (?P<rate>\d+) requests per second to {WHO} for {SECONDS}")
 def _(story, rate, who, seconds):
-    story.noted = story.memory.clock.now
+    story.noted = story.fleet.clock.now
     agents = story.agents_named(who)
     for turn in range(int(int(rate) * float(seconds))):
-        story.memory.submit(SHOP_REQUEST, [agents[turn % len(agents)]])
-        story.memory.run(1 / int(rate))
+        story.fleet.submit(SHOP_REQUEST, [agents[turn % len(agents)]])
+        story.fleet.run(1 / int(rate))
 
 
 # Expected results
@@ -381,7 +381,7 @@
 
 @steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS}")
 def _(story, times, seconds):
-    executions = story.memory.checker.executions[story.clients[-1][0]]
+    executions = story.fleet.checker.executions[story.clients[-1][0]]
     assert len(executions) == int(times) and len({each.zone for each in executions}) == 1
     assert executions[-1].at - executions[0].at <= float(seconds)
 
@@ -390,48 +390,48 @@
     then, r"shop was served at least (?P<share>\d+)% of its limit(?: in the last (?P<last_s>\d+) seconds)?"
 )
 def _(story, share, last_s):
-    now, limit = story.memory.clock.now, story.settings["limits"]["shop"]
+    now, limit = story.fleet.clock.now, story.settings["limits"]["shop"]
     since = now - float(last_s) if last_s else story.noted
-    served = sum(since <= at <= now for at in story.memory.checker.admission_times["shop"])
+    served = sum(since <= at <= now for at in story.fleet.checker.admission_times["shop"])
     assert served >= int(share) / 100 * limit.rate * (now - since), served / limit.rate / (now - since)
 
 
 @steps(then, rf"all agents use one ring of (?P<size>\d+) members within {SECONDS}")
 def _(story, size, seconds):
-    memory = story.memory
-    duration_s = memory.run_until(
-        lambda: memory.has_one_ring() and len(story.ring.members) == int(size), float(seconds)
+    fleet = story.fleet
+    duration_s = fleet.run_until(
+        lambda: fleet.has_one_ring() and len(story.ring.members) == int(size), float(seconds)
     )
-    assert duration_s < float(seconds), [(name, node.ring) for name, node in memory.nodes().items()]
+    assert duration_s < float(seconds), [(name, node.ring) for name, node in fleet.nodes().items()]
 
 
 @steps(then, rf"the fleet writes version (?P<version>\d) within {SECONDS}")
 def _(story, version, seconds):
     def is_upgraded():
-        nodes, ring = story.memory.nodes(), story.ring
+        nodes, ring = story.fleet.nodes(), story.ring
         return (ring.written_version, ring.phase) == (int(version), "steady") and all(
             nodes[name].ring == ring for name in ring.names if name in nodes
         )
 
-    assert story.memory.run_until(is_upgraded, float(seconds)) < float(seconds), story.ring
+    assert story.fleet.run_until(is_upgraded, float(seconds)) < float(seconds), story.ring
 
 
 @steps(then, rf"all copies are equal within {SECONDS}")
 def _(story, seconds):
-    memory = story.memory
-    assert memory.run_until(memory.replicas_agree, float(seconds), 0.5) < float(seconds)
+    fleet = story.fleet
+    assert fleet.run_until(fleet.replicas_agree, float(seconds), 0.5) < float(seconds)
 
 
 @steps(then, r"no attempt record of the (?P<count>\d+) requests is lost")
 def _(story, count):
-    memory = story.memory
-    assert memory.count_lost_records() == 0
-    assert len(memory.checker.attempt_records) >= int(count)
+    fleet = story.fleet
+    assert fleet.count_lost_records() == 0
+    assert len(fleet.checker.attempt_records) >= int(count)
 
 
 @steps(then, r"all owners have recorded that the request (?P<certainty>was answered|may have run)")
 def _(story, certainty):
-    story.memory.run(3.0)
+    story.fleet.run(3.0)
     min_certainty = Certainty.ANSWERED if certainty == "was answered" else Certainty.CLAIMED
     attempts_by_owner = story.attempts_by_owner()
     assert attempts_by_owner and all(
@@ -442,23 +442,23 @@
 
 @steps(then, r"(?:an agent has logged: )(?P<event>.*)")
 def _(story, event):
-    assert story.memory.event_counts[event]
+    assert story.fleet.event_counts[event]
 
 
 @steps(then, r"an agent has counted: (?P<counter>.*)")
 def _(story, counter):
-    assert sum(node.counters[counter] for node in story.memory.nodes().values())
+    assert sum(node.counters[counter] for node in story.fleet.nodes().values())
 
 
 @when("the current ring is noted")
 def _(story):
-    assert story.memory.has_one_ring()
+    assert story.fleet.has_one_ring()
     story.noted = story.ring
 
 
 @then("the ring is the noted one")
 def _(story):
-    assert story.memory.has_one_ring() and story.ring == story.noted
+    assert story.fleet.has_one_ring() and story.ring == story.noted
 
 
 @steps(then, r"no more keys have moved than necessary")
@@ -479,7 +479,7 @@
 
 @steps(then, r"a0 has the newer field again")
 def _(story):
-    assert story.memory.nodes()["a0"].replica.store.get(story.record_key()).unknown_fields["new"] == {
+    assert story.fleet.nodes()["a0"].replica.store.get(story.record_key()).unknown_fields["new"] == {
         "by": "a0",
         "n": [7],
     }
