--- a/cartdeal/emulator/servers.py
+++ b/cartdeal/emulator/servers.py
@@ -85,7 +85,7 @@
             self.clock.after(duration, self.finish, job, self.generation)
 
     def finish(self, job, generation):
-        """Ends a job that was started in `generation`; those of before a restart are dropped."""
+        """Ends a job that was started in `generation`; jobs from before a restart are dropped."""
         if generation != self.generation:
             return
         self.running_count -= 1
@@ -97,7 +97,7 @@
         self.start_jobs()
 
     def cancel(self, job):
-        """Takes a waiting job out of the queue, if the world's servers do so."""
+        """Takes a waiting job out of the queue, if `on_cancel` of the world's servers says so."""
         if not job.is_running and self.settings.on_cancel == "waiting":
             job.is_cancelled = True
             if job in self.queue:
--- a/cartdeal/emulator/simulated_agent.py
+++ b/cartdeal/emulator/simulated_agent.py
@@ -194,7 +194,7 @@
         self.clock.after(3 * delay, self.write, attempt, on_result, is_probe)
 
     def take_idle(self, server) -> bool:
-        """Takes an idle connection to the server; false if none is left from since the server started."""
+        """Takes an idle connection to the server; false if none was made since the server started."""
         connections = self.idle_connections.get(server, [])
         while connections:
             if connections.pop()[1] == server.generation:
--- a/cartdeal/fleet/simulation/fault_schedule.py
+++ b/cartdeal/fleet/simulation/fault_schedule.py
@@ -131,7 +131,10 @@
         self.faults.after(0.8 * self.seconds, self.faults.restart, rolled_back, OLD_PROGRAM_VERSIONS)
 
     def _has_recovered(self) -> bool:
-        """Whether all running agents have one ring, of all of them, in the newest version that is allowed."""
+        """Whether the running agents have one ring of all of them, in its final version.
+
+        This is the newest version that all agents read and that the settings allow.
+        """
         nodes = self.fleet.nodes()
         ring = next(iter(nodes.values())).ring
         version = self.fleet.settings.hold_version or 2
