--- a/cartdeal/benchlink/__init__.py
+++ b/cartdeal/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions behind a simulator's wire."""
+"""The adapter that drives the balancer through a simulator's binary protocol."""
--- a/cartdeal/benchlink/__main__.py
+++ b/cartdeal/benchlink/__main__.py
@@ -1,11 +1,13 @@
+"""Runs the adapter on standard input and standard output."""
+
 import sys
 
 from cartdeal.benchlink.loop import serve
-from cartdeal.benchlink.wire import Malformed
+from cartdeal.benchlink.wire import MalformedMessageError
 
 try:
     serve(sys.stdin.buffer, sys.stdout.buffer)
-except (Malformed, BrokenPipeError) as trouble:
-    print(f"cartdeal: {trouble or 'nobody reads the answers'}", file=sys.stderr)
+except (MalformedMessageError, BrokenPipeError) as error:
+    print(f"cartdeal: {error or 'the reader of the output has closed it'}", file=sys.stderr)
     sys.stderr.flush()
     sys.exit(2)
--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -1,4 +1,4 @@
-"""Feeds each batch's records to the instances they are for and writes their answers back."""
+"""Passes the records of each batch to the balancers that they address and writes back the actions."""
 
 import msgspec
 
@@ -9,18 +9,20 @@
 
 
 class Reply:
-    """The actions of one batch, in the order in which they were taken."""
+    """The reply to one batch: the actions of all instances, in the order in which they were taken."""
 
     def __init__(self):
         self.records = bytearray()
         self.tail = bytearray()
 
-    def text(self, code: int, instance: int, words: str):
-        data = words.encode()
+    def add_text(self, code: int, instance: int, text: str):
+        """Adds a record whose text is in the tail."""
+        data = text.encode()
         self.records += wire.TEXT.pack(code, instance, len(self.tail), len(data))
         self.tail += data
 
-    def framed(self, index: int) -> bytes:
+    def take_frame(self, index: int) -> bytes:
+        """The frame of the reply to the batch with this index; the reply is empty afterwards."""
         length = len(self.records) + len(self.tail)
         head = wire.REPLY_HEADER.pack(length, len(self.records) // wire.ACTION_SIZE, index)
         frame = head + self.records + self.tail
@@ -29,185 +31,242 @@
         return frame
 
 
-class Seat:
-    """One instance: the host of its balancer, and the small indices of the servers it has heard of."""
+class SimulatedHost:
+    """The host of one instance's balancer: it writes the balancer's actions as records of the reply.
+
+    It numbers the servers that the instance has received, from 0, as the balancer knows servers by index.
+    """
 
     def __init__(self, instance: int, reply: Reply, clock: int):
         self.instance = instance
         self.reply = reply
         self.now = clock / 1e6
-        self.names: list[bytes] = []
-        self.indices: dict[bytes, int] = {}
-        self.columns: dict[str, int] = {}
+        self.server_names: list[bytes] = []
+        self.server_indices: dict[bytes, int] = {}
+        self.report_columns: dict[str, int] = {}
         self.balancer = None
 
-    def index(self, name: bytes) -> int:
-        if name not in self.indices:
-            self.indices[name] = len(self.names)
-            self.names.append(name)
-        return self.indices[name]
+    def server_index(self, name: bytes) -> int:
+        """The index of a server; a server that is new gets the next one."""
+        if name not in self.server_indices:
+            self.server_indices[name] = len(self.server_names)
+            self.server_names.append(name)
+        return self.server_indices[name]
 
-    def load(self, count: int, values: tuple) -> LoadReport | None:
+    def load_report(self, count: int, values: tuple) -> LoadReport | None:
+        """The load report in the first `count` of the values; None if the server reported nothing."""
         if not count:
             return None
-        said = [self.columns.get(name, count) for name in settings.REPORT_COLUMNS]
-        return settings.load_report(*(values[place] if place < count else None for place in said))
+        positions = [self.report_columns.get(name, count) for name in settings.REPORT_COLUMNS]
+        return settings.load_report(
+            *(values[position] if position < count else None for position in positions)
+        )
 
     def send_attempt(self, request: int, server: int, deadline: float):
-        stop = max(0, round(deadline * 1e6))
-        self.reply.records += wire.DISPATCH.pack(16, self.instance, request, self.names[server], stop)
+        """Sends the request to the server; `deadline` is in seconds."""
+        deadline_us = max(0, round(deadline * 1e6))
+        self.reply.records += wire.DISPATCH.pack(
+            16, self.instance, request, self.server_names[server], deadline_us
+        )
 
-    def reject(self, request: int, wait: float):
-        self.reply.records += wire.BUSY.pack(17, self.instance, request, round(wait * 1e6))
+    def reject(self, request: int, retry_after: float):
+        """Answers that the request was not served and may be repeated after `retry_after` seconds."""
+        self.reply.records += wire.BUSY.pack(17, self.instance, request, round(retry_after * 1e6))
 
     def fail(self, request: int):
+        """Answers that the request failed and may have been executed."""
         self.reply.records += wire.ABORT.pack(18, self.instance, request)
 
     def cancel(self, request: int, attempt: int):
+        """Cancels an attempt that is in flight."""
         self.reply.records += wire.WITHDRAW.pack(19, self.instance, request, attempt)
 
     def set_timer(self, token: int, delay: float):
+        """Sets a timer of `delay` seconds, and of 1 us at least."""
         self.reply.records += wire.TIMER.pack(20, self.instance, token, max(1, round(delay * 1e6)))
 
     def probe(self, server: int):
-        self.reply.records += wire.POLL.pack(21, self.instance, self.names[server])
+        """Probes the server."""
+        self.reply.records += wire.POLL.pack(21, self.instance, self.server_names[server])
 
     def log_note(self, text: str):
-        self.reply.text(24, self.instance, text)
+        """Writes a note to the log."""
+        self.reply.add_text(24, self.instance, text)
 
     def watch(self, on: bool = True):
+        """Starts a watch of the server list, or stops it."""
         self.reply.records += wire.LISTEN.pack(26, self.instance, on)
 
     def fetch_servers(self):
+        """Requests the server list once."""
         self.reply.records += wire.GET_LIST.pack(27, self.instance)
 
     def close_idle(self, server: int):
-        self.reply.records += wire.LET_GO.pack(22, self.instance, self.names[server])
+        """Closes the idle connections to the server."""
+        self.reply.records += wire.LET_GO.pack(22, self.instance, self.server_names[server])
 
     def send_peer_message(self, agent: int, message: bytes):
-        """Tells one agent, or all for an agent of -1."""
-        place = len(self.reply.tail)
-        self.reply.records += wire.SAY.pack(23, self.instance, agent & 0xFFFF, place, len(message))
+        """Sends a message to one agent, or to all agents if `agent` is -1."""
+        offset = len(self.reply.tail)
+        self.reply.records += wire.SAY.pack(23, self.instance, agent & 0xFFFF, offset, len(message))
         self.reply.tail += message
 
 
-class Loop:
+class BatchProcessor:
+    """Processes batches for all instances.
+
+    The handlers of events get the host of the instance, the body of the batch, and the positions of the
+    record and of the tail in it.
+    """
+
     def __init__(self):
         self.reply = Reply()
-        self.seats: dict[int, Seat] = {}
-        self.tables: dict[int, list[ListedServer]] = {}
+        self.hosts: dict[int, SimulatedHost] = {}
+        self.server_lists: dict[int, list[ListedServer]] = {}
 
-    def answer(self, clock: int, index: int, count: int, body: bytes) -> bytes:
-        """Plays one batch. A broken decision is told as a fault of its instance, not guessed around."""
+    def process(self, clock: int, index: int, count: int, body: bytes) -> bytes:
+        """Processes one batch and returns the frame of the reply. `clock` is in microseconds.
+
+        An exception in a balancer is reported as a fault of its instance; the other instances go on.
+
+        Raises:
+            MalformedMessageError: the batch does not follow the protocol.
+        """
         tail = count * wire.EVENT_SIZE
         now = clock / 1e6
-        for place in range(0, tail, wire.EVENT_SIZE):
-            code = body[place]
+        for position in range(0, tail, wire.EVENT_SIZE):
+            code = body[position]
             if code == 20:
-                number, offset, size = wire.TABLE.unpack_from(body, place)
-                self.tables[number] = wire.entries(body, tail, offset, size)
+                list_number, offset, size = wire.TABLE.unpack_from(body, position)
+                self.server_lists[list_number] = wire.server_list(body, tail, offset, size)
                 continue
-            handle = self.HANDLERS.get(code)
-            if handle is None:
-                raise wire.Malformed(f"batch {index}: event code {code} is unknown")
-            instance = wire.STOP.unpack_from(body, place)[0]
+            handler = self.HANDLERS.get(code)
+            if handler is None:
+                raise wire.MalformedMessageError(f"batch {index}: event code {code} is unknown")
+            instance = wire.STOP.unpack_from(body, position)[0]
             if code == 16:
-                self.launched(instance, clock, body, place, tail)
+                self.on_launch(instance, clock, body, position, tail)
                 continue
-            seat = self.seats.get(instance)
-            if seat is None:
-                raise wire.Malformed(f"batch {index}: instance {instance} was never launched")
-            seat.now = now
+            host = self.hosts.get(instance)
+            if host is None:
+                raise wire.MalformedMessageError(f"batch {index}: instance {instance} was never launched")
+            host.now = now
             try:
-                handle(self, seat, body, place, tail)
-            except wire.Malformed:
+                handler(self, host, body, position, tail)
+            except wire.MalformedMessageError:
                 raise
-            except Exception as trouble:
-                self.fault(instance, trouble)
-        return self.reply.framed(index)
+            except Exception as error:
+                self.report_fault(instance, error)
+        return self.reply.take_frame(index)
 
-    def fault(self, instance: int, trouble: Exception):
-        self.reply.text(25, instance, f"{type(trouble).__name__}: {trouble}")
+    def report_fault(self, instance: int, error: Exception):
+        """Reports an exception in a balancer as a fault of its instance."""
+        self.reply.add_text(25, instance, f"{type(error).__name__}: {error}")
 
-    def launched(self, instance: int, clock: int, body: bytes, place: int, tail: int):
-        _, seed, offset, size = wire.LAUNCH.unpack_from(body, place)
+    def on_launch(self, instance: int, clock: int, body: bytes, position: int, tail: int):
+        """Starts an instance, or starts it again without what it knew."""
+        _, seed, offset, size = wire.LAUNCH.unpack_from(body, position)
         try:
-            given = settings.decode(wire.cut(body, tail, offset, size))
-        except (msgspec.MsgspecError, UnicodeError) as trouble:
-            raise wire.Malformed(f"the settings of a launch can't be read: {trouble}") from None
-        seat = self.seats[instance] = Seat(instance, self.reply, clock)
-        seat.columns = {name: place for place, name in enumerate(given.load_reports.columns)}
+            instance_settings = settings.decode(wire.tail_field(body, tail, offset, size))
+        except (msgspec.MsgspecError, UnicodeError) as error:
+            raise wire.MalformedMessageError(f"the settings of a launch can't be read: {error}") from None
+        host = self.hosts[instance] = SimulatedHost(instance, self.reply, clock)
+        host.report_columns = {
+            name: column for column, name in enumerate(instance_settings.load_reports.columns)
+        }
         try:
-            seat.balancer = Balancer(seat, given.balancer_settings(seed))
-        except Exception as trouble:
-            self.fault(instance, trouble)
-
-    def stopped(self, seat: Seat, body: bytes, place: int, tail: int):
-        del self.seats[seat.instance]
-
-    def inbound(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, number, request_class, tenant, key, limit, _, bits = wire.INBOUND.unpack_from(body, place)
-        seat.balancer.on_request(number, request_class, tenant, key, limit / 1e6, bool(bits & 2))
-
-    def ended(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, number, name, code, took, attempt, final, reported, *values = wire.ENDED.unpack_from(body, place)
-        outcome = wire.known(wire.OUTCOMES, code, "outcome")
-        load = seat.load(reported, values)
-        seat.balancer.on_attempt_ended(
-            number, seat.index(name), outcome, attempt, took / 1e6, bool(final), load
+            host.balancer = Balancer(host, instance_settings.balancer_settings(seed))
+        except Exception as error:
+            self.report_fault(instance, error)
+
+    def on_stop(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Ends an instance."""
+        del self.hosts[host.instance]
+
+    def on_request(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on a client's request."""
+        _, number, request_class, tenant, key, timeout_us, _, flags = wire.INBOUND.unpack_from(body, position)
+        host.balancer.on_request(number, request_class, tenant, key, timeout_us / 1e6, bool(flags & 2))
+
+    def on_attempt_ended(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on the outcome of an attempt."""
+        _, number, name, code, duration_us, attempt, is_last, report_size, *values = wire.ENDED.unpack_from(
+            body, position
+        )
+        outcome = wire.decode_code(wire.OUTCOMES, code, "outcome")
+        report = host.load_report(report_size, values)
+        host.balancer.on_attempt_ended(
+            number, host.server_index(name), outcome, attempt, duration_us / 1e6, bool(is_last), report
         )
 
-    def head_received(self, seat: Seat, body: bytes, place: int, tail: int):
-        wire.HEAD_RECEIVED.unpack_from(body, place)  # no decision waits for it
+    def on_head_received(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Checks the record of a response head; no decision depends on it."""
+        wire.HEAD_RECEIVED.unpack_from(body, position)
 
-    def client_disconnected(self, seat: Seat, body: bytes, place: int, tail: int):
-        seat.balancer.on_client_disconnected(wire.ABANDONED.unpack_from(body, place)[1])
+    def on_client_disconnected(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on that the client of a request has disconnected."""
+        host.balancer.on_client_disconnected(wire.ABANDONED.unpack_from(body, position)[1])
 
-    def elapsed(self, seat: Seat, body: bytes, place: int, tail: int):
-        seat.balancer.on_timer(wire.ELAPSED.unpack_from(body, place)[1])
+    def on_timer(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on that a timer has expired."""
+        host.balancer.on_timer(wire.ELAPSED.unpack_from(body, position)[1])
 
-    def ping_result(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, name, code, took, reported, *values = wire.PING_RESULT.unpack_from(body, place)
-        outcome = wire.known(wire.OUTCOMES, code, "outcome")
-        seat.balancer.on_probe_ended(seat.index(name), outcome, took / 1e6, seat.load(reported, values))
+    def on_probe_ended(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on the outcome of a probe."""
+        _, name, code, duration_us, report_size, *values = wire.PING_RESULT.unpack_from(body, position)
+        outcome = wire.decode_code(wire.OUTCOMES, code, "outcome")
+        host.balancer.on_probe_ended(
+            host.server_index(name), outcome, duration_us / 1e6, host.load_report(report_size, values)
+        )
 
-    def peer(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, _, offset, size = wire.PEER.unpack_from(body, place)
-        wire.cut(body, tail, offset, size)  # agents need no words from each other
+    def on_peer_message(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Checks the message of another agent and drops it: agents need no messages from each other."""
+        _, _, offset, size = wire.PEER.unpack_from(body, position)
+        wire.tail_field(body, tail, offset, size)
 
-    def roster_change(self, seat: Seat, body: bytes, place: int, tail: int):
-        _, _, how, number = wire.ROSTER_CHANGE.unpack_from(body, place)
-        if how == 2:
-            seat.balancer.on_watch_failed()
+    def on_server_list_change(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+        """Passes on a failed watch or a server list; a complete list also removes the servers not in it."""
+        _, _, change_kind, list_number = wire.ROSTER_CHANGE.unpack_from(body, position)
+        if change_kind == 2:
+            host.balancer.on_watch_failed()
             return
-        if how not in (0, 1, 3) or number not in self.tables:
-            raise wire.Malformed(f"a list change of kind {how} names list {number}")
-        lines = [line._replace(server_index=seat.index(line.name)) for line in self.tables[number]]
-        if how != 3:
-            here = {line.name for line in lines}
-            lines += [
-                ListedServer(place, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
-                for place, name in enumerate(seat.names)
-                if name not in here
+        if change_kind not in (0, 1, 3) or list_number not in self.server_lists:
+            raise wire.MalformedMessageError(f"a list change of kind {change_kind} names list {list_number}")
+        listed_servers = [
+            server._replace(server_index=host.server_index(server.name))
+            for server in self.server_lists[list_number]
+        ]
+        if change_kind != 3:
+            listed_names = {server.name for server in listed_servers}
+            listed_servers += [
+                ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
+                for index, name in enumerate(host.server_names)
+                if name not in listed_names
             ]
-        seat.balancer.on_server_list(lines, how != 1)
+        host.balancer.on_server_list(listed_servers, change_kind != 1)
 
     HANDLERS = {
-        16: launched,
-        17: head_received,
-        18: inbound,
-        19: peer,
-        21: ping_result,
-        22: ended,
-        23: roster_change,
-        24: client_disconnected,
-        25: elapsed,
-        26: stopped,
+        16: on_launch,
+        17: on_head_received,
+        18: on_request,
+        19: on_peer_message,
+        21: on_probe_ended,
+        22: on_attempt_ended,
+        23: on_server_list_change,
+        24: on_client_disconnected,
+        25: on_timer,
+        26: on_stop,
     }
 
 
 def serve(source, sink):
-    loop = Loop()
+    """Processes the batches of the input stream until it ends.
+
+    Raises:
+        MalformedMessageError: a batch does not follow the protocol.
+        BrokenPipeError: the output stream is closed.
+    """
+    processor = BatchProcessor()
     for clock, index, count, body in wire.frames(source):
-        sink.write(loop.answer(clock, index, count, body))
+        sink.write(processor.process(clock, index, count, body))
         sink.flush()
--- a/cartdeal/benchlink/wire.py
+++ b/cartdeal/benchlink/wire.py
@@ -1,4 +1,4 @@
-"""The layout of the bench's frames: header, fixed-size records, shared tail."""
+"""The layout of the simulator's frames: a header, records of a fixed size, and a tail that they share."""
 
 from collections.abc import Iterator
 from struct import Struct
@@ -48,41 +48,57 @@
 STATES = {0: ServerState.DRAINING, 1: ServerState.GONE, 2: ServerState.READY}
 
 
-class Malformed(Exception):
-    """The bytes don't follow the wire page."""
+class MalformedMessageError(Exception):
+    """The input does not follow the simulator's protocol."""
 
 
 def frames(source) -> Iterator[tuple[float, int, int, bytes]]:
-    """Yields clock, batch index, record count and body of each batch until the input ends."""
+    """Yields the clock, the batch index, the record count and the body of each batch until the input ends.
+
+    Raises:
+        MalformedMessageError: the input ends inside a batch, or the records do not fit into its body.
+    """
     while head := source.read(HEADER.size):
         if len(head) < HEADER.size:
-            raise Malformed(f"the input ends inside a batch header, after {len(head)} bytes")
+            raise MalformedMessageError(f"the input ends inside a batch header, after {len(head)} bytes")
         count, length, clock, index = HEADER.unpack(head)
         if length < count * EVENT_SIZE:
-            raise Malformed(f"batch {index}: {count} records don't fit into {length} bytes")
+            raise MalformedMessageError(f"batch {index}: {count} records don't fit into {length} bytes")
         body = source.read(length)
         if len(body) < length:
-            raise Malformed(f"batch {index}: the input ends after {len(body)} of {length} bytes")
+            raise MalformedMessageError(f"batch {index}: the input ends after {len(body)} of {length} bytes")
         yield clock, index, count, body
 
 
-def cut(body: bytes, tail: int, offset: int, size: int) -> bytes:
+def tail_field(body: bytes, tail: int, offset: int, size: int) -> bytes:
+    """The `size` bytes at `offset` in the tail, which begins at `tail` in the body.
+
+    Raises:
+        MalformedMessageError: the field does not lie inside the tail.
+    """
     start = tail + offset
     if start + size > len(body):
-        raise Malformed(f"a field of {size} bytes at {offset} lies outside the tail")
+        raise MalformedMessageError(f"a field of {size} bytes at {offset} lies outside the tail")
     return body[start : start + size]
 
 
-def known(names: dict, code: int, what: str):
-    if code not in names:
-        raise Malformed(f"{what} {code} is unknown")
-    return names[code]
+def decode_code(values: dict, code: int, field_name: str):
+    """The value that a code of the protocol stands for.
+
+    Raises:
+        MalformedMessageError: the code is unknown.
+    """
+    if code not in values:
+        raise MalformedMessageError(f"{field_name} {code} is unknown")
+    return values[code]
 
 
-def entries(body: bytes, tail: int, offset: int, count: int) -> list[ListedServer]:
-    """The lines of a server list; the small index of each is still to be given."""
-    lines = ENTRY.iter_unpack(cut(body, tail, offset, count * ENTRY.size))
+def server_list(body: bytes, tail: int, offset: int, count: int) -> list[ListedServer]:
+    """The lines of a server list. The caller has to replace their server index, which is -1 here."""
+    lines = ENTRY.iter_unpack(tail_field(body, tail, offset, count * ENTRY.size))
     return [
-        ListedServer(-1, name, zone, model, cell, known(STATES, state, "availability"), weight, started / 1e6)
+        ListedServer(
+            -1, name, zone, model, cell, decode_code(STATES, state, "availability"), weight, started / 1e6
+        )
         for name, zone, model, cell, state, weight, started in lines
     ]
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,3 +1,5 @@
+"""The adapter for the simulator: its binary protocol, several instances in one process, malformed input."""
+
 import json
 import os
 import struct
@@ -6,7 +8,7 @@
 
 import pytest
 
-from cartdeal.benchlink.loop import Reply, Seat
+from cartdeal.benchlink.loop import Reply, SimulatedHost
 
 COMMAND = [sys.executable, "-m", "cartdeal.benchlink"]
 SETTINGS = {
@@ -32,13 +34,13 @@
 
 
 def launch(instance):
-    info = json.dumps(SETTINGS).encode()
+    settings = json.dumps(SETTINGS).encode()
     servers = [struct.pack("<6sBHHBfQ", bytes([10, 0, 0, n, 1, 2]), n % 2, 0, 0, 2, 1.0, 0) for n in range(6)]
     return [
-        struct.pack("<BHQII", 16, instance, instance + 5, 0, len(info)),
-        struct.pack("<BBII", 20, 3, len(info), len(servers)),
+        struct.pack("<BHQII", 16, instance, instance + 5, 0, len(settings)),
+        struct.pack("<BBII", 20, 3, len(settings), len(servers)),
         struct.pack("<BHQBB", 23, instance, 1, 1, 3),
-    ], info + b"".join(servers)
+    ], settings + b"".join(servers)
 
 
 def inbound(instance, number):
@@ -51,16 +53,17 @@
 
 
 def actions(reply):
-    """Records of all frames as (instance, bytes), without the frames around them."""
-    found, at = [], 0
-    while at < len(reply):
-        _, count, _ = struct.unpack_from("<III", reply, at)
-        found += [reply[at + 12 + 24 * n : at + 36 + 24 * n] for n in range(count)]
-        at += 12 + 24 * count
-    return [(struct.unpack_from("<H", record, 1)[0], record) for record in found]
+    """The records of all frames, which have no tails, as pairs (instance, bytes)."""
+    records, position = [], 0
+    while position < len(reply):
+        _, count, _ = struct.unpack_from("<III", reply, position)
+        records += [reply[position + 12 + 24 * n : position + 36 + 24 * n] for n in range(count)]
+        position += 12 + 24 * count
+    return [(struct.unpack_from("<H", record, 1)[0], record) for record in records]
 
 
-def story(instances):
+def event_sequence(instances):
+    """Launches the instances, then sends each a request and the result of a probe, 40 times."""
     data = b"".join(frame(n, *launch(instance)) for n, instance in enumerate(instances))
     for step in range(40):
         name = bytes([10, 0, 0, step % 6, 1, 2])
@@ -72,27 +75,29 @@
     return data
 
 
-def test_same_events_same_bytes_in_any_split_and_hash_seed():
-    together, apart = run(story([1, 2]), "1"), [run(story([i]), "2") for i in (1, 2)]
+def test_same_events_give_the_same_bytes_in_any_split_and_hash_seed():
+    together, apart = run(event_sequence([1, 2]), "1"), [run(event_sequence([i]), "2") for i in (1, 2)]
     assert together.returncode == 0 and not together.stderr
     for instance, alone in zip((1, 2), apart, strict=True):
-        mine = [record for who, record in actions(together.stdout) if who == instance]
-        assert mine == [record for _, record in actions(alone.stdout)]
-        assert len(mine) > 10
+        own_records = [record for addressee, record in actions(together.stdout) if addressee == instance]
+        assert own_records == [record for _, record in actions(alone.stdout)]
+        assert len(own_records) > 10
 
 
-def test_restart_in_one_batch_drops_stale_timers_and_outcomes():
+def test_restart_within_a_batch_ignores_stale_timers_and_outcomes():
     records, tail = launch(1)
-    late = struct.pack("<BHI6sBIHBB4f", 22, 1, 77, bytes([10, 9, 9, 9, 1, 2]), 4, 900, 0, 0, 0, *[0.0] * 4)
-    probed = struct.pack("<BH6sBIB4f", 21, 1, bytes([10, 9, 9, 9, 1, 2]), 0, 900, 0, *[0.0] * 4)
+    attempt_ended = struct.pack(
+        "<BHI6sBIHBB4f", 22, 1, 77, bytes([10, 9, 9, 9, 1, 2]), 4, 900, 0, 0, 0, *[0.0] * 4
+    )
+    probe_ended = struct.pack("<BH6sBIB4f", 21, 1, bytes([10, 9, 9, 9, 1, 2]), 0, 900, 0, *[0.0] * 4)
     stop, timer = struct.pack("<BH", 26, 1), struct.pack("<BHQ", 25, 1, 99)
-    again = frame(1, [stop, *records, timer, late, probed], tail)
-    done = run(frame(0, records, tail) + frame(2, [inbound(1, 77)]) + again)
-    assert done.returncode == 0 and b"Error" not in done.stdout
+    restart = frame(1, [stop, *records, timer, attempt_ended, probe_ended], tail)
+    result = run(frame(0, records, tail) + frame(2, [inbound(1, 77)]) + restart)
+    assert result.returncode == 0 and b"Error" not in result.stdout
 
 
 @pytest.mark.parametrize(
-    "data, words",
+    "data, message",
     [
         (b"\1\0\0", "ends inside a batch header"),
         (frame(0, [b"\x10"])[:-1], "ends after 39 of 40"),
@@ -104,24 +109,24 @@
         (frame(0, *launch(1)) + frame(1, [struct.pack("<BHQBB", 23, 1, 1, 9, 3)]), "a list change of kind 9"),
     ],
 )
-def test_malformed_input_ends_with_one_plain_line(data, words):
-    done = run(data)
-    assert done.returncode == 2
-    assert words in done.stderr.decode() and done.stderr.count(b"\n") == 1
-
-
-def test_actions_are_laid_out_as_the_wire_wants():
-    seat = Seat(3, Reply(), 0)
-    server = seat.index(bytes.fromhex("0a124a075b1b"))
-    seat.send_attempt(0x5D3A91C4, server, 8.494298)
-    seat.set_timer(77, 0.500000)
-    seat.log_note("two servers known")
-    seat.send_peer_message(-1, b"hi 7")
-    seat.close_idle(server)
-    seat.fetch_servers()
-    seat.watch(False)
-    reply = seat.reply.framed(12)
-    heads = [
+def test_malformed_input_ends_with_one_line_and_status_2(data, message):
+    result = run(data)
+    assert result.returncode == 2
+    assert message in result.stderr.decode() and result.stderr.count(b"\n") == 1
+
+
+def test_actions_are_encoded_as_the_protocol_requires():
+    host = SimulatedHost(3, Reply(), 0)
+    server = host.server_index(bytes.fromhex("0a124a075b1b"))
+    host.send_attempt(0x5D3A91C4, server, 8.494298)
+    host.set_timer(77, 0.500000)
+    host.log_note("two servers known")
+    host.send_peer_message(-1, b"hi 7")
+    host.close_idle(server)
+    host.fetch_servers()
+    host.watch(False)
+    reply = host.reply.take_frame(12)
+    expected_records = [  # without the zeros at their ends
         "100300c4913a5d0a124a075b1bda9c810000000000",
         "1403004d0000000000000020a10700",
         "1803000000000011000000",
@@ -131,12 +136,14 @@
         "1a030000",
     ]
     assert reply[:12] == struct.pack("<III", 7 * 24 + 21, 7, 12)
-    assert [reply[at : at + 24].hex() for at in range(12, 180, 24)] == [head.ljust(48, "0") for head in heads]
+    assert [reply[position : position + 24].hex() for position in range(12, 180, 24)] == [
+        record.ljust(48, "0") for record in expected_records
+    ]
     assert reply[180:] == b"two servers knownhi 7"
     assert run(frame(1, [])).stdout == bytes(8) + b"\1\0\0\0"
 
 
-def test_broken_decision_is_told_as_a_fault():
-    bad = struct.pack("<BHIHIQQIB", 18, 1, 5, 40, 0, 0, 3_000_000, 0, 0)
-    done = run(frame(0, *launch(1)) + frame(1, [bad]))
-    assert b"IndexError" in done.stdout
+def test_exception_in_a_decision_is_reported_as_a_fault():
+    unknown_class = struct.pack("<BHIHIQQIB", 18, 1, 5, 40, 0, 0, 3_000_000, 0, 0)
+    result = run(frame(0, *launch(1)) + frame(1, [unknown_class]))
+    assert b"IndexError" in result.stdout
