--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -1,8 +1,11 @@
-"""Turns a configuration of the old shape (an agent beside each client, lists asked for, probes) into one of
-the new (a pool of agents, lists that come unasked, reports with answers, weights that move).
+"""Converts the configuration of an agent beside its client to that of an agent in a pool.
 
-It reads one file and writes another, whole or not at all. It must never guess in silence: what it can't carry
-over and what an operator still has to say is listed by key.
+In the old shape, each client has its own agent, and agents poll the server list and probe servers. In the
+new shape, clients share a pool of agents, the server list is pushed, servers report their load with their
+answers, and the load of a server lowers its listed weight.
+
+The new file is written whole or not at all. Nothing is guessed silently: the keys that were not carried over
+and those that the operator has to set or confirm are listed.
 """
 
 import json
@@ -15,142 +18,201 @@
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import ConfigurationError
 
-# What makes the new shape: key of the settings, its value.
-SHAPE = {"family": "proxy", "discovery": "pushed", "weightKind": "live"}
-GONE = {  # settings that the new shape has no use for, and why
+# The settings that every configuration of the new shape has.
+POOL_SETTINGS = {"family": "proxy", "discovery": "pushed", "weightKind": "live"}
+# The settings that the new shape has no use for, as paths of keys, and the reasons.
+OBSOLETE_SETTINGS = {
     ("caps", "probes"): "servers may not be probed",
     ("fees", "probe"): "servers may not be probed",
-    ("rules", "askEveryUs"): "the list comes unasked",
+    ("rules", "askEveryUs"): "the server list is pushed",
     ("importanceBasis",): "no longer read: requests carry no hints of their work",
 }
-PEERS = ("peer_listen", "peers", "peers_all")
+# The keys of the configuration by which agents send messages to each other.
+PEER_KEYS = ("peer_listen", "peers", "peers_all")
 
 
 class Plan(NamedTuple):
+    """The new configuration and notes for the operator. Each note begins with a key."""
+
     text: bytes  # of the new file
-    lost: list[str]  # what was not carried over, by key, with the reason
-    open: list[str]  # what the operator has to fill in or confirm, by key
-    fault: str  # what keeps it from passing `check`; empty if nothing does
+    dropped: list[str]  # the settings that were not carried over, with the reasons
+    to_confirm: list[str]  # the settings that the operator has to set or confirm
+    fault: str  # why the new configuration does not pass `check`; empty if it passes
 
 
-def fault(key, found, wanted):
+def configuration_error(key, found, wanted):
+    """The error that the value found at a key is not the one that is wanted."""
     return ConfigurationError(f"{key}: found {found!r}, wanted {wanted}")
 
 
 def load(path: str) -> dict:
+    """Reads a JSON object from a file.
+
+    Raises:
+        ConfigurationError: the file can't be read or contains no JSON object.
+    """
     try:
-        found = json.loads(Path(path).read_bytes())
-    except OSError as trouble:
-        raise fault(path, "no readable file", f"a configuration ({trouble.strerror})") from None
-    except (ValueError, RecursionError) as trouble:
-        raise fault(path, "no JSON", f"a configuration ({trouble})") from None
-    if not isinstance(found, dict):
-        raise fault(path, type(found).__name__, "an object")
-    return found
+        content = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise configuration_error(path, "no readable file", f"a configuration ({error.strerror})") from None
+    except (ValueError, RecursionError) as error:
+        raise configuration_error(path, "no JSON", f"a configuration ({error})") from None
+    if not isinstance(content, dict):
+        raise configuration_error(path, type(content).__name__, "an object")
+    return content
+
 
+def section(configuration_part: dict, key: str) -> dict:
+    """The object at a key of a configuration; empty if the key is missing.
 
-def part(old: dict, key: str) -> dict:
-    found = old.get(key, {})
-    if not isinstance(found, dict):
-        raise fault(key, found, "an object")
-    return found
+    Raises:
+        ConfigurationError: the value is not an object.
+    """
+    value = configuration_part.get(key, {})
+    if not isinstance(value, dict):
+        raise configuration_error(key, value, "an object")
+    return value
 
 
 def has_new_shape(settings: dict) -> bool:
+    """Whether the settings are those of an agent in a pool."""
     return (
-        all(settings.get(key) == word for key, word in SHAPE.items())
-        and part(settings, "feedback").get("how") == "answers"
-        and not part(settings, "caps").get("probes")
+        all(settings.get(key) == value for key, value in POOL_SETTINGS.items())
+        and section(settings, "feedback").get("how") == "answers"
+        and not section(settings, "caps").get("probes")
     )
 
 
-def check_number(settings: dict):
+def check_agent_number(settings: dict):
+    """Checks that the agent's number lies within its pool.
+
+    Raises:
+        ConfigurationError: the number is not less than the number of agents.
+    """
     number, agents = settings.get("myNumber", 0), settings.get("groupSize", 1)
     if number >= agents:
-        raise fault("settings.myNumber", number, f"under settings.groupSize, {agents}")
+        raise configuration_error("settings.myNumber", number, f"under settings.groupSize, {agents}")
+
 
+def plan(path: str, areas=(), zone=None, agents=None, number=None, columns=(), overrides=None) -> Plan | None:
+    """The plan for the configuration at `path`; None if it has the new shape already.
 
-def plan(path: str, areas=(), zone=None, agents=None, number=None, columns=(), over=None) -> Plan | None:
-    """What becomes of the file at `path`; None if it has the new shape already."""
+    Args:
+        path: The file of the old configuration.
+        areas: The names of the zones; empty to keep the old ones.
+        zone: The agent's own zone; None to keep the old one.
+        agents: The number of agents in the pool; None to keep the old number.
+        number: The number of this agent, from 0; None to keep the old one.
+        columns: The values that servers report; empty for "backlog" alone.
+        overrides: Settings that replace those of the old configuration.
+
+    Raises:
+        ConfigurationError: the old configuration can't be used, or the agent's number is not in the pool.
+    """
     old = load(path)
-    settings = part(old, "settings")
+    settings = section(old, "settings")
     if has_new_shape(settings):
         return None
     configuration.decode(
         json.dumps(old).encode(), path, dict.fromkeys(("PROXY_LISTEN", "PROXY_DISCOVERY"), "127.0.0.1:0")
     )
-    check_number(settings)
-    old_areas = settings.get("areas", [])
-    own = old_areas[settings.get("az", 0)] if old_areas else ""
-    lost, still = [], []
-
-    new = deepcopy(settings) | SHAPE
-    for *above, key in GONE:
-        holder = new
-        for each in above:
-            holder = holder.get(each, {})
-        if key in holder:
-            lost.append(f"{'.'.join(['settings', *above, key])}: {holder.pop(key)!r}: {GONE[*above, key]}")
+    check_agent_number(settings)
+    old_zones = settings.get("areas", [])
+    old_zone = old_zones[settings.get("az", 0)] if old_zones else ""
+    dropped, to_confirm = [], []
+
+    new = deepcopy(settings) | POOL_SETTINGS
+    for *parents, key in OBSOLETE_SETTINGS:
+        parent = new
+        for parent_key in parents:
+            parent = parent.get(parent_key, {})
+        if key in parent:
+            dropped.append(
+                f"{'.'.join(['settings', *parents, key])}: {parent.pop(key)!r}: "
+                f"{OBSOLETE_SETTINGS[*parents, key]}"
+            )
     new["caps"] = new.get("caps", {}) | {"probes": False}
     new["feedback"] = {"how": "answers", "columns": list(columns) or ["backlog"]}
     if not columns:
-        still.append("settings.feedback.columns: 'backlog' alone; name what servers report (--column)")
+        to_confirm.append("settings.feedback.columns: 'backlog' alone; name what servers report (--column)")
     if areas:
         new["areas"] = list(areas)
-    elif len(old_areas) != 2:
-        still.append(f"settings.areas: {len(old_areas)} carried over; name those of the new build (--area)")
-    zone = own if zone is None else zone
+    elif len(old_zones) != 2:
+        to_confirm.append(
+            f"settings.areas: {len(old_zones)} carried over; name those of the new deployment (--area)"
+        )
+    zone = old_zone if zone is None else zone
     if zone in new.get("areas", []):
         new["az"] = new["areas"].index(zone)
     elif new.get("areas"):
-        lost.append(f"settings.az: {own!r}: no zone of the new build")
+        dropped.append(f"settings.az: {old_zone!r}: not a zone of the new deployment")
         new["az"] = 0
-        still.append(f"settings.az: {new['areas'][0]!r} for want of another; say which (--zone)")
-    for key, given, option in (("groupSize", agents, "--agents"), ("myNumber", number, "--number")):
-        if given is not None:
-            new[key] = given
+        to_confirm.append(
+            f"settings.az: {new['areas'][0]!r} for lack of a known zone; name the agent's own zone (--zone)"
+        )
+    for key, value, option in (("groupSize", agents, "--agents"), ("myNumber", number, "--number")):
+        if value is not None:
+            new[key] = value
         else:
-            still.append(
-                f"settings.{key}: {new.get(key, 'none')!r} was counted among agents beside their "
-                f"clients; say what it is in the pool ({option})"
+            to_confirm.append(
+                f"settings.{key}: {new.get(key, 'none')!r} refers to agents beside their clients; "
+                f"give the value for the pool ({option})"
             )
-    new |= over or {}
-    if "workloads" not in (over or {}):
-        still.append(
+    new |= overrides or {}
+    if "workloads" not in (overrides or {}):
+        to_confirm.append(
             "settings.workloads: carried over; confirm latency targets, limits, repeats (--settings)"
         )
     if "objectiveMix" not in new:
-        still.append("settings.objectiveMix: none, so no request class counts apart; say it where one does")
+        to_confirm.append(
+            "settings.objectiveMix: missing, so the worst-served request class has no extra weight; "
+            "set it if it should"
+        )
 
-    made = {key: value for key, value in old.items() if key not in (*PEERS, "known", "settings")}
-    for key in PEERS:
+    converted = {key: value for key, value in old.items() if key not in (*PEER_KEYS, "known", "settings")}
+    for key in PEER_KEYS:
         if key in old:
-            lost.append(f"{key}: agents of the pool have no way to talk to each other")
-    known = part(old, "known").get("targets", ())
-    if known:
-        lost.append(f"known: {len(known)} servers: of the old build, with weights of another kind")
-    made["settings"] = new
-    still.append(f"listen: {old.get('listen', 'none')!r}: clients come through a front layer; confirm")
-    still.append("limits: one agent now serves many clients; confirm sockets and memory_mb")
-    text = (json.dumps(made, indent=2, ensure_ascii=False) + "\n").encode()
+            dropped.append(f"{key}: agents of a pool cannot send each other messages")
+    known_servers = section(old, "known").get("targets", ())
+    if known_servers:
+        dropped.append(
+            f"known: {len(known_servers)} servers: of the old deployment, with weights of another kind"
+        )
+    converted["settings"] = new
+    to_confirm.append(
+        f"listen: {old.get('listen', 'none')!r}: clients connect through a front layer; confirm"
+    )
+    to_confirm.append("limits: one agent now serves many clients; confirm sockets and memory_mb")
+    text = (json.dumps(converted, indent=2, ensure_ascii=False) + "\n").encode()
     try:
         configuration.decode(text, path, os.environ)
-        trouble = ""
-    except ConfigurationError as found:
-        trouble = str(found)
-    if not trouble:
-        check_number(new)  # numbers, by now: what was laid over may be of any type
-    return Plan(text, lost, still, trouble)
-
-
-def write(text: bytes, old: str, new: str, over: bool):
-    """The new file appears whole or not at all, never in the place of the old one."""
+        fault = ""
+    except ConfigurationError as error:
+        fault = str(error)
+    if not fault:
+        # Only now: the overrides may have any type, and `decode` rejects numbers that can't be compared.
+        check_agent_number(new)
+    return Plan(text, dropped, to_confirm, fault)
+
+
+def write(text: bytes, old: str, new: str, replaces: bool):
+    """Writes the new file, whole or not at all.
+
+    Args:
+        text: The content of the new file.
+        old: The path of the old file, which is never replaced.
+        new: The path of the new file.
+        replaces: Whether a file at the new path is replaced.
+
+    Raises:
+        ConfigurationError: the new path is that of the old file, has a file already, or can't be written.
+    """
     target = Path(new)
     if target.exists() and target.samefile(old):
-        raise fault("NEW", new, "another file than OLD")
+        raise configuration_error("NEW", new, "another file than OLD")
     try:
-        atomic_write.write(target, text, os.replace if over else os.link, 0o644)
+        atomic_write.write(target, text, os.replace if replaces else os.link, 0o644)
     except FileExistsError:
-        raise fault("NEW", new, "a path with no file yet, or --force") from None
-    except OSError as trouble:
-        raise fault("NEW", new, f"a path that can be written ({trouble.strerror})") from None
+        raise configuration_error("NEW", new, "a path with no file yet, or --force") from None
+    except OSError as error:
+        raise configuration_error("NEW", new, f"a path that can be written ({error.strerror})") from None
