--- a/cartdeal/lab/__init__.py
+++ b/cartdeal/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: variants of a world on the same seeds."""
+"""Experiments: variants of a world, or of a fleet scenario, on the same seeds."""
--- a/cartdeal/lab/baselines.py
+++ b/cartdeal/lab/baselines.py
@@ -1,54 +1,67 @@
-"""Plain policies to measure against: only which server of a zone takes an attempt is theirs.
+"""Baseline policies for comparison: they differ from the balancer in how a server of a zone is selected.
 
-They live here alone. Rules that an agent owes (group, window, drains, cold ramp) are kept as the module keeps
-them, so that a comparison is of choices and not of broken rules. An agent in service must never import them.
+They follow the balancer's rules on deduplication, draining servers and slow start, so that a comparison
+measures the selection and not broken rules. An agent in service must never import this module.
 """
 
 from cartdeal.agent.reducer import Reducer
 
 
-class Plain(Reducer):
+class BaselineReducer(Reducer):
+    """A reducer whose balancer selects servers by a baseline policy and never probes a server first."""
+
     def __init__(self, *args):
         super().__init__(*args)
         self.turn = 0
-        self.balancer.select_server = self.pick
+        self.balancer.select_server = self.select_server
         self.balancer.must_probe_first = lambda server, now: False
 
-    def pick(self, members, request, now):
-        balancer, like, able = self.balancer, None, []
+    def select_server(self, members, request, now):
+        """A server among the members of a zone that may get the request now; None if there is none."""
+        balancer, warm_rate, candidates = self.balancer, None, []
         for server in members:
             if server in request.tried_servers or not balancer.is_attempt_safe(request, server, now):
                 continue
             if server.started_at and now - server.started_at < balancer.settings.slow_start_duration:
-                like = balancer.warm_send_rate(server.zone, now) if like is None else like
-                if not balancer.slow_start_allows(server, now, like):
+                warm_rate = balancer.warm_send_rate(server.zone, now) if warm_rate is None else warm_rate
+                if not balancer.slow_start_allows(server, now, warm_rate):
                     continue
-            able.append(server)
-        return self.choose(able) if able else None
+            candidates.append(server)
+        return self.choose(candidates) if candidates else None
 
-    def choose(self, able):
+    def choose(self, candidates):
+        """One of the candidates, by the policy."""
         raise NotImplementedError
 
 
-class Random(Plain):
-    def choose(self, able):
-        return able[int(self.balancer.random_fraction() * len(able))]
+class RandomReducer(BaselineReducer):
+    """Selects a random server."""
+
+    def choose(self, candidates):
+        """A random candidate."""
+        return candidates[int(self.balancer.random_fraction() * len(candidates))]
+
+
+class LeastInFlightReducer(BaselineReducer):
+    """Selects the server with the fewest attempts of this agent in flight."""
 
+    def choose(self, candidates):
+        """The candidate with the fewest attempts in flight."""
+        return min(candidates, key=lambda server: (len(server.in_flight), server.name_hash))
 
-class LeastInFlight(Plain):
-    def choose(self, able):
-        return min(able, key=lambda server: (len(server.in_flight), server.name_hash))
 
+class RoundRobinReducer(BaselineReducer):
+    """Selects the servers in turn."""
 
-class RoundRobin(Plain):
-    def choose(self, able):
+    def choose(self, candidates):
+        """The next candidate in turn."""
         self.turn += 1
-        return able[self.turn % len(able)]
+        return candidates[self.turn % len(candidates)]
 
 
-POLICIES = {
+REDUCERS_BY_POLICY = {
     "cartdeal": Reducer,
-    "random": Random,
-    "least_in_flight": LeastInFlight,
-    "round_robin": RoundRobin,
+    "random": RandomReducer,
+    "least_in_flight": LeastInFlightReducer,
+    "round_robin": RoundRobinReducer,
 }
--- a/cartdeal/lab/experiment.py
+++ b/cartdeal/lab/experiment.py
@@ -1,7 +1,8 @@
-"""An experiment: a world or a play of the fleet, variants and seeds, from a checked TOML file; in processes.
+"""Runs an experiment: variants of a world, or of a fleet scenario, on the same seeds, in several processes.
 
-A table is written whole or not at all, and says which commit, world (or play) and seeds made it. It must
-never hold a figure that was not played.
+An experiment is read from a TOML file and checked. Its table is written whole or not at all, and names the
+commit, the world or scenario, and the seeds that it was made from. It must never contain a figure that was
+not measured.
 """
 
 import csv
@@ -21,40 +22,51 @@
 from cartdeal.emulator.report import percentiles
 from cartdeal.emulator.world import InvalidInputError, StrictStruct
 from cartdeal.lab import fleets
-from cartdeal.lab.baselines import POLICIES
+from cartdeal.lab.baselines import REDUCERS_BY_POLICY
 
 
 class Variant(StrictStruct):
+    """A variant of the world or of the scenario."""
+
     name: str
     policy: str = "cartdeal"
-    set: dict = msgspec.field(default_factory=dict)  # dotted keys of the world; keys of the play
+    set: dict = msgspec.field(default_factory=dict)  # by dotted keys of the world, or keys of the scenario
 
 
 class Experiment(StrictStruct):
+    """The content of an experiment file."""
+
     seeds: tuple[int, ...]
     variant: tuple[Variant, ...]
-    world: str = ""
-    play: str = ""  # of the fleet (fleets.py), in place of a world
+    world: str = ""  # the path of its file
+    play: str = ""  # the fleet scenario (see fleets.py) that is run instead of a world
+
 
+def read_experiment(path) -> tuple[Experiment, list]:
+    """Reads an experiment file.
 
-def read(path) -> tuple[Experiment, list]:
-    """The experiment, and the world of each variant, or its terms where the fleet is played."""
+    Returns:
+        The experiment, and for each variant its world, or its settings of the scenario.
+
+    Raises:
+        InvalidInputError: the file, or that of its world, can't be read or used.
+    """
     try:
-        found = tomllib.loads(Path(path).read_text())
-        experiment = msgspec.convert(found, Experiment)
-        plays = ", ".join(fleets.PLAYS)
-        wrong = [
+        content = tomllib.loads(Path(path).read_text())
+        experiment = msgspec.convert(content, Experiment)
+        scenarios = ", ".join(fleets.SCENARIOS)
+        checks = [
             (
                 "world",
                 experiment.world,
-                f"one of world (a file) and play ({plays})",
+                f"one of world (a file) and play ({scenarios})",
                 bool(experiment.world) == bool(experiment.play),
             ),
             (
                 "play",
                 experiment.play,
-                f"one of {plays}",
-                experiment.play and experiment.play not in fleets.PLAYS,
+                f"one of {scenarios}",
+                experiment.play and experiment.play not in fleets.SCENARIOS,
             ),
             (
                 "seeds",
@@ -65,127 +77,156 @@
             (
                 "variant",
                 [each.name for each in experiment.variant],
-                "one or more, each of its own name",
+                "one or more, each with a name of its own",
                 len({each.name for each in experiment.variant}) < max(1, len(experiment.variant)),
             ),
         ]
-        wrong += [
+        checks += [
             (
-                f"variant[{place}].policy",
+                f"variant[{index}].policy",
                 each.policy,
-                f"one of {', '.join(POLICIES)}",
-                each.policy not in POLICIES,
+                f"one of {', '.join(REDUCERS_BY_POLICY)}",
+                each.policy not in REDUCERS_BY_POLICY,
             )
-            for place, each in enumerate(experiment.variant)
+            for index, each in enumerate(experiment.variant)
         ]
-        wrong += [
+        checks += [
             (
-                f"variant[{place}].policy",
+                f"variant[{index}].policy",
                 each.policy,
-                "none where the fleet is played",
+                "none in an experiment with a play",
                 experiment.play and each.policy != "cartdeal",
             )
-            for place, each in enumerate(experiment.variant)
+            for index, each in enumerate(experiment.variant)
         ]
-        for key, found_there, wanted, is_wrong in wrong:
-            if is_wrong:
-                raise InvalidInputError(f"{key}: found {found_there!r}, wanted {wanted}")
+        for key, value, wanted, is_invalid in checks:
+            if is_invalid:
+                raise InvalidInputError(f"{key}: found {value!r}, wanted {wanted}")
         if experiment.play:
             return experiment, [
-                fleets.made(experiment.play, each.set, f"variant[{place}].set")
-                for place, each in enumerate(experiment.variant)
+                fleets.scenario_settings(experiment.play, each.set, f"variant[{index}].set")
+                for index, each in enumerate(experiment.variant)
             ]
         file = Path(path).parent / experiment.world
         base = tomllib.loads(file.read_text())
-        return experiment, [varied(base, each, place) for place, each in enumerate(experiment.variant)]
-    except OSError as trouble:
+        return experiment, [variant_world(base, each, index) for index, each in enumerate(experiment.variant)]
+    except OSError as error:
         raise InvalidInputError(
-            f"{path}: found no readable file {trouble.filename} ({trouble.strerror})"
+            f"{path}: found no readable file {error.filename} ({error.strerror})"
         ) from None
-    except (tomllib.TOMLDecodeError, UnicodeError, msgspec.ValidationError, InvalidInputError) as trouble:
-        raise InvalidInputError(f"{path}: {trouble}") from None
+    except (tomllib.TOMLDecodeError, UnicodeError, msgspec.ValidationError, InvalidInputError) as error:
+        raise InvalidInputError(f"{path}: {error}") from None
+
 
+def variant_world(base: dict, variant: Variant, index: int) -> worlds.World:
+    """The world of a variant: the base with the variant's values at their dotted keys.
 
-def varied(base: dict, variant: Variant, place: int) -> worlds.World:
-    whole = deepcopy(base)
+    Raises:
+        InvalidInputError: a key or a value is not one of a world.
+    """
+    content = deepcopy(base)
     for key, value in variant.set.items():
-        at, *path = reversed(key.split("."))
-        there = whole
-        for part in reversed(path):
-            there = there.setdefault(part, {})
-            if not isinstance(there, dict):
-                raise InvalidInputError(f"variant[{place}].set: found {key!r}, wanted a key of a world")
-        there[at] = value
+        last_key, *parents = reversed(key.split("."))
+        table = content
+        for parent in reversed(parents):
+            table = table.setdefault(parent, {})
+            if not isinstance(table, dict):
+                raise InvalidInputError(f"variant[{index}].set: found {key!r}, wanted a key of a world")
+        table[last_key] = value
     try:
-        return worlds.world_from_dict(whole)
-    except InvalidInputError as trouble:
-        raise InvalidInputError(f"variant[{place}]: {trouble}") from None
+        return worlds.world_from_dict(content)
+    except InvalidInputError as error:
+        raise InvalidInputError(f"variant[{index}]: {error}") from None
 
 
-def one(name: str, world: worlds.World, policy: str, seed: int) -> dict:
-    fleet = Fleet(world, seed, POLICIES[policy]).run()
+def run_world(name: str, world: worlds.World, policy: str, seed: int) -> dict:
+    """Runs a variant's world on a seed; returns its row of the table."""
+    fleet = Fleet(world, seed, REDUCERS_BY_POLICY[policy]).run()
     return {"variant": name, "seed": seed} | fleet.figures() | percentiles(fleet.latencies)
 
 
-def run(path, to, workers: int) -> list[dict]:
-    experiment, played = read(path)
-    do, code = fleets.one if experiment.play else one, commit()
+def run(path, table_path, workers: int) -> list[dict]:
+    """Runs the experiment in a file, writes its table, and returns the table's rows.
+
+    Args:
+        path: The experiment file.
+        table_path: The file of the table.
+        workers: The number of processes.
+
+    Raises:
+        InvalidInputError: the experiment can't be used.
+    """
+    experiment, worlds_or_settings = read_experiment(path)
+    run_job, version = fleets.run_scenario if experiment.play else run_world, code_version()
     jobs = [
-        (variant.name, what, experiment.play or variant.policy, seed)
-        for variant, what in zip(experiment.variant, played, strict=True)
+        (variant.name, world_or_settings, experiment.play or variant.policy, seed)
+        for variant, world_or_settings in zip(experiment.variant, worlds_or_settings, strict=True)
         for seed in experiment.seeds
     ]
     pool = ProcessPoolExecutor(workers, mp_context=get_context("spawn"))
     try:
-        rows = [future.result() for future in [pool.submit(do, *job) for job in jobs]]
+        rows = [future.result() for future in [pool.submit(run_job, *job) for job in jobs]]
     except BaseException:
         for process in list((pool._processes or {}).values()):
             process.terminate()
         pool.shutdown(wait=False, cancel_futures=True)
         raise
     pool.shutdown()
-    made_of = f"play {experiment.play}" if experiment.play else experiment.world
-    keep(
-        to,
+    source = f"play {experiment.play}" if experiment.play else experiment.world
+    write_table(
+        table_path,
         rows,
-        f"commit {code}, {Path(path).name}, {made_of}, seeds " + " ".join(map(str, experiment.seeds)),
+        f"commit {version}, {Path(path).name}, {source}, seeds " + " ".join(map(str, experiment.seeds)),
     )
     return rows
 
 
-def broken(path, rows) -> bool:
-    """Whether a rule was broken: by the first variant of a world, beside which the others are there to be
-    worse, or by any of the fleet."""
-    every = read(path)[0].play
-    return any(int(row.get("violations", 0)) for row in rows if every or row["variant"] == rows[0]["variant"])
+def has_violations(path, rows) -> bool:
+    """Whether a rule was broken.
 
+    In an experiment with a world, only the first variant counts: the others are there for comparison and may
+    be worse. In one with a fleet scenario, every variant counts.
+    """
+    counts_all = read_experiment(path)[0].play
+    return any(
+        int(row.get("violations", 0)) for row in rows if counts_all or row["variant"] == rows[0]["variant"]
+    )
 
-def commit() -> str:
-    """Of the code that is being played; `+` where it differs from it."""
 
-    def git(*words):
-        here = Path(__file__).parents[1]
-        return subprocess.run(["git", *words], capture_output=True, text=True, cwd=here).stdout.strip()
+def code_version() -> str:
+    """The commit of the code that runs, followed by `+` if the code differs from it."""
+
+    def git(*arguments):
+        package_folder = Path(__file__).parents[1]
+        return subprocess.run(
+            ["git", *arguments], capture_output=True, text=True, cwd=package_folder
+        ).stdout.strip()
 
     return (git("rev-parse", "--short", "HEAD") or "unknown") + "+" * bool(git("status", "--short", "."))
 
 
-def keep(to, rows, words):
+def write_table(path, rows, description):
+    """Writes a table of rows (CSV), whole or not at all; its first line is `# ` and the description."""
     text = io.StringIO()
-    text.write(f"# {words}\n")
+    text.write(f"# {description}\n")
     writer = csv.DictWriter(text, rows[0], lineterminator="\n")
     writer.writeheader()
     writer.writerows(rows)
-    Path(to).parent.mkdir(parents=True, exist_ok=True)
-    atomic_write.write(to, text.getvalue().encode())
+    Path(path).parent.mkdir(parents=True, exist_ok=True)
+    atomic_write.write(path, text.getvalue().encode())
+
 
+def read_table(path) -> tuple[str, list[dict]]:
+    """The description and the rows of a table.
 
-def kept(path) -> tuple[str, list[dict]]:
+    Raises:
+        InvalidInputError: the file is not a table.
+    """
     try:
-        words, *lines = Path(path).read_text().splitlines()
+        description, *lines = Path(path).read_text().splitlines()
         rows = list(csv.DictReader(lines))
-    except (OSError, ValueError) as trouble:
-        raise InvalidInputError(f"{path}: found no table ({trouble})") from None
-    if not rows or not {"variant", "seed"} <= rows[0].keys() or not words.startswith("# "):
+    except (OSError, ValueError) as error:
+        raise InvalidInputError(f"{path}: found no table ({error})") from None
+    if not rows or not {"variant", "seed"} <= rows[0].keys() or not description.startswith("# "):
         raise InvalidInputError(f"{path}: found no table, wanted one that `lab run` wrote")
-    return words[2:], rows
+    return description[2:], rows
