--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -190,13 +190,13 @@
 
     def on_attempt_ended(self, host: SimulatedHost, body: bytes, position: int, tail: int):
         """Passes on the outcome of an attempt."""
-        _, number, name, code, duration_us, attempt, is_last, report_size, *values = wire.ENDED.unpack_from(
-            body, position
+        _, number, name, code, duration_us, attempt, is_finished, report_size, *values = (
+            wire.ENDED.unpack_from(body, position)
         )
         outcome = wire.decode_code(wire.OUTCOMES, code, "outcome")
         report = host.load_report(report_size, values)
         host.balancer.on_attempt_ended(
-            number, host.server_index(name), outcome, attempt, duration_us / 1e6, bool(is_last), report
+            number, host.server_index(name), outcome, attempt, duration_us / 1e6, bool(is_finished), report
         )
 
     def on_head_received(self, host: SimulatedHost, body: bytes, position: int, tail: int):
--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -14,7 +14,7 @@
 def raise_on_signals():
     """Makes SIGINT and SIGTERM raise KeyboardInterrupt, so that a command ends the processes it has started.
 
-    A script may have started the command with SIGINT ignored.
+    The handler of SIGINT is set too because a script may start the command with SIGINT ignored.
     """
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, signal.default_int_handler)
--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -190,7 +190,7 @@
     except ConfigurationError as error:
         fault = str(error)
     if not fault:
-        # Only now: the overrides may have any type, and `decode` rejects numbers that can't be compared.
+        # The overrides may have any type, so the numbers are compared only after `decode` has checked the types.
         check_agent_number(new)
     return Plan(text, dropped, to_confirm, fault)
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -25,15 +25,18 @@
 
 
 def pad(data):
+    """A record with the zeros that give it its fixed size of 40 bytes."""
     return data.ljust(40, b"\0")
 
 
 def frame(index, records, tail=b""):
+    """A batch with this index; batches are 5 ms apart."""
     body = b"".join(pad(record) for record in records) + tail
     return struct.pack("<IIQI", len(records), len(body), 1_000_000 + index * 5000, index) + body
 
 
 def launch(instance):
+    """The records and the tail that launch an instance and send it a list of six servers."""
     settings = json.dumps(SETTINGS).encode()
     servers = [struct.pack("<6sBHHBfQ", bytes([10, 0, 0, n, 1, 2]), n % 2, 0, 0, 2, 1.0, 0) for n in range(6)]
     return [
@@ -44,10 +47,12 @@
 
 
 def inbound(instance, number):
+    """The record of a client's request with a timeout of 3 s."""
     return struct.pack("<BHIHIQQIB", 18, instance, number, 0, 0, number * 7919, 3_000_000, 0, 0)
 
 
 def run(data, seed="0"):
+    """Runs the adapter on the data, with a seed for Python's hashes."""
     env = {**os.environ, "PYTHONHASHSEED": seed}
     return subprocess.run(COMMAND, input=data, capture_output=True, env=env)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -76,9 +76,8 @@
     (_, mean, half_width, *_), (_, _, _, difference, difference_half_width) = compare_variants(rows, "served")
     assert mean == pytest.approx(0.5333, abs=1e-3) and half_width > 0.5
     assert difference == pytest.approx(0.05) and difference_half_width < 1e-9
-    assert mean_with_interval([1.0, 3.0])[1] == pytest.approx(
-        12.706, abs=1e-3
-    )  # Student's t with one degree of freedom
+    # Student's t with one degree of freedom.
+    assert mean_with_interval([1.0, 3.0])[1] == pytest.approx(12.706, abs=1e-3)
 
 
 @pytest.mark.parametrize("policy", [name for name in REDUCERS_BY_POLICY if name != "cartdeal"])
@@ -168,9 +167,8 @@
         "lab", "run", experiment_file, tmp_path / "t.csv", "--workers", 2, start_new_session=True
     )
     children = f"/proc/{process.pid}/task/{process.pid}/children"
-    while (
-        len(workers := open(children).read().split()) < 3
-    ):  # two workers, and the resource tracker of multiprocessing
+    # Two workers, and the resource tracker of multiprocessing.
+    while len(workers := open(children).read().split()) < 3:
         time.sleep(0.01)
     os.kill(process.pid, signal.SIGINT)
     process.communicate(timeout=30)
@@ -207,7 +205,8 @@
         "lab", "run", tmp_path / "f.toml", tmp_path / "t.csv", "--workers", 1, start_new_session=True
     )
 
-    while len(processes := descendants(process.pid)) < 6:  # the worker, the resource tracker, and four agents
+    # The worker, the resource tracker of multiprocessing, and four agents.
+    while len(processes := descendants(process.pid)) < 6:
         time.sleep(0.01)
     os.kill(process.pid, signal.SIGTERM)
     process.communicate(timeout=30)
