--- a/cartdeal/migration.py
+++ b/cartdeal/migration.py
@@ -190,7 +190,7 @@
     except ConfigurationError as error:
         fault = str(error)
     if not fault:
-        # The overrides may have any type, so the numbers are compared only after `decode` has checked the types.
+        # Compared only after `decode` has checked the types: the overrides may have any type.
         check_agent_number(new)
     return Plan(text, dropped, to_confirm, fault)
 
