--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -136,7 +136,7 @@
     from cartdeal.emulator import report, world
     from cartdeal.rig import play
 
-    found, run = world.read_world(file), run or play.command(deploy)
+    found, run = world.read_world(file), run or play.read_agent_command(deploy)
     interruptible()
     sys.exit(report.run_seeds(lambda seed: play.Rig(found, seed, run).play(), seeds))
 
@@ -156,9 +156,9 @@
     for seed in seeds:
         played = play.Soak(seed, agents, seconds, faults).play()
         click.echo(played.report())
-        broken += len(played.judge.violations)
+        broken += len(played.rule_checker.violations)
         if logs:
-            play.keep_logs(played, logs)
+            play.save_logs(played, logs)
     sys.exit(1 if broken else 0)
 
 
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -20,7 +20,7 @@
 
 from cartdeal.agent.connection import Connection
 from cartdeal.emulator.world import InvalidInputError
-from cartdeal.rig.stands import HOST, Listener, said
+from cartdeal.rig.fake_servers import LOOPBACK_HOST, Listener, http_response
 
 AGENTS = 3  # with the fleet; as many without
 READY = 60.0  # until all serve and the fleet knows its sessions
@@ -46,10 +46,10 @@
     """Answers at once, and always the same."""
 
     def __init__(self, answer=b"done"):
-        self.answer = said(200, answer)
+        self.answer = http_response(200, answer)
         super().__init__()
 
-    def play(self, connection, message):
+    def handle_request(self, connection, message):
         connection.sock.sendall(self.answer)
 
 
@@ -62,7 +62,7 @@
             json.dumps(
                 {
                     "name": self.name,
-                    "listen": f"{HOST}:0",
+                    "listen": f"{LOOPBACK_HOST}:0",
                     "discovery": pairs.list.address,
                     "seed": f"{pairs.seed * 64 + number:x}",
                     "known": pairs.known,
@@ -120,7 +120,7 @@
     def ask(self, head: bytes) -> tuple[int, float]:
         """Status, and seconds until the whole answer was there."""
         if self.connection is None or self.connection.closed:
-            sock = socket.create_connection((HOST, self.port))
+            sock = socket.create_connection((LOOPBACK_HOST, self.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.connection = Connection(sock, reads_responses=True)
         begun = monotonic()
@@ -176,7 +176,7 @@
             }
             self.list = Server(json.dumps(self.known).encode())
             self.stands.append(self.list)
-            seeds = {f"n{number}": f"{HOST}:{free_port()}" for number in range(AGENTS)}
+            seeds = {f"n{number}": f"{LOOPBACK_HOST}:{free_port()}" for number in range(AGENTS)}
             self.on = [Agent(self, number, seeds) for number in range(AGENTS)]
             self.off = [Agent(self, number, {}) for number in range(AGENTS)]
             until = monotonic() + READY
@@ -245,5 +245,5 @@
 
 def free_port() -> int:
     with socket.socket() as sock:
-        sock.bind((HOST, 0))
+        sock.bind((LOOPBACK_HOST, 0))
         return sock.getsockname()[1]
--- a/cartdeal/rig/faulty_agent.py
+++ b/cartdeal/rig/faulty_agent.py
@@ -15,8 +15,8 @@
 from cartdeal.agent import effects, start  # noqa: E402
 from cartdeal.rig.system_faults import SystemFaults  # noqa: E402
 
-FAULTS = "AGENT_FAULTS"
-ERRORS = {  # of each call, those that leave its connection as it was
+FAULTS_VARIABLE = "AGENT_FAULTS"
+ERRORS_BY_CALL = {  # of each call, those that leave its connection as it was
     "accept": (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
     "connect": (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENETUNREACH, errno.ECONNREFUSED),
     "send": (errno.ENOBUFS, errno.ENOMEM),
@@ -26,16 +26,16 @@
 }
 
 
-def install(text: str):
-    seed, chance, wall_ahead = text.split(",")
+def install(specification: str):
+    seed, chance, wall_ahead = specification.split(",")
     faults = SystemFaults(int(seed))
     faults.install(setattr)
-    for call, errors in ERRORS.items():
-        faults.fail(call, *errors, chance=float(chance))
+    for call, errnos in ERRORS_BY_CALL.items():
+        faults.fail(call, *errnos, chance=float(chance))
     wall_clock = effects.time
     effects.time = lambda: wall_clock() + float(wall_ahead)
 
 
 if __name__ == "__main__":
-    install(os.environ[FAULTS])
+    install(os.environ[FAULTS_VARIABLE])
     sys.exit(start.main())
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -23,46 +23,49 @@
 from cartdeal.agent.connection import Connection, MalformedMessageError
 from cartdeal.emulator.rule_checker import RuleChecker
 from cartdeal.emulator.world import InvalidInputError, World, agent_settings
-from cartdeal.rig.stands import HOST, DiscoveryService, Server
+from cartdeal.rig.fake_servers import LOOPBACK_HOST, DiscoveryService, Server
 from cartdeal.simulated_time import seeded_random
 
-MOST_AGENTS = 1024
-MOST_SECONDS = 300.0
-LIVES = 16  # starts of one agent whose seeds are all different
-STARTED_AT_ONCE = 64  # more would wait for a processor for longer than READY
-READY = 20.0  # how long an agent may take to serve
-RESTART = 1.0  # how long a killed agent is away
-TAIL = 1.0  # after the longest deadline, when all must be answered
-COUNTED = "shots", "crossings", "probes", "list calls", "late clients", "faults logged"
-UNPLAYABLE = ("zone_cut",)  # loopback has no zones to cut
-PORT = re.compile(rb"msg=serving .*\bport=(\d+)")
-ANSWERS = 200, 502, 503
-METHODS = {"safe": "GET"}
-
-
-def command(deploy) -> str:
+MAX_AGENTS = 1024
+MAX_DURATION_S = 300.0
+MAX_STARTS_PER_AGENT = 16  # starts of one agent whose seeds are all different
+MAX_CONCURRENT_STARTS = 64  # more would wait for a processor for longer than READY
+AGENT_START_TIMEOUT_S = 20.0  # how long an agent may take to serve
+RESTART_DELAY_S = 1.0  # how long a killed agent is away
+LATE_ANSWER_WAIT_S = 1.0  # after the longest deadline, when all must be answered
+REPORTED_COUNTERS = "shots", "crossings", "probes", "list calls", "late clients", "faults logged"
+UNPLAYABLE_FAULTS = ("zone_cut",)  # loopback has no zones to cut
+SERVING_PORT_PATTERN = re.compile(rb"msg=serving .*\bport=(\d+)")
+EXPECTED_STATUSES = 200, 502, 503
+HTTP_METHODS = {"safe": "GET"}
+
+
+def read_agent_command(deploy) -> str:
     try:
         return tomllib.loads(Path(deploy).read_text())["run"]
-    except (OSError, KeyError, tomllib.TOMLDecodeError) as trouble:
+    except (OSError, KeyError, tomllib.TOMLDecodeError) as error:
         raise InvalidInputError(
-            f"{deploy}: run: found none ({trouble!r}), wanted the command of an agent"
+            f"{deploy}: run: found none ({error!r}), wanted the command of an agent"
         ) from None
 
 
-def check(world: World):
-    for place, fault in enumerate(world.fault):
-        if fault.kind in UNPLAYABLE:
+def check_world(world: World):
+    for index, fault in enumerate(world.fault):
+        if fault.kind in UNPLAYABLE_FAULTS:
             raise InvalidInputError(
-                f"fault[{place}].kind: found {fault.kind!r}, wanted one that loopback can play"
+                f"fault[{index}].kind: found {fault.kind!r}, wanted one that loopback can play"
             )
-    for key, found, most in (("agents", world.agents, MOST_AGENTS), ("seconds", world.seconds, MOST_SECONDS)):
-        if found > most:
-            raise InvalidInputError(f"{key}: found {found!r}, wanted {most} at most on sockets")
+    for key, found, maximum in (
+        ("agents", world.agents, MAX_AGENTS),
+        ("seconds", world.seconds, MAX_DURATION_S),
+    ):
+        if found > maximum:
+            raise InvalidInputError(f"{key}: found {found!r}, wanted {maximum} at most on sockets")
 
 
-def agent_seed(seed: int, number: int, life: int) -> int:
+def agent_seed(seed: int, number: int, start_count: int) -> int:
     """A seed of its own for each agent of each play and each of its first starts."""
-    return (seed * MOST_AGENTS + number) * LIVES + life
+    return (seed * MAX_AGENTS + number) * MAX_STARTS_PER_AGENT + start_count
 
 
 class Agent:
@@ -70,21 +73,25 @@
 
     def __init__(self, rig, number, zone):
         self.rig, self.number, self.zone = rig, number, zone
-        self.process, self.port, self.idle, self.life = None, 0, [], 0
+        self.process, self.port, self.idle_connections, self.start_count = None, 0, [], 0
 
     def start(self):
         rig = self.rig
-        self.life += 1
-        known = {"rev": rig.list.version, "all": True, "targets": list(rig.list.lines.values())}
-        file = Path(rig.folder, f"{self.number}.json")
-        file.write_text(
+        self.start_count += 1
+        known_list = {
+            "rev": rig.discovery.version,
+            "all": True,
+            "targets": list(rig.discovery.entries.values()),
+        }
+        configuration_path = Path(rig.folder, f"{self.number}.json")
+        configuration_path.write_text(
             json.dumps(
                 {
                     "name": f"n{self.number}",
-                    "listen": f"{HOST}:0",
-                    "discovery": rig.list.address,
-                    "seed": f"{agent_seed(rig.seed, self.number, self.life):x}",
-                    "known": known,
+                    "listen": f"{LOOPBACK_HOST}:0",
+                    "discovery": rig.discovery.address,
+                    "seed": f"{agent_seed(rig.seed, self.number, self.start_count):x}",
+                    "known": known_list,
                     "limits": {"memory_mb": 192, "sockets": 1024},
                     "settings": agent_settings(rig.world, self.number, self.zone),
                 }
@@ -95,29 +102,29 @@
             ["/bin/sh", "-c", rig.run],
             stderr=subprocess.PIPE,
             start_new_session=True,
-            env={"PROXY_CONFIG": str(file), "PATH": "/usr/bin:/bin"},
+            env={"PROXY_CONFIG": str(configuration_path), "PATH": "/usr/bin:/bin"},
         )
-        with gevent.Timeout(READY):
-            while not (found := PORT.search(line := self.process.stderr.readline())):
+        with gevent.Timeout(AGENT_START_TIMEOUT_S):
+            while not (found := SERVING_PORT_PATTERN.search(line := self.process.stderr.readline())):
                 if not line:
                     raise InvalidInputError(
                         f"run: found {rig.run!r}, which ended with status {self.process.wait()}"
                     )
         self.port = int(found[1])
-        gevent.spawn(self.drain, self.process.stderr)
+        gevent.spawn(self.read_log, self.process.stderr)
 
-    def drain(self, log):
+    def read_log(self, log):
         for line in log:
-            self.rig.count["log lines"] += 1
-            self.rig.count["faults logged"] += b"level=ERROR" in line
+            self.rig.counts["log lines"] += 1
+            self.rig.counts["faults logged"] += b"level=ERROR" in line
 
     def kill(self):
         self.rig.rule_checker.on_agent_killed(self.number)
         self.port = 0
         self.stop()
-        for connection in self.idle:
+        for connection in self.idle_connections:
             connection.close()
-        self.idle.clear()
+        self.idle_connections.clear()
 
     def stop(self):
         if self.process:
@@ -130,88 +137,96 @@
 
 class Rig:
     def __init__(self, world: World, seed: int, run: str):
-        check(world)
+        check_world(world)
         self.world, self.seed, self.run = world, seed, run
-        self.began, self.offset = monotonic(), time()
-        self.rule_checker, self.count = RuleChecker(world), Counter()
+        self.started_at, self.wall_offset = monotonic(), time()
+        self.rule_checker, self.counts = RuleChecker(world), Counter()
         self.offered = self.served = 0.0
-        self.rush, self.hot, self.latencies, self.named, self.requests = 1.0, 0.0, [], 0, 0
-        self.request_classes = list(accumulate(each.share for each in world.request_class))
-        self.popular = list(
-            accumulate((1 + place) ** -world.clients.popularity for place in range(world.clients.keys))
+        (
+            self.arrival_rate_factor,
+            self.hot_key_share,
+            self.latencies,
+            self.next_server_number,
+            self.requests,
+        ) = 1.0, 0.0, [], 0, 0
+        self.cumulative_class_shares = list(accumulate(each.share for each in world.request_class))
+        self.cumulative_key_weights = list(
+            accumulate((1 + index) ** -world.clients.popularity for index in range(world.clients.keys))
         )
-        self.kinds = {each.name: each for each in world.request_class}
-        self.asked_by = {}  # request -> agent
+        self.request_classes = {each.name: each for each in world.request_class}
+        self.agents_by_request = {}  # request -> agent
         self.servers, self.agents = {}, []
 
     @property
     def now(self) -> float:
-        return monotonic() - self.began
+        return monotonic() - self.started_at
 
-    def wall(self, at) -> float:
-        return self.offset + at
+    def wall_time(self, at) -> float:
+        return self.wall_offset + at
 
     def play(self):
         with tempfile.TemporaryDirectory() as self.folder:
-            self.list = DiscoveryService(self)
+            self.discovery = DiscoveryService(self)
             try:
                 for zone in range(len(self.world.zones)):
                     for _ in range(self.world.servers.per_zone):
-                        self.add(zone)
+                        self.add_server(zone)
                 for number in range(self.world.agents):
                     self.agents.append(Agent(self, number, number % len(self.world.zones)))
                 self.start_agents()
-                self.day()
+                self.run_traffic()
             finally:
                 for agent in self.agents:
                     agent.stop()
-                for each in (*self.servers.values(), self.list):
+                for each in (*self.servers.values(), self.discovery):
                     each.close()
         return self
 
     def start_agents(self):
-        for first in range(0, len(self.agents), STARTED_AT_ONCE):
-            several = self.agents[first : first + STARTED_AT_ONCE]
-            gevent.joinall([gevent.spawn(agent.start) for agent in several], raise_error=True)
+        for first_index in range(0, len(self.agents), MAX_CONCURRENT_STARTS):
+            batch = self.agents[first_index : first_index + MAX_CONCURRENT_STARTS]
+            gevent.joinall([gevent.spawn(agent.start) for agent in batch], raise_error=True)
 
-    def day(self):
-        self.began, self.offset = monotonic(), time()
-        works = []
+    def run_traffic(self):
+        self.started_at, self.wall_offset = monotonic(), time()
+        greenlets = []
         for agent in self.agents:
             random = seeded_random(self.seed, f"client {agent.number}")
             rate = self.world.clients.per_s / len(self.agents)
-            works.append(gevent.spawn(self.arrive, agent, random, rate))
-        for place, fault in enumerate(self.world.fault):
-            works.append(gevent.spawn_later(fault.begins_s, self.begin, fault, place))
-        longest = max(each.limit_s for each in self.world.request_class)
-        gevent.sleep(self.world.seconds + longest + TAIL)
-        gevent.killall(works)
+            greenlets.append(gevent.spawn(self.send_requests, agent, random, rate))
+        for index, fault in enumerate(self.world.fault):
+            greenlets.append(gevent.spawn_later(fault.begins_s, self.inject_fault, fault, index))
+        max_deadline = max(each.limit_s for each in self.world.request_class)
+        gevent.sleep(self.world.seconds + max_deadline + LATE_ANSWER_WAIT_S)
+        gevent.killall(greenlets)
         self.rule_checker.check_unanswered(self.now)
 
     # Servers
 
-    def add(self, zone, started=0.0):
-        server = Server(self, f"s{self.named}", zone, started)
-        self.named += 1
+    def add_server(self, zone, started=0.0):
+        server = Server(self, f"s{self.next_server_number}", zone, started)
+        self.next_server_number += 1
         self.servers[server.name] = server
         if started:
-            self.list.change(server.line())
+            self.discovery.schedule_update(server.list_entry())
         else:
-            self.list.lines[server.name] = server.line()
+            self.discovery.entries[server.name] = server.list_entry()
 
-    def work(self, kind, random) -> float:
-        terms = self.kinds[kind]
-        return terms.work_s * (random.expovariate(1.0) if terms.spread == "exponential" else 1.0)
+    def draw_work(self, class_name, random) -> float:
+        request_class = self.request_classes[class_name]
+        return request_class.work_s * (
+            random.expovariate(1.0) if request_class.spread == "exponential" else 1.0
+        )
 
-    def attempt_came(self, request, attempt, server):
-        self.count["shots"] += 1
-        agent = self.asked_by.get(request)
-        case = self.rule_checker.requests.get(request)
-        if case:
+    def on_attempt_received(self, request, attempt, server):
+        self.counts["shots"] += 1
+        agent = self.agents_by_request.get(request)
+        tracked = self.rule_checker.requests.get(request)
+        if tracked:
             # Whether an earlier one is still out is known to the agent alone: its close takes a while.
-            for each in case.attempts.values():
+            for each in tracked.attempts.values():
                 each[4] = False
-            self.count["crossings"] += agent.zone != server.zone
+            self.counts["crossings"] += agent.zone != server.zone
         self.rule_checker.on_attempt_sent(
             self.now,
             agent.number if agent else None,
@@ -221,58 +236,65 @@
             self.world.zones[server.zone],
         )
 
-    def told(self, line):
+    def on_list_update_sent(self, entry):
         for agent in self.agents:
-            if not self.list.down:
+            if not self.discovery.is_down:
                 self.rule_checker.on_server_state_received(
-                    self.now, agent.number, line["uid"], line["state"] == "active"
+                    self.now, agent.number, entry["uid"], entry["state"] == "active"
                 )
-        self.rule_checker.on_server_list_changed(self.now, line["uid"], line["state"] == "active")
+        self.rule_checker.on_server_list_changed(self.now, entry["uid"], entry["state"] == "active")
 
     # Clients
 
-    def arrive(self, agent, random, rate):
-        due = 0.0
-        while (due := due + random.expovariate(rate * self.rush)) < self.world.seconds:
-            gevent.sleep(max(0.0, due - self.now))
-            which = bisect_left(self.request_classes, random.random() * self.request_classes[-1])
-            kind = self.world.request_class[which]
-            hot, place = random.random() < self.hot, random.random() * self.popular[-1]
-            key = 0 if hot else bisect_left(self.popular, place)
+    def send_requests(self, agent, random, rate):
+        due_at = 0.0
+        while (due_at := due_at + random.expovariate(rate * self.arrival_rate_factor)) < self.world.seconds:
+            gevent.sleep(max(0.0, due_at - self.now))
+            class_index = bisect_left(
+                self.cumulative_class_shares, random.random() * self.cumulative_class_shares[-1]
+            )
+            request_class = self.world.request_class[class_index]
+            is_hot, key_position = (
+                random.random() < self.hot_key_share,
+                random.random() * self.cumulative_key_weights[-1],
+            )
+            key = 0 if is_hot else bisect_left(self.cumulative_key_weights, key_position)
             if agent.port:
-                self.offered += kind.priority
-                gevent.spawn(self.ask, agent, kind, key, due)
+                self.offered += request_class.priority
+                gevent.spawn(self.send_request, agent, request_class, key, due_at)
 
-    def ask(self, agent, kind, key, due):
+    def send_request(self, agent, request_class, key, due_at):
         self.requests += 1
-        request, life, late = f"r{self.requests}", agent.life, self.now - due
-        head = (
-            f"{METHODS.get(kind.repeat, 'POST')} /{kind.name}/{key} HTTP/1.1\r\n"
+        request, start_count, lateness = f"r{self.requests}", agent.start_count, self.now - due_at
+        request_head = (
+            f"{HTTP_METHODS.get(request_class.repeat, 'POST')} /{request_class.name}/{key} HTTP/1.1\r\n"
             f"X-Request-ID: {request}\r\nCookie: sid={key}\r\n"
-            f"X-Timeout: {kind.limit_s * 1e3:.0f}m\r\nContent-Length: 0\r\n"
-            + f"Idempotency-Key: {request}\r\n" * (kind.repeat == "keyed")
+            f"X-Timeout: {request_class.limit_s * 1e3:.0f}m\r\nContent-Length: 0\r\n"
+            + f"Idempotency-Key: {request}\r\n" * (request_class.repeat == "keyed")
             + "\r\n"
         )
-        self.asked_by[request] = agent
+        self.agents_by_request[request] = agent
         self.rule_checker.on_request_accepted(
-            self.now, agent.number, request, kind.name, self.now + kind.limit_s
+            self.now, agent.number, request, request_class.name, self.now + request_class.limit_s
         )
-        connection, message = self.kept(agent), None
+        connection, message = self.idle_connection(agent), None
         if connection:
-            message = self.exchange(connection, head, kind)
-        if not message and agent.port and life == agent.life:
+            message = self.exchange(connection, request_head, request_class)
+        if not message and agent.port and start_count == agent.start_count:
             # An agent may close between requests, which may cross one: that is sent once more, on a new one.
-            self.count["sent again"] += bool(connection)
+            self.counts["sent again"] += bool(connection)
             try:
                 connection = self.connect(agent)
             except OSError:
                 return
-            message = self.exchange(connection, head, kind)
+            message = self.exchange(connection, request_head, request_class)
         if not message:
             return  # unanswered: the judge says so, unless the agent was killed
         self.rule_checker.on_answer(self.now, request, message.status)
-        self.count[message.status] += 1
-        if message.status not in ANSWERS:  # 409: it had read the request when it closed, and so had taken it
+        self.counts[message.status] += 1
+        if (
+            message.status not in EXPECTED_STATUSES
+        ):  # 409: it had read the request when it closed, and so had taken it
             self.rule_checker.add_violation(
                 1, self.now, request, f"answered {message.status}, which is no answer to it"
             )
@@ -281,29 +303,29 @@
                 self.rule_checker.add_violation(
                     1, self.now, request, f"no server made this answer for it: {message.body!r}"
                 )
-            took = self.now - due
-            self.latencies.append(took)
-            self.served += kind.priority * (took <= kind.goal_s)
-        self.count["late clients"] += late > 0.05
-        if message.keep_alive and agent.port and life == agent.life:
-            agent.idle.append(connection)
+            latency = self.now - due_at
+            self.latencies.append(latency)
+            self.served += request_class.priority * (latency <= request_class.goal_s)
+        self.counts["late clients"] += lateness > 0.05
+        if message.keep_alive and agent.port and start_count == agent.start_count:
+            agent.idle_connections.append(connection)
         else:
             connection.close()
 
-    def kept(self, agent):
-        while agent.idle:
-            connection = agent.idle.pop()
+    def idle_connection(self, agent):
+        while agent.idle_connections:
+            connection = agent.idle_connections.pop()
             if not connection.has_unread_input():
                 return connection
             connection.close()
         return None
 
-    def exchange(self, connection, head, kind):
+    def exchange(self, connection, request_head, request_class):
         """The answer; nothing if the connection ended without a byte of one."""
         try:
-            connection.sock.sendall(head.encode())
+            connection.sock.sendall(request_head.encode())
             while not connection.messages:
-                if not connection.receive(kind.limit_s + TAIL):
+                if not connection.receive(request_class.limit_s + LATE_ANSWER_WAIT_S):
                     connection.close()
                     return None
             return connection.messages.pop()
@@ -312,74 +334,82 @@
             return None
 
     def connect(self, agent):
-        sock = socket.create_connection((HOST, agent.port))
+        sock = socket.create_connection((LOOPBACK_HOST, agent.port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return Connection(sock, reads_responses=True)
 
     # Faults
 
-    def begin(self, fault, place):
-        random, kind, size = seeded_random(self.seed, f"fault {place}"), fault.kind, fault.size
+    def inject_fault(self, fault, index):
+        random, kind, size = seeded_random(self.seed, f"fault {index}"), fault.kind, fault.size
         zone = self.world.zones.index(fault.zone) if fault.zone else None
-        here = (
+        candidates = (
             self.agents
             if kind == "kill"
-            else [each for each in self.servers.values() if not each.draining and zone in (None, each.zone)]
+            else [
+                each for each in self.servers.values() if not each.is_draining and zone in (None, each.zone)
+            ]
         )
-        met = random.sample(here, min(len(here), max(1, round(fault.part * len(here)))))
+        targets = random.sample(candidates, min(len(candidates), max(1, round(fault.part * len(candidates)))))
         if kind == "kill":
-            for agent in met:
+            for agent in targets:
                 agent.kill()
-                gevent.spawn_later(RESTART, agent.start)
+                gevent.spawn_later(RESTART_DELAY_S, agent.start)
         elif kind == "replace":
-            for turn, server in enumerate(met):
-                gevent.spawn_later(turn * fault.lasts_s / len(met), self.replace, server)
+            for order, server in enumerate(targets):
+                gevent.spawn_later(order * fault.lasts_s / len(targets), self.replace, server)
         else:
-            ends = [self.meet(kind, size, fault.request_class, each) for each in self.whole(kind) or met]
+            undo_callbacks = [
+                self.apply_fault(kind, size, fault.request_class, each)
+                for each in self.shared_targets(kind) or targets
+            ]
             gevent.sleep(fault.lasts_s)
-            for end in ends:
-                end()
+            for undo in undo_callbacks:
+                undo()
 
-    def whole(self, kind):
+    def shared_targets(self, kind):
         """Whom such a fault meets that is no single server's."""
-        return {"list_down": [self.list], "list_late": [self.list], "jump": [self], "hot_key": [self]}.get(
-            kind
-        )
+        return {
+            "list_down": [self.discovery],
+            "list_late": [self.discovery],
+            "jump": [self],
+            "hot_key": [self],
+        }.get(kind)
 
-    def meet(self, kind, size, request_class, it):
+    def apply_fault(self, kind, size, request_class, target):
         if kind == "crash":
-            it.die()
-            return lambda: (it.rise(), self.list.change(it.line()))
+            target.crash()
+            return lambda: (target.restart(), self.discovery.schedule_update(target.list_entry()))
         if kind == "list_down":
-            it.go_down()
-            return lambda: setattr(it, "down", False)
+            target.go_down()
+            return lambda: setattr(target, "is_down", False)
         name, value = {
-            "silent": ("silent", True),
-            "one_workload": ("spoilt", {request_class: size}),
-            "list_late": ("later", size),
-            "jump": ("rush", size),
-            "hot_key": ("hot", size),
+            "silent": ("is_silent", True),
+            "one_workload": ("error_rates", {request_class: size}),
+            "list_late": ("extra_delay", size),
+            "jump": ("arrival_rate_factor", size),
+            "hot_key": ("hot_key_share", size),
         }.get(kind, (kind, size))
-        before = getattr(it, name)
-        setattr(it, name, value)
-        return lambda: setattr(it, name, before)
+        previous_value = getattr(target, name)
+        setattr(target, name, value)
+        return lambda: setattr(target, name, previous_value)
 
     def replace(self, server):
-        server.draining = True
-        self.list.change(server.line("leaving"))
-        self.add(server.zone, self.now)
+        server.is_draining = True
+        self.discovery.schedule_update(server.list_entry("leaving"))
+        self.add_server(server.zone, self.now)
         gevent.sleep(self.world.list.late_s + 2.0)
-        server.die()
-        self.list.change(server.line("left"))
+        server.crash()
+        self.discovery.schedule_update(server.list_entry("left"))
 
     def figures(self) -> dict:
         return {
             "lookups": self.requests,
-            "completed": self.count[200],
-            "turned back": self.count[503],
-            "terminated": self.count[502],
+            "completed": self.counts[200],
+            "turned back": self.counts[503],
+            "terminated": self.counts[502],
             "served": round(self.served / max(self.offered, 1e-9), 4),
-            **{each: self.count[each] for each in COUNTED},
+            **{each: self.counts[each] for each in REPORTED_COUNTERS},
             "lost with killed agents": self.rule_checker.excused_count,
             "violations": len(self.rule_checker.violations),
         }
--- a/cartdeal/rig/soak/play.py
+++ b/cartdeal/rig/soak/play.py
@@ -14,59 +14,59 @@
 import gevent
 
 from cartdeal.emulator.world import InvalidInputError
-from cartdeal.rig.soak import troubles
+from cartdeal.rig.soak import faults
 from cartdeal.rig.soak.agents import Agent
-from cartdeal.rig.soak.clients import UsualClients
-from cartdeal.rig.soak.judge import Judge, Rule
-from cartdeal.rig.soak.relay import HOST, Relay
-from cartdeal.rig.soak.stand_ins import Discovery, Server
+from cartdeal.rig.soak.clients import WellBehavedClients
+from cartdeal.rig.soak.fake_servers import DiscoveryService, Server
+from cartdeal.rig.soak.relay import LOOPBACK_HOST, Relay
+from cartdeal.rig.soak.rule_checker import Rule, RuleChecker
 
-MOST_AGENTS = 64
-MOST_SECONDS = 600.0
+MAX_AGENTS = 64
+MAX_DURATION_S = 600.0
 SERVERS_PER_ZONE = 6
 ZONES = "ab"
-RATE = 8.0  # requests a second at each agent
-TAIL = 7.0  # seconds after the last request, when all must be answered
-DRAINS_FOR = 4.0  # seconds from a server's drain to its end
-AWAY = 0.3  # seconds between an agent's end and its next life
-FAULT_CHANCE = 0.002  # that a system call of an agent fails
-WALL_CLOCKS = (0.0, 0.0, 3600.0, -3600.0)  # how far ahead agents' wall clocks are
+REQUEST_RATE_PER_S = 8.0  # requests a second at each agent
+LATE_ANSWER_WAIT_S = 7.0  # seconds after the last request, when all must be answered
+DRAIN_DURATION_S = 4.0  # seconds from a server's drain to its end
+RESTART_DELAY_S = 0.3  # seconds between an agent's end and its next life
+FAULT_PROBABILITY = 0.002  # that a system call of an agent fails
+WALL_CLOCK_OFFSETS_S = (0.0, 0.0, 3600.0, -3600.0)  # how far ahead agents' wall clocks are
 
 
 class Soak:
-    def __init__(self, seed: int, agents: int, seconds: float, fault_chance: float = FAULT_CHANCE):
+    def __init__(self, seed: int, agents: int, duration: float, fault_probability: float = FAULT_PROBABILITY):
         """`fault_chance`: of each system call of every other agent."""
-        self.fault_chance = fault_chance
-        if not 1 <= agents <= MOST_AGENTS:
-            raise InvalidInputError(f"agents: found {agents}, wanted 1 to {MOST_AGENTS}")
-        if not 0 < seconds <= MOST_SECONDS:
-            raise InvalidInputError(f"seconds: found {seconds}, wanted up to {MOST_SECONDS:g}")
-        self.seed, self.size, self.seconds = seed, agents, seconds
-        self.random, self.judge, self.begun = Random(seed), Judge(), monotonic()
-        self.ids = self.named = 0
-        self.lag = 0.0  # by which this process itself was late at most
+        self.fault_probability = fault_probability
+        if not 1 <= agents <= MAX_AGENTS:
+            raise InvalidInputError(f"agents: found {agents}, wanted 1 to {MAX_AGENTS}")
+        if not 0 < duration <= MAX_DURATION_S:
+            raise InvalidInputError(f"seconds: found {duration}, wanted up to {MAX_DURATION_S:g}")
+        self.seed, self.size, self.duration = seed, agents, duration
+        self.random, self.rule_checker, self.started_at = Random(seed), RuleChecker(), monotonic()
+        self.request_count = self.next_server_number = 0
+        self.max_lag = 0.0  # by which this process itself was late at most
         self.servers, self.relays = [], {}
-        self.discovery = Discovery(self.now)
-        self.discovery_relays = [Relay((HOST, self.discovery.port)) for _ in range(3)]
-        self.troubles = troubles.draw(seed, seconds)
+        self.discovery = DiscoveryService(self.now)
+        self.discovery_relays = [Relay((LOOPBACK_HOST, self.discovery.port)) for _ in range(3)]
+        self.faults = faults.draw_schedule(seed, duration)
         self.agents: list[Agent] = []
-        self.works = []
+        self.greenlets = []
 
     def now(self) -> float:
-        return monotonic() - self.begun
+        return monotonic() - self.started_at
 
     def new_id(self) -> str:
-        self.ids += 1
-        return f"{self.seed:x}-{self.ids:x}"
+        self.request_count += 1
+        return f"{self.seed:x}-{self.request_count:x}"
 
     def add_server(self, zone: str, is_cold: bool) -> dict:
         """Its line of the server list."""
-        name = f"s{self.named}"
-        self.named += 1
-        server = Server(name, zone, self.now, self.judge)
+        name = f"s{self.next_server_number}"
+        self.next_server_number += 1
+        server = Server(name, zone, self.now, self.rule_checker)
         self.servers.append(server)
-        relay = self.relays[name] = Relay((HOST, server.port))
-        server.is_held_back = lambda: relay.holds_back
+        relay = self.relays[name] = Relay((LOOPBACK_HOST, server.port))
+        server.may_be_delayed = lambda: relay.may_delay_data
         return {
             "uid": name,
             "endpoint": self.relays[name].address,
@@ -82,30 +82,32 @@
         if server not in self.servers:
             return
         self.servers.remove(server)
-        line = self.discovery.entries[server.name]
-        self.judge.drained_at[server.name] = self.now()
-        self.discovery.tell(line | {"state": "leaving"}, self.add_server(server.zone, True))
-        self.works.append(gevent.spawn_later(DRAINS_FOR, self.remove, server, line))
+        entry = self.discovery.entries[server.name]
+        self.rule_checker.drain_times[server.name] = self.now()
+        self.discovery.send_update(entry | {"state": "leaving"}, self.add_server(server.zone, True))
+        self.greenlets.append(gevent.spawn_later(DRAIN_DURATION_S, self.remove, server, entry))
 
-    def remove(self, server: Server, line: dict):
-        self.discovery.tell(line | {"state": "left"})
+    def remove(self, server: Server, entry: dict):
+        self.discovery.send_update(entry | {"state": "left"})
 
-    def restart(self, agent: Agent, end):
-        end()
-        gevent.sleep(AWAY)
+    def restart(self, agent: Agent, end_agent):
+        end_agent()
+        gevent.sleep(RESTART_DELAY_S)
         agent.start()
 
-    def watch_over(self):
+    def monitor(self):
         """Notices agents that died by themselves, and how late this process is."""
         while True:
-            begun = monotonic()
+            started_at = monotonic()
             gevent.sleep(0.1)
-            self.lag = max(self.lag, monotonic() - begun - 0.1)
+            self.max_lag = max(self.max_lag, monotonic() - started_at - 0.1)
             for agent in self.agents:
-                if agent.has_died():
+                if agent.has_exited():
                     status = agent.process.poll()
                     agent.port = 0
-                    self.judge.break_(Rule.CRASH, self.now(), agent.name, f"died with status {status}")
+                    self.rule_checker.add_violation(
+                        Rule.CRASH, self.now(), agent.name, f"died with status {status}"
+                    )
 
     def play(self) -> "Soak":
         with tempfile.TemporaryDirectory() as folder:
@@ -119,55 +121,58 @@
     def run(self):
         for zone in ZONES:
             for _ in range(SERVERS_PER_ZONE):
-                line = self.add_server(zone, False)
-                self.discovery.entries[line["uid"]] = line
-        self.agents = [Agent(self, number, self.faults_of(number)) for number in range(self.size)]
+                entry = self.add_server(zone, False)
+                self.discovery.entries[entry["uid"]] = entry
+        self.agents = [Agent(self, number, self.draw_system_faults(number)) for number in range(self.size)]
         gevent.joinall([gevent.spawn(agent.start) for agent in self.agents])
-        self.begun = monotonic()
-        self.works.append(gevent.spawn(self.watch_over))
-        for trouble in self.troubles:
-            work = troubles.KINDS[trouble.kind]
-            self.works.append(gevent.spawn_later(trouble.begins_at, work, self, trouble.seconds))
-        clients = [UsualClients(self, agent) for agent in self.agents]
-        gevent.joinall([gevent.spawn(each.run, RATE, self.seconds) for each in clients])
-        gevent.sleep(TAIL)
-        self.judge.close(self.now())
-        endings = [gevent.spawn(agent.end_in_order) for agent in self.agents if agent.port]
-        gevent.joinall(endings)
+        self.started_at = monotonic()
+        self.greenlets.append(gevent.spawn(self.monitor))
+        for fault in self.faults:
+            play_fault = faults.FAULTS_BY_NAME[fault.name]
+            self.greenlets.append(gevent.spawn_later(fault.begins_at, play_fault, self, fault.duration))
+        clients = [WellBehavedClients(self, agent) for agent in self.agents]
+        gevent.joinall([gevent.spawn(each.run, REQUEST_RATE_PER_S, self.duration) for each in clients])
+        gevent.sleep(LATE_ANSWER_WAIT_S)
+        self.rule_checker.check_unanswered(self.now())
+        shutdowns = [gevent.spawn(agent.shut_down) for agent in self.agents if agent.port]
+        gevent.joinall(shutdowns)
         gevent.sleep(0.2)  # the last lines of their logs
 
-    def faults_of(self, number: int) -> str | None:
+    def draw_system_faults(self, number: int) -> str | None:
         """Half of the agents have system calls that fail, and may have a wall clock that is wrong."""
         if number % 2:
             return None
-        return f"{self.seed * 100 + number},{self.fault_chance},{self.random.choice(WALL_CLOCKS)}"
+        return (
+            f"{self.seed * 100 + number},{self.fault_probability},{self.random.choice(WALL_CLOCK_OFFSETS_S)}"
+        )
 
     def stop(self):
-        gevent.killall(self.works)
+        gevent.killall(self.greenlets)
         for agent in self.agents:
             agent.stop()
         for relay in (*self.relays.values(), *self.discovery_relays):
             relay.stop()
-        for stand_in in (*self.servers, self.discovery):
-            stand_in.close()
+        for fake_server in (*self.servers, self.discovery):
+            fake_server.close()
 
     def report(self) -> str:
-        asked = self.judge.requests.values()
-        statuses = Counter(each.status for each in asked)
-        kinds = " ".join(f"{each.kind}@{each.begins_at:.1f}" for each in self.troubles)
-        served = " ".join(f"{status}:{count}" for status, count in sorted(statuses.items()))
+        requests = self.rule_checker.requests.values()
+        statuses = Counter(each.status for each in requests)
+        fault_times = " ".join(f"{each.name}@{each.begins_at:.1f}" for each in self.faults)
+        status_counts = " ".join(f"{status}:{count}" for status, count in sorted(statuses.items()))
         lines = [
-            f"seed {self.seed}: {len(asked)} requests, {served}, late {self.judge.late},"
-            f" own lag {self.lag:.2f} s, violations {len(self.judge.violations)}; {kinds}"
+            f"seed {self.seed}: {len(requests)} requests, {status_counts},"
+            f" late {self.rule_checker.late_count}, own lag {self.max_lag:.2f} s,"
+            f" violations {len(self.rule_checker.violations)}; {fault_times}"
         ]
-        for each in self.judge.violations[:20]:
-            lines.append(f"  {each.at:7.2f} {each.rule}: {each.about}: {each.detail[:300]}")
+        for each in self.rule_checker.violations[:20]:
+            lines.append(f"  {each.at:7.2f} {each.rule}: {each.subject}: {each.detail[:300]}")
         return "\n".join(lines)
 
 
-def keep_logs(played: Soak, folder: str):
+def save_logs(soak: Soak, folder: str):
     """Each agent's log in a file of its own, by the soak's seed."""
-    to = Path(folder)
-    to.mkdir(parents=True, exist_ok=True)
-    for agent in played.agents:
-        (to / f"{played.seed}-{agent.number}.log").write_bytes(b"".join(agent.log))
+    directory = Path(folder)
+    directory.mkdir(parents=True, exist_ok=True)
+    for agent in soak.agents:
+        (directory / f"{soak.seed}-{agent.number}.log").write_bytes(b"".join(agent.log_lines))
--- a/cartdeal/rig/system_faults.py
+++ b/cartdeal/rig/system_faults.py
@@ -26,17 +26,17 @@
     "shutdown",
     "setsockopt",
 )
-CALLS = ("socket", "write", "poll", *SOCKET_CALLS)
+FAILABLE_CALLS = ("socket", "write", "poll", *SOCKET_CALLS)
 
 
 @dataclass
-class Plan:
+class FailurePlan:
     """Calls that fail: the next `times` of them, or each by `chance`. `only(sock)` says on which sockets, or
     descriptors where the call is `write`.
     """
 
-    errors: tuple[int, ...]
-    times: float
+    errnos: tuple[int, ...]
+    remaining_count: float
     chance: float
     only: object
 
@@ -46,50 +46,55 @@
 
     def __init__(self, seed=0):
         self.random = Random(seed)
-        self.plans: dict[str, Plan] = {}
-        self.counts = dict.fromkeys(CALLS, 0)  # of calls that were made to fail
+        self.plans: dict[str, FailurePlan] = {}
+        self.counts = dict.fromkeys(FAILABLE_CALLS, 0)  # of calls that were made to fail
 
-    def fail(self, call, *errors, times=float("inf"), chance=1.0, only=lambda sock: True):
-        assert call in CALLS, call
-        self.plans[call] = Plan(errors, times, chance, only)
+    def fail(self, call, *errnos, times=float("inf"), chance=1.0, only=lambda sock: True):
+        assert call in FAILABLE_CALLS, call
+        self.plans[call] = FailurePlan(errnos, times, chance, only)
 
-    def heal(self, *calls):
+    def clear(self, *calls):
         for call in calls or list(self.plans):
             self.plans.pop(call, None)
 
     def check(self, call, sock=None):
         """Raises what the call is planned to fail with, if it is."""
         plan = self.plans.get(call)
-        if plan is None or plan.times <= 0 or not plan.only(sock) or self.random.random() >= plan.chance:
+        if (
+            plan is None
+            or plan.remaining_count <= 0
+            or not plan.only(sock)
+            or self.random.random() >= plan.chance
+        ):
             return
-        plan.times -= 1
+        plan.remaining_count -= 1
         self.counts[call] += 1
-        number = self.random.choice(plan.errors)
-        raise OSError(number, os.strerror(number))
+        error_number = self.random.choice(plan.errnos)
+        raise OSError(error_number, os.strerror(error_number))
 
     def install(self, replace):
         """`replace(object, name, value)` puts a value in place of an attribute, like monkeypatch.setattr."""
         socket_class = gevent.socket.socket
-        make = socket_class.__init__
+        original_init = socket_class.__init__
 
-        def made(sock, family=-1, type=-1, proto=-1, fileno=None):
+        def failable_init(sock, family=-1, type=-1, proto=-1, fileno=None):
             if fileno is None:
                 self.check("socket")
-            make(sock, family, type, proto, fileno)
+            original_init(sock, family, type, proto, fileno)
 
-        replace(socket_class, "__init__", made)
+        replace(socket_class, "__init__", failable_init)
         for call in SOCKET_CALLS:
-            replace(socket_class, call, self.wrapped(call, getattr(socket_class, call, None)))
+            replace(socket_class, call, self.wrap(call, getattr(socket_class, call, None)))
         replace(connection, "os", SimpleNamespace(write=self.write))
         replace(connection, "select", SimpleNamespace(**vars(select) | {"poll": self.poll}))
 
-    def wrapped(self, call, original):
-        def played(sock, *arguments, **named):
+    def wrap(self, call, original):
+        def failable_call(sock, *arguments, **keywords):
             self.check(call, sock)
             method = original or getattr(sock._sock, call)
-            return method(sock, *arguments, **named) if original else method(*arguments, **named)
+            return method(sock, *arguments, **keywords) if original else method(*arguments, **keywords)
 
-        return played
+        return failable_call
 
     def write(self, descriptor, data):
         self.check("write", descriptor)
@@ -100,5 +105,5 @@
         return select.poll()
 
 
-PIPE_PAGE = 4096  # bytes of the smallest pipe
-OWN_LIMITS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+MIN_PIPE_BYTES = 4096  # bytes of the smallest pipe
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -155,7 +155,7 @@
                     "listen": "127.0.0.1:0",
                     "discovery": self.fleet.discovery.address,
                     "seed": f"{next(IDS):x}",
-                    "known": {"rev": 1, "all": True, "targets": list(self.fleet.discovery.lines.values())},
+                    "known": {"rev": 1, "all": True, "targets": list(self.fleet.discovery.entries.values())},
                     "settings": {
                         "areas": ["a", "b", "c"],
                         "az": "abc".index(self.zone),
@@ -231,7 +231,7 @@
         self.discovery = DiscoveryService()
         self.servers = [Server(f"s{zone}") for zone in "abc"]
         for server, zone in zip(self.servers, "abc", strict=True):
-            self.discovery.lines[server.name] = server.line(az=zone)
+            self.discovery.entries[server.name] = server.list_entry(az=zone)
         self.agents = [Agent(self, f"n{number}", "abc"[number % 3]) for number in range(agents)]
 
     def __enter__(self):
@@ -317,4 +317,6 @@
 
     def executions(self, path) -> int:
         """How often a server has received a request for this path."""
-        return sum(message.path.decode() == path for server in self.servers for message in server.seen)
+        return sum(
+            message.path.decode() == path for server in self.servers for message in server.received_requests
+        )
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -24,7 +24,7 @@
     RequestClass,
     ServerState,
 )
-from cartdeal.rig.soak.clients import ClientSide as Client
+from cartdeal.rig.soak.clients import ClientConnection as Client
 from examples.toy import DiscoveryService, Server
 
 TRACES = Path(__file__).parent / "traces"
@@ -227,8 +227,8 @@
     def __init__(self, folder, servers=1, fleet=None, **more):
         self.servers = [Server(f"s{index}") for index in range(servers)]
         self.service = DiscoveryService()
-        self.service.lines = {server.name: server.line() for server in self.servers}
-        known = {"rev": 1, "all": True, "targets": list(self.service.lines.values())}
+        self.service.entries = {server.name: server.list_entry() for server in self.servers}
+        known = {"rev": 1, "all": True, "targets": list(self.service.entries.values())}
         self.config = config_file(discovery=self.service.address, known=known) | more
         self.agent = Effects(agent_config(folder, **self.config), fleet)
         self.agent.start()
@@ -245,7 +245,7 @@
 
     def seen(self):
         """The paths of the requests that the servers received."""
-        return [message.path.decode() for server in self.servers for message in server.seen]
+        return [message.path.decode() for server in self.servers for message in server.received_requests]
 
     def stop(self):
         """Stops the agent, the servers and the discovery service."""
--- a/tests/test_another_customer.py
+++ b/tests/test_another_customer.py
@@ -57,9 +57,9 @@
     settings = SETTINGS | {"workloads": [workload(group=scope, repeatWindowUs=window_us)]}
     deployment = deploy(servers=2, settings=settings)
     zones = iter("ab")
-    for index, line in enumerate(deployment.service.lines.values()):
+    for index, line in enumerate(deployment.service.entries.values()):
         line |= {"az": next(zones), "pod_group": index}
-    deployment.service.tell(*deployment.service.lines.values())
+    deployment.service.send_update(*deployment.service.entries.values())
     while len({each.zone for each in deployment.agent.reducer.balancer.servers.values()}) < 2:
         gevent.sleep(0.002)
     assert deployment.ask("/mark/x?do=reset", "POST", Idempotency_Key="k") == (status, b"")
@@ -82,7 +82,7 @@
     idle_connection = upstream.idle[0][0]
     idle_connection.last_active_at -= 0.09  # no sweep has run since; the server may have closed it
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ") and idle_connection.closed
-    assert idle_connection not in upstream.idle.get(0, ()) and len(server.seen) == 2
+    assert idle_connection not in upstream.idle.get(0, ()) and len(server.received_requests) == 2
 
 
 def test_lowest_limits_still_serve(deploy):
@@ -112,8 +112,8 @@
     settings = SETTINGS | {"areas": [], "workloads": [workload(group="zone", repeatWindowUs=4000000)]}
     for cells, attempts in (((0, 1), 1), ((0, 0), 2)):
         deployment = deploy(servers=2, settings=settings)
-        for line, zone, cell in zip(deployment.service.lines.values(), "ab", cells, strict=True):
-            deployment.service.tell(line | {"az": zone, "pod_group": cell})
+        for line, zone, cell in zip(deployment.service.entries.values(), "ab", cells, strict=True):
+            deployment.service.send_update(line | {"az": zone, "pod_group": cell})
         balancer = deployment.agent.reducer.balancer
         while [each.cell for each in balancer.servers.values()] != list(cells):
             gevent.sleep(0.002)
@@ -126,10 +126,10 @@
     settings = SETTINGS | {"areas": ["a", "b"], "workloads": [workload(group="zone", repeatWindowUs=4000000)]}
     deployment = deploy(servers=2, settings=settings)
     reducer = deployment.agent.reducer
-    deployment.service.tell(
+    deployment.service.send_update(
         *(
             line | {"az": zone}
-            for line, zone in zip(list(deployment.service.lines.values()), zones, strict=True)
+            for line, zone in zip(list(deployment.service.entries.values()), zones, strict=True)
         )
     )
     while reducer.list_version < 2:
@@ -140,8 +140,8 @@
 
 def test_number_of_zones_named_by_a_list_is_bounded(deploy):
     deployment = deploy()
-    reducer, line = deployment.agent.reducer, deployment.servers[0].line()
-    deployment.service.tell(
+    reducer, line = deployment.agent.reducer, deployment.servers[0].list_entry()
+    deployment.service.send_update(
         *(line | {"uid": f"n{index}", "az": f"z{index}"} for index in range(2 * MAX_ZONES))
     )
     while reducer.list_version < 2:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -69,7 +69,7 @@
             idle[-1].sock.sendall(worded()[:20])
     until(lambda: len(list(descriptors.iterdir())) >= before + held)
     server, service = Server("s0"), DiscoveryService(port)
-    service.lines = {"s0": server.line()}
+    service.entries = {"s0": server.list_entry()}
     until(lambda: b"1 lines in all" in log.read_bytes())
     if clients != "midway":  # clients in the middle of a request are not idle, and keep their connections
         identified = Client(socket.create_connection(("127.0.0.1", front)), reads_responses=True)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -465,7 +465,7 @@
 
     def move(down=False):
         service = DiscoveryService()
-        service.lines, service.mute = dict(old_service.lines), True
+        service.entries, service.is_mute = dict(old_service.entries), True
         created.append(service)
         if down:
             service.stop()
@@ -488,14 +488,14 @@
 def test_change_from_the_old_service_does_not_establish_the_new_watch(relocation):
     new_service = relocation.move(down=True)
     until(lambda: not relocation.discovery.current_watch)  # refused, and a pause is running
-    relocation.old_service.tell(server("s7", state="active"))
+    relocation.old_service.send_update(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
     assert not relocation.reducer.balancer.watch.is_active
     recovery_at = DiscoveryService(int(new_service.address.split(":")[1]))
     until(
         lambda: recovery_at.calls
         and relocation.reducer.balancer.watch.is_active
-        and not relocation.old_service.open
+        and not relocation.old_service.connections
     )
     recovery_at.stop()
 
@@ -503,58 +503,58 @@
 @pytest.mark.parametrize("first", ["old", "new"])
 def test_change_from_the_old_service_is_not_applied_to_the_new_list(relocation, first):
     new_service = relocation.move()
-    full_list = new_service.server_list(list(new_service.lines.values()), True) + b"\n"
+    full_list = new_service.server_list(list(new_service.entries.values()), True) + b"\n"
     sends = [
-        lambda: relocation.old_service.tell(server("s7", state="active")),
+        lambda: relocation.old_service.send_update(server("s7", state="active")),
         lambda: new_service.write(new_service.watches[0], full_list),
     ]
     for send in sends if first == "old" else sends[::-1]:  # both are sent before the agent reads either
         send()
-    until(lambda: not relocation.old_service.open)
+    until(lambda: not relocation.old_service.connections)
     assert b"s7" not in relocation.reducer.server_indices and relocation.reducer.list_version == 1
 
 
 def test_watch_that_has_a_list_continues_through_two_moves(relocation):
     second, third = relocation.move(), relocation.move()
-    until(lambda: not second.open)
-    relocation.old_service.tell(server("s7", state="active"))
+    until(lambda: not second.connections)
+    relocation.old_service.send_update(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
-    third.tell()
-    until(lambda: not relocation.old_service.open)
+    third.send_update()
+    until(lambda: not relocation.old_service.connections)
 
 
 def test_empty_line_of_the_new_service_does_not_end_the_old_watch(relocation):
     new_service = relocation.move()
     new_service.write(new_service.watches[0], b"\n")
     until(lambda: relocation.reducer.balancer.watch.is_active)
-    relocation.old_service.tell(server("s7", state="active"))
+    relocation.old_service.send_update(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
-    new_service.tell()
-    until(lambda: not relocation.old_service.open)
+    new_service.send_update()
+    until(lambda: not relocation.old_service.connections)
 
 
 @pytest.mark.parametrize("newer", ["a change", "a move"])
 def test_fetched_list_does_not_revert_a_newer_change(relocation, newer):
     open_fetches = []
-    relocation.old_service.play = lambda connection, message: open_fetches.append(connection)
+    relocation.old_service.handle_request = lambda connection, message: open_fetches.append(connection)
     relocation.discovery.fetch_servers()
     until(lambda: open_fetches)
     if newer == "a change":
-        relocation.old_service.tell(server("s7", state="active"))
+        relocation.old_service.send_update(server("s7", state="active"))
     else:
-        relocation.move().tell(server("s7", state="active"))
+        relocation.move().send_update(server("s7", state="active"))
     until(lambda: b"s7" in relocation.reducer.server_indices)
     text = json.dumps({"rev": 1, "all": True, "targets": [server("s1")]}).encode()
     open_fetches[0].write(answer(200, text))
-    until(lambda: open_fetches[0] not in relocation.old_service.open)
+    until(lambda: open_fetches[0] not in relocation.old_service.connections)
     assert b"s7" in relocation.reducer.server_indices and relocation.reducer.list_version == 2
 
 
 def test_failed_fetch_is_no_failure_of_an_established_watch(relocation):
-    relocation.old_service.down = True
+    relocation.old_service.is_down = True
     relocation.discovery.fetch_servers()
     until(
         lambda: "/registry/instances" in relocation.old_service.calls
-        and len(relocation.old_service.open) == 1
+        and len(relocation.old_service.connections) == 1
     )
     assert relocation.reducer.balancer.watch.is_active and relocation.discovery.current_watch
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -61,8 +61,8 @@
     replace_upstream_sockets(monkeypatch, NarrowSocket)
     server = deployment.servers[0]
     server.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    server.work.kill()
-    return lambda: setattr(server, "work", gevent.spawn(server.accept))
+    server.accept_greenlet.kill()
+    return lambda: setattr(server, "accept_greenlet", gevent.spawn(server.accept))
 
 
 def replace_upstream_sockets(monkeypatch, socket_class):
@@ -78,7 +78,7 @@
     until(lambda: not deployment.agent.upstream.attempts)
     # One more is reserved for the next client.
     assert deployment.agent.budget.connection_count == len(deployment.agent.front.clients) + 1
-    until(lambda: not deployment.servers[0].open)
+    until(lambda: not deployment.servers[0].connections)
 
 
 def wait_for_unread_ends(deployment, count):
@@ -95,7 +95,7 @@
     client = deployment.connect()
     client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
     until(lambda: late.sockets)
-    deployment.service.tell(deployment.servers[0].line(**more))
+    deployment.service.send_update(deployment.servers[0].list_entry(**more))
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: the answer must say so (503, not 502).
--- a/tests/test_header_values.py
+++ b/tests/test_header_values.py
@@ -21,7 +21,7 @@
 
 
 def received_requests(deployment):
-    return [message for server in deployment.servers for message in server.seen]
+    return [message for server in deployment.servers for message in server.received_requests]
 
 
 def ask_in_chunks(deployment, coding):
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_not_processed_header_with_whitespace_is_recognised(deployment, monkeypatch, blank, method):
     rejection = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1%b\r\nContent-Length: 0\r\n\r\n" % blank.encode()
-    monkeypatch.setitem(Server.DOES, "full", rejection)
+    monkeypatch.setitem(Server.RESPONSES, "full", rejection)
     path = "/once/x?do=full" if method == "POST" else "/read/x?do=full"
     assert deployment.ask(path, method)[0] == 503
     # A request that never ran is sent again, even if it may run only once.
@@ -67,18 +67,18 @@
 @CODING_BLANKS
 def test_chunked_answer_with_blanks_after_its_coding_is_complete(deployment, monkeypatch, blank):
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
-    monkeypatch.setitem(Server.DOES, "chunked", head + b"3\r\none\r\n0\r\n\r\n")
+    monkeypatch.setitem(Server.RESPONSES, "chunked", head + b"3\r\none\r\n0\r\n\r\n")
     assert deployment.ask("/read/x?do=chunked") == (200, b"one")
 
 
 @CODING_BLANKS
 def test_watch_with_blanks_after_its_coding_is_read(deployment, monkeypatch, blank):
-    def play(service, connection, message):
-        line = json.dumps({"rev": 9, "targets": [deployment.servers[0].line()]}).encode() + b"\n"
+    def send_list(service, connection, message):
+        line = json.dumps({"rev": 9, "targets": [deployment.servers[0].list_entry()]}).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked%b\r\n\r\n" % blank.encode()
         connection.write(head + b"%x\r\n%b\r\n" % (len(line), line))
 
-    monkeypatch.setattr(DiscoveryService, "play", play)
+    monkeypatch.setattr(DiscoveryService, "handle_request", send_list)
     service = DiscoveryService()
     deployment.agent.discovery.move(("127.0.0.1", int(service.address.split(":")[1])))
     deployment.agent.dispatch("on_discovery_moved")
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -14,7 +14,7 @@
 
 from cartdeal.agent import log_output
 from cartdeal.agent.log_output import MAX_LINE_BYTES, NonBlockingHandler, shorten
-from cartdeal.rig.system_faults import PIPE_PAGE
+from cartdeal.rig.system_faults import MIN_PIPE_BYTES
 from tests.scene import Client, answered, config_file, worded
 
 F_SETPIPE_SZ = 1031
@@ -70,8 +70,8 @@
 
 def test_log_pipe_without_a_reader_does_not_block_the_agent(start_agent):
     read_end, write_end = os.pipe()
-    fcntl.fcntl(write_end, F_SETPIPE_SZ, PIPE_PAGE)
-    os.write(write_end, bytes(PIPE_PAGE))  # it is full
+    fcntl.fcntl(write_end, F_SETPIPE_SZ, MIN_PIPE_BYTES)
+    os.write(write_end, bytes(MIN_PIPE_BYTES))  # it is full
     port, agent = start_agent(write_end)
     assert answers_requests(port, 50) and agent.poll() is None
     os.close(read_end)
@@ -100,11 +100,13 @@
 
 def test_lost_lines_are_counted_in_the_next_written_line():
     read_end, write_end = os.pipe()
-    fcntl.fcntl(write_end, F_SETPIPE_SZ, PIPE_PAGE)
-    os.write(write_end, bytes(PIPE_PAGE))
+    fcntl.fcntl(write_end, F_SETPIPE_SZ, MIN_PIPE_BYTES)
+    os.write(write_end, bytes(MIN_PIPE_BYTES))
     handler = NonBlockingHandler(write_end)
     handler.setFormatter(Logfmter())
-    assert emit_and_read(handler, read_end, "a", "b", "c") == bytes(PIPE_PAGE) and handler.lost_lines == 3
+    assert (
+        emit_and_read(handler, read_end, "a", "b", "c") == bytes(MIN_PIPE_BYTES) and handler.lost_lines == 3
+    )
     assert b"lines_lost=3" in emit_and_read(handler, read_end, "d")
     assert b"lines_lost" not in emit_and_read(handler, read_end, "e")
     os.close(read_end)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -113,13 +113,13 @@
 def test_non_idempotent_request_whose_answer_has_no_length(deployment, behaviour, answer):
     assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m") == answer
     assert len(deployment.seen()) == 1
-    until(lambda: not any(server.open for server in deployment.servers))  # the connection is closed
+    until(lambda: not any(server.connections for server in deployment.servers))  # the connection is closed
 
 
 def test_not_processed_answer_without_a_length_is_retried_only_if_complete(deployment, monkeypatch):
     refusal = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n\r\nfull"
     for behaviour in ("open", "torn"):
-        monkeypatch.setitem(Server.DOES, behaviour, refusal)
+        monkeypatch.setitem(Server.RESPONSES, behaviour, refusal)
         # The not-processed header counts once the answer is complete: a cut-off answer may have said more.
         received_count = len(deployment.seen())
         assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m")[0] == (
@@ -145,4 +145,4 @@
     result = upstream.exchange(Attempt(), 0, address, deadline, request_bytes)
     assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
     assert result.outcome().never_ran and not deployment.seen()
-    until(lambda: not any(server.open for server in deployment.servers))
+    until(lambda: not any(server.connections for server in deployment.servers))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -13,10 +13,10 @@
 from cartdeal.agent.connection import Connection
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.world import InvalidInputError
-from cartdeal.rig.play import Rig, command
+from cartdeal.rig.play import Rig, read_agent_command
 
-AGENT = f"exec {sys.executable} -m cartdeal"
-BAD = {
+AGENT_COMMAND = f"exec {sys.executable} -m cartdeal"
+FAULTY_WORLD = {
     "seconds": 5.0,
     "agents": 4,
     "clients": {"per_s": 120.0},
@@ -36,30 +36,33 @@
 }
 
 
-def broken(words) -> str:
+def broken_agent_command(patch) -> str:
     """The command of an agent with a planted fault."""
     return (
         f'exec {sys.executable} -c "from cartdeal.agent.reducer import Reducer as R; '
-        f"from cartdeal.balancer_types import ServerState; {words}; "
+        f"from cartdeal.balancer_types import ServerState; {patch}; "
         'from cartdeal.__main__ import main; main()"'
     )
 
 
-def test_real_agents_keep_the_rules_while_answers_break_off_at_every_place():
-    rig = Rig(worlds.world_from_dict(BAD), 1, AGENT).play()
-    assert not rig.rule_checker.violations and not rig.count["faults logged"]
+def test_real_agents_break_no_rule_while_answers_break_off_at_every_point():
+    rig = Rig(worlds.world_from_dict(FAULTY_WORLD), 1, AGENT_COMMAND).play()
+    assert not rig.rule_checker.violations and not rig.counts["faults logged"]
     assert (
         rig.rule_checker.accepted_count
         == rig.rule_checker.answered_count + rig.rule_checker.excused_count
         > 200
     )
-    assert all(rig.count[f"broken off: {way}"] for way in ("nothing", "head", "body", "noise", "reset"))
-    assert rig.count[200] and rig.count[502]
+    assert all(
+        rig.counts[f"broken off: {break_point}"]
+        for break_point in ("nothing", "head", "body", "noise", "reset")
+    )
+    assert rig.counts[200] and rig.counts[502]
     assert all(agent.process.poll() is not None for agent in rig.agents)
 
 
 @pytest.mark.parametrize(
-    "words, rule",
+    "patch, rule",
     [
         ("R.fail = lambda self, request: self.reject(request, 0.0)", 2),
         (
@@ -70,44 +73,50 @@
         ("a = R.answer; R.answer = lambda self, n, *more: n % 20 and a(self, n, *more)", 1),
     ],
 )
-def test_judge_finds_a_broken_agent_on_sockets(words, rule):
-    found = Rig(worlds.world_from_dict(BAD), 1, broken(words)).play().rule_checker.violations
-    assert Counter(each.rule for each in found).most_common(1)[0][0] == rule
-
-
-def test_request_that_a_close_crossed_is_sent_once_more():
-    rig = Rig(worlds.world_from_dict({"seconds": 1.0, "agents": 1, "zones": ["a"]}), 1, AGENT)
-    kept = rig.kept
-    rig.kept = lambda agent: crossed.pop() if crossed else kept(agent)
-    ours, theirs = socket.socketpair()
-    theirs.close()
-    crossed = [Connection(ours, reads_responses=True)]
+def test_rule_checker_finds_the_violations_of_a_broken_agent(patch, rule):
+    violations = (
+        Rig(worlds.world_from_dict(FAULTY_WORLD), 1, broken_agent_command(patch))
+        .play()
+        .rule_checker.violations
+    )
+    assert Counter(each.rule for each in violations).most_common(1)[0][0] == rule
+
+
+def test_request_on_a_connection_that_the_agent_closed_is_sent_again():
+    rig = Rig(worlds.world_from_dict({"seconds": 1.0, "agents": 1, "zones": ["a"]}), 1, AGENT_COMMAND)
+    idle_connection = rig.idle_connection
+    rig.idle_connection = (
+        lambda agent: closed_connections.pop() if closed_connections else idle_connection(agent)
+    )
+    client_end, agent_end = socket.socketpair()
+    agent_end.close()
+    closed_connections = [Connection(client_end, reads_responses=True)]
     rig.play()
-    assert rig.count["sent again"] == 1 and not rig.rule_checker.violations
+    assert rig.counts["sent again"] == 1 and not rig.rule_checker.violations
 
 
 @pytest.mark.parametrize(
-    "more, words",
+    "keys, message",
     [
         ({"fault": [{"kind": "zone_cut", "zone": "a", "begins_s": 1.0}]}, "fault[0].kind"),
         ({"agents": 2000}, "agents: found 2000"),
         ({"seconds": 9999.0}, "seconds"),
     ],
 )
-def test_world_that_sockets_cannot_play_is_refused(more, words):
-    with pytest.raises(InvalidInputError, match=words.replace("[", r"\[")):
-        Rig(worlds.world_from_dict(more), 1, AGENT)
+def test_world_that_cannot_be_played_on_sockets_is_refused(keys, message):
+    with pytest.raises(InvalidInputError, match=message.replace("[", r"\[")):
+        Rig(worlds.world_from_dict(keys), 1, AGENT_COMMAND)
 
 
-def test_command_of_an_agent_that_ends_or_is_not_there_is_named(tmp_path):
+def test_error_names_an_agent_command_that_exits_or_is_missing(tmp_path):
     with pytest.raises(InvalidInputError, match="exit 3"):
         Rig(worlds.world_from_dict({"agents": 2}), 1, "exit 3").play()
     with pytest.raises(InvalidInputError, match="run: found none"):
-        command(tmp_path / "none.toml")
+        read_agent_command(tmp_path / "none.toml")
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_interrupted_rig_leaves_no_process(tmp_path, number):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_interrupted_rig_leaves_no_process(tmp_path, signal_number):
     (tmp_path / "w.toml").write_text("seconds = 200.0\nagents = 3\n")
     rig = subprocess.Popen(
         [
@@ -117,14 +126,14 @@
             "rig",
             str(tmp_path / "w.toml"),
             "--run",
-            f"{AGENT} 2>&1 | tee {tmp_path}/log-$$ >&2",
+            f"{AGENT_COMMAND} 2>&1 | tee {tmp_path}/log-$$ >&2",
         ],
         stderr=subprocess.DEVNULL,
     )
     logs = []
     while sum(b"msg=serving" in log.read_bytes() for log in logs) < 3:
         logs = list(tmp_path.glob("log-*"))
-    os.kill(rig.pid, number)
+    os.kill(rig.pid, signal_number)
     assert rig.wait(timeout=20) != 0
     for log in logs:
         with pytest.raises(ProcessLookupError):  # the whole group that the shell led
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -41,7 +41,7 @@
 from cartdeal.fleet.transport import TransportLimits
 from cartdeal.lab import fleets
 from cartdeal.rig import play
-from cartdeal.rig.stands import DiscoveryService
+from cartdeal.rig.fake_servers import DiscoveryService
 from tests.fleet import test_membership, test_ring_consensus, test_transport
 from tests.fleet.test_membership import peer
 from tests.fleet.test_transport import SETTINGS, StreamMessage, wait_until
@@ -178,10 +178,10 @@
 
 
 def test_bounds_of_rig_and_lab():
-    play.check(worlds.world_from_dict({"agents": MAX_AGENTS}))
+    play.check_world(worlds.world_from_dict({"agents": MAX_AGENTS}))
     with pytest.raises(InvalidInputError, match="agents: found 1025, wanted 1024 at most"):
-        play.check(worlds.world_from_dict({"agents": MAX_AGENTS + 1}))
-    starts = list(product(range(3), range(MAX_AGENTS), range(play.LIVES)))
+        play.check_world(worlds.world_from_dict({"agents": MAX_AGENTS + 1}))
+    starts = list(product(range(3), range(MAX_AGENTS), range(play.MAX_STARTS_PER_AGENT)))
     assert len({play.agent_seed(*start) for start in starts}) == len(starts)
     for kind in ("ring", "copies", "days", "upgrade"):
         assert fleets.made(kind, {"agents": MAX_AGENTS}, "variant[0].set").agents == MAX_AGENTS
@@ -203,7 +203,7 @@
     monkeypatch.setattr(play.Agent, "start", start)
     rig.agents = [play.Agent(rig, number, 0) for number in range(MAX_AGENTS)]
     rig.start_agents()
-    assert len(start_counts) == MAX_AGENTS and max(start_counts) == play.STARTED_AT_ONCE
+    assert len(start_counts) == MAX_AGENTS and max(start_counts) == play.MAX_CONCURRENT_STARTS
 
 
 def full_hub(agent_count=MAX_AGENTS):
--- a/tests/test_slow_clients.py
+++ b/tests/test_slow_clients.py
@@ -226,7 +226,9 @@
     deployment.servers[0].released.set()
     assert [answered(connection)[0] for _ in requests] == [200, 200, 503]
     (sent_timeout,) = [
-        each.headers[b"x-timeout"] for each in deployment.servers[0].seen if each.path == b"/read/1"
+        each.headers[b"x-timeout"]
+        for each in deployment.servers[0].received_requests
+        if each.path == b"/read/1"
     ]
     assert int(sent_timeout.removesuffix(b"m")) <= 100
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,49 +8,53 @@
 from gevent import socket
 
 from cartdeal.emulator.world import InvalidInputError
-from cartdeal.rig.soak import clients, play, troubles
-from cartdeal.rig.soak.judge import Judge, Rule, SoakRequest
+from cartdeal.rig.soak import clients, faults, play
+from cartdeal.rig.soak.rule_checker import Rule, RuleChecker, SoakRequest
 
 
-def test_small_soak_keeps_the_rules():
-    played = play.Soak(seed=7, agents=3, seconds=11.0).play()
-    assert len(played.troubles) >= 2 and len(played.judge.requests) > 100
-    assert not played.judge.violations, played.report()
+def test_small_soak_breaks_no_rule():
+    soak = play.Soak(seed=7, agents=3, duration=11.0).play()
+    assert len(soak.faults) >= 2 and len(soak.rule_checker.requests) > 100
+    assert not soak.rule_checker.violations, soak.report()
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_troubles_of_a_seed_overlap_and_are_the_same_each_time(seed):
-    drawn = troubles.draw(seed, 30.0)
-    assert drawn == troubles.draw(seed, 30.0)
-    assert len(drawn) >= 6 and {each.kind for each in drawn} <= set(troubles.KINDS)
-    for each in drawn:
-        assert any(abs(each.begins_at - other.begins_at) < troubles.KNOT for other in drawn if other != each)
+def test_faults_overlap_and_depend_on_the_seed_alone(seed):
+    schedule = faults.draw_schedule(seed, 30.0)
+    assert schedule == faults.draw_schedule(seed, 30.0)
+    assert len(schedule) >= 6 and {each.name for each in schedule} <= set(faults.FAULTS_BY_NAME)
+    for each in schedule:
+        assert any(
+            abs(each.begins_at - other.begins_at) < faults.BURST_DURATION_S
+            for other in schedule
+            if other != each
+        )
 
 
 @pytest.mark.parametrize("agents, seconds", [(0, 10.0), (1000, 10.0), (3, 0.0), (3, 1e6)])
-def test_soak_of_no_sensible_size_is_refused(agents, seconds):
+def test_soak_of_a_size_out_of_range_is_refused(agents, seconds):
     with pytest.raises(InvalidInputError, match="wanted"):
         play.Soak(1, agents, seconds)
 
 
-class Judged:
+class RuleCheckerHarness:
     """A judge with one request, sent at 10 and waited for until 12."""
 
-    def __init__(self, kind="read"):
-        self.judge = Judge()
-        self.request = SoakRequest("id", kind, 10.0, 2.0, 0)
-        self.judge.sent(self.request)
+    def __init__(self, request_class="read"):
+        self.rule_checker = RuleChecker()
+        self.request = SoakRequest("id", request_class, 10.0, 2.0, 0)
+        self.rule_checker.on_request_sent(self.request)
 
-    def reached(self, at=10.1, zone="a", id="id", told=1.0, held_back=False, server="s0"):
-        self.judge.reached(server, zone, id, at, at, told, held_back)
+    def on_request_received(self, at=10.1, zone="a", id="id", timeout=1.0, may_be_delayed=False, server="s0"):
+        self.rule_checker.on_request_received(server, zone, id, at, at, timeout, may_be_delayed)
 
     @property
     def rules(self):
-        return [each.rule for each in self.judge.violations]
+        return [each.rule for each in self.rule_checker.violations]
 
 
 @pytest.mark.parametrize(
-    "kind, runs, breaks",
+    "request_class, executions, violation_count",
     [
         ("read", [(10.1, "a"), (11.0, "b")], 0),
         ("once", [(10.1, "a")], 0),
@@ -60,75 +64,77 @@
         ("mark", [(9.0, "a"), (11.5, "a")], 1),
     ],
 )
-def test_judge_of_the_soak_finds_second_effects(kind, runs, breaks):
-    judged = Judged(kind)
-    for at, zone in runs:
-        judged.reached(at, zone, told=0.1)
-    assert judged.rules == [Rule.DUPLICATE] * breaks
-
-
-def test_judge_of_the_soak_finds_every_other_break():
-    judged = Judged()
-    judged.reached(told=2.5)
-    judged.reached(id="another")
-    judged.judge.drained_at["s1"] = 0.5
-    judged.reached(server="s1")
-    judged.request.left_at = 10.2
-    judged.reached(at=10.6)
-    judged.judge.answered(judged.request, 12.6, 200, b"another", False)
-    judged.judge.sent(SoakRequest("open", "read", 10.0, 2.0, 0))
-    judged.judge.close(20.0)
-    assert judged.rules == [
-        Rule.TIME_TOLD,
-        Rule.FOREIGN,
+def test_rule_checker_finds_requests_that_ran_again_against_their_class(
+    request_class, executions, violation_count
+):
+    harness = RuleCheckerHarness(request_class)
+    for at, zone in executions:
+        harness.on_request_received(at, zone, timeout=0.1)
+    assert harness.rules == [Rule.DUPLICATE] * violation_count
+
+
+def test_rule_checker_finds_every_other_violation():
+    harness = RuleCheckerHarness()
+    harness.on_request_received(timeout=2.5)
+    harness.on_request_received(id="another")
+    harness.rule_checker.drain_times["s1"] = 0.5
+    harness.on_request_received(server="s1")
+    harness.request.closed_at = 10.2
+    harness.on_request_received(at=10.6)
+    harness.rule_checker.on_answer(harness.request, 12.6, 200, b"another", False)
+    harness.rule_checker.on_request_sent(SoakRequest("open", "read", 10.0, 2.0, 0))
+    harness.rule_checker.check_unanswered(20.0)
+    assert harness.rules == [
+        Rule.TIMEOUT_TOO_LONG,
+        Rule.FOREIGN_ANSWER,
         Rule.DRAIN,
         Rule.CLIENT_GONE,
-        Rule.FOREIGN,
+        Rule.FOREIGN_ANSWER,
         Rule.LOST,
         Rule.LOST,
     ]
 
 
-def test_judge_of_the_soak_excuses_what_the_soak_itself_held_back():
-    judged = Judged()
-    judged.judge.drained_at["s0"] = 0.5
-    judged.reached(told=2.5, held_back=True)
-    judged.judge.answered(judged.request, 13.0, 200, b"id", True)
-    assert not judged.rules
+def test_rule_checker_excuses_delays_that_the_soak_caused():
+    harness = RuleCheckerHarness()
+    harness.rule_checker.drain_times["s0"] = 0.5
+    harness.on_request_received(timeout=2.5, may_be_delayed=True)
+    harness.rule_checker.on_answer(harness.request, 13.0, 200, b"id", True)
+    assert not harness.rules
 
 
 @pytest.fixture
-def usual(monkeypatch):
+def client_setup(monkeypatch):
     """A usual client that never leaves early, its connection, the agent's end of it, and the judge."""
-    monkeypatch.setattr(clients, "PATIENCE", 0.05)
-    monkeypatch.setattr(clients, "LEAVES", 0.0)
-    soak = SimpleNamespace(random=Random(1), judge=Judge(), now=monotonic)
+    monkeypatch.setattr(clients, "LATE_ANSWER_WAIT_S", 0.05)
+    monkeypatch.setattr(clients, "EARLY_CLOSE_SHARE", 0.0)
+    soak = SimpleNamespace(random=Random(1), rule_checker=RuleChecker(), now=monotonic)
     agent = SimpleNamespace(number=0, was_killed_since=lambda at: False, was_paused_since=lambda at: False)
-    ours, theirs = socket.socketpair()
+    client_end, agent_end = socket.socketpair()
     yield (
-        clients.UsualClients(soak, agent),
-        clients.ClientSide(ours, reads_responses=True),
-        theirs,
-        soak.judge,
+        clients.WellBehavedClients(soak, agent),
+        clients.ClientConnection(client_end, reads_responses=True),
+        agent_end,
+        soak.rule_checker,
     )
-    ours.close()
-    theirs.close()
+    client_end.close()
+    agent_end.close()
 
 
-@pytest.mark.parametrize("ends, excused", [(False, False), (True, True)])
-def test_only_the_end_of_a_used_connection_may_have_crossed_a_request(usual, ends, excused):
-    client, connection, agents_end, judge = usual
+@pytest.mark.parametrize("is_closed, is_excused", [(False, False), (True, True)])
+def test_lost_request_is_excused_only_if_a_reused_connection_closed(client_setup, is_closed, is_excused):
+    client, connection, agent_end, rule_checker = client_setup
     request = SoakRequest("id", "read", monotonic(), 0.01, 0)
-    if ends:
-        agents_end.close()
-    assert not client.hear(connection, request, True)
-    assert [each.rule for each in judge.violations] == [Rule.LOST] * (not excused)
+    if is_closed:
+        agent_end.close()
+    assert not client.receive_answer(connection, request, True)
+    assert [each.rule for each in rule_checker.violations] == [Rule.LOST] * (not is_excused)
 
 
-def test_request_behind_an_answer_that_ends_its_connection_is_owed_one(usual):
-    client, connection, agents_end, judge = usual
+def test_request_pipelined_behind_an_answer_that_closes_is_owed_an_answer(client_setup):
+    client, connection, agent_end, rule_checker = client_setup
     first, second = (SoakRequest(id, "read", monotonic(), 0.01, 0) for id in "ab")
-    agents_end.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na")
-    assert not client.hear(connection, first, True)
-    client.give_up(first, [second])
-    assert [(each.rule, each.about) for each in judge.violations] == [(Rule.LOST, "b")]
+    agent_end.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na")
+    assert not client.receive_answer(connection, first, True)
+    client.on_connection_closed(first, [second])
+    assert [(each.rule, each.subject) for each in rule_checker.violations] == [(Rule.LOST, "b")]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -83,7 +83,7 @@
     # Had it taken its deadline to notice, the test would be over.
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="60000m") == (502, b"")
     assert len(deployment.seen()) == 1
-    until(lambda: not any(server.open for server in deployment.servers))
+    until(lambda: not any(server.connections for server in deployment.servers))
 
 
 def test_surplus_bytes_after_an_answer_never_answer_the_next_request(deploy, monkeypatch):
@@ -93,7 +93,7 @@
         assert deployment.ask(f"/read/x?do={does}") == (200, b"one")
         assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
-    for connection in server.open:
+    for connection in server.connections:
         connection.sock.sendall(late)  # on a kept connection, some time after its answer
     until(
         lambda: all(
@@ -102,8 +102,10 @@
     )
     assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 60.0)
-    before = set(server.open)
-    assert deployment.ask() == (200, b"s0 ") and server.open - before  # those before it are to rest first
+    before = set(server.connections)
+    assert (
+        deployment.ask() == (200, b"s0 ") and server.connections - before
+    )  # those before it are to rest first
 
 
 def test_new_server_at_a_known_address_does_not_reuse_its_connections(deploy):
@@ -134,7 +136,7 @@
         X_Request_ID="id-9",
         Cookie="a=b; sid=7f",
     ) == (200, b"s0 " + body[:-3])
-    got = deployment.servers[0].seen[-1]
+    got = deployment.servers[0].received_requests[-1]
     assert (got.method, got.path, got.body) == (b"POST", path.encode(), body[:-3])
     assert got.headers[b"x-request-id"] == b"id-9" and got.headers[b"idempotency-key"] == b"k1"
     assert 0 < int(got.headers[b"x-timeout"][:-1]) <= 1500
@@ -143,7 +145,7 @@
 
 def test_request_headers_and_load_reports_reach_the_balancer(deploy, monkeypatch):
     more = {"tenants": [{"name": "x"}, {"name": "y"}], "feedback": {"how": "answers"}}
-    monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
+    monkeypatch.setitem(Server.RESPONSES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
     deployment, told = deploy(settings=SETTINGS | more), []
     balancer = deployment.agent.reducer.balancer
     for event in ("on_request", "on_attempt_ended", "on_probe_ended"):
@@ -180,7 +182,7 @@
     connection.sock.sendall(chunked + worded("/read/3") + worded("/read/4", Connection="close"))
     assert [answered(connection) for _ in range(4)] == [(200, b"s0 two"), (200, b"s0 "), (200, b"s0 "), None]
     assert deployment.seen() == ["/mark/1", "/once/2", "/read/3", "/read/4"]
-    assert len(deployment.servers[0].open) == 1  # one connection to the server carried them all
+    assert len(deployment.servers[0].connections) == 1  # one connection to the server carried them all
 
 
 def test_answers_to_a_slow_reader_stay_complete_and_in_order(deploy):
@@ -197,7 +199,7 @@
 def test_idle_connection_closed_by_the_server_is_not_reused(deploy):
     deployment = deploy()
     assert deployment.ask()[0] == 200
-    for connection in list(deployment.servers[0].open):
+    for connection in list(deployment.servers[0].connections):
         connection.close()
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ")
     assert deployment.seen() == ["/read/x", "/once/x"]
@@ -311,7 +313,7 @@
         )
     )
     assert answered(connection) == (200, b"s0 abc")
-    headers = deployment.servers[0].seen[0].headers
+    headers = deployment.servers[0].received_requests[0].headers
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
 
 
@@ -431,7 +433,7 @@
     until(deployment.seen)
     deployment.agent.upstream.cancel(1, 0)
     assert answered(connection) == (502, b"")
-    until(lambda: not deployment.servers[0].open)
+    until(lambda: not deployment.servers[0].connections)
     # Given up before its greenlet ran, an attempt still ends with an event.
     deployment.agent.upstream.send_attempt(9, 0, 0, deployment.servers[0].address, None, 0.0)
     deployment.agent.upstream.cancel(9, 0)
@@ -446,26 +448,26 @@
 
 def test_watch_survives_split_lines_and_fails_on_bad_lines_and_silence(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
+    monkeypatch.setattr(DiscoveryService, "HEARTBEAT_INTERVAL_S", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
     until(lambda: reducer.balancer.watch.is_active)
     extra = Server("s9")
-    service.tell(extra.line(), split=30)
+    service.send_update(extra.list_entry(), split=30)
     until(lambda: b"s9" in reducer.server_indices)
     assert reducer.list_version == 2
-    service.tell(extra.line(state="left"))
+    service.send_update(extra.list_entry(state="left"))
     until(lambda: reducer.list_version == 3)
     calls = len(service.calls)
     for break_it in (
         lambda: service.write(service.watches[-1], b"{no list\n"),
-        lambda: service.tell(extra.line(endpoint="nowhere")),
-        lambda: setattr(service, "BEAT", 1e9),
+        lambda: service.send_update(extra.list_entry(endpoint="nowhere")),
+        lambda: setattr(service, "HEARTBEAT_INTERVAL_S", 1e9),
     ):
-        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.is_active)
+        until(lambda: service.entries.pop("s9", 1) and reducer.balancer.watch.is_active)
         break_it()
         until(lambda: not reducer.balancer.watch.is_active)
-    service.BEAT, service.down = 0.01, True
+    service.HEARTBEAT_INTERVAL_S, service.is_down = 0.01, True
     reducer.balancer.watch.next_call_at = 0.0
     deployment.agent.dispatch("on_timer", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
@@ -476,7 +478,7 @@
 def test_watch_without_changes_is_established(deploy, monkeypatch):
     monkeypatch.setattr(
         DiscoveryService,
-        "play",
+        "handle_request",
         lambda service, connection, message: connection.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
         ),
@@ -567,7 +569,7 @@
         switches(
             lambda: [
                 deployment.ask(f"/read/{place}?do={does}", X_Timeout="100m")
-                for place, does in enumerate(Server.DOES)
+                for place, does in enumerate(Server.RESPONSES)
             ]
         )
         == 0
@@ -643,7 +645,7 @@
 def test_pool_agent_watches_servers_and_uses_their_load_reports(
     deploy, tmp_path, monkeypatch, report, served
 ):
-    monkeypatch.setitem(Server.DOES, "load", answer(200, b"", report))
+    monkeypatch.setitem(Server.RESPONSES, "load", answer(200, b"", report))
     deployment = deploy()
     deployment.service.calls.clear()
     agent = start(tmp_path, deployment, settings=SETTINGS | NEW_SHAPE, known={})
@@ -655,7 +657,7 @@
     # the others are rejected after a moment.
     asking = [gevent.spawn(deployment.ask, "/once/x?do=wait", "POST") for _ in range(6)]
     until(lambda: sum(each.ready() for each in asking) >= 6 - served)
-    assert sum(b"wait" in message.path for message in deployment.servers[0].seen) == served
+    assert sum(b"wait" in message.path for message in deployment.servers[0].received_requests) == served
     deployment.servers[0].released.set()
     assert sorted(each.get()[0] for each in asking) == [200] * served + [503] * (6 - served)
     agent.terminate()
@@ -688,7 +690,7 @@
     deployment, there = deploy(), DiscoveryService()
     agent = start(tmp_path, deployment)
     lead_to(agent, deployment)
-    until(lambda: len(deployment.service.open) == 2)  # the agent in this process watches too
+    until(lambda: len(deployment.service.connections) == 2)  # the agent in this process watches too
     waiting, file = deployment.connect(), tmp_path / "agent.json"
     waiting.sock.sendall(worded("/once/1?do=wait", "POST"))
     until(deployment.seen)
@@ -699,15 +701,15 @@
         file.write_text(text)
         agent.send_signal(signal.SIGHUP)
         assert words in line_with(agent, b"configuration refused")
-    assert len(deployment.service.open) == 2
+    assert len(deployment.service.connections) == 2
     file.write_text(json.dumps(deployment.config | {"discovery": there.address, "name": "n9"}))
-    there.mute, there.lines = True, deployment.service.lines
+    there.is_mute, there.entries = True, deployment.service.entries
     agent.send_signal(signal.SIGHUP)
     assert b"needs_restart=name" in line_with(agent, b"configuration read")
     until(lambda: there.watches)
-    assert there.calls == ["/registry/instances?watch=1&after=0"] and len(deployment.service.open) == 2
-    there.tell()  # now the new one stands, and the old one is let go
-    until(lambda: len(deployment.service.open) == 1)
+    assert there.calls == ["/registry/instances?watch=1&after=0"] and len(deployment.service.connections) == 2
+    there.send_update()  # now the new one stands, and the old one is let go
+    until(lambda: len(deployment.service.connections) == 1)
     agent.send_signal(signal.SIGHUP)
     agent.send_signal(signal.SIGHUP)
     line_with(agent, b"configuration read")
@@ -733,20 +735,24 @@
 
 def test_further_attempt_sends_only_the_remaining_timeout(deploy, monkeypatch):
     """The first attempt is held until a fifth of the time is over, and then turned away."""
-    deployment, play = deploy(servers=2), Server.play
-    refusal = answer(503, extra=Server.NOT_RUN)
+    deployment, handle_request = deploy(servers=2), Server.handle_request
+    refusal = answer(503, extra_headers=Server.NOT_PROCESSED_HEADER)
 
     def turn_the_first_away(server, connection, message):
-        if sum(len(each.seen) for each in deployment.servers):
-            return play(server, connection, message)
-        server.seen.append(message)
+        if sum(len(each.received_requests) for each in deployment.servers):
+            return handle_request(server, connection, message)
+        server.received_requests.append(message)
         gevent.sleep(0.2)
         connection.write(refusal)
 
-    monkeypatch.setattr(Server, "play", turn_the_first_away)
+    monkeypatch.setattr(Server, "handle_request", turn_the_first_away)
     assert deployment.ask("/read/x", X_Timeout="1000m")[0] == 200
     first, second = sorted(
-        (int(message.headers[b"x-timeout"][:-1]) for server in deployment.servers for message in server.seen),
+        (
+            int(message.headers[b"x-timeout"][:-1])
+            for server in deployment.servers
+            for message in server.received_requests
+        ),
         reverse=True,
     )
     assert first <= 1000 and 0 < second <= first - 190
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -26,7 +26,7 @@
     """An agent's process, its port for clients, and its only server."""
     server = Server("s0")
     file = tmp_path / "agent.json"
-    known = {"rev": 1, "all": True, "targets": [server.line()]}
+    known = {"rev": 1, "all": True, "targets": [server.list_entry()]}
     file.write_text(json.dumps(config_file(known=known)))
     process = subprocess.Popen(
         [sys.executable, "-m", "cartdeal"],
@@ -62,7 +62,9 @@
     os.kill(process.pid, signal.SIGCONT)
     assert answered(client)[0] == 200
     assert answered(short_client)[0] == 503
-    (sent_timeout,) = [each.headers[b"x-timeout"] for each in server.seen if each.path == b"/once/long"]
+    (sent_timeout,) = [
+        each.headers[b"x-timeout"] for each in server.received_requests if each.path == b"/once/long"
+    ]
     assert int(sent_timeout[:-1]) / 1e3 <= 2.0 - STALL_S + TOLERANCE_S
 
 
@@ -124,9 +126,9 @@
     """The list update and the requests are unread at the same time; a draining server gets no request."""
     servers = [Server(f"s{number}") for number in range(2)]
     service = DiscoveryService()
-    service.lines = {each.name: each.line() for each in servers}
+    service.entries = {each.name: each.list_entry() for each in servers}
     file = tmp_path / "agent.json"
-    known = {"rev": 1, "all": True, "targets": list(service.lines.values())}
+    known = {"rev": 1, "all": True, "targets": list(service.entries.values())}
     settings = SETTINGS | {"discovery": "pushed"}
     file.write_text(json.dumps(config_file(known=known, discovery=service.address, settings=settings)))
     process = subprocess.Popen(
@@ -142,15 +144,15 @@
         for client in clients:
             client.sock.sendall(worded())
             assert answered(client)[0] == 200
-        drained = max(servers, key=lambda server: len(server.seen))
+        drained = max(servers, key=lambda server: len(server.received_requests))
         os.kill(process.pid, signal.SIGSTOP)
-        served_before = len(drained.seen)
+        served_before = len(drained.received_requests)
         for client in clients:
             client.sock.sendall(worded())
-        service.tell(drained.line(state="leaving"))
+        service.send_update(drained.list_entry(state="leaving"))
         os.kill(process.pid, signal.SIGCONT)
         assert {answered(client)[0] for client in clients} == {200}
-        assert len(drained.seen) == served_before
+        assert len(drained.received_requests) == served_before
     finally:
         process.kill()
         process.wait()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,13 +11,13 @@
 
 from cartdeal.agent import configuration
 from cartdeal.agent.upstream import NoConnectionError, UpstreamPool
-from cartdeal.rig.system_faults import OWN_LIMITS, SystemFaults
+from cartdeal.rig.system_faults import RESOURCE_ERRNOS, SystemFaults
 from cartdeal.sockets import BindError, bind_socket
 from examples.toy import DiscoveryService
 from tests.scene import Deployment, answered, until, worded
 
 FAILURE_COUNT = 200  # more than the budget has connections
-LOCAL_ERRNOS = (*OWN_LIMITS, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
+LOCAL_ERRNOS = (*RESOURCE_ERRNOS, errno.EADDRNOTAVAIL, errno.ENETUNREACH)
 
 
 @pytest.fixture
@@ -48,7 +48,7 @@
     return is_to_server
 
 
-@pytest.mark.parametrize("error", OWN_LIMITS, ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", RESOURCE_ERRNOS, ids=errno.errorcode.get)
 @pytest.mark.parametrize("call", ["socket", "connect"])
 def test_failed_socket_calls_leak_no_connection_of_the_budget(deployment, faults, call, error):
     client = deployment.connect()
@@ -57,7 +57,7 @@
     faults.fail(call, error)
     for _ in range(FAILURE_COUNT):
         assert deployment.ask("/once/x", "POST", connection=client)[0] == 503
-    faults.heal()
+    faults.clear()
     assert deployment.agent.budget.connection_count == count_before
     assert deployment.ask("/once/x", "POST", connection=client)[0] == 200
 
@@ -126,7 +126,7 @@
 # The application's side
 
 
-@pytest.mark.parametrize("error", [errno.ECONNABORTED, *OWN_LIMITS], ids=errno.errorcode.get)
+@pytest.mark.parametrize("error", [errno.ECONNABORTED, *RESOURCE_ERRNOS], ids=errno.errorcode.get)
 def test_queued_clients_are_accepted_at_shutdown_despite_accept_errors(deployment, faults, error):
     """A queued client has gone, or there is no descriptor for a moment: the others must not be reset."""
     front = deployment.agent.front
