--- a/cartdeal/rig/__init__.py
+++ b/cartdeal/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Worlds played on loopback sockets with real agents."""
+"""The rig: plays worlds on loopback sockets with real agents."""
--- a/cartdeal/rig/fake_servers.py
+++ b/cartdeal/rig/fake_servers.py
@@ -1,7 +1,7 @@
-"""Stand-ins on loopback: servers that work, fail and break off at any byte, and a discovery service.
+"""Fake servers on loopback, which work, fail and break off at any byte, and a fake discovery service.
 
-They speak the published protocol and know nothing of the agent. A stand-in must never listen off the
-loopback, nor hold a connection for longer than the rig lasts.
+They speak the published protocol and know nothing of the agent's code. They must never listen off the
+loopback, nor hold a connection for longer than the rig runs.
 """
 
 import struct
@@ -17,12 +17,14 @@
 from cartdeal.simulated_time import seeded_random
 
 LOOPBACK_HOST = "127.0.0.1"
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted: those of all agents at once
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-BREAK_POINTS = ("nothing", "head", "body", "noise", "reset")  # where a broken answer ends
+LISTEN_BACKLOG = 1024  # holds the connections of all agents at once
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
+# What is sent of an answer that is broken off.
+BREAK_POINTS = ("nothing", "head", "body", "noise", "reset")
 
 
 def http_response(status: int, body: bytes = b"", extra_headers: bytes = b"") -> bytes:
+    """Encodes an HTTP/1.1 response with a Content-Length."""
     return b"HTTP/1.1 %d Stand-in\r\n%bContent-Length: %d\r\n\r\n%b" % (
         status,
         extra_headers,
@@ -32,11 +34,14 @@
 
 
 class Listener:
+    """Accepts HTTP connections on a loopback port; subclasses answer in `handle_request`."""
+
     def __init__(self):
         self.port, self.connections = 0, set()
         self.listen()
 
     def listen(self):
+        """Opens the listening socket, on the same port as before if there was one."""
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind((LOOPBACK_HOST, self.port))
@@ -46,9 +51,11 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as the server list writes them."""
         return f"{LOOPBACK_HOST}:{self.port}"
 
     def accept(self, listening_socket):
+        """Accepts connections until the listening socket is closed."""
         while True:
             try:
                 sock, _ = listening_socket.accept()
@@ -60,9 +67,11 @@
             gevent.spawn(self.serve, connection)
 
     def make_connection(self, sock) -> Connection:
+        """Wraps an accepted socket; subclasses may use a connection class of their own."""
         return Connection(sock, reads_responses=False, on_close=self.connections.discard)
 
     def serve(self, connection):
+        """Reads requests from a connection and handles each in turn, until either side closes it."""
         try:
             while not connection.closed and connection.receive(None):
                 while connection.messages and not connection.closed:
@@ -72,6 +81,7 @@
         connection.close()
 
     def close(self):
+        """Stops listening and resets all open connections."""
         gevent.killall(self.greenlets, block=False)
         self.socket.close()
         for connection in list(self.connections):
@@ -79,6 +89,7 @@
 
 
 def reset(connection):
+    """Closes a connection with a TCP reset."""
     try:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     except OSError:
@@ -87,7 +98,10 @@
 
 
 class Server(Listener):
-    """First come first served on `cores`, each request for the time that its request class takes."""
+    """Serves requests in order of arrival on `cores`, each for the service time of its request class.
+
+    `slow`, `errors` and `resets` are set by the faults of the same names.
+    """
 
     def __init__(self, rig, name, zone, started=0.0):
         self.rig, self.settings, self.name, self.zone, self.started = (
@@ -104,12 +118,15 @@
         super().__init__()
 
     def capacity_share_now(self) -> float:
+        """Share of its capacity that the server has now, during its slow start."""
         return capacity_share(self.settings, self.started, self.rig.now)
 
     def capacity(self) -> float:
+        """Seconds of work that the server does in a second."""
         return self.settings.cores * self.capacity_share_now() / self.slow
 
     def handle_request(self, connection, message):
+        """Answers a health probe, or rejects or processes a request."""
         path = message.path.partition(b"?")[0]
         if path == b"/health/live":
             self.rig.counts["probes"] += 1
@@ -136,6 +153,7 @@
         self.reply(connection, request, request_class)
 
     def process(self, work):
+        """Waits for a free core and occupies it for `work` seconds at full capacity."""
         if self.running_count >= self.settings.cores:
             turn = Event()
             self.queue.append(turn)
@@ -147,6 +165,7 @@
             self.queue.popleft().set()
 
     def reply(self, connection, request, request_class):
+        """Sends the response, which the current faults may replace by an error or break off."""
         response = http_response(200, b"done " + request.encode())
         if self.random.random() < self.resets:
             break_point = self.random.choice(BREAK_POINTS)
@@ -161,14 +180,17 @@
         connection.sock.sendall(http_response(500) if self.random.random() < failing else response)
 
     def crash(self):
+        """Stops listening and resets all connections; requests in progress are not answered."""
         self.crash_count += 1
         self.close()
 
     def restart(self):
+        """Listens again on the same port, as a server that has just started."""
         self.started = self.rig.now
         self.listen()
 
     def list_entry(self, state="active") -> dict:
+        """The server's entry in the server list."""
         return {
             "uid": self.name,
             "endpoint": self.address,
@@ -181,6 +203,8 @@
 
 
 class DiscoveryService(Listener):
+    """Serves the server list, by fetch and by watch, and may be down or late."""
+
     HEARTBEAT_INTERVAL_S = 2.0
 
     def __init__(self, rig):
@@ -189,9 +213,11 @@
         super().__init__()
 
     def server_list(self, entries, is_full) -> bytes:
+        """Encodes list entries; `is_full` tells a whole list from an update."""
         return msgspec.json.encode({"rev": self.version, "all": is_full, "targets": entries})
 
     def handle_request(self, connection, message):
+        """Answers with the full list; a watch stays open and gets the updates."""
         self.rig.counts["list calls"] += 1
         if self.is_down:
             connection.sock.sendall(http_response(503))
@@ -205,18 +231,22 @@
         self.greenlets.append(gevent.spawn(self.send_heartbeats, connection))
 
     def write(self, connection, data):
+        """Writes a chunk of the response, if the connection is still open."""
         if not connection.closed:
             connection.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def send_heartbeats(self, connection):
+        """Writes an empty line to a watch at each interval."""
         while not connection.closed:
             gevent.sleep(self.HEARTBEAT_INTERVAL_S)
             self.write(connection, b"\n")
 
     def schedule_update(self, entry):
+        """Sends an entry's update after the delay of the list."""
         gevent.spawn_later(self.settings.late_s + self.extra_delay, self.send_update, entry)
 
     def send_update(self, entry):
+        """Changes an entry of the list and sends the change to every watch."""
         self.version += 1
         self.entries[entry["uid"]] = entry
         if entry["state"] == "left":
@@ -226,6 +256,7 @@
             self.write(watch, self.server_list([entry], False) + b"\n")
 
     def go_down(self):
+        """Closes all watches and refuses requests from now on."""
         self.is_down, watches, self.watches = True, self.watches, []
         for watch in watches:
             watch.close()
--- a/cartdeal/rig/faulty_agent.py
+++ b/cartdeal/rig/faulty_agent.py
@@ -1,7 +1,7 @@
-"""Runs an agent whose system calls fail now and then, and whose wall clock may be wrong.
+"""Runs an agent whose system calls fail at random and whose wall clock may be wrong.
 
-AGENT_FAULTS: a seed, the chance of a failure for each call, and how far ahead the wall clock is, in seconds:
-`7,0.002,-3600`. For soaks; an agent in service never runs it.
+The environment variable AGENT_FAULTS holds a seed, the probability that a call fails, and the seconds by
+which the wall clock is ahead: `7,0.002,-3600`. The soak uses this module; an agent in service never runs it.
 """
 
 import errno
@@ -16,7 +16,8 @@
 from cartdeal.rig.system_faults import SystemFaults  # noqa: E402
 
 FAULTS_VARIABLE = "AGENT_FAULTS"
-ERRORS_BY_CALL = {  # of each call, those that leave its connection as it was
+# The errors of each call that leave its connection unchanged.
+ERRORS_BY_CALL = {
     "accept": (errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM),
     "connect": (errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENETUNREACH, errno.ECONNREFUSED),
     "send": (errno.ENOBUFS, errno.ENOMEM),
@@ -27,6 +28,7 @@
 
 
 def install(specification: str):
+    """Makes system calls fail and shifts the wall clock, by the value of AGENT_FAULTS."""
     seed, chance, wall_ahead = specification.split(",")
     faults = SystemFaults(int(seed))
     faults.install(setattr)
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -1,8 +1,10 @@
-"""Plays a world on sockets: stand-ins, open-loop clients, and real agents started by the deploy file's `run`.
+"""Plays a world on sockets, with fake servers, open-loop clients and real agents.
 
-Latency counts from when a request was due, so an agent that stalls can't hide. Every process that is started
-is bounded in number and time and ended by its id, however the rig ends. It must never touch an address off
-the loopback.
+The command `run` of the deploy file starts an agent.
+
+Latency counts from the time at which a request was due, so that an agent that stalls can't hide it. The
+number and the running time of all processes are bounded, and each is ended by its id however the rig ends.
+The rig must never touch an address off the loopback.
 """
 
 import json
@@ -28,19 +30,20 @@
 
 MAX_AGENTS = 1024
 MAX_DURATION_S = 300.0
-MAX_STARTS_PER_AGENT = 16  # starts of one agent whose seeds are all different
-MAX_CONCURRENT_STARTS = 64  # more would wait for a processor for longer than READY
-AGENT_START_TIMEOUT_S = 20.0  # how long an agent may take to serve
-RESTART_DELAY_S = 1.0  # how long a killed agent is away
-LATE_ANSWER_WAIT_S = 1.0  # after the longest deadline, when all must be answered
+MAX_STARTS_PER_AGENT = 16  # the seeds of this many starts of an agent differ
+MAX_CONCURRENT_STARTS = 64  # more would wait for a processor for longer than AGENT_START_TIMEOUT_S
+AGENT_START_TIMEOUT_S = 20.0  # until it serves
+RESTART_DELAY_S = 1.0  # from the kill of an agent to its next start
+LATE_ANSWER_WAIT_S = 1.0  # after the longest timeout; every request has to be answered by then
 REPORTED_COUNTERS = "shots", "crossings", "probes", "list calls", "late clients", "faults logged"
-UNPLAYABLE_FAULTS = ("zone_cut",)  # loopback has no zones to cut
+UNPLAYABLE_FAULTS = ("zone_cut",)  # loopback addresses have no zones to isolate
 SERVING_PORT_PATTERN = re.compile(rb"msg=serving .*\bport=(\d+)")
 EXPECTED_STATUSES = 200, 502, 503
 HTTP_METHODS = {"safe": "GET"}
 
 
 def read_agent_command(deploy) -> str:
+    """Reads the command that starts an agent from the deploy file; raises InvalidInputError."""
     try:
         return tomllib.loads(Path(deploy).read_text())["run"]
     except (OSError, KeyError, tomllib.TOMLDecodeError) as error:
@@ -50,10 +53,11 @@
 
 
 def check_world(world: World):
+    """Raises InvalidInputError if the rig can't play the world."""
     for index, fault in enumerate(world.fault):
         if fault.kind in UNPLAYABLE_FAULTS:
             raise InvalidInputError(
-                f"fault[{index}].kind: found {fault.kind!r}, wanted one that loopback can play"
+                f"fault[{index}].kind: found {fault.kind!r}, wanted a fault that can be played on loopback"
             )
     for key, found, maximum in (
         ("agents", world.agents, MAX_AGENTS),
@@ -64,18 +68,19 @@
 
 
 def agent_seed(seed: int, number: int, start_count: int) -> int:
-    """A seed of its own for each agent of each play and each of its first starts."""
+    """A seed that differs between plays, agents, and the first starts of an agent."""
     return (seed * MAX_AGENTS + number) * MAX_STARTS_PER_AGENT + start_count
 
 
 class Agent:
-    """One real agent: its process, its port, and the connections of the application beside it."""
+    """A real agent: its process, its port, and the connections of the clients beside it."""
 
     def __init__(self, rig, number, zone):
         self.rig, self.number, self.zone = rig, number, zone
         self.process, self.port, self.idle_connections, self.start_count = None, 0, [], 0
 
     def start(self):
+        """Writes the agent's configuration, starts its process and waits until it serves."""
         rig = self.rig
         self.start_count += 1
         known_list = {
@@ -97,7 +102,7 @@
                 }
             )
         )
-        # A group of its own: a shell that starts more than one process must leave none behind.
+        # The shell leads a process group of its own, so that `stop` ends every process that it starts.
         self.process = subprocess.Popen(
             ["/bin/sh", "-c", rig.run],
             stderr=subprocess.PIPE,
@@ -114,11 +119,13 @@
         gevent.spawn(self.read_log, self.process.stderr)
 
     def read_log(self, log):
+        """Counts the lines that the agent logs, and the errors among them."""
         for line in log:
             self.rig.counts["log lines"] += 1
             self.rig.counts["faults logged"] += b"level=ERROR" in line
 
     def kill(self):
+        """Kills the agent as a fault; the rule checker excuses its unanswered requests."""
         self.rig.rule_checker.on_agent_killed(self.number)
         self.port = 0
         self.stop()
@@ -127,6 +134,7 @@
         self.idle_connections.clear()
 
     def stop(self):
+        """Kills the agent's process group, if it was started."""
         if self.process:
             try:
                 os.killpg(self.process.pid, signal.SIGKILL)
@@ -136,6 +144,8 @@
 
 
 class Rig:
+    """One play of a world on sockets; seconds are counted from the start of the traffic."""
+
     def __init__(self, world: World, seed: int, run: str):
         check_world(world)
         self.world, self.seed, self.run = world, seed, run
@@ -154,17 +164,20 @@
             accumulate((1 + index) ** -world.clients.popularity for index in range(world.clients.keys))
         )
         self.request_classes = {each.name: each for each in world.request_class}
-        self.agents_by_request = {}  # request -> agent
+        self.agents_by_request = {}  # by request id
         self.servers, self.agents = {}, []
 
     @property
     def now(self) -> float:
+        """Seconds since the traffic started."""
         return monotonic() - self.started_at
 
     def wall_time(self, at) -> float:
+        """Unix time in seconds of a time of the play."""
         return self.wall_offset + at
 
     def play(self):
+        """Starts the servers and agents, plays the world's traffic and faults, and ends all of them."""
         with tempfile.TemporaryDirectory() as self.folder:
             self.discovery = DiscoveryService(self)
             try:
@@ -183,11 +196,13 @@
         return self
 
     def start_agents(self):
+        """Starts the agents, MAX_CONCURRENT_STARTS at a time."""
         for first_index in range(0, len(self.agents), MAX_CONCURRENT_STARTS):
             batch = self.agents[first_index : first_index + MAX_CONCURRENT_STARTS]
             gevent.joinall([gevent.spawn(agent.start) for agent in batch], raise_error=True)
 
     def run_traffic(self):
+        """Runs the clients and the faults, waits for the last answers and checks for missing ones."""
         self.started_at, self.wall_offset = monotonic(), time()
         greenlets = []
         for agent in self.agents:
@@ -204,6 +219,7 @@
     # Servers
 
     def add_server(self, zone, started=0.0):
+        """Starts a server, which is sent to the agents as an update if it has a `started` time."""
         server = Server(self, f"s{self.next_server_number}", zone, started)
         self.next_server_number += 1
         self.servers[server.name] = server
@@ -213,17 +229,20 @@
             self.discovery.entries[server.name] = server.list_entry()
 
     def draw_work(self, class_name, random) -> float:
+        """Draws the seconds of work of a request of this class."""
         request_class = self.request_classes[class_name]
         return request_class.work_s * (
             random.expovariate(1.0) if request_class.spread == "exponential" else 1.0
         )
 
     def on_attempt_received(self, request, attempt, server):
+        """Counts an attempt that reached a server and tells the rule checker."""
         self.counts["shots"] += 1
         agent = self.agents_by_request.get(request)
         tracked = self.rule_checker.requests.get(request)
         if tracked:
-            # Whether an earlier one is still out is known to the agent alone: its close takes a while.
+            # Only the agent knows whether an earlier attempt is in flight, since a close takes a while to
+            # arrive. Earlier attempts count as ended.
             for each in tracked.attempts.values():
                 each[4] = False
             self.counts["crossings"] += agent.zone != server.zone
@@ -237,6 +256,7 @@
         )
 
     def on_list_update_sent(self, entry):
+        """Tells the rule checker which agents received a change of the server list."""
         for agent in self.agents:
             if not self.discovery.is_down:
                 self.rule_checker.on_server_state_received(
@@ -247,6 +267,7 @@
     # Clients
 
     def send_requests(self, agent, random, rate):
+        """Sends requests to an agent at random times, whether or not earlier ones are answered."""
         due_at = 0.0
         while (due_at := due_at + random.expovariate(rate * self.arrival_rate_factor)) < self.world.seconds:
             gevent.sleep(max(0.0, due_at - self.now))
@@ -264,6 +285,7 @@
                 gevent.spawn(self.send_request, agent, request_class, key, due_at)
 
     def send_request(self, agent, request_class, key, due_at):
+        """Sends one request, waits for its answer and records it."""
         self.requests += 1
         request, start_count, lateness = f"r{self.requests}", agent.start_count, self.now - due_at
         request_head = (
@@ -281,7 +303,8 @@
         if connection:
             message = self.exchange(connection, request_head, request_class)
         if not message and agent.port and start_count == agent.start_count:
-            # An agent may close between requests, which may cross one: that is sent once more, on a new one.
+            # An agent may close an idle connection while a request is on its way to it. That request is sent
+            # once more on a new connection.
             self.counts["sent again"] += bool(connection)
             try:
                 connection = self.connect(agent)
@@ -289,19 +312,19 @@
                 return
             message = self.exchange(connection, request_head, request_class)
         if not message:
-            return  # unanswered: the judge says so, unless the agent was killed
+            return  # the rule checker reports it, unless the agent was killed
         self.rule_checker.on_answer(self.now, request, message.status)
         self.counts[message.status] += 1
-        if (
-            message.status not in EXPECTED_STATUSES
-        ):  # 409: it had read the request when it closed, and so had taken it
+        # A 409 is a violation: the agent had read the request when it closed the connection, so it had
+        # accepted it.
+        if message.status not in EXPECTED_STATUSES:
             self.rule_checker.add_violation(
-                1, self.now, request, f"answered {message.status}, which is no answer to it"
+                1, self.now, request, f"answered {message.status}, which no request should get"
             )
         if message.status == 200:
             if message.body != b"done " + request.encode():
                 self.rule_checker.add_violation(
-                    1, self.now, request, f"no server made this answer for it: {message.body!r}"
+                    1, self.now, request, f"its answer has an unexpected body: {message.body!r}"
                 )
             latency = self.now - due_at
             self.latencies.append(latency)
@@ -313,6 +336,7 @@
             connection.close()
 
     def idle_connection(self, agent):
+        """An idle connection to the agent without unread input; None if there is none."""
         while agent.idle_connections:
             connection = agent.idle_connections.pop()
             if not connection.has_unread_input():
@@ -321,7 +345,7 @@
         return None
 
     def exchange(self, connection, request_head, request_class):
-        """The answer; nothing if the connection ended without a byte of one."""
+        """Sends a request and returns its answer; None if no whole answer arrived."""
         try:
             connection.sock.sendall(request_head.encode())
             while not connection.messages:
@@ -334,6 +358,7 @@
             return None
 
     def connect(self, agent):
+        """Opens a connection to the agent."""
         sock = socket.create_connection((LOOPBACK_HOST, agent.port))
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return Connection(sock, reads_responses=True)
@@ -341,6 +366,7 @@
     # Faults
 
     def inject_fault(self, fault, index):
+        """Begins a fault of the world and undoes it after its duration."""
         random, kind, size = seeded_random(self.seed, f"fault {index}"), fault.kind, fault.size
         zone = self.world.zones.index(fault.zone) if fault.zone else None
         candidates = (
@@ -368,7 +394,7 @@
                 undo()
 
     def shared_targets(self, kind):
-        """Whom such a fault meets that is no single server's."""
+        """The targets of a fault that is not one of single servers; None for all other faults."""
         return {
             "list_down": [self.discovery],
             "list_late": [self.discovery],
@@ -377,6 +403,7 @@
         }.get(kind)
 
     def apply_fault(self, kind, size, request_class, target):
+        """Applies a fault to one target and returns the function that undoes it."""
         if kind == "crash":
             target.crash()
             return lambda: (target.restart(), self.discovery.schedule_update(target.list_entry()))
@@ -395,6 +422,7 @@
         return lambda: setattr(target, name, previous_value)
 
     def replace(self, server):
+        """Drains a server, adds a new one in its zone, and ends the old one once agents know of it."""
         server.is_draining = True
         self.discovery.schedule_update(server.list_entry("leaving"))
         self.add_server(server.zone, self.now)
@@ -403,6 +431,7 @@
         self.discovery.schedule_update(server.list_entry("left"))
 
     def figures(self) -> dict:
+        """The figures of the play by the names under which they are printed."""
         return {
             "lookups": self.requests,
             "completed": self.counts[200],
--- a/cartdeal/rig/soak/__init__.py
+++ b/cartdeal/rig/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Overlapping faults played on real agents."""
+"""The soak: plays overlapping faults on real agents and checks the rules."""
--- a/cartdeal/rig/system_faults.py
+++ b/cartdeal/rig/system_faults.py
@@ -1,6 +1,6 @@
-"""Makes the system calls of an agent fail, as Linux documents that they may.
+"""Makes the system calls of an agent fail with the errors that Linux documents for them.
 
-A call fails before it reaches the system, so what it would have done has not been done.
+A call fails before it reaches the system, so it has no effect.
 """
 
 import errno
@@ -31,8 +31,9 @@
 
 @dataclass
 class FailurePlan:
-    """Calls that fail: the next `times` of them, or each by `chance`. `only(sock)` says on which sockets, or
-    descriptors where the call is `write`.
+    """How a call fails: the next `remaining_count` calls, each with probability `chance`.
+
+    `only(sock)` selects the sockets whose calls fail, or the descriptors if the call is `write`.
     """
 
     errnos: tuple[int, ...]
@@ -42,23 +43,25 @@
 
 
 class SystemFaults:
-    """Installed once in a process or test; `fail` says which calls fail from then on."""
+    """Replaces the system calls of a process or test once; `fail` then sets which calls fail."""
 
     def __init__(self, seed=0):
         self.random = Random(seed)
         self.plans: dict[str, FailurePlan] = {}
-        self.counts = dict.fromkeys(FAILABLE_CALLS, 0)  # of calls that were made to fail
+        self.counts = dict.fromkeys(FAILABLE_CALLS, 0)  # failures so far, by call
 
     def fail(self, call, *errnos, times=float("inf"), chance=1.0, only=lambda sock: True):
+        """Makes the next `times` calls fail with one of the errors, each with probability `chance`."""
         assert call in FAILABLE_CALLS, call
         self.plans[call] = FailurePlan(errnos, times, chance, only)
 
     def clear(self, *calls):
+        """Stops the failures of these calls, or of all calls if none is given."""
         for call in calls or list(self.plans):
             self.plans.pop(call, None)
 
     def check(self, call, sock=None):
-        """Raises what the call is planned to fail with, if it is."""
+        """Raises one of the planned errors if a failure of the call is due."""
         plan = self.plans.get(call)
         if (
             plan is None
@@ -73,7 +76,7 @@
         raise OSError(error_number, os.strerror(error_number))
 
     def install(self, replace):
-        """`replace(object, name, value)` puts a value in place of an attribute, like monkeypatch.setattr."""
+        """Installs calls that may fail; `replace(object, name, value)` works like monkeypatch.setattr."""
         socket_class = gevent.socket.socket
         original_init = socket_class.__init__
 
@@ -89,6 +92,8 @@
         replace(connection, "select", SimpleNamespace(**vars(select) | {"poll": self.poll}))
 
     def wrap(self, call, original):
+        """Returns a method that checks for a planned failure before it makes the call."""
+
         def failable_call(sock, *arguments, **keywords):
             self.check(call, sock)
             method = original or getattr(sock._sock, call)
@@ -97,13 +102,16 @@
         return failable_call
 
     def write(self, descriptor, data):
+        """Stands in for os.write."""
         self.check("write", descriptor)
         return os.write(descriptor, data)
 
     def poll(self):
+        """Stands in for select.poll."""
         self.check("poll")
         return select.poll()
 
 
-MIN_PIPE_BYTES = 4096  # bytes of the smallest pipe
+MIN_PIPE_BYTES = 4096  # capacity of the smallest pipe
+# Errors that mean that the process or the system ran out of descriptors, buffers or memory.
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
