--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -142,7 +142,7 @@
     from cartdeal.emulator import report, world
     from cartdeal.rig import play
 
-    rig_world, run = world.read_world(file), run or play.command(deploy)
+    rig_world, run = world.read_world(file), run or play.read_agent_command(deploy)
     raise_on_signals()
     sys.exit(report.run_seeds(lambda seed: play.Rig(rig_world, seed, run).play(), seeds))
 
@@ -162,9 +162,9 @@
     for seed in seeds:
         result = play.Soak(seed, agents, seconds, faults).play()
         click.echo(result.report())
-        violation_count += len(result.judge.violations)
+        violation_count += len(result.rule_checker.violations)
         if logs:
-            play.keep_logs(result, logs)
+            play.save_logs(result, logs)
     sys.exit(1 if violation_count else 0)
 
 
--- a/cartdeal/lab/added.py
+++ b/cartdeal/lab/added.py
@@ -20,7 +20,7 @@
 
 from cartdeal.agent.connection import Connection
 from cartdeal.emulator.world import InvalidInputError
-from cartdeal.rig.stands import HOST, Listener, said
+from cartdeal.rig.fake_servers import LOOPBACK_HOST, Listener, http_response
 
 AGENTS_PER_SIDE = 3
 START_TIMEOUT_S = 60.0  # until all agents serve and the fleet knows the sessions of its clients
@@ -46,10 +46,10 @@
     """A server that sends the same answer to every request, without delay."""
 
     def __init__(self, answer=b"done"):
-        self.answer = said(200, answer)
+        self.answer = http_response(200, answer)
         super().__init__()
 
-    def play(self, connection, message):
+    def handle_request(self, connection, message):
         """Answers a request."""
         connection.sock.sendall(self.answer)
 
@@ -68,7 +68,7 @@
             json.dumps(
                 {
                     "name": self.name,
-                    "listen": f"{HOST}:0",
+                    "listen": f"{LOOPBACK_HOST}:0",
                     "discovery": comparison.discovery.address,
                     "seed": f"{comparison.seed * 64 + number:x}",
                     "known": comparison.server_list,
@@ -137,7 +137,7 @@
         The status is 0 if no complete answer arrived.
         """
         if self.connection is None or self.connection.closed:
-            sock = socket.create_connection((HOST, self.port))
+            sock = socket.create_connection((LOOPBACK_HOST, self.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.connection = Connection(sock, reads_responses=True)
         started_at = monotonic()
@@ -198,7 +198,7 @@
             }
             self.discovery = Server(json.dumps(self.server_list).encode())
             self.servers.append(self.discovery)
-            seeds = {f"n{number}": f"{HOST}:{free_port()}" for number in range(AGENTS_PER_SIDE)}
+            seeds = {f"n{number}": f"{LOOPBACK_HOST}:{free_port()}" for number in range(AGENTS_PER_SIDE)}
             self.agents_with_fleet = [Agent(self, number, seeds) for number in range(AGENTS_PER_SIDE)]
             self.agents_without_fleet = [Agent(self, number, {}) for number in range(AGENTS_PER_SIDE)]
             deadline = monotonic() + START_TIMEOUT_S
@@ -283,5 +283,5 @@
 def free_port() -> int:
     """A port of the loopback interface that no process listens on."""
     with socket.socket() as sock:
-        sock.bind((HOST, 0))
+        sock.bind((LOOPBACK_HOST, 0))
         return sock.getsockname()[1]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -85,7 +85,7 @@
     # The timeout is longer than the test may take: an attempt that ran until then would fail it.
     assert deployment.ask(f"/once/x?do={does}", "POST", X_Timeout="60000m") == (502, b"")
     assert len(deployment.received_paths()) == 1
-    until(lambda: not any(server.open for server in deployment.servers))
+    until(lambda: not any(server.connections for server in deployment.servers))
 
 
 def test_surplus_bytes_after_an_answer_never_answer_the_next_request(deploy, monkeypatch):
@@ -95,7 +95,7 @@
         assert deployment.ask(f"/read/x?do={does}") == (200, b"one")
         assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 0.0)
-    for connection in server.open:
+    for connection in server.connections:
         connection.sock.sendall(stray_answer)  # on an idle connection, some time after its answer
     until(
         lambda: all(
@@ -104,9 +104,9 @@
     )
     assert deployment.ask() == (200, b"s0 ")
     monkeypatch.setattr("cartdeal.agent.upstream.REUSABLE_AFTER_S", 60.0)
-    open_before = set(server.open)
+    open_before = set(server.connections)
     # No idle connection may be reused yet, so a new one is opened.
-    assert deployment.ask() == (200, b"s0 ") and server.open - open_before
+    assert deployment.ask() == (200, b"s0 ") and server.connections - open_before
 
 
 def test_new_server_at_a_known_address_does_not_reuse_its_connections(deploy):
@@ -140,7 +140,7 @@
         X_Request_ID="id-9",
         Cookie="a=b; sid=7f",
     ) == (200, b"s0 " + body[:-3])
-    received = deployment.servers[0].seen[-1]
+    received = deployment.servers[0].received_requests[-1]
     assert (received.method, received.path, received.body) == (b"POST", path.encode(), body[:-3])
     assert received.headers[b"x-request-id"] == b"id-9" and received.headers[b"idempotency-key"] == b"k1"
     assert 0 < int(received.headers[b"x-timeout"][:-1]) <= 1500
@@ -149,7 +149,7 @@
 
 def test_request_headers_and_load_reports_reach_the_balancer(deploy, monkeypatch):
     changes = {"tenants": [{"name": "x"}, {"name": "y"}], "feedback": {"how": "answers"}}
-    monkeypatch.setitem(Server.DOES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
+    monkeypatch.setitem(Server.RESPONSES, "load", answer(200, b"", b'X-Server-Load: {"outstanding": 7}\r\n'))
     deployment, events = deploy(settings=SETTINGS | changes), []
     balancer = deployment.agent.reducer.balancer
     for event in ("on_request", "on_attempt_ended", "on_probe_ended"):
@@ -179,10 +179,7 @@
         connection.sock.sendall(bytes([byte]))
         gevent.sleep(0)
     assert read_answer(connection) == (200, b"s0 one")
-    chunked = (
-        b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
-        b"2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
-    )
+    chunked = b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
     connection.sock.sendall(
         chunked + encode_request("/read/3") + encode_request("/read/4", Connection="close")
     )
@@ -193,7 +190,7 @@
         None,
     ]
     assert deployment.received_paths() == ["/mark/1", "/once/2", "/read/3", "/read/4"]
-    assert len(deployment.servers[0].open) == 1  # all were sent on one connection to the server
+    assert len(deployment.servers[0].connections) == 1  # all were sent on one connection to the server
 
 
 def test_answers_to_a_slow_reader_stay_complete_and_in_order(deploy):
@@ -212,7 +209,7 @@
 def test_idle_connection_closed_by_the_server_is_not_reused(deploy):
     deployment = deploy()
     assert deployment.ask()[0] == 200
-    for connection in list(deployment.servers[0].open):
+    for connection in list(deployment.servers[0].connections):
         connection.close()
     assert deployment.ask("/once/x", "POST") == (200, b"s0 ")
     assert deployment.received_paths() == ["/read/x", "/once/x"]
@@ -327,7 +324,7 @@
         )
     )
     assert read_answer(connection) == (200, b"s0 abc")
-    headers = deployment.servers[0].seen[0].headers
+    headers = deployment.servers[0].received_requests[0].headers
     assert headers[b"x-request-id"][:1] == b"t" and headers[b"idempotency-key"] == b"k"
 
 
@@ -447,7 +444,7 @@
     until(deployment.received_paths)
     deployment.agent.upstream.cancel(1, 0)
     assert read_answer(connection) == (502, b"")
-    until(lambda: not deployment.servers[0].open)
+    until(lambda: not deployment.servers[0].connections)
     # An attempt that is cancelled before its greenlet runs still ends with an event.
     deployment.agent.upstream.send_attempt(9, 0, 0, deployment.servers[0].address, None, 0.0)
     deployment.agent.upstream.cancel(9, 0)
@@ -462,26 +459,26 @@
 
 def test_watch_survives_split_lines_and_fails_on_bad_lines_and_silence(deploy, monkeypatch):
     monkeypatch.setattr("cartdeal.agent.discovery.SILENCE_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(DiscoveryService, "BEAT", 0.01)
+    monkeypatch.setattr(DiscoveryService, "HEARTBEAT_INTERVAL_S", 0.01)
     deployment = deploy()
     service, reducer = deployment.service, deployment.agent.reducer
     until(lambda: reducer.balancer.watch.is_active)
     extra = Server("s9")
-    service.tell(extra.line(), split=30)
+    service.send_update(extra.list_entry(), split=30)
     until(lambda: b"s9" in reducer.server_indices)
     assert reducer.list_version == 2
-    service.tell(extra.line(state="left"))
+    service.send_update(extra.list_entry(state="left"))
     until(lambda: reducer.list_version == 3)
     calls = len(service.calls)
     for break_watch in (
         lambda: service.write(service.watches[-1], b"{no list\n"),
-        lambda: service.tell(extra.line(endpoint="nowhere")),
-        lambda: setattr(service, "BEAT", 1e9),
+        lambda: service.send_update(extra.list_entry(endpoint="nowhere")),
+        lambda: setattr(service, "HEARTBEAT_INTERVAL_S", 1e9),
     ):
-        until(lambda: service.lines.pop("s9", 1) and reducer.balancer.watch.is_active)
+        until(lambda: service.entries.pop("s9", 1) and reducer.balancer.watch.is_active)
         break_watch()
         until(lambda: not reducer.balancer.watch.is_active)
-    service.BEAT, service.down = 0.01, True
+    service.HEARTBEAT_INTERVAL_S, service.is_down = 0.01, True
     reducer.balancer.watch.next_call_at = 0.0
     deployment.agent.dispatch("on_timer", 0)
     until(lambda: len(service.calls) > calls and not deployment.agent.discovery.current_watch)
@@ -492,7 +489,7 @@
 def test_watch_without_changes_is_established(deploy, monkeypatch):
     monkeypatch.setattr(
         DiscoveryService,
-        "play",
+        "handle_request",
         lambda service, connection, message: connection.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
         ),
@@ -584,7 +581,7 @@
         count_switches(
             lambda: [
                 deployment.ask(f"/read/{number}?do={does}", X_Timeout="100m")
-                for number, does in enumerate(Server.DOES)
+                for number, does in enumerate(Server.RESPONSES)
             ]
         )
         == 0
@@ -662,7 +659,7 @@
 def test_pool_agent_watches_servers_and_uses_their_load_reports(
     deploy, tmp_path, monkeypatch, report, served
 ):
-    monkeypatch.setitem(Server.DOES, "load", answer(200, b"", report))
+    monkeypatch.setitem(Server.RESPONSES, "load", answer(200, b"", report))
     deployment = deploy()
     deployment.service.calls.clear()
     agent = start(tmp_path, deployment, settings=SETTINGS | POOL_SETTINGS, known={})
@@ -674,7 +671,7 @@
     # three. Requests above the limit are rejected after a moment.
     requests = [gevent.spawn(deployment.ask, "/once/x?do=wait", "POST") for _ in range(6)]
     until(lambda: sum(each.ready() for each in requests) >= 6 - served)
-    assert sum(b"wait" in message.path for message in deployment.servers[0].seen) == served
+    assert sum(b"wait" in message.path for message in deployment.servers[0].received_requests) == served
     deployment.servers[0].released.set()
     assert sorted(each.get()[0] for each in requests) == [200] * served + [503] * (6 - served)
     agent.terminate()
@@ -707,7 +704,7 @@
     deployment, new_service = deploy(), DiscoveryService()
     agent = start(tmp_path, deployment)
     direct_requests_to(agent, deployment)
-    until(lambda: len(deployment.service.open) == 2)  # the agent in this process watches too
+    until(lambda: len(deployment.service.connections) == 2)  # the agent in this process watches too
     waiting, file = deployment.connect(), tmp_path / "agent.json"
     waiting.sock.sendall(encode_request("/once/1?do=wait", "POST"))
     until(deployment.received_paths)
@@ -718,15 +715,18 @@
         file.write_text(file_text)
         agent.send_signal(signal.SIGHUP)
         assert log_text in wait_for_line(agent, b"configuration refused")
-    assert len(deployment.service.open) == 2
+    assert len(deployment.service.connections) == 2
     file.write_text(json.dumps(deployment.config | {"discovery": new_service.address, "name": "n9"}))
-    new_service.mute, new_service.lines = True, deployment.service.lines
+    new_service.is_mute, new_service.entries = True, deployment.service.entries
     agent.send_signal(signal.SIGHUP)
     assert b"needs_restart=name" in wait_for_line(agent, b"configuration read")
     until(lambda: new_service.watches)
-    assert new_service.calls == ["/registry/instances?watch=1&after=0"] and len(deployment.service.open) == 2
-    new_service.tell()  # the new watch is established, and the old one is closed
-    until(lambda: len(deployment.service.open) == 1)
+    assert (
+        new_service.calls == ["/registry/instances?watch=1&after=0"]
+        and len(deployment.service.connections) == 2
+    )
+    new_service.send_update()  # the new watch is established, and the old one is closed
+    until(lambda: len(deployment.service.connections) == 1)
     agent.send_signal(signal.SIGHUP)
     agent.send_signal(signal.SIGHUP)
     wait_for_line(agent, b"configuration read")
@@ -752,20 +752,24 @@
 
 def test_further_attempt_sends_only_the_remaining_timeout(deploy, monkeypatch):
     """The first attempt is rejected by its server after a fifth of the timeout."""
-    deployment, play = deploy(servers=2), Server.play
-    rejection = answer(503, extra=Server.NOT_RUN)
+    deployment, handle_request = deploy(servers=2), Server.handle_request
+    rejection = answer(503, extra_headers=Server.NOT_PROCESSED_HEADER)
 
     def reject_the_first(server, connection, message):
-        if sum(len(each.seen) for each in deployment.servers):
-            return play(server, connection, message)
-        server.seen.append(message)
+        if sum(len(each.received_requests) for each in deployment.servers):
+            return handle_request(server, connection, message)
+        server.received_requests.append(message)
         gevent.sleep(0.2)
         connection.write(rejection)
 
-    monkeypatch.setattr(Server, "play", reject_the_first)
+    monkeypatch.setattr(Server, "handle_request", reject_the_first)
     assert deployment.ask("/read/x", X_Timeout="1000m")[0] == 200
     first, second = sorted(
-        (int(message.headers[b"x-timeout"][:-1]) for server in deployment.servers for message in server.seen),
+        (
+            int(message.headers[b"x-timeout"][:-1])
+            for server in deployment.servers
+            for message in server.received_requests
+        ),
         reverse=True,
     )
     assert first <= 1000 and 0 < second <= first - 190
