--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -268,7 +268,7 @@
 
 
 def test_lab_finds_the_same_first_owners_as_the_ring():
-    ring, spots = make_ring([1, 64, 8, 8, 2]), rings.key_spots(3, 500)
+    ring, spots = make_ring([1, 64, 8, 8, 2]), rings.key_hashes(3, 500)
     first_owners = [ring.names[index] for index in rings.first_owners(ring, spots)]
     assert first_owners == [owners(ring, b"3/%d" % n, 1)[0] for n in range(500)]
 
@@ -276,11 +276,11 @@
 def test_lab_circle_computes_moved_share_and_shares_exactly():
     points = {}
     old_circle, new_circle = (
-        rings.Circle(make_ring(capacities), points) for capacities in ([1, 64, 8, 8], [1, 64, 8, 8, 32])
+        rings.HashCircle(make_ring(capacities), points) for capacities in ([1, 64, 8, 8], [1, 64, 8, 8, 32])
     )
-    spots = rings.key_spots(3, 20_000)
+    spots = rings.key_hashes(3, 20_000)
     old_owners, new_owners = old_circle.owner(spots), new_circle.owner(spots)
-    assert abs(old_circle.moved(new_circle) - (old_owners != new_owners).mean()) < 0.02 and set(
+    assert abs(old_circle.moved_share(new_circle) - (old_owners != new_owners).mean()) < 0.02 and set(
         new_owners[old_owners != new_owners]
     ) == {4}
     assert abs(sum(new_circle.shares().values()) - 1) < 1e-9
