--- a/cartdeal/cli.py
+++ b/cartdeal/cli.py
@@ -148,7 +148,7 @@
 @click.option("--faults", default=0.002, help="the chance that a system call fails, at every other agent")
 @click.option("--logs", type=click.Path(file_okay=False), help="a folder for the agents' logs")
 def soak(seeds, agents, seconds, faults, logs):
-    """Play overlapping troubles on sockets, with real agents; exit status 1 if a rule was broken."""
+    """Play overlapping faults on sockets, with real agents; exit status 1 if a rule was broken."""
     from cartdeal.rig.soak import play
 
     interruptible()
--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -319,7 +319,7 @@
         # accepted it.
         if message.status not in EXPECTED_STATUSES:
             self.rule_checker.add_violation(
-                1, self.now, request, f"answered {message.status}, which no request should get"
+                1, self.now, request, f"answered {message.status}, which is not an expected status"
             )
         if message.status == 200:
             if message.body != b"done " + request.encode():
--- a/cartdeal/rig/soak/play.py
+++ b/cartdeal/rig/soak/play.py
@@ -1,8 +1,8 @@
-"""One soak: a few dozen agents in processes of their own, relays before servers and discovery, troubles that
-overlap, and a judge.
+"""Plays one soak: agents in processes of their own, relays before servers and discovery, overlapping faults.
 
-Everything is drawn by the seed, but for what the machine's timing adds. Processes are bounded in number and
-time, and ended by their ids however the soak ends. It must never touch an address off the loopback.
+Everything is drawn by the seed except the timing of the machine. The number and the running time of all
+processes are bounded, and each is ended by its id however the soak ends. The soak must never touch an address
+off the loopback.
 """
 
 import tempfile
@@ -25,17 +25,22 @@
 MAX_DURATION_S = 600.0
 SERVERS_PER_ZONE = 6
 ZONES = "ab"
-REQUEST_RATE_PER_S = 8.0  # requests a second at each agent
-LATE_ANSWER_WAIT_S = 7.0  # seconds after the last request, when all must be answered
-DRAIN_DURATION_S = 4.0  # seconds from a server's drain to its end
-RESTART_DELAY_S = 0.3  # seconds between an agent's end and its next life
-FAULT_PROBABILITY = 0.002  # that a system call of an agent fails
-WALL_CLOCK_OFFSETS_S = (0.0, 0.0, 3600.0, -3600.0)  # how far ahead agents' wall clocks are
+REQUEST_RATE_PER_S = 8.0  # at each agent
+LATE_ANSWER_WAIT_S = 7.0  # after the last request; every request has to be answered by then
+DRAIN_DURATION_S = 4.0  # from the drain of a server until it leaves the list
+RESTART_DELAY_S = 0.3  # from an agent's end to its next start
+FAULT_PROBABILITY = 0.002  # of the failure of a system call
+WALL_CLOCK_OFFSETS_S = (0.0, 0.0, 3600.0, -3600.0)  # by which agents' wall clocks are ahead
 
 
 class Soak:
+    """One soak; seconds are counted from the time at which all agents serve."""
+
     def __init__(self, seed: int, agents: int, duration: float, fault_probability: float = FAULT_PROBABILITY):
-        """`fault_chance`: of each system call of every other agent."""
+        """`duration`: seconds for which clients send requests.
+
+        `fault_probability`: of a failure of a system call, at every other agent.
+        """
         self.fault_probability = fault_probability
         if not 1 <= agents <= MAX_AGENTS:
             raise InvalidInputError(f"agents: found {agents}, wanted 1 to {MAX_AGENTS}")
@@ -44,7 +49,7 @@
         self.seed, self.size, self.duration = seed, agents, duration
         self.random, self.rule_checker, self.started_at = Random(seed), RuleChecker(), monotonic()
         self.request_count = self.next_server_number = 0
-        self.max_lag = 0.0  # by which this process itself was late at most
+        self.max_lag = 0.0  # seconds by which this process itself was late
         self.servers, self.relays = [], {}
         self.discovery = DiscoveryService(self.now)
         self.discovery_relays = [Relay((LOOPBACK_HOST, self.discovery.port)) for _ in range(3)]
@@ -53,14 +58,16 @@
         self.greenlets = []
 
     def now(self) -> float:
+        """Seconds since the soak started."""
         return monotonic() - self.started_at
 
     def new_id(self) -> str:
+        """A request id that is used once."""
         self.request_count += 1
         return f"{self.seed:x}-{self.request_count:x}"
 
     def add_server(self, zone: str, is_cold: bool) -> dict:
-        """Its line of the server list."""
+        """Starts a server with a relay before it and returns its entry of the server list."""
         name = f"s{self.next_server_number}"
         self.next_server_number += 1
         server = Server(name, zone, self.now, self.rule_checker)
@@ -78,7 +85,7 @@
         }
 
     def replace(self, server: Server):
-        """Drains it, has another one in its place, and takes it away once it has drained."""
+        """Drains a server, adds another in its zone, and removes the first once it has drained."""
         if server not in self.servers:
             return
         self.servers.remove(server)
@@ -88,15 +95,17 @@
         self.greenlets.append(gevent.spawn_later(DRAIN_DURATION_S, self.remove, server, entry))
 
     def remove(self, server: Server, entry: dict):
+        """Announces that a drained server has left."""
         self.discovery.send_update(entry | {"state": "left"})
 
     def restart(self, agent: Agent, end_agent):
+        """Ends an agent with `end_agent` and starts it again."""
         end_agent()
         gevent.sleep(RESTART_DELAY_S)
         agent.start()
 
     def monitor(self):
-        """Notices agents that died by themselves, and how late this process is."""
+        """Reports agents that exited by themselves, and measures how late this process runs."""
         while True:
             started_at = monotonic()
             gevent.sleep(0.1)
@@ -110,6 +119,7 @@
                     )
 
     def play(self) -> "Soak":
+        """Runs the soak and ends all of its processes."""
         with tempfile.TemporaryDirectory() as folder:
             self.folder = Path(folder)
             try:
@@ -119,6 +129,7 @@
         return self
 
     def run(self):
+        """Starts servers and agents, plays clients and faults, and shuts the agents down."""
         for zone in ZONES:
             for _ in range(SERVERS_PER_ZONE):
                 entry = self.add_server(zone, False)
@@ -136,10 +147,10 @@
         self.rule_checker.check_unanswered(self.now())
         shutdowns = [gevent.spawn(agent.shut_down) for agent in self.agents if agent.port]
         gevent.joinall(shutdowns)
-        gevent.sleep(0.2)  # the last lines of their logs
+        gevent.sleep(0.2)  # until the last lines of the logs are read
 
     def draw_system_faults(self, number: int) -> str | None:
-        """Half of the agents have system calls that fail, and may have a wall clock that is wrong."""
+        """The value of AGENT_FAULTS for every other agent, with a random clock offset; None for the rest."""
         if number % 2:
             return None
         return (
@@ -147,6 +158,7 @@
         )
 
     def stop(self):
+        """Ends all processes, relays and servers."""
         gevent.killall(self.greenlets)
         for agent in self.agents:
             agent.stop()
@@ -156,6 +168,7 @@
             fake_server.close()
 
     def report(self) -> str:
+        """A line of figures, and a line for each of the first 20 violations."""
         requests = self.rule_checker.requests.values()
         statuses = Counter(each.status for each in requests)
         fault_times = " ".join(f"{each.name}@{each.begins_at:.1f}" for each in self.faults)
@@ -171,7 +184,7 @@
 
 
 def save_logs(soak: Soak, folder: str):
-    """Each agent's log in a file of its own, by the soak's seed."""
+    """Writes each agent's log to a file named by the soak's seed and the agent's number."""
     directory = Path(folder)
     directory.mkdir(parents=True, exist_ok=True)
     for agent in soak.agents:
--- a/cartdeal/rig/soak/relay.py
+++ b/cartdeal/rig/soak/relay.py
@@ -1,4 +1,4 @@
-"""A relay of TCP on loopback, which a trouble makes silent, slow, refuse or reset what goes through it."""
+"""A TCP relay on loopback, which a fault can make silent or slow, or have refuse or reset connections."""
 
 import struct
 from enum import StrEnum
@@ -11,20 +11,24 @@
 
 LOOPBACK_HOST = "127.0.0.1"
 LISTEN_BACKLOG = 512
-READ_SIZE_BYTES = 16384  # bytes of one read
-SLOW_DELAY_S = 0.3  # seconds that a slow relay holds each piece back
-DELAYED_DATA_S = 5.0  # seconds after its mode changed in which what it held back still comes out
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close resets
+READ_SIZE_BYTES = 16384
+SLOW_DELAY_S = 0.3  # for which a slow relay holds back what one read returns
+DELAYED_DATA_S = 5.0  # after a change of mode; data held back before may still come out
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
 
 
 class Mode(StrEnum):
+    """What a relay does with the data and connections that it gets."""
+
     PASS = "pass"
-    SILENT = "silent"  # what is sent goes nowhere, connections stay
+    SILENT = "silent"  # data is held back, connections stay open
     SLOW = "slow"
     REFUSE = "refuse"  # new connections are reset
 
 
 class Relay:
+    """Listens on a loopback port and relays each connection to the target."""
+
     def __init__(self, target: tuple[str, int]):
         self.target = target
         self.mode, self.mode_changed = Mode.PASS, Event()
@@ -38,9 +42,11 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as the server list writes them."""
         return f"{LOOPBACK_HOST}:{self.port}"
 
     def set_mode(self, mode: Mode):
+        """Changes the mode, also for open connections."""
         self.mode = mode
         self.changed_at = monotonic()
         self.mode_changed.set()
@@ -48,15 +54,16 @@
 
     @property
     def may_delay_data(self) -> bool:
-        """Whether what comes out of it may have gone in long ago."""
+        """Whether data that comes out of the relay may have gone in long ago."""
         return self.mode is not Mode.PASS or monotonic() < self.changed_at + DELAYED_DATA_S
 
     def reset_all(self):
-        """Resets every connection that goes through it."""
+        """Resets every connection that goes through the relay."""
         for sock in list(self.sockets):
             reset(sock)
 
     def accept(self):
+        """Accepts connections until the listening socket is closed."""
         while True:
             try:
                 sock, _ = self.listener.accept()
@@ -65,6 +72,7 @@
             gevent.spawn(self.relay_connection, sock)
 
     def relay_connection(self, client_sock):
+        """Connects to the target and passes data both ways until both directions end."""
         if self.mode is Mode.REFUSE:
             return reset(client_sock)
         server_sock = socket.socket()
@@ -86,7 +94,7 @@
             sock.close()
 
     def pump(self, source, sink):
-        """Passes on what comes until one side ends; its end is passed on, too."""
+        """Passes data on in one direction until the source ends, and passes its end on too."""
         try:
             while data := source.recv(READ_SIZE_BYTES):
                 while self.mode is Mode.SILENT:
@@ -100,6 +108,7 @@
             reset(sink)
 
     def stop(self):
+        """Stops listening and resets all connections."""
         self.accept_greenlet.kill()
         self.listener.close()
         self.set_mode(Mode.PASS)
@@ -107,6 +116,7 @@
 
 
 def reset(sock):
+    """Closes a socket with a TCP reset."""
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     except OSError:
--- a/cartdeal/rig/soak/rule_checker.py
+++ b/cartdeal/rig/soak/rule_checker.py
@@ -1,22 +1,24 @@
-"""Judges the rules from what clients and servers saw, and gathers what agents say of themselves.
+"""Checks the rules by what clients and servers observe, and collects what agents report in their logs.
 
-All times are seconds of this process's monotonic clock, from the soak's begin.
+All times are seconds of this process's monotonic clock since the start of the soak.
 """
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import NamedTuple
 
-ANSWER_SLACK_S = 0.5  # seconds after its time up to which a late answer is not lost, but late
-TIMEOUT_SLACK_S = 0.15  # by which the time told to a server may exceed what the client has left
-CLIENT_CLOSE_SLACK_S = 0.1  # after a client's close, in which an attempt may still begin
-SCHEDULING_SLACK_S = 0.25  # for the soak's own processes, which share the machine
-MAX_LIST_DELAY_S = 6.0  # seconds after which a change of the list counts as told
-DEDUPLICATION_WINDOW_S = 2.0  # seconds, of the class that servers of a zone know by its key
-DRAIN_GRACE_S = 3.0  # seconds after that, in which requests may still reach a draining server
+ANSWER_SLACK_S = 0.5  # after a request's timeout; an answer by then is late, not lost
+TIMEOUT_SLACK_S = 0.15  # by which the timeout given to a server may exceed the client's remaining time
+CLIENT_CLOSE_SLACK_S = 0.1  # after a client's close; an attempt may still begin by then
+SCHEDULING_SLACK_S = 0.25  # for delays of the soak's own processes, which share the machine
+MAX_LIST_DELAY_S = 6.0  # after which every agent counts as informed of a change of the list
+DEDUPLICATION_WINDOW_S = 2.0  # of the class `mark`, whose key the servers of a zone know
+DRAIN_GRACE_S = 3.0  # after MAX_LIST_DELAY_S; requests may still reach a draining server by then
 
 
 class Rule(StrEnum):
+    """A rule that a violation breaks; the value is printed in reports."""
+
     LOST = "lost"
     DUPLICATE = "duplicate"
     DRAIN = "drain"
@@ -30,6 +32,8 @@
 
 @dataclass
 class Violation:
+    """A rule that was broken at a time, by a request or an agent."""
+
     rule: Rule
     at: float
     subject: str
@@ -37,7 +41,7 @@
 
 
 class Execution(NamedTuple):
-    """A server had a request whole."""
+    """A request that a server received whole."""
 
     at: float
     zone: str
@@ -45,7 +49,7 @@
 
 @dataclass
 class SoakRequest:
-    """One that a client sent whole. `kind` is its class: read, mark or once."""
+    """A request that a client sent. `request_class` is read, mark or once; `timeout` is in seconds."""
 
     id: str
     request_class: str
@@ -54,26 +58,33 @@
     agent: int
     answered_at: float | None = None
     status: int = 0
-    closed_at: float | None = None  # when its client closed
+    closed_at: float | None = None  # when the client closed the connection
     executions: list[Execution] = field(default_factory=list)
-    is_excused: bool = False  # its agent was killed, or it was never read
+    is_excused: bool = False  # the agent was killed, or did not read the request
 
 
 class RuleChecker:
+    """Collects the requests of a soak and the violations of its rules."""
+
     def __init__(self):
         self.violations: list[Violation] = []
         self.requests: dict[str, SoakRequest] = {}
-        self.drain_times: dict[str, float] = {}  # by server: when the list said so
+        self.drain_times: dict[str, float] = {}  # by server: when its drain was announced
         self.late_count = 0
 
     def add_violation(self, rule: Rule, at: float, subject: str, detail: str):
+        """Records a violation; `subject` names the request or the agent."""
         self.violations.append(Violation(rule, at, subject, detail))
 
     def on_request_sent(self, request: SoakRequest):
+        """Records a request that a client has written whole."""
         self.requests[request.id] = request
 
     def on_answer(self, request: SoakRequest, at: float, status: int, body: bytes, was_paused: bool):
-        """`held_up`: whether its agent was stopped meanwhile, and could not answer in time."""
+        """Checks the answer to a request.
+
+        `was_paused`: the agent was paused meanwhile and could not answer in time.
+        """
         request.answered_at, request.status = at, status
         if status == 200 and request.id.encode() not in body:
             self.add_violation(Rule.FOREIGN_ANSWER, at, request.id, repr(body[:60]))
@@ -87,6 +98,7 @@
             self.late_count += 1
 
     def on_no_answer(self, request: SoakRequest, at: float, detail: str):
+        """Reports a request that got no answer, unless that is excused."""
         if not request.is_excused:
             self.add_violation(
                 Rule.LOST, at, request.id, f"{request.request_class} at agent {request.agent}: {detail}"
@@ -102,7 +114,11 @@
         timeout: float,
         may_be_delayed: bool,
     ):
-        """A server has a request whole; `held_back`: whether the network may have kept it for long."""
+        """Checks a request that a server received whole.
+
+        `timeout`: the seconds that the agent gave the server. `may_be_delayed`: the network may have held the
+        request back for long.
+        """
         drained_at = self.drain_times.get(server)
         drained_for = first_byte_at - drained_at if drained_at is not None else 0.0
         if not may_be_delayed and drained_for > MAX_LIST_DELAY_S + DRAIN_GRACE_S + SCHEDULING_SLACK_S:
@@ -117,7 +133,7 @@
         remaining = request.sent_at + request.timeout - first_byte_at
         if timeout > remaining + TIMEOUT_SLACK_S + SCHEDULING_SLACK_S:
             self.add_violation(
-                Rule.TIMEOUT_TOO_LONG, at, id, f"told {timeout:.2f} s where {remaining:.2f} s are left"
+                Rule.TIMEOUT_TOO_LONG, at, id, f"given {timeout:.2f} s with {remaining:.2f} s remaining"
             )
         if (
             request.closed_at is not None
@@ -127,7 +143,7 @@
             self.add_violation(Rule.CLIENT_GONE, at, id, f"{lateness:.2f} s after its client closed")
 
     def check_repeat(self, request: SoakRequest, at: float, may_be_delayed: bool):
-        """What ran once may run again only where its class allows it: in its zone, and within its window."""
+        """Checks that a request runs again only where its class allows it: in its zone and its window."""
         first, last = request.executions[0], request.executions[-1]
         if first is last or request.request_class == "read":
             return
@@ -139,6 +155,7 @@
             self.add_violation(Rule.DUPLICATE, at, request.id, f"ran again {last.at - first.at:.2f} s after")
 
     def check_unanswered(self, at: float):
+        """Reports each request that has neither been answered nor been closed by its client."""
         for request in self.requests.values():
             if request.answered_at is None and request.closed_at is None:
                 self.on_no_answer(request, at, "never answered")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A small soak, so that it goes on working; the large ones are run by hand: `python -m cartdeal soak`."""
+"""A small soak and the soak's own parts; large soaks are run by hand: `python -m cartdeal soak`."""
 
 from random import Random
 from time import monotonic
@@ -38,7 +38,7 @@
 
 
 class RuleCheckerHarness:
-    """A judge with one request, sent at 10 and waited for until 12."""
+    """A rule checker with one request, which was sent at 10 s and times out at 12 s."""
 
     def __init__(self, request_class="read"):
         self.rule_checker = RuleChecker()
@@ -46,10 +46,12 @@
         self.rule_checker.on_request_sent(self.request)
 
     def on_request_received(self, at=10.1, zone="a", id="id", timeout=1.0, may_be_delayed=False, server="s0"):
+        """Tells the rule checker that a server received a request."""
         self.rule_checker.on_request_received(server, zone, id, at, at, timeout, may_be_delayed)
 
     @property
     def rules(self):
+        """The rules that were broken, in order."""
         return [each.rule for each in self.rule_checker.violations]
 
 
@@ -105,7 +107,7 @@
 
 @pytest.fixture
 def client_setup(monkeypatch):
-    """A usual client that never leaves early, its connection, the agent's end of it, and the judge."""
+    """A client that never closes early, its connection, the agent's end of it, and the rule checker."""
     monkeypatch.setattr(clients, "LATE_ANSWER_WAIT_S", 0.05)
     monkeypatch.setattr(clients, "EARLY_CLOSE_SHARE", 0.0)
     soak = SimpleNamespace(random=Random(1), rule_checker=RuleChecker(), now=monotonic)
