--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,4 +1,4 @@
-# Makes .venv afresh whenever the pinned requirements differ from those it was made with.
+# Creates .venv anew if the pinned requirements differ from those it was created with.
 set -e
 if ! cmp -s requirements.txt .venv/made-with 2>/dev/null; then
     rm -rf .venv
@@ -6,5 +6,5 @@
     .venv/bin/pip -q install -r requirements.txt
     cp requirements.txt .venv/made-with
 fi
-# Started without leave to write, an agent would compile all of its own sources anew at every start.
+# An agent without permission to write would compile all of its own sources at every start.
 .venv/bin/python -m compileall -q cartdeal
--- a/examples/fleet.sh
+++ b/examples/fleet.sh
@@ -1,4 +1,5 @@
-# Three agents of one fleet on 127.0.0.1:8081 to 8083, beside `make toy`; ends them all when it is interrupted.
+# Runs three agents of one fleet on 127.0.0.1:8081 to 8083, for the servers of `make toy`. An interrupt ends all
+# of them.
 set -e
 folder=$(mktemp -d)
 agents=
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,9 +1,9 @@
-"""A toy deployment to try the agent with: a few servers, and the discovery service that names them.
+"""A toy deployment to try the agent with: a few servers, and the discovery service that lists them.
 
     python examples/toy.py --servers 3 --list-port 8500
 
-A request's query says what its server does with it: `?do=error`, `full`, `busy`, `reset`, `half`, `silent`
-and so on, see Server.DOES. Without one it answers 200 with its own name and the request's body.
+A request's query selects how its server behaves: `?do=error`, `full`, `busy`, `reset`, `half`, `silent` and
+so on, see Server.RESPONSES. Without a query the server answers 200 with its own name and the request's body.
 """
 
 import argparse
@@ -19,10 +19,13 @@
 
 
 def answer(status: int, body: bytes = b"", extra_headers: bytes = b"") -> bytes:
+    """Encodes an HTTP/1.1 response with a Content-Length."""
     return b"HTTP/1.1 %d Toy\r\n%bContent-Length: %d\r\n\r\n%b" % (status, extra_headers, len(body), body)
 
 
 class Listener:
+    """Accepts HTTP connections on a loopback port; subclasses answer in `handle_request`."""
+
     def __init__(self, port: int = 0):
         self.socket = socket.socket()
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -33,6 +36,7 @@
         self.accept_greenlet = gevent.spawn(self.accept)
 
     def accept(self):
+        """Accepts connections until the listener is stopped."""
         while True:
             connection = Connection(
                 self.socket.accept()[0], reads_responses=False, on_close=self.connections.discard
@@ -41,6 +45,7 @@
             gevent.spawn(self.serve, connection)
 
     def serve(self, connection: Connection):
+        """Reads requests from a connection and handles each in turn, until either side closes it."""
         try:
             while not connection.closed and connection.receive(None):
                 while connection.messages:
@@ -50,6 +55,7 @@
         connection.close()
 
     def stop(self):
+        """Stops listening and closes all open connections."""
         self.accept_greenlet.kill()
         self.socket.close()
         for connection in list(self.connections):
@@ -57,6 +63,8 @@
 
 
 class Server(Listener):
+    """A server whose behaviour each request selects; it stores the requests that it receives."""
+
     NOT_PROCESSED_HEADER = b"X-Not-Processed: 1\r\n"
     RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\n"
     CHUNKED_HEAD = RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
@@ -72,13 +80,13 @@
         "chunked": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nthr\r\n2\r\nee\r\n0\r\n\r\n",
         "long": answer(200, bytes(70000)),
         "closing": answer(200, b"bye", b"Connection: close\r\n"),
-        # Good answers with more than belongs to them.
+        # Valid answers followed by more than belongs to them.
         "twice": answer(200, b"one") * 2,
         "noisy": answer(200, b"one") + b"\x00 noise",
         "trailing": CHUNKED_HEAD + b"3\r\none\r\n0\r\nX-Not-Processed: 1\r\n\r\n",
         "hints": b"HTTP/1.1 103 H\r\nX: 1\r\n\r\n" * 3 + answer(200, b"one"),
         "unread": answer(200, b"one", b"X-Server-Load: {\r\nX-Server-Load: 1\r\n"),
-        # Spoilt ones: the connection stays open, and nothing more comes on it.
+        # Invalid answers: the connection stays open, and nothing more is sent on it.
         "both": RESPONSE_HEAD
         + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n",
         "endless": RESPONSE_HEAD + b"X: " + bytes([120]) * 20000,
@@ -92,7 +100,7 @@
         "waits": b"HTTP/1.1 100 C\r\nX: 1\r\n\r\n" * 2000,
         "upgrade": b"HTTP/1.1 101 U\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\none",
         "gzip": RESPONSE_HEAD + b"Transfer-Encoding: gzip\r\n\r\none",
-        # With neither length nor chunks: an orderly end ends them, a reset doesn't.
+        # Answers with neither a length nor chunks: an orderly close ends them, a reset does not.
         "open": RESPONSE_HEAD + b"\r\none",
         "empty": RESPONSE_HEAD + b"\r\n",
         "torn": RESPONSE_HEAD + b"\r\none",
@@ -111,6 +119,7 @@
         super().__init__(port)
 
     def list_entry(self, **changes) -> dict:
+        """The server's entry in the server list, with these changes."""
         return {
             "uid": self.name,
             "endpoint": self.address,
@@ -123,6 +132,7 @@
         } | changes
 
     def handle_request(self, connection: Connection, message):
+        """Answers a health probe or a load query, or behaves as the request's query selects."""
         path, _, query = message.path.partition(b"?")
         behaviour = parse_qs(query.decode()).get("do", ["serve"])[0]
         if path in (b"/health/live", b"/stats"):
@@ -147,7 +157,7 @@
 
 
 class DiscoveryService(Listener):
-    """Answers with the whole list, and keeps each watch told."""
+    """Serves the whole server list to each fetch, and updates to each watch."""
 
     HEARTBEAT_INTERVAL_S = 2.0
 
@@ -157,9 +167,11 @@
         super().__init__(port)
 
     def server_list(self, entries: list, is_full: bool) -> bytes:
+        """Encodes list entries; `is_full` tells a whole list from an update."""
         return json.dumps({"rev": self.version, "all": is_full, "targets": entries}).encode()
 
     def handle_request(self, connection: Connection, message):
+        """Answers with the full list; a watch stays open and gets the updates."""
         path = message.path.decode()
         self.calls.append(path)
         full_list = self.server_list(list(self.entries.values()), True)
@@ -175,16 +187,18 @@
             connection.write(answer(200, full_list))
 
     def write(self, connection: Connection, data: bytes):
+        """Writes a chunk of a watch's response, if the connection is still open."""
         if data and not connection.closed:
             connection.write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def send_heartbeats(self, connection: Connection):
+        """Writes an empty line to a watch at each interval until it closes."""
         while not connection.closed:
             gevent.sleep(self.HEARTBEAT_INTERVAL_S)
             self.write(connection, b"\n")
 
     def send_update(self, *entries: dict, split: int = 0):
-        """Tells every watch of the lines, in two pieces where `split` says so."""
+        """Sends the entries to every watch, in two chunks if `split` gives the length of the first."""
         self.version += 1
         for entry in entries:
             self.entries[entry["uid"]] = entry
@@ -197,6 +211,7 @@
 
 
 def main():
+    """Starts the deployment and serves until the process is ended."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--servers", type=int, default=3)
     parser.add_argument("--list-port", type=int, default=8500)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""Real agents on loopback under faults down to bytes, and what the judge says of broken ones."""
+"""Real agents on loopback while answers break off at any byte, and the rule checker on broken agents."""
 
 import os
 import signal
@@ -37,7 +37,7 @@
 
 
 def broken_agent_command(patch) -> str:
-    """The command of an agent with a planted fault."""
+    """The command of an agent whose code `patch` breaks."""
     return (
         f'exec {sys.executable} -c "from cartdeal.agent.reducer import Reducer as R; '
         f"from cartdeal.balancer_types import ServerState; {patch}; "
@@ -136,7 +136,7 @@
     os.kill(rig.pid, signal_number)
     assert rig.wait(timeout=20) != 0
     for log in logs:
-        with pytest.raises(ProcessLookupError):  # the whole group that the shell led
+        with pytest.raises(ProcessLookupError):  # no process of the shell's group is left
             for _ in range(1000):
                 os.killpg(int(log.name.split("-")[1]), 0)
                 time.sleep(0.01)
