--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -260,11 +260,11 @@
         seed,
         terms.agents,
         terms.seconds,
-        quiet=terms.quiet,
-        pause_s=terms.pause_s,
-        requests=terms.requests,
-        upgrade=terms.upgrade,
-        apart=terms.apart,
+        recovery_timeout=terms.quiet,
+        mean_pause_s=terms.pause_s,
+        request_rate=terms.requests,
+        has_upgrade=terms.upgrade,
+        clock_rate_spread=terms.apart,
     )
     row = msgspec.structs.asdict(result)
     return {key: value for key, value in row.items() if key not in ("seed", "found", "events")}
@@ -346,7 +346,7 @@
         fleet.leave(name)
         fleet.run(1.6)
         fleet.start(name, reads=(1, 2))
-        fleet.run_until(lambda host=host: host.node.caught_up, terms.most_s)
+        fleet.run_until(lambda host=host: host.node.is_caught_up, terms.most_s)
         waited = max(waited, fleet.clock.now - at)
         fleet.run(max(0.0, at + terms.every_s - fleet.clock.now))
     rolled = fleet.clock.now
--- a/tests/discovery_fleet.py
+++ b/tests/discovery_fleet.py
@@ -143,10 +143,10 @@
 
     def run_effects(self):
         effects, self.reducer.effects = self.reducer.effects, []
-        for verb, *arguments in effects:
-            if verb == "set_timer":
+        for effect, *arguments in effects:
+            if effect == "set_timer":
                 self.fleet.clock.at(arguments[1], self.dispatch, "on_timer", arguments[0])
-            elif verb == "watch":
+            elif effect == "watch":
                 self.discovery.watch(*arguments)
 
     def move(self):
@@ -173,8 +173,8 @@
 
     def play(self, until):
         gevent.idle()
-        while self.clock.due and self.clock.due[0][0] <= until:
-            self.clock.run(self.clock.due[0][0])
+        while self.clock.scheduled and self.clock.scheduled[0][0] <= until:
+            self.clock.run(self.clock.scheduled[0][0])
             gevent.idle()
         self.clock.now = until
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
 from tests.fleet.test_admission import MARK as ADMISSION_MARK
 from tests.fleet.test_admission import AdmissionHarness
-from tests.scene import SETTINGS, Deployment, answered, until, worded
+from tests.scene import SETTINGS, Deployment, encode_request, read_answer, until
 from tests.test_reducer import ReducerHarness
 
 READ, MARK, ONCE = range(3)
@@ -88,64 +88,64 @@
 
 
 @pytest.mark.parametrize(
-    "more", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
+    "changes", [{"state": "leaving"}, {"state": "left"}, {"endpoint": "127.0.0.1:9"}, {"boot_ms": 1}], ids=str
 )
 @pytest.mark.parametrize("path", ["/once/x", "/read/x"])
-def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, more, path):
+def test_nothing_is_sent_if_the_server_changed_while_connecting(deployment, late, changes, path):
     client = deployment.connect()
-    client.sock.sendall(worded(path, "POST" if "once" in path else "GET"))
+    client.sock.sendall(encode_request(path, "POST" if "once" in path else "GET"))
     until(lambda: late.sockets)
-    deployment.service.send_update(deployment.servers[0].list_entry(**more))
+    deployment.service.send_update(deployment.servers[0].list_entry(**changes))
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
     # It never ran, and there is no other server: the answer must say so (503, not 502).
-    assert answered(client)[0] == 503 and not deployment.seen()
+    assert read_answer(client)[0] == 503 and not deployment.received_paths()
     wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_server_left_the_list_while_connecting(deployment, late):
     client, service = deployment.connect(), deployment.service
-    client.sock.sendall(worded("/read/x"))
+    client.sock.sendall(encode_request("/read/x"))
     until(lambda: late.sockets)
     service.version += 1
     for watch in service.watches:
         service.write(watch, service.server_list([], True) + b"\n")
     until(lambda: deployment.agent.reducer.list_version == 2)
     late.gate.set()
-    assert answered(client)[0] == 503 and not deployment.seen()
+    assert read_answer(client)[0] == 503 and not deployment.received_paths()
     wait_until_settled(deployment)
 
 
 def test_nothing_is_sent_if_the_client_closed_while_connecting(deployment, late):
     client = deployment.connect()
-    client.sock.sendall(worded("/once/x", "POST"))
+    client.sock.sendall(encode_request("/once/x", "POST"))
     until(lambda: late.sockets)
     client.close()
     until(lambda: not deployment.agent.front.clients)
     late.gate.set()
     wait_until_settled(deployment)
-    assert not deployment.seen() and not deployment.agent.reducer.requests
+    assert not deployment.received_paths() and not deployment.agent.reducer.requests
 
 
 @pytest.mark.parametrize("ends", ["cancel", "overdue"])
 def test_nothing_is_sent_if_the_attempt_was_cancelled_while_connecting(deployment, late, ends):
     client = deployment.connect()
-    client.sock.sendall(worded("/once/x", "POST"))
+    client.sock.sendall(encode_request("/once/x", "POST"))
     until(lambda: late.sockets)
     if ends == "cancel":
         deployment.agent.upstream.cancel(1, 0)
     else:
         deployment.agent.dispatch("on_deadline_passed", 1)
     late.gate.set()
-    assert answered(client)[0] in (502, 503)
+    assert read_answer(client)[0] in (502, 503)
     wait_until_settled(deployment)
-    assert not deployment.seen()
+    assert not deployment.received_paths()
 
 
 @pytest.mark.parametrize("after_window", [True, False])
 def test_delayed_write_is_completed_only_within_the_repeat_window(deployment, narrow, after_window):
     reducer, client, body = deployment.agent.reducer, deployment.connect(), bytes(60000)
-    client.sock.sendall(worded("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
+    client.sock.sendall(encode_request("/mark/x", "POST", body, Idempotency_Key="k", X_Timeout="15000m"))
     attempts = deployment.agent.upstream.attempts
     until(lambda: attempts and next(iter(attempts.values())).progress is Progress.PARTLY_WRITTEN)
     if after_window:  # an earlier attempt that may have run, before the repeat window
@@ -153,8 +153,8 @@
         balancer.requests[1].possible_executions[-1] = balancer.servers[0], reducer.now - 60.0
     narrow()
     # Outside the window it must not be sent again, and its client must not be told that it never ran.
-    assert answered(client) == ((502, b"") if after_window else (200, b"s0 " + body))
-    assert len(deployment.seen()) == 1 - after_window
+    assert read_answer(client) == ((502, b"") if after_window else (200, b"s0 " + body))
+    assert len(deployment.received_paths()) == 1 - after_window
     until(lambda: not attempts)
 
 
@@ -163,7 +163,7 @@
     assert deployment.ask("/once/x", "POST", body, X_Timeout="300m") == (503, b"")
     narrow()
     assert deployment.ask("/once/y", "POST")[0] == 200  # its connection is accepted after that of the first
-    assert deployment.seen() == ["/once/y"]
+    assert deployment.received_paths() == ["/once/y"]
 
 
 @pytest.mark.parametrize(
@@ -175,9 +175,9 @@
     deployment.agent.dispatch("on_server_list", ServerList(2, False, (draining,)))
     clients = [deployment.connect() for _ in range(8)]
     for client in clients:
-        client.sock.sendall(worded("/once/x", "POST", X_Timeout="15000m"))
-    held = deployment.agent.reducer.balancer.queued_requests
-    until(lambda: len(held) == len(clients))
+        client.sock.sendall(encode_request("/once/x", "POST", X_Timeout="15000m"))
+    queued_requests = deployment.agent.reducer.balancer.queued_requests
+    until(lambda: len(queued_requests) == len(clients))
     for client in clients:
         how(client.sock)
     wait_for_unread_ends(
@@ -188,13 +188,13 @@
     assert deployment.agent.upstream.attempts
     until(lambda: not deployment.agent.front.clients)
     wait_until_settled(deployment)
-    assert not deployment.seen() and not deployment.agent.reducer.requests
+    assert not deployment.received_paths() and not deployment.agent.reducer.requests
 
 
 def test_pipelined_request_is_dropped_when_its_client_disconnects(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded("/read/1?do=wait") + worded("/once/2", "POST"))
-    until(deployment.seen)
+    client.sock.sendall(encode_request("/read/1?do=wait") + encode_request("/once/2", "POST"))
+    until(deployment.received_paths)
     client.close()
     wait_for_unread_ends(deployment, 1)
     result = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
@@ -202,31 +202,34 @@
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
     until(lambda: not deployment.agent.upstream.attempts)
-    assert deployment.seen() == ["/read/1?do=wait"]
+    assert deployment.received_paths() == ["/read/1?do=wait"]
 
 
 def test_disconnect_is_noticed_after_input_is_discarded(deployment):
     client = deployment.connect()
-    client.sock.sendall(worded("/read/1?do=wait") + b"no request\r\n\r\n")
-    until(lambda: deployment.seen() and any(each.discards_input for each in deployment.agent.front.clients))
+    client.sock.sendall(encode_request("/read/1?do=wait") + b"no request\r\n\r\n")
+    until(
+        lambda: deployment.received_paths()
+        and any(each.discards_input for each in deployment.agent.front.clients)
+    )
     client.close()
     until(lambda: not deployment.agent.reducer.pending_count)
 
 
 def test_repeat_is_sent_only_within_the_repeat_window(tmp_path):
-    for kind, within in ((READ, True), (MARK, False)):
+    for request_class, is_sent in ((READ, True), (MARK, False)):
         context = ReducerHarness(tmp_path)
-        context.send_request(kind, timeout=6.0)
+        context.send_request(request_class, timeout=6.0)
         context.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
         server = context.servers_by_attempt[1, 1]
         assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
-        assert context.reducer.may_send(1, 1, server) is within
+        assert context.reducer.may_send(1, 1, server) is is_sent
         context.reducer.now += 2.0  # the deadline
         assert not context.reducer.may_send(1, 1, server)
         context.end_attempt(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
         # A request that may have run is rejected (503) only if a repeat does no harm.
-        assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if within else "502"]
+        assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if is_sent else "502"]
 
 
 def test_non_idempotent_request_is_sent_again_if_it_never_ran(tmp_path):
@@ -243,22 +246,22 @@
 def test_earlier_attempt_at_another_agent_is_checked_before_sending(tmp_path):
     context = AdmissionHarness(tmp_path)
     context.send_request(ADMISSION_MARK)
-    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", lasts=0.5))
+    context.run_event(0.01, "on_admitted", 1, context.earlier_attempts(("a", 1), group="all", duration=0.5))
     server = context.servers_by_attempt[1, 0]
     assert context.reducer.may_send(1, 0, server)
     context.reducer.now += 0.6
     assert not context.reducer.may_send(1, 0, server)
 
 
-@pytest.mark.parametrize("place", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
-def test_attempts_keep_the_scope_of_a_server_that_moves(tmp_path, place):
+@pytest.mark.parametrize("location", [{"zone": "b"}, {"zone": "a", "cell": 5}], ids=str)
+def test_attempts_keep_the_scope_of_a_server_that_moves(tmp_path, location):
     context = ReducerHarness(tmp_path)
     context.send_request(MARK)
     balancer, server = context.reducer.balancer, context.servers_by_attempt[1, 0]
     trace, _ = balancer.requests[1].possible_executions[0]
     before = trace.zone, trace.cell
     name = next(name for name, index in context.reducer.server_indices.items() if index == server)
-    entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **place)
+    entry = ServerEntry(name.decode(), context.reducer.servers[server].address, **location)
     context.run_event(0.0, "on_server_list", ServerList(4, False, (entry,)))
     assert (trace.zone, trace.cell) == before and not context.reducer.may_send(1, 0, server)
     assert context.reducer.server_indices[name] != server and server not in context.reducer.servers
