--- a/cartdeal/rig/play.py
+++ b/cartdeal/rig/play.py
@@ -151,13 +151,13 @@
         self.world, self.seed, self.run = world, seed, run
         self.started_at, self.wall_offset = monotonic(), time()
         self.rule_checker, self.counts = RuleChecker(world), Counter()
-        self.offered = self.served = 0.0
+        self.offered_priority = self.served_priority = 0.0
         (
             self.arrival_rate_factor,
             self.hot_key_share,
             self.latencies,
             self.next_server_number,
-            self.requests,
+            self.request_count,
         ) = 1.0, 0.0, [], 0, 0
         self.cumulative_class_shares = list(accumulate(each.share for each in world.request_class))
         self.cumulative_key_weights = list(
@@ -211,8 +211,8 @@
             greenlets.append(gevent.spawn(self.send_requests, agent, random, rate))
         for index, fault in enumerate(self.world.fault):
             greenlets.append(gevent.spawn_later(fault.begins_s, self.inject_fault, fault, index))
-        max_deadline = max(each.limit_s for each in self.world.request_class)
-        gevent.sleep(self.world.seconds + max_deadline + LATE_ANSWER_WAIT_S)
+        max_timeout = max(each.limit_s for each in self.world.request_class)
+        gevent.sleep(self.world.seconds + max_timeout + LATE_ANSWER_WAIT_S)
         gevent.killall(greenlets)
         self.rule_checker.check_unanswered(self.now)
 
@@ -281,13 +281,13 @@
             )
             key = 0 if is_hot else bisect_left(self.cumulative_key_weights, key_position)
             if agent.port:
-                self.offered += request_class.priority
+                self.offered_priority += request_class.priority
                 gevent.spawn(self.send_request, agent, request_class, key, due_at)
 
     def send_request(self, agent, request_class, key, due_at):
         """Sends one request, waits for its answer and records it."""
-        self.requests += 1
-        request, start_count, lateness = f"r{self.requests}", agent.start_count, self.now - due_at
+        self.request_count += 1
+        request, start_count, lateness = f"r{self.request_count}", agent.start_count, self.now - due_at
         request_head = (
             f"{HTTP_METHODS.get(request_class.repeat, 'POST')} /{request_class.name}/{key} HTTP/1.1\r\n"
             f"X-Request-ID: {request}\r\nCookie: sid={key}\r\n"
@@ -328,7 +328,7 @@
                 )
             latency = self.now - due_at
             self.latencies.append(latency)
-            self.served += request_class.priority * (latency <= request_class.goal_s)
+            self.served_priority += request_class.priority * (latency <= request_class.goal_s)
         self.counts["late clients"] += lateness > 0.05
         if message.keep_alive and agent.port and start_count == agent.start_count:
             agent.idle_connections.append(connection)
@@ -433,11 +433,11 @@
     def figures(self) -> dict:
         """The figures of the play by the names under which they are printed."""
         return {
-            "lookups": self.requests,
+            "lookups": self.request_count,
             "completed": self.counts[200],
             "turned back": self.counts[503],
             "terminated": self.counts[502],
-            "served": round(self.served / max(self.offered, 1e-9), 4),
+            "served": round(self.served_priority / max(self.offered_priority, 1e-9), 4),
             **{each: self.counts[each] for each in REPORTED_COUNTERS},
             "lost with killed agents": self.rule_checker.excused_count,
             "violations": len(self.rule_checker.violations),
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -179,7 +179,10 @@
         connection.sock.sendall(bytes([byte]))
         gevent.sleep(0)
     assert read_answer(connection) == (200, b"s0 one")
-    chunked = b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
+    chunked = (
+        b"POST /once/2 HTTP/1.1\r\nX-Request-ID: 2\r\nTransfer-Encoding: chunked\r\n\r\n"
+        b"2\r\ntw\r\n1\r\no\r\n0\r\n\r\n"
+    )
     connection.sock.sendall(
         chunked + encode_request("/read/3") + encode_request("/read/4", Connection="close")
     )
