--- a/cartdeal/agent/discovery.py
+++ b/cartdeal/agent/discovery.py
@@ -18,19 +18,20 @@
 
 SERVER_LIST_PATH = "/registry/instances"
 MAX_LIST_BYTES = 4 << 20  # of a list or one line of it; enough for 3,200 entries with long names, indented
-# TCP does not report that a service is gone. A watch receives a complete line every 2 s, and a change that a
-# silent watch misses counts as known to the agent 6 s after the silence began. Two calls must fit into the
-# time from the last line on: 3.0 s of silence, 0.75 s for the longest first pause, 1.0 s for a call that is
-# accepted and not answered, and 0.75 s for the pause after it leave half a second for the second call. With a
-# silence timeout under 3.0 s, a line that is late by half its interval would cost a call without need. With a
-# short call timeout under 1.0 s, a service with 200 callers at once would work for some that have hung up.
-# Only that one call is short: after it CALL_TIMEOUT_S applies, and the pauses grow.
+# TCP does not report that a service is gone. A watch receives a complete line every 2 s, and the agent counts
+# as informed of a change that a silent watch missed 6 s after the silence began. Two calls must fit into
+# these 6 s, counted from the last line: 3.0 s of silence, 0.75 s for the longest first pause, 1.0 s for a
+# call that is accepted and not answered, and 0.75 s for the pause after it leave half a second for the second
+# call. With a silence timeout under 3.0 s, a line that is late by half its interval would cause an
+# unnecessary call. With a short call timeout under 1.0 s, a service that 200 agents call at the same time
+# would spend capacity on calls that have already timed out. Only that one call is short: after it
+# CALL_TIMEOUT_S applies, and the pauses grow.
 # When a service that was unreachable can be reached again, 6 s remain as well: CALL_TIMEOUT_S for a call that
-# was made just before, 2.0 s for the longest pause after it (CALL_TO_CALL of the schedule), and 1.0 s for the
-# next answer.
+# was made just before, 2.0 s for the longest pause after it (what MAX_CALL_INTERVAL_S in watch_schedule.py
+# leaves after CALL_TIMEOUT_S), and 1.0 s for the next answer.
 SILENCE_TIMEOUT_S = 3.0  # from one complete line to the next; for the first line, from the response head
 CALL_TIMEOUT_S = 3.0  # until the head of a watch's response, or the end of a list's response
-SHORT_CALL_TIMEOUT_S = 1.0  # the same for the call after a watch that fell silent, or after a move
+SHORT_CALL_TIMEOUT_S = 1.0  # the CALL_TIMEOUT_S of the first call after a silent watch or a move
 
 READS_PER_TURN = 16  # reads of a watch before it yields to other greenlets
 
@@ -56,22 +57,25 @@
         self.list_version = list_version
         self.current_watch = None
         self.previous_watch = None  # at the previous address
-        self.is_first_watch_at_address = False  # whether the next watch is the first at its address
+        self.awaits_first_list_at_address = (
+            False  # whether the address changed and no list has arrived from there
+        )
         self.use_short_timeout = False
         self.lists_received = 0  # by the watches
 
     def move(self, address):
         """Use a new address of the service from now on."""
-        last_active, obsolete = self.current_watch, self.previous_watch
-        if obsolete and self.is_first_watch_at_address:  # only the previous watch has received lists
-            last_active, obsolete = obsolete, last_active
-        if obsolete:
-            obsolete.kill(block=False)
+        watch_to_keep, watch_to_stop = self.current_watch, self.previous_watch
+        if watch_to_stop and self.awaits_first_list_at_address:  # only the previous watch has received lists
+            watch_to_keep, watch_to_stop = watch_to_stop, watch_to_keep
+        if watch_to_stop:
+            watch_to_stop.kill(block=False)
         self.address = address
-        self.previous_watch = last_active
+        self.previous_watch = watch_to_keep
         self.current_watch = None
-        self.is_first_watch_at_address = True
-        # A change at the new service counts as known 4 s later: as after silence, a second call must fit in.
+        self.awaits_first_list_at_address = True
+        # The agent counts as informed of a change at the new service 4 s after the move: two calls must fit
+        # into that time, as after a watch that fell silent.
         self.use_short_timeout = True
 
     # Effects
@@ -104,7 +108,8 @@
             log.exception("watch died")
         watch = gevent.getcurrent()
         if self.previous_watch is watch:
-            self.previous_watch = None  # its service was replaced: this is no failure of the current watch
+            # It watched the previous address: its end is no failure of the current watch.
+            self.previous_watch = None
         elif self.current_watch is watch:
             self.current_watch = None
             if reason:
@@ -140,7 +145,7 @@
         self.use_short_timeout = False
         deadline, watch, is_established = monotonic() + timeout, gevent.getcurrent(), False
         # Another service may number its lists differently: the first call to it asks for the complete list.
-        after_version = 0 if self.is_first_watch_at_address else self.list_version()
+        after_version = 0 if self.awaits_first_list_at_address else self.list_version()
         stream = ListStream(self.call(f"{SERVER_LIST_PATH}?watch=1&after={after_version}", timeout), deadline)
         try:
             for read_count in count(1):
@@ -148,12 +153,12 @@
                     return
                 if not read_count % READS_PER_TURN:
                     gevent.sleep(0)  # a read of available bytes does not yield
-                for text in stream.complete_texts():
-                    # A stopped watch may still read lines before it ends. They would modify the list of the
-                    # other service, and their version would be used in the next call.
+                for list_or_empty_line in stream.lists_and_empty_lines():
+                    # A stopped watch may still read lines before it ends. They would be applied to
+                    # the list of the new service, and their version would be sent in the next call.
                     if watch not in (self.current_watch, self.previous_watch):
                         return
-                    self.deliver_list(text, watch is self.current_watch, is_established)
+                    self.deliver_list(list_or_empty_line, watch is self.current_watch, is_established)
                     is_established = True
                 if stream.has_ended:
                     return
@@ -167,8 +172,8 @@
     def deliver_list(self, text: bytearray, is_current: bool, is_established: bool):
         """Dispatch the event for one list of a watch, or for an empty line."""
         server_list = decode_list(text) if text.strip() else None
-        # An empty line at a new address is no list that could replace the previous watch's.
-        if is_current and (server_list or not self.is_first_watch_at_address):
+        # An empty line at a new address is no list, so the previous watch must continue.
+        if is_current and (server_list or not self.awaits_first_list_at_address):
             self.stop_previous_watch()
         if server_list:
             self.lists_received += 1
@@ -181,7 +186,7 @@
 
     def stop_previous_watch(self):
         """Stop the watch at the previous address."""
-        self.is_first_watch_at_address = False
+        self.awaits_first_list_at_address = False
         if self.previous_watch:
             self.previous_watch.kill(block=False)
             self.previous_watch = None
@@ -230,7 +235,7 @@
             self.deadline = monotonic() + SILENCE_TIMEOUT_S
         return True
 
-    def complete_texts(self):
+    def lists_and_empty_lines(self):
         """Yield the received lists and empty lines, each as one text."""
         for line in self.take_lines():
             self.partial_list += line
--- a/cartdeal/agent/reducer.py
+++ b/cartdeal/agent/reducer.py
@@ -1,4 +1,4 @@
-"""The state of an agent: open requests, known servers, and the balancer, whose host the reducer is.
+"""The state of an agent: open requests, known servers, and the balancer, which the reducer hosts.
 
 Each event is a method call. It appends its effects to `effects`, and effects.py runs them afterwards. In a
 fleet, where `max_request_durations` is set, a request waits for admission before the balancer gets it, and no
@@ -31,7 +31,7 @@
 RECENT_ID_S = 5.0  # a request id is remembered for at least this long, and at most twice as long
 # This many ids are remembered, and at most twice as many; if more arrive, for less than RECENT_ID_S.
 MAX_RECENT_IDS = 1 << 15
-MAX_ZONES = 64  # that are distinguished, including those of the settings
+MAX_ZONES = 64  # number of zones that are distinguished, including those of the settings
 DEADLINE_GRACE_S = 0.02  # a request that the balancer missed is answered this long after its deadline
 
 
@@ -45,7 +45,7 @@
     COMPLETE = 4
 
 
-class FailureReason(IntEnum):
+class AttemptEndReason(IntEnum):
     """Why an attempt ended."""
 
     ANSWERED = 0
@@ -53,7 +53,7 @@
     TIMED_OUT = 2
     CANCELLED = 3
     MALFORMED_RESPONSE = 4  # the response is invalid or ambiguous
-    NO_CONNECTION = 5  # the agent's own limits left no connection for it
+    NO_CONNECTION = 5  # the agent's limits, or an earlier attempt at another agent, forbade it
     NOT_SENT = 6  # its preconditions no longer held when the first byte was due
 
 
@@ -63,7 +63,7 @@
     `duration` is in seconds.
     """
 
-    reason: FailureReason
+    reason: AttemptEndReason
     progress: Progress
     duration: float
     status: int = 0
@@ -76,25 +76,31 @@
     def outcome(self) -> Outcome:
         """Return the outcome as the balancer classifies it."""
         is_written = self.progress >= Progress.WRITTEN
-        if self.reason is FailureReason.ANSWERED:
+        if self.reason is AttemptEndReason.ANSWERED:
             if self.status == 200:
                 return Outcome.COMPLETED
             if 400 <= self.status < 500:
                 return Outcome.UNUSABLE  # the request is at fault, not the server
             return Outcome.FULL if self.status in (503, 504) and self.not_processed else Outcome.ERROR
         # none of these is the server's fault
-        if self.reason in (FailureReason.CANCELLED, FailureReason.NO_CONNECTION, FailureReason.NOT_SENT):
+        if self.reason in (
+            AttemptEndReason.CANCELLED,
+            AttemptEndReason.NO_CONNECTION,
+            AttemptEndReason.NOT_SENT,
+        ):
             return Outcome.CANCELLED if is_written else Outcome.NEVER_SENT
         if not is_written:
             return Outcome.NOT_CONNECTED
-        return Outcome.TIMED_OUT if self.reason is FailureReason.TIMED_OUT else Outcome.RESET
+        return Outcome.TIMED_OUT if self.reason is AttemptEndReason.TIMED_OUT else Outcome.RESET
 
 
 class Request(NamedTuple):
     """A request as the application sent it."""
 
     request_class: int
-    non_idempotent: bool  # it lacks what makes its request class repeatable, so it may run at most once
+    # It lacks the idempotency key or method that its request class needs to be repeatable, so it may run at
+    # most once.
+    non_idempotent: bool
     tenant: int
     session_hash: int  # 0 without a session
     timeout: float  # seconds that the client still waits; not positive if none are left
@@ -131,12 +137,12 @@
 class EarlierAttempt(NamedTuple):
     """An earlier attempt at another agent that may have run.
 
-    Further attempts may go only to servers in its group, and only before `repeat_until`.
+    Further attempts may go only to servers in its deduplication scope, and only before `repeat_until`.
     """
 
     zone: int
     cell: int
-    group: DeduplicationScope
+    scope: DeduplicationScope
     repeat_until: float
 
 
@@ -183,8 +189,8 @@
         self.request_count = 0
         self.shutdown_deadline = inf  # by which every request must be answered
         self.requests: dict[int, PendingRequest] = {}
-        # The ids of the last RECENT_ID_S seconds and of the interval before: longer than any duplicate of a
-        # request is in transit.
+        # The ids of the last RECENT_ID_S seconds and of the interval before. A duplicate of a request is in
+        # transit for less time than that.
         self.recent_ids, self.previous_ids, self.ids_rotate_at = set(), set(), now
         self.list_version = 0
         self.next_server_index = 0  # an index is never reused
@@ -193,8 +199,8 @@
         self.servers: dict[int, KnownServer] = {}
         self.zone_indices = {name: index for index, name in enumerate(config.settings.zones)}
         settings = config.settings.balancer_settings(config.seed)
-        # A second set of classes, for requests that lack what makes their class repeatable: they may run at
-        # most once.
+        # A second set of classes, for requests without the idempotency key or method that their class needs
+        # to be repeatable: they may run at most once.
         non_idempotent = tuple(
             each._replace(idempotency=Idempotency.NON_IDEMPOTENT) for each in settings.request_classes
         )
@@ -222,7 +228,7 @@
     def on_request(self, client, request: Request):
         """A client has sent a request."""
         if request.id in self.recent_ids or request.id in self.previous_ids:
-            # Its answer or its end could be attributed to the other request.
+            # The answer or the end of one of the two requests could be attributed to the other one.
             self.metrics.count("requests_with_a_known_id")
             return self.effects.append(
                 ("refuse_request", client, 409, "an X-Request-ID that was used just now")
@@ -276,14 +282,15 @@
     def on_admitted(self, number: int, earlier_attempts: tuple):
         """Admission control has admitted a request.
 
-        `earlier_attempts`: tuples of zone name, cell, group and the time until which a repeat is safe.
+        `earlier_attempts`: tuples of zone name, cell, deduplication scope and the time until which a
+        repeat is safe.
         """
         pending = self.requests.get(number)
         if pending and pending.awaits_admission:
             pending.awaits_admission = False
             pending.earlier_attempts = tuple(
-                EarlierAttempt(self.zone_indices.get(zone, -1), cell, DeduplicationScope(group), until)
-                for zone, cell, group, until in earlier_attempts
+                EarlierAttempt(self.zone_indices.get(zone, -1), cell, DeduplicationScope(scope), until)
+                for zone, cell, scope, until in earlier_attempts
             )
             self.route(number, pending)
 
@@ -325,7 +332,7 @@
         self.metrics.count("attempts_" + outcome.name.lower())
         self.monitor.on_attempt_ended(number, attempt, outcome.never_ran)
         if pending.target_servers.pop(attempt, None) and outcome.never_ran:
-            # Otherwise the request would be failed instead of rejected at its deadline, without need.
+            # Without this, the request would be failed at its deadline although it could be rejected.
             pending.sent_count -= 1
         pending.may_have_run = pending.may_have_run or not outcome.never_ran
         if outcome is Outcome.COMPLETED and pending.client is not None:
@@ -361,7 +368,8 @@
         if pending and pending.client is not None:
             self.log_note(f"request {pending.request.id.decode('latin-1')} overdue")
             # A request that was never sent may be retried, so failing it would be needlessly ambiguous. But
-            # if it awaits admission, an earlier try may have run at another agent: only the fleet knows.
+            # if it awaits admission, an earlier attempt may have run at another agent, which only admission
+            # control can tell.
             is_ambiguous = (
                 pending.sent_count
                 or pending.awaits_admission
@@ -383,12 +391,10 @@
             f"{' in all' * server_list.is_complete}"
         )
         removed_names = [entry.name.encode() for entry in server_list.entries if entry.state == "left"]
-        # An attempt may have run in the group that its server had then. A server that moves to another group
-        # is therefore treated as another server.
+        # An attempt may have run in the zone and cell that its server had then. A server that moves to
+        # another zone or cell is therefore treated as another server.
         changes = [
-            self.remove_server(entry.name.encode())
-            for entry in server_list.entries
-            if self.has_changed_group(entry)
+            self.remove_server(entry.name.encode()) for entry in server_list.entries if self.has_moved(entry)
         ]
         changes += [self.listed_server(entry) for entry in server_list.entries if entry.state != "left"]
         if server_list.is_complete:
@@ -425,7 +431,7 @@
         self.close_idle(index)
         return ListedServer(index, name, 0, 0, 0, ServerState.GONE, 1.0, 0.0)
 
-    def has_changed_group(self, entry) -> bool:
+    def has_moved(self, entry) -> bool:
         """Whether a known server has moved to another zone or cell."""
         if entry.state == "left":  # its entry may lack the zone
             return False
@@ -467,7 +473,10 @@
     # The balancer's host
 
     def send_attempt(self, request: int, server: int, deadline: float):
-        """Send an attempt by the earlier of both deadlines (0: the request's own), if it is safe."""
+        """Send an attempt, if it is safe.
+
+        Its deadline is `deadline` or that of the request, whichever is earlier; 0 means that of the request.
+        """
         pending = self.requests[request]
         attempt, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
         pending.in_flight_count += 1
@@ -504,16 +513,18 @@
         pending = self.requests.get(number)
         if pending is None or pending.client is None or self.now >= pending.deadline:
             return False
-        target, known = self.balancer.servers.get(server), self.balancer.requests.get(number)
-        if target is None or known is None or target.state is not ServerState.READY:
+        target, routed_request = self.balancer.servers.get(server), self.balancer.requests.get(number)
+        if target is None or routed_request is None or target.state is not ServerState.READY:
             return False
         if self.servers.get(server) != pending.target_servers.get(attempt):
             return False
         other_executions = {
-            each: execution for each, execution in known.possible_executions.items() if each != attempt
+            each: execution
+            for each, execution in routed_request.possible_executions.items()
+            if each != attempt
         }
         return self.balancer.is_attempt_safe(
-            OtherAttempts(known.request_class, other_executions), target, self.now
+            OtherAttempts(routed_request.request_class, other_executions), target, self.now
         ) and all(self.allows_attempt(each, target) for each in pending.earlier_attempts)
 
     def waiting_client(self, number: int):
@@ -527,21 +538,25 @@
         The earlier attempts are added to the balancer's own, so that it selects a server where a further
         attempt is safe.
         """
-        known = self.balancer.requests[request]
+        routed_request = self.balancer.requests[request]
         for index, each in enumerate(pending.earlier_attempts):
-            known.possible_executions[-1 - index] = (
+            routed_request.possible_executions[-1 - index] = (
                 AttemptDestination(each.zone, each.cell),
-                each.repeat_until - known.request_class.deduplication_window,
+                each.repeat_until - routed_request.request_class.deduplication_window,
             )
-        result = AttemptResult(FailureReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
+        result = AttemptResult(AttemptEndReason.NO_CONNECTION, Progress.NOT_CONNECTED, 0.0)
         self.effects.append(("suppress_attempt", request, server, attempt, result))
 
     def allows_attempt(self, earlier_attempt: EarlierAttempt, target) -> bool:
-        """Whether an attempt at `target` is safe now, because the earlier one's group drops a repeat."""
+        """Whether an attempt at `target` is safe now.
+
+        It is if the servers in the earlier attempt's deduplication scope still recognise a repeat and include
+        `target`.
+        """
         return self.now < earlier_attempt.repeat_until and (
-            earlier_attempt.group is DeduplicationScope.ALL
+            earlier_attempt.scope is DeduplicationScope.ALL
             or target.zone == earlier_attempt.zone
-            and (earlier_attempt.group is DeduplicationScope.ZONE or target.cell == earlier_attempt.cell)
+            and (earlier_attempt.scope is DeduplicationScope.ZONE or target.cell == earlier_attempt.cell)
         )
 
     def idempotency_of(self, request: Request) -> Idempotency:
@@ -556,7 +571,7 @@
         """Answer that the request did not run; fail it if it may have run at another agent."""
         pending = self.requests.get(request)
         if pending and not all(
-            each.group is DeduplicationScope.ALL and self.now < each.repeat_until
+            each.scope is DeduplicationScope.ALL and self.now < each.repeat_until
             for each in pending.earlier_attempts
         ):
             return self.fail(request)  # its client would retry, and the request might run again
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -14,7 +14,7 @@
 from gevent import socket
 
 from cartdeal.agent.connection import Connection, ConnectionBudget, MalformedMessageError
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress
 from cartdeal.agent.system_errors import (
     RETRY_PAUSE_S,
     is_no_route,
@@ -65,10 +65,10 @@
         self.greenlet = None
         self.is_started = self.is_cancelled = False
 
-    def make_result(self, reason: FailureReason, detail: str = "") -> AttemptResult:
-        """The result of an attempt without a complete answer; a cancelled one has the reason GIVEN_UP."""
+    def make_result(self, reason: AttemptEndReason, detail: str = "") -> AttemptResult:
+        """The result of an attempt without a complete answer; a cancelled one has the reason CANCELLED."""
         if self.is_cancelled:
-            reason = FailureReason.CANCELLED
+            reason = AttemptEndReason.CANCELLED
         return AttemptResult(reason, self.progress, monotonic() - self.started_at, detail=detail)
 
 
@@ -155,7 +155,7 @@
             lambda: self.may_send(request_number, attempt_number, server),
         )
         del self.attempts[request_number, attempt_number]
-        if result.reason is not FailureReason.ANSWERED or result.status != 200:
+        if result.reason is not AttemptEndReason.ANSWERED or result.status != 200:
             log.info(
                 "attempt ended",
                 extra={
@@ -165,7 +165,7 @@
                     "reason": result.detail,
                 },
             )
-        if result.reason is FailureReason.CONNECTION_BROKEN:
+        if result.reason is AttemptEndReason.CONNECTION_BROKEN:
             # The others have broken too, or will: an attempt on one might be impossible to repeat.
             self.close_idle(server)
         self.dispatch(
@@ -183,7 +183,7 @@
         deadline = attempt.started_at + PROBE_TIMEOUT_FACTOR * self.connect_timeout
         request_bytes = b"GET %b HTTP/1.1\r\nHost: %b\r\n\r\n" % (self.probe_path, address.encode())
         result = self.exchange(attempt, server, address, deadline, lambda: request_bytes)
-        if result.reason in (FailureReason.CONNECTION_BROKEN, FailureReason.TIMED_OUT):
+        if result.reason in (AttemptEndReason.CONNECTION_BROKEN, AttemptEndReason.TIMED_OUT):
             self.close_idle(server)  # connections to a machine that does not answer stay silent, or break
         self.dispatch("on_probe_ended", server, result, self.parse_load(result.body))
 
@@ -213,7 +213,7 @@
         answer, attempt.is_started = None, True
         try:
             if attempt.is_cancelled:
-                return attempt.make_result(FailureReason.CANCELLED)
+                return attempt.make_result(AttemptEndReason.CANCELLED)
             self.check_may_send(may_send)
             attempt.connection = self.take_idle(server, address)
             if attempt.connection is None:
@@ -223,10 +223,10 @@
             self.write(attempt, make_request(), deadline, may_send)
             answer = self.read(attempt, deadline)
             if answer is None:
-                return attempt.make_result(FailureReason.CONNECTION_BROKEN, "ended early")
+                return attempt.make_result(AttemptEndReason.CONNECTION_BROKEN, "ended early")
             attempt.progress = Progress.COMPLETE
             return AttemptResult(
-                FailureReason.ANSWERED,
+                AttemptEndReason.ANSWERED,
                 attempt.progress,
                 monotonic() - attempt.started_at,
                 answer.status,
@@ -237,20 +237,20 @@
                 f"status {answer.status}",
             )
         except gevent.GreenletExit:
-            return attempt.make_result(FailureReason.CANCELLED)
+            return attempt.make_result(AttemptEndReason.CANCELLED)
         except AttemptNotSentError:
-            return attempt.make_result(FailureReason.NOT_SENT, "no longer allowed to be sent")
+            return attempt.make_result(AttemptEndReason.NOT_SENT, "no longer allowed to be sent")
         except NoConnectionError as error:
-            return attempt.make_result(FailureReason.NO_CONNECTION, str(error))
+            return attempt.make_result(AttemptEndReason.NO_CONNECTION, str(error))
         except MalformedMessageError as error:
-            return attempt.make_result(FailureReason.MALFORMED_RESPONSE, str(error))
+            return attempt.make_result(AttemptEndReason.MALFORMED_RESPONSE, str(error))
         except OSError as error:
             if is_wait_timeout(error):
-                return attempt.make_result(FailureReason.TIMED_OUT, "no answer in time")
-            return attempt.make_result(FailureReason.CONNECTION_BROKEN, str(error))
+                return attempt.make_result(AttemptEndReason.TIMED_OUT, "no answer in time")
+            return attempt.make_result(AttemptEndReason.CONNECTION_BROKEN, str(error))
         except Exception as error:
             log.exception("attempt died", extra={"address": address})
-            return attempt.make_result(FailureReason.CONNECTION_BROKEN, repr(error))
+            return attempt.make_result(AttemptEndReason.CONNECTION_BROKEN, repr(error))
         finally:
             connection = attempt.connection
             if (
--- a/cartdeal/balancer.py
+++ b/cartdeal/balancer.py
@@ -11,36 +11,42 @@
 from cartdeal.routing_state import DECAY_S, RoutedRequest, Server
 from cartdeal.watch_schedule import WatchSchedule
 
-CAPACITY_CHECK_INTERVAL_S = 0.05  # for queued requests; also how long the response to a probe is valid
+# Between two checks whether a queued request finds capacity. The response to a probe is valid for as long.
+CAPACITY_CHECK_INTERVAL_S = 0.05
 MIN_TIMER_DELAY_S = 0.002
 DEADLINE_MARGIN_S = 0.04  # reserved for delivering the answer to the client
 DEDUPLICATION_WINDOW_MARGIN_S = 0.05  # no repeat is sent this close to the end of the window
-MAX_CLASS_BACKOFF_S = 4.0  # for which a request class avoids a server
+MAX_CLASS_BACKOFF_S = 4.0  # longest time for which a request class avoids a server
 FAILBACK_INTERVAL_S = 10.0  # between checks of the zones that are preferred to the current one
-MIN_FAILURES_TO_OPEN = 2.0  # decaying count from which a circuit may open
+MIN_FAILURES_TO_OPEN = 2.0  # decaying count of failures from which a circuit may open
 MIN_FAILURE_SHARE_TO_OPEN = 0.3  # of the attempts that ended
 INITIAL_SHARED_LIMIT = 8.0  # attempts in flight at a new server, summed over all agents
-SLOW_START_SHARE = 0.7  # of the load that rule 4 allows a server in slow start
+SLOW_START_SHARE = 0.7  # of the load above which a server in slow start is overloaded
 MIN_CONCURRENCY_LIMIT = 0.25  # a limit below 1 means pauses between single attempts
 LIMIT_DECREASE_FACTOR = 0.75
-FAST_RESPONSE_RATIO = 0.15  # of the latency target; the limit grows below it
-SLOW_RESPONSE_RATIO = 0.25  # of the latency target; the limit is cut above it
-VERY_SLOW_RESPONSE_RATIO = 0.6  # of the latency target; the limit may fall below 1 above it
+FAST_RESPONSE_RATIO = 0.15  # of the latency target; a faster response raises the concurrency limit
+SLOW_RESPONSE_RATIO = 0.25  # of the latency target; a slower response cuts the concurrency limit
+VERY_SLOW_RESPONSE_RATIO = 0.6  # of the latency target; a slower response may cut the limit below 1
 MAX_IN_FLIGHT_RATIO = 1.5  # of the mean in flight; a server above it is only a fallback
 MAX_QUEUE_TIME_RATIO = 0.3  # of the latency target
 MAX_POOL_LOAD_RATIO = 1.2  # of the mean load in a pool; a server above it is only a fallback
 MIN_SHARED_POOL_LIMIT = 4.0  # attempts in flight at a server, summed over all agents of a pool
-POOL_LIMIT_GROWTH_FACTOR = 0.125  # growth of the limit by one request of average weight
-LIVE_WEIGHT_DECAY_S = 600.0  # over which an earlier, higher live weight decays
-OVERLOAD_REPORT_TTL_S = 0.6  # for which a report of queued requests counts
-MIN_MISS_SHARE = 0.08  # of requests in the home zone; above it probes and other zones are used
-MIN_REQUESTS_PER_SERVER = 20.0  # within the decay time; an agent with fewer learns of overload too late
+POOL_LIMIT_GROWTH_FACTOR = 0.125  # relative growth per fast response to a request of average priority weight
+# Time constant with which a higher weight decays where load lowers the listed weights (`has_live_weights`).
+LIVE_WEIGHT_DECAY_S = 600.0
+OVERLOAD_REPORT_TTL_S = 0.6  # how long a server counts as overloaded after it reported queued requests
+# Share of the finished requests in the current zone that were not served within their latency target. Above
+# it probes and other zones are used.
+MIN_MISS_SHARE = 0.08
+MIN_REQUESTS_PER_SERVER = 20.0  # within DECAY_S; an agent with fewer learns of overload too late
 PROBE_TIMEOUT_FACTOR = 2.0  # of the mean response time of a probe
-MISSES_PER_USEFUL_PROBE = 8.0  # one probe saves one in this many missed requests
-MAX_UNSENT_SHARE = 0.02  # of requests given up before any attempt; above it nothing is retried
+MISSES_PER_USEFUL_PROBE = 8.0  # probing before every request saves one in this many missed ones
+# Share of requests given up before any attempt. Above it, a request that may have run is not retried.
+MAX_UNSENT_SHARE = 0.02
 HASH_COUNT = 1 << 64
 HASH_MASK = HASH_COUNT - 1
-NO_CLASS_BACKOFF = (0, 0.0, 1.0)  # as in Server.class_backoffs
+# (failures in a row, end of the backoff, next backoff in seconds), as in Server.class_backoffs
+NO_CLASS_BACKOFF = (0, 0.0, 1.0)
 
 
 class Balancer:
@@ -63,26 +69,30 @@
         self.zone_order = sorted(range(settings.zone_count), key=self.zone_rank)
         # The rank of the current zone is an index into `zone_order`.
         self.current_zone_rank, self.failback_at = 0, now + FAILBACK_INTERVAL_S
-        self.arrivals, self.priority = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
-        # By zone: the last known sends per second to a server outside slow start, per unit of weight.
-        self.tenants, self.warm_send_rates = {}, {}
-        # Without this initial value a zone that is only slow at the start seems silent after the first fast
-        # responses, and fails.
-        slow = SLOW_RESPONSE_RATIO * max(
+        self.arrivals, self.priority_sum = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
+        # Decaying count of arrivals, by tenant. By zone: the last known sends per second to a server outside
+        # slow start, per unit of weight.
+        self.arrivals_by_tenant, self.warm_send_rates = {}, {}
+        # Without this initial value, a zone that is merely slow at the start would count as silent after the
+        # first fast responses, and the agent would leave it.
+        initial_response_time = SLOW_RESPONSE_RATIO * max(
             (each.latency_target for each in settings.request_classes), default=1.0
         )
-        self.response_time, self.responses = DecayingSum(DECAY_S, now, slow), DecayingSum(DECAY_S, now, 1.0)
+        self.response_time_sum, self.response_count = (
+            DecayingSum(DECAY_S, now, initial_response_time),
+            DecayingSum(DECAY_S, now, 1.0),
+        )
         # The sum of the response times of probes, and their number.
-        self.probe_time, self.probe_responses = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
-        self.capacity_misses = DecayingSum(1.0, now)  # requests that recently found no capacity
+        self.probe_time_sum, self.probe_response_count = DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)
+        self.no_capacity_events = DecayingSum(1.0, now)  # requests that recently found no capacity
         # Queued requests that got capacity and that did not, and requests given up before any attempt.
         self.queue_successes, self.queue_timeouts, self.given_up_unsent = (
             DecayingSum(2.0, now),
             DecayingSum(2.0, now),
             DecayingSum(DECAY_S, now),
         )
-        # The share of keys routed to another zone; finished requests, all and missed, for the home zone ("h")
-        # and away from it ("a").
+        # The share of keys routed to another zone. Finished requests as [all, missed]: at index 0 for the
+        # current zone, at index 1 for other zones.
         self.cross_zone_share, self.finished_requests = (
             0.0,
             [[DecayingSum(DECAY_S, now), DecayingSum(DECAY_S, now)] for _ in "ha"],
@@ -101,8 +111,8 @@
         self.draws += 1
         return (crc32(b"%d/%d" % (self.settings.seed, self.draws)) + 0.5) / 4294967296
 
-    def on_server_list(self, lines, is_fresh):
-        """Applies lines of the server list; `is_fresh`: they came from the current watch."""
+    def on_server_list(self, lines, is_current_watch):
+        """Applies lines of the server list; `is_current_watch`: they came from the current watch."""
         now, changed = self.host.now, False
         for line in lines:
             while line.zone >= len(self.zones):  # a zone that the settings do not name is ordered last
@@ -111,9 +121,10 @@
             if server is None:
                 if line.state is ServerState.GONE:
                     continue
-                # After a failover, the agents of a lost zone add to the load of the next zone's own agents.
-                away = line.zone != self.settings.own_zone
-                limit = self.min_pool_limit if self.is_pool_member and away else self.initial_limit
+                # In another zone, an agent of a pool starts with a lower limit: after a failover its attempts
+                # come on top of those of that zone's own agents.
+                is_other_zone = line.zone != self.settings.own_zone
+                limit = self.min_pool_limit if self.is_pool_member and is_other_zone else self.initial_limit
                 server = self.servers[line.server_index] = Server(line.server_index, limit, now)
                 server.name_hash = mix_bits(crc32(line.name))
             changed |= server.state is not line.state or line.started_at > server.started_at
@@ -127,7 +138,7 @@
                 server.slow_start_tokens = self.random_fraction()
             server.state = line.state
             self.remove_if_gone(server)
-        if is_fresh:
+        if is_current_watch:
             self.watch.answered(now, changed)
         for zone, members in enumerate(self.zones):
             members[:] = [s for s in self.servers.values() if s.state is ServerState.READY and s.zone == zone]
@@ -139,7 +150,8 @@
         if not 1e-3 <= weight <= 1e6:  # false for NaN too
             weight = server.weight
         elif self.settings.has_live_weights:
-            # Unsmoothed live weights move the attempts of all agents to the same servers, and too late.
+            # Without smoothing, the attempts of all agents would move to the same servers, and only after
+            # those servers' load had changed.
             weight = max(weight, server.weight * exp((server.weight_updated_at - now) / LIVE_WEIGHT_DECAY_S))
         server.weight, server.weight_updated_at = weight, now
 
@@ -153,7 +165,7 @@
             del self.servers[server.index]
 
     def on_watch_failed(self, is_silent=False):
-        """The watch ended or, if `is_silent`, sent nothing for too long; or the call for one got no list."""
+        """The watch ended or, if `is_silent`, sent nothing for too long; or a call got no list."""
         self.watch.failed(self.host.now, is_silent, bool(self.servers), self.random_fraction())
         self.set_timer_by(self.watch.next_call_at)
 
@@ -165,8 +177,8 @@
     def renew_watch(self, now):
         """Calls the discovery service if no watch is active and the call is due.
 
-        Without a watch, an agent counts as informed of changes that it never received, unless it has called
-        recently.
+        An agent counts as informed of a change some seconds after it was made, whether or not it received the
+        change, so an agent without a watch must call soon.
         """
         if not self.watch.is_active:
             if now >= self.watch.next_call_at:
@@ -175,16 +187,21 @@
             self.set_timer_by(self.watch.next_call_at)
 
     def on_request(self, number, class_index, tenant, key, deadline, is_retry):
-        """A request arrived; `is_retry`: the client has sent it before."""
+        """A request arrived.
+
+        `key`: the hash that ranks the servers, 0 for a random one. `is_retry`: the client has sent the
+        request before.
+        """
         now, request_class = self.host.now, self.settings.request_classes[class_index]
         self.arrivals.add(now)
-        self.priority.add(now, request_class.priority)
+        self.priority_sum.add(now, request_class.priority)
         priority_weight = (
             self.pool_priority_weight(class_index, request_class.priority, now)
             if self.is_pool_member
             else request_class.priority
         )
-        # A retry has used part of its time already: served first, it would make new requests late too.
+        # A retry has used part of its time already. If retries were served first, new requests would be late
+        # too.
         priority_weight *= self.tenant_factor(tenant, now) * (0.5 if is_retry else 1.0)
         request = self.requests[number] = RoutedRequest(
             number,
@@ -198,44 +215,56 @@
         self.route(request, now)
 
     def pool_priority_weight(self, class_index, priority_weight, now):
-        """The priority weight per unit of response time; higher for the request class served worst."""
+        """The priority weight divided by the class's mean response time relative to that of all requests.
+
+        It is raised for the request class with the lowest share of requests served in time.
+        """
         arrivals, _, response_time, responses = self.class_statistics[class_index]
         arrivals.add(now)
         shares = [served.read(now) / max(all_.read(now), 0.1) for all_, served, _, _ in self.class_statistics]
         if shares[class_index] <= min(shares) + 0.02:
-            priority_weight += self.settings.worst_class_weight * self.priority.amount / arrivals.amount
+            priority_weight += self.settings.worst_class_weight * self.priority_sum.amount / arrivals.amount
         mean = response_time.read(now) / max(responses.read(now), 0.1)
         return (
-            priority_weight * self.response_time.read(now) / max(self.responses.read(now), 0.1) / mean
+            priority_weight
+            * self.response_time_sum.read(now)
+            / max(self.response_count.read(now), 0.1)
+            / mean
             if mean
             else priority_weight
         )
 
     def tenant_factor(self, tenant, now):
-        """The overage factor for the randomly chosen part of a tenant's requests over its quota, else 1."""
+        """The factor of a request's priority weight that depends on its tenant's quota.
+
+        `overage_priority_factor` for a random part of the tenant's requests, as large as their excess over
+        the tenant's share of all quotas; 1 for the others.
+        """
         if not self.settings.tenants:
             return 1.0
-        arrivals = self.tenants.setdefault(tenant, DecayingSum(DECAY_S, now))
+        arrivals = self.arrivals_by_tenant.setdefault(tenant, DecayingSum(DECAY_S, now))
         arrivals.add(now)
         all_, quota = sum(each.quota for each in self.settings.tenants), self.settings.tenants[tenant].quota
+        # A tenant may exceed its share by a tenth.
         overage = 1.0 - 1.1 * quota / max(all_, 1e-9) * self.arrivals.amount / arrivals.amount
         return self.settings.overage_priority_factor if self.random_fraction() < overage else 1.0
 
     def route(self, request, now, has_failed_attempt=False, is_final=False):
         """Sends an attempt to the preferred zone or, failing that, to another zone; else queues the request.
 
-        `has_failed_attempt`: an earlier attempt failed. `is_final`: without capacity, the request gives up.
+        `has_failed_attempt`: an earlier attempt failed. `is_final`: the request is given up if no
+        server has capacity.
         """
-        home, preferred = self.zone_order[self.current_zone_rank], self.preferred_zone(request)
+        current_zone, preferred = self.zone_order[self.current_zone_rank], self.preferred_zone(request)
         server = self.select_server(self.zones[preferred], request, now)
         if server is None:
-            self.capacity_misses.add(now)
+            self.no_capacity_events.add(now)
             may_cross = self.is_crossing_worthwhile(request, now, has_failed_attempt or is_final)
             for zone in self.zone_order:
                 if (
                     server is None
                     and zone != preferred
-                    and (zone == home or may_cross)
+                    and (zone == current_zone or may_cross)
                     and self.is_zone_healthy(zone)
                 ):
                     server = self.select_server(self.zones[zone], request, now)
@@ -245,7 +274,8 @@
         elif server is not None:
             self.send_attempt(request, server, now)
         elif request.number in self.queued_requests and now < request.queued_until:
-            # While a probe may still be answered, an offer from another server comes too late to matter.
+            # A request that waits for a probe is routed again when the probe ends or the queue time is over:
+            # capacity found at another server in between comes too late to matter.
             request.next_attempt_at = request.queued_until if request.probed_servers else now
         elif is_final or not self.queue_request(request, now):
             self.give_up(request, now)
@@ -253,7 +283,8 @@
     def queue_request(self, request, now):
         """Queues the request until a server has capacity; False if its queue time is over."""
         if request.number not in self.queued_requests:
-            # A late repeat may have less time left than the queue time: the timer must answer it in time.
+            # A request that is retried late may have less time left than the queue time: it must be given up
+            # in time for the answer to reach the client.
             max_queue_time = MAX_QUEUE_TIME_RATIO * request.request_class.latency_target
             request.queued_until = min(now + max_queue_time, request.deadline - DEADLINE_MARGIN_S)
         if now < request.queued_until:
@@ -270,7 +301,7 @@
         capacity.
         """
         if members and members[0].zone in self.full_zones:
-            return None  # no attempt has ended since the zone was found full
+            return None  # the zone was full, and no attempt has ended since then
         usable = self.usable_servers(members, request, now)
         if not usable or any(s.zone == usable[0].zone for s in request.probed_servers):
             return None
@@ -347,11 +378,11 @@
     def server_load(self, server, now):
         """This agent's load on a server: attempts in flight or, in a pool, the recent seconds in flight."""
         # An agent of a pool mostly has at most one attempt at a server, so a key that is popular with all
-        # agents would overload its server unnoticed. But each agent sees a fair sample of the requests, and
-        # what each of them spreads evenly is even in total.
+        # agents would overload its server unnoticed. But each agent gets a random sample of the requests: if
+        # every agent balances its own load over the servers, the total load is balanced too.
         if not self.is_pool_member:
             return len(server.in_flight)
-        # Computed once per moment: the sums over a large zone would cost more than its requests.
+        # Computed once per time of an event: the sums over a large zone would cost more than its requests.
         if now > server.load_updated_at:
             server.cached_load = server.flight_time.read(now) + sum(
                 [now - sent for sent in server.in_flight.values()]
@@ -363,11 +394,12 @@
         """Whether the server is probed before an attempt is sent to it.
 
         Among many agents, one with few requests learns of overloaded servers too late. It probes first if
-        requests were missed or found no capacity, and while it is new.
+        requests were missed or found no capacity, and while it has recently finished no request.
         """
         finished, missed = self.finished_requests[0]
+        # The 0.05 makes an agent without finished requests probe.
         missed, finished = missed.read(now) + 0.05, finished.read(now)
-        is_overloaded = missed > MIN_MISS_SHARE * finished or self.capacity_misses.read(now) > 0.1
+        is_overloaded = missed > MIN_MISS_SHARE * finished or self.no_capacity_events.read(now) > 0.1
         # A probe is work for a server: if it is expensive, hundreds of probing agents cost more than they
         # save.
         is_overloaded = (
@@ -388,14 +420,20 @@
         )
 
     def probe_first(self, request, server, now):
-        """Sends a probe, unless one is out, and has the request wait for its response."""
+        """Has the request wait for the response to a probe of the server.
+
+        Sends the probe, unless one sent within the last second is unanswered.
+        """
         request.probed_servers.append(server)
         server.probe_waiters[request.number] = request
         if now > server.probe_sent_at + 1.0:
             server.probe_sent_at = now
             self.host.probe(server.index)
         request.next_attempt_at = now + max(
-            0.01, PROBE_TIMEOUT_FACTOR * self.probe_time.read(now) / max(self.probe_responses.read(now), 0.1)
+            0.01,
+            PROBE_TIMEOUT_FACTOR
+            * self.probe_time_sum.read(now)
+            / max(self.probe_response_count.read(now), 0.1),
         )
         self.set_timer_by(min(request.next_attempt_at, request.queued_until))
 
@@ -404,44 +442,48 @@
 
         All agents send such a key to the same zone.
         """
-        home, position = (
+        current_zone, position = (
             self.zone_order[self.current_zone_rank],
             mix_bits(request.key ^ HASH_MASK) / HASH_MASK,
         )
         others = position < self.cross_zone_share and [
-            z for z in range(len(self.zones)) if z != home and self.is_zone_healthy(z)
+            z for z in range(len(self.zones)) if z != current_zone and self.is_zone_healthy(z)
         ]
-        return others[int(position * 1e6) % len(others)] if others else home
+        return others[int(position * 1e6) % len(others)] if others else current_zone
 
     def record_result(self, request, missed, now):
         """Records a finished request and adjusts the share of keys that are routed to another zone.
 
-        The share grows while the requests missed at home, less those missed in other zones, exceed the
-        cross-zone fee by more than MIN_MISS_SHARE.
+        The share grows while the share of missed requests in the current zone exceeds that in the other zones
+        by more than the cross-zone fee plus MIN_MISS_SHARE.
         """
-        away = (
+        is_other_zone = (
             bool(request.tried_servers)
             and request.tried_servers[-1].zone != self.zone_order[self.current_zone_rank]
         )
-        for each, amount in zip(self.finished_requests[away], (1.0, missed), strict=True):
+        for each, amount in zip(self.finished_requests[is_other_zone], (1.0, missed), strict=True):
             each.add(now, amount)
-        home, other = (
+        current_share, other_share = (
             missed.read(now) / max(finished.read(now), 0.5) for finished, missed in self.finished_requests
         )
-        # A request that found no capacity anywhere is ignored: two full zones would swap their keys.
+        # A request that found no capacity anywhere is ignored: otherwise two full zones would route their
+        # keys to each other.
         grows = (
             request.tried_servers or not self.is_pool_member
-        ) and home - other > self.settings.cross_zone_fee + MIN_MISS_SHARE
+        ) and current_share - other_share > self.settings.cross_zone_fee + MIN_MISS_SHARE
         self.cross_zone_share = min(0.9, max(0.0, self.cross_zone_share + (0.05 if grows else -0.02)))
 
-    def is_crossing_worthwhile(self, request, now, is_final):
+    def is_crossing_worthwhile(self, request, now, is_undiscounted):
         """Whether the gain of an attempt in another zone exceeds the cross-zone fee.
 
-        The gain is discounted by the share of queued requests that recently got capacity in the home zone.
+        The gain is discounted by the share of queued requests that recently got capacity in the current
+        zone, unless `is_undiscounted`.
         """
         successes, timeouts = self.queue_successes.read(now), self.queue_timeouts.read(now)
-        gain = request.priority_weight * (1.0 if is_final else 1.0 - successes / (successes + timeouts + 0.1))
-        return gain * self.arrivals.amount > self.settings.cross_zone_fee * self.priority.amount
+        gain = request.priority_weight * (
+            1.0 if is_undiscounted else 1.0 - successes / (successes + timeouts + 0.1)
+        )
+        return gain * self.arrivals.amount > self.settings.cross_zone_fee * self.priority_sum.amount
 
     def is_in_slow_start(self, server, now):
         """Whether the server started recently; one without a start time in the list started long ago."""
@@ -450,7 +492,7 @@
     def slow_start_allows(self, server, now, warm_rate):
         """Whether the slow start of a server allows one more attempt.
 
-        Rule 4 (no overload of a server in slow start) holds if every agent keeps to its own token bucket.
+        The agents together do not overload a server in slow start if each keeps to its own token bucket.
         `warm_rate`: sends per second and unit of weight to a server outside slow start.
         """
         age = max(0.0, now - server.started_at)
@@ -490,7 +532,8 @@
         self.set_timer_by(now + self.silence_timeout(server, now))
         server.recent_sends.add(now)
         if request.request_class in server.class_backoffs:
-            # A request class that avoided the server tries it with one request at a time.
+            # Renews the backoff of a class with three or more failures in a row, so that one request at a
+            # time tries the server.
             self.back_off_class(server, request, now, 0)
         server.slow_start_tokens -= 1.0
         self.host.send_attempt(request.number, server.index, request.deadline)
@@ -552,11 +595,14 @@
 
     def route_queued_requests(self, now):
         """Routes the queued requests that are due, by priority weight, until two of them find no capacity."""
-        misses, due = 0, [each for each in self.queued_requests.values() if now >= each.next_attempt_at]
+        no_capacity_count, due = (
+            0,
+            [each for each in self.queued_requests.values() if now >= each.next_attempt_at],
+        )
         for request in sorted(due, key=lambda each: -each.priority_weight):
-            if misses < 2:
+            if no_capacity_count < 2:
                 self.route(request, now)
-                misses += request.number in self.queued_requests
+                no_capacity_count += request.number in self.queued_requests
 
     def on_attempt_ended(self, number, index, outcome, attempt, duration, is_finished, load):
         """An attempt ended.
@@ -598,7 +644,10 @@
         self.route_queued_requests(now)
 
     def retry_or_give_up(self, request, now):
-        """Retries a failed request up to two times, but not under overload nor after its latency target."""
+        """Retries a failed request up to two times, or gives it up.
+
+        It is not retried after its latency target nor, under overload, if it may have run.
+        """
         is_overloaded = (
             request.possible_executions
             and self.given_up_unsent.read(now) > 2 + MAX_UNSENT_SHARE * self.arrivals.amount
@@ -624,8 +673,8 @@
             server.response_time += (
                 0.2 * (duration - server.response_time) if server.response_time else duration
             )
-            self.response_time.add(now, duration)
-            self.responses.add(now)
+            self.response_time_sum.add(now, duration)
+            self.response_count.add(now)
             if request:
                 for each, amount in zip(
                     request.class_statistics[1:],
@@ -639,11 +688,12 @@
                 server.is_circuit_closed, server.is_silent, server.is_half_open = True, False, False
                 server.failures = DecayingSum(DECAY_S, now)
             if server.concurrency_limit < 1.0 and not self.is_pool_member:
-                # One attempt from each of many agents may be too much for a server: the agents take turns.
+                # One attempt from each of many agents may be too much for a server: each agent pauses
+                # between its attempts.
                 server.paused_until = now + server.response_time * (1.0 / server.concurrency_limit - 1.0)
             if duration < FAST_RESPONSE_RATIO * latency_target and self.is_pool_member:
                 # Growth follows the request's relative weight, since other agents need capacity too.
-                relative_weight = request.priority_weight * self.arrivals.amount / self.priority.amount
+                relative_weight = request.priority_weight * self.arrivals.amount / self.priority_sum.amount
                 if now > server.overloaded_until:
                     server.concurrency_limit += min(
                         1.0 / server.concurrency_limit,
@@ -671,13 +721,16 @@
             if outcome is Outcome.TIMED_OUT:
                 self.cut_limit(server, now)
             failures = server.failures.amount
-            is_often = failures > MIN_FAILURE_SHARE_TO_OPEN * (failures + server.completions.read(now))
-            if server.is_half_open or failures >= MIN_FAILURES_TO_OPEN * 0.95 and is_often:
+            is_failure_share_high = failures > MIN_FAILURE_SHARE_TO_OPEN * (
+                failures + server.completions.read(now)
+            )
+            if server.is_half_open or failures >= MIN_FAILURES_TO_OPEN * 0.95 and is_failure_share_high:
                 self.open_circuit(server, now)
 
     def back_off_class(self, server, request, now, failure_count=1):
-        """Counts failures of the request's class at the server; the class avoids it from the third in a row.
+        """Counts failures of the request's class at the server.
 
+        From the third failure in a row on, the class avoids the server.
         A server may fail with one request class alone. The circuit applies to all of them.
         """
         count, until, duration = server.class_backoffs.get(request.request_class, NO_CLASS_BACKOFF)
@@ -699,13 +752,14 @@
         if server.is_circuit_closed or server.is_half_open:
             if server.is_circuit_closed:
                 self.on_transition("circuit opened", server, "silent" if server.is_silent else "failures")
+            # `delay_retry` doubles it, so the first backoff is 1 s.
             server.backoff = 0.5 if server.is_circuit_closed else server.backoff
             server.is_circuit_closed = server.is_half_open = False
             self.delay_retry(server, now)
             self.check_zones(now)
 
     def delay_retry(self, server, now):
-        """Doubles the backoff of an open circuit and draws the time of the next try."""
+        """Doubles the backoff of an open circuit and draws the time at which the circuit is tried again."""
         server.backoff = min(8.0, server.backoff * 2)
         server.retry_at = now + server.backoff * (0.75 + 0.5 * self.random_fraction())
         self.set_timer_by(server.retry_at)
@@ -717,8 +771,8 @@
             return
         waiters, server.probe_waiters, server.probe_sent_at = server.probe_waiters, {}, -inf
         if is_answered and server.is_circuit_closed:
-            self.probe_time.add(now, duration)
-            self.probe_responses.add(now)
+            self.probe_time_sum.add(now, duration)
+            self.probe_response_count.add(now)
             server.probe_answered_at = now
             self.apply_load_report(server, load, now)
         elif is_answered:
@@ -777,8 +831,8 @@
     def set_timer_by(self, at):
         """Has the host call `on_timer` at `at` or earlier."""
         # Timers are set only for what is due: periodic checks would cost an agent more than its requests do.
-        # A timer never fires at once: each of several timers of one moment would find the next one due and
-        # set two more.
+        # Every timer has a minimum delay: without one, several timers that are due at the same time would
+        # each set two further timers for that time.
         at = max(at, self.host.now + MIN_TIMER_DELAY_S)
         if at < self.next_timer_at:
             self.next_timer_at = at
@@ -788,7 +842,7 @@
         """A timer fired: handles everything that is due now."""
         now = self.host.now
         if now < self.next_timer_at - 1e-5:
-            return  # replaced by an earlier timer
+            return  # this timer was replaced by an earlier one, which has fired already
         self.next_timer_at = inf
         self.renew_watch(now)
         if self.current_zone_rank:
@@ -816,7 +870,9 @@
     def silence_timeout(self, server, now):
         """Seconds without a response until the server counts as silent; infinity before any response."""
         # The larger of both means is used, so that a slow server does not count as silent.
-        mean = max(server.response_time, self.response_time.read(now) / max(self.responses.read(now), 0.1))
+        mean = max(
+            server.response_time, self.response_time_sum.read(now) / max(self.response_count.read(now), 0.1)
+        )
         return max(0.25, mean * (4.0 if len(server.in_flight) < 3 else 2.5)) if mean else inf
 
     def check_silence(self, server, now):
@@ -829,9 +885,10 @@
             server.is_silent = True
             server.failures.add(now, MIN_FAILURES_TO_OPEN)
             self.open_circuit(server, now)
-        # Attempts at a silent server are cancelled if another attempt is safe. So are overdue attempts that
-        # later ones have overtaken: they would use up the limit until their deadline, and the whole server
-        # would seem silent.
+        # At a silent server, attempts that are still within their latency target are cancelled, unless the
+        # request is non-idempotent. At other servers, an overdue attempt is cancelled if a response came
+        # later than the silence timeout after it was sent: overdue attempts would use up the limit until
+        # their deadline, and the whole server would seem silent.
         for (number, attempt), sent in list(server.in_flight.items()):
             request = self.requests.get(number)
             if not request or attempt not in request.in_flight or not self.settings.may_cancel:
--- a/cartdeal/balancer_types.py
+++ b/cartdeal/balancer_types.py
@@ -132,9 +132,8 @@
     slow_start_initial_share: float  # of the full rate, at the start of a server
     slow_start_duration: float
     overload_window: float
-    overload_factor: (
-        float  # a server in slow start fails if sent this multiple of its capacity over the window
-    )
+    # A server in slow start fails if sent this multiple of its capacity over `overload_window`.
+    overload_factor: float
     is_pool_member: bool  # clients may use any agent of a pool instead of one of their own
     worst_class_weight: float  # weight of the worst-served request class beside the overall result
     has_live_weights: bool  # the load of a server lowers its listed weight
@@ -168,7 +167,7 @@
         """Probes the server; `Balancer.on_probe_ended` gets the result."""
         ...
 
-    def watch(self, on: bool = True) -> None:
+    def watch(self, is_wanted: bool = True) -> None:
         """Starts a watch of the server list, or stops it."""
         ...
 
--- a/cartdeal/emulator/play.py
+++ b/cartdeal/emulator/play.py
@@ -71,7 +71,7 @@
         self.clock.at(self.free_at, self.answer_call, agent, agent.generation)
 
     def answer_call(self, agent, generation):
-        """Answers a call, unless the agent was started anew since, and adds the agent to the watchers."""
+        """Answers a call and adds the agent to the watchers, unless the agent has been restarted since."""
         if self.is_down or agent.generation != generation:
             return agent.generation == generation and agent.on_discovery_answer(None)
         self.watchers.append(agent)
@@ -95,7 +95,7 @@
 
     Args:
         world: The world.
-        seed: What all random draws come from.
+        seed: The seed of all random draws.
         make_reducer: Creates an agent's reducer.
         trace: A list for a line per answer; None if none are wanted.
         included_arrivals: The arrivals, as (agent, number of its arrival), that send requests; None for all.
@@ -104,12 +104,14 @@
     def __init__(self, world: World, seed: int, make_reducer=Reducer, trace=None, included_arrivals=None):
         self.world, self.seed, self.clock, self.trace = world, seed, SimulatedClock(), trace
         self.rule_checker, self.counts = RuleChecker(world), Counter()
-        # (agent, number of its arrival): those so far, and those that send requests
+        # Arrivals as (agent number, number of the agent's arrival): all so far, and those that send requests
+        # (None for all).
         self.arrivals, self.included_arrivals = [], included_arrivals
         self.random, self.work_random = seeded_random(seed, "network"), seeded_random(seed, "work")
         self.isolated_zones = set()  # by index
         self.hot_key_share = 0.0
-        self.offered_value = self.served_value = 0.0
+        # Sums of the priorities of the requests offered, and served in time.
+        self.offered_priority = self.served_priority = 0.0
         self.latencies = []  # seconds from the arrival to the answer, of completed requests
         self.cumulative_shares = list(accumulate(each.share for each in world.request_class))
         self.cumulative_popularity = list(
@@ -124,7 +126,7 @@
             SimulatedAgent(self, number, number % len(world.zones), make_reducer)
             for number in range(world.agents)
         ]
-        self.open_requests = {}  # request -> (index of its class, key, due_at, repeat_count, agent)
+        self.open_requests = {}  # request -> (index of its class, key, arrived_at, repeat_count, agent)
 
     # Servers
 
@@ -186,36 +188,42 @@
         if self.included_arrivals is not None and arrival not in self.included_arrivals:
             return
         if agent.is_running:  # an agent's application stops with it
-            self.offered_value += self.world.request_class[class_index].priority
+            self.offered_priority += self.world.request_class[class_index].priority
         self.send_request(agent, class_index, key, self.clock.now, 0)
 
-    def send_request(self, agent, class_index, key, due_at, repeat_count):
-        """Gives an agent a request that was due at `due_at`; `repeat_count` counts its earlier tries."""
+    def send_request(self, agent, class_index, key, arrived_at, repeat_count):
+        """Gives an agent a request that arrived at `arrived_at`; `repeat_count` counts its earlier tries."""
         request_class, now = self.world.request_class[class_index], self.clock.now
-        time_left = due_at + request_class.limit_s - now
+        time_left = arrived_at + request_class.limit_s - now
         if not agent.is_running or time_left <= 0:
             return
         self.counts["requests"] += 1
         request = f"l{self.counts['requests']}"
-        self.open_requests[request] = class_index, key, due_at, repeat_count, agent
+        self.open_requests[request] = class_index, key, arrived_at, repeat_count, agent
         self.rule_checker.on_request_accepted(now, agent.number, request, request_class.name, now + time_left)
         agent.accept_request(request, class_index, zlib.crc32(b"%d" % key) + 1, time_left, repeat_count > 0)
 
-    def on_answer(self, request, status, wait):
-        """Records a client's answer; after a rejection the client retries `wait` seconds later or more."""
+    def on_answer(self, request, status, retry_after):
+        """Records the answer to a request.
+
+        After a rejection the client retries after at least `retry_after` seconds.
+        """
         now = self.clock.now
         self.rule_checker.on_answer(now, request, status)
-        class_index, key, due_at, repeat_count, agent = self.open_requests.pop(request, (0, 0, 0.0, 99, None))
+        # An unknown request is never retried: 99 is above every number of retries.
+        class_index, key, arrived_at, repeat_count, agent = self.open_requests.pop(
+            request, (0, 0, 0.0, 99, None)
+        )
         request_class = self.world.request_class[class_index]
         self.counts[status] += 1
         if self.trace is not None:
             self.trace.append(f"{now:.6f} {request} {status}")
         if status == 200:
-            self.latencies.append(now - due_at)
-            self.served_value += request_class.priority * (now - due_at <= request_class.goal_s)
+            self.latencies.append(now - arrived_at)
+            self.served_priority += request_class.priority * (now - arrived_at <= request_class.goal_s)
         elif status == 503 and repeat_count < self.world.clients.retries:
-            pause = max(wait, self.world.clients.pause_s)
-            self.clock.after(pause, self.send_request, agent, class_index, key, due_at, repeat_count + 1)
+            pause = max(retry_after, self.world.clients.pause_s)
+            self.clock.after(pause, self.send_request, agent, class_index, key, arrived_at, repeat_count + 1)
 
     # Faults
 
@@ -284,14 +292,15 @@
         self.discovery.schedule_change(self.server_entry(server))
 
     def replace_server(self, server):
-        """Drains a server, and removes it when its work is done; a new server starts in its place."""
+        """Drains a server, and removes it `late_s` + 2 s later; a new server starts in its place at once."""
         server.is_draining = True
         self.discovery.schedule_change(self.server_entry(server, "leaving"))
         self.clock.after(self.world.list.late_s + 2.0, self.remove_server, server)
+        # A start time of 0 would mean that the server is not in slow start.
         self.add_server(server.zone, max(self.clock.now, 1e-3))
 
     def remove_server(self, server):
-        """Stops a drained server, and publishes that it has left."""
+        """Stops a draining server, and publishes that it has left."""
         server.stop()
         self.discovery.schedule_change(self.server_entry(server, "left"))
 
@@ -302,12 +311,14 @@
     def run(self):
         """Runs the world to its end, and checks the rules; returns the fleet."""
         world = self.world
-        shares = seeded_random(self.seed, "shares")
+        rate_random = seeded_random(self.seed, "shares")
         variance = world.clients.unevenness**2
-        sizes = [shares.gammavariate(1 / variance, 1.0) if variance > 1e-4 else 1.0 for _ in self.agents]
-        for agent, size in zip(self.agents, sizes, strict=True):
+        relative_rates = [
+            rate_random.gammavariate(1 / variance, 1.0) if variance > 1e-4 else 1.0 for _ in self.agents
+        ]
+        for agent, relative_rate in zip(self.agents, relative_rates, strict=True):
             random = seeded_random(self.seed, f"client {agent.number}")
-            rate = max(1e-3, world.clients.per_s * size / sum(sizes))
+            rate = max(1e-3, world.clients.per_s * relative_rate / sum(relative_rates))
             agent.known_servers = self.discovery.complete_list()
             self.clock.after(0.0, agent.start)
             self.clock.after(0.1 + random.expovariate(rate), self.on_arrival, agent, random, rate)
@@ -328,7 +339,7 @@
             "completed": self.counts[200],
             "turned back": self.counts[503],
             "terminated": self.counts[502],
-            "served": round(self.served_value / max(self.offered_value, 1e-9), 4),
+            "served": round(self.served_priority / max(self.offered_priority, 1e-9), 4),
             **{each: self.counts[each] for each in COUNTED_COLUMNS},
             "most list calls in a second": max(self.discovery.calls_by_second.values(), default=0),
             "unevenness of work": round(deviation / max(mean, 1e-9), 3),
--- a/cartdeal/emulator/simulated_agent.py
+++ b/cartdeal/emulator/simulated_agent.py
@@ -7,7 +7,7 @@
 from msgspec import convert
 
 from cartdeal.agent.configuration import AgentConfiguration, Limits, ServerEntry, ServerList
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress, Reducer, Request
 from cartdeal.emulator.servers import Job
 from cartdeal.emulator.world import agent_settings
 from cartdeal.settings import Settings
@@ -91,9 +91,9 @@
         """Answers a request that the reducer did not accept."""
         self.fleet.on_answer(request_id, status, 0.0)
 
-    def answer(self, request_id, status, content_type, body, wait):
-        """Answers a request; `wait` is the retry-after time in seconds."""
-        self.fleet.on_answer(request_id, status, wait)
+    def answer(self, request_id, status, content_type, body, retry_after):
+        """Answers a request; `retry_after` is in seconds."""
+        self.fleet.on_answer(request_id, status, retry_after)
 
     def set_timer(self, token, at):
         """Sets a timer of the reducer."""
@@ -250,22 +250,22 @@
             self.idle_connections.setdefault(attempt.server, []).append((self.clock.now, attempt.generation))
             self.clock.after(IDLE_TIMEOUT_S, self.close_expired, attempt.server)
             attempt.is_connected = False
-            on_result(self.make_result(attempt, FailureReason.ANSWERED, status, status == 503))
+            on_result(self.make_result(attempt, AttemptEndReason.ANSWERED, status, status == 503))
 
     def on_connection_broken(self, attempt, on_result, detail, is_never_connected=False):
         """Ends the attempt because its connection broke or was never made."""
         if not attempt.is_over:
-            on_result(self.make_result(attempt, FailureReason.CONNECTION_BROKEN, detail=detail))
+            on_result(self.make_result(attempt, AttemptEndReason.CONNECTION_BROKEN, detail=detail))
 
     def on_timeout(self, attempt, on_result):
         """Ends the attempt at its deadline."""
         if not attempt.is_over:
-            on_result(self.make_result(attempt, FailureReason.TIMED_OUT))
+            on_result(self.make_result(attempt, AttemptEndReason.TIMED_OUT))
 
     def make_result(self, attempt, reason, status=0, not_processed=False, detail=""):
         """Marks the attempt as over, closes its connection unless it was answered, and returns its result."""
         attempt.is_over = True
-        if reason is not FailureReason.ANSWERED:
+        if reason is not AttemptEndReason.ANSWERED:
             self.close_connection(attempt)
         return AttemptResult(
             reason, attempt.progress, self.clock.now - attempt.sent_at, status, not_processed, detail=detail
@@ -285,7 +285,7 @@
         if not self.is_running:
             return
         is_written = result.progress >= Progress.WRITTEN
-        is_refused = result.reason is FailureReason.ANSWERED and result.not_processed
+        is_refused = result.reason is AttemptEndReason.ANSWERED and result.not_processed
         self.fleet.rule_checker.on_attempt_ended(attempt.name, attempt_number, is_refused or not is_written)
         self.dispatch("on_attempt_ended", number, index, attempt_number, result)
 
@@ -296,7 +296,7 @@
             index = next(
                 index for index, each in self.reducer.servers.items() if each.address == attempt.server.name
             )
-            result = self.make_result(attempt, FailureReason.CANCELLED)
+            result = self.make_result(attempt, AttemptEndReason.CANCELLED)
             self.clock.after(0.0, self.on_attempt_ended, number, attempt_number, index, result)
 
     def probe(self, index, address):
--- a/cartdeal/routing_state.py
+++ b/cartdeal/routing_state.py
@@ -28,7 +28,7 @@
         self.possible_executions = {}
         self.tried_servers = []  # servers that were sent an attempt
         self.probed_servers = []  # servers whose response to a probe the request waits for
-        self.next_attempt_at = 0.0  # of a queued request
+        self.next_attempt_at = 0.0  # when a queued request is routed again
         self.queued_until = 0.0
 
 
@@ -42,7 +42,7 @@
         self.started_at = -inf
         self.weight = 1.0
         self.weight_updated_at = -inf  # when a list last stated it
-        self.in_flight = {}  # attempts of this agent: (request, attempt) -> time of sending
+        self.in_flight = {}  # this agent's attempts: (request, attempt) -> time of sending
         self.recent_sends = DecayingSum(DECAY_S, now)
         self.overloaded_until = -inf
         self.load_updated_at = -inf  # when `cached_load` was computed
@@ -58,7 +58,7 @@
         self.failures = DecayingSum(DECAY_S, now)
         self.completions = DecayingSum(DECAY_S, now)
         self.flight_time = DecayingSum(DECAY_S, now)  # seconds in flight of the attempts that ended
-        self.response_time = 0.0  # mean
+        self.response_time = 0.0  # mean of the responses, in seconds
         self.last_response_at = now
         self.is_circuit_closed = True
         self.is_half_open = False
@@ -69,4 +69,5 @@
         self.tokens_refilled_at = now
         self.probe_answered_at = 0.0
         self.abandoned_attempts = []  # times of sending of attempts that timed out or were cancelled
-        self.class_backoffs = {}  # request class -> (failures in a row, end of the backoff, next backoff)
+        # Request class -> (failures in a row, end of the backoff, next backoff in seconds).
+        self.class_backoffs = {}
--- a/tests/fleet/test_admission.py
+++ b/tests/fleet/test_admission.py
@@ -9,7 +9,7 @@
 from cartdeal.agent.admission import request_digest
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.front import hash_key
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress, Reducer, Request
 from cartdeal.fleet import configuration
 from cartdeal.fleet.effects import DeliverDecision
 from cartdeal.fleet.idempotency import AdmissionDecision, AdmissionRequest
@@ -139,19 +139,19 @@
 @pytest.mark.parametrize(
     "results, ran",
     [
-        ([(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0)] * 3, "never"),
-        ([(FailureReason.CONNECTION_BROKEN, Progress.WRITTEN, 0)], "maybe"),
+        ([(AttemptEndReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0)] * 3, "never"),
+        ([(AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN, 0)], "maybe"),
         (
             [
-                (FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
-                (FailureReason.ANSWERED, Progress.COMPLETE, 500),
+                (AttemptEndReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
+                (AttemptEndReason.ANSWERED, Progress.COMPLETE, 500),
             ],
             "maybe",
         ),
         (
             [
-                (FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
-                (FailureReason.ANSWERED, Progress.COMPLETE, 200),
+                (AttemptEndReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0),
+                (AttemptEndReason.ANSWERED, Progress.COMPLETE, 200),
             ],
             "answered",
         ),
@@ -236,7 +236,7 @@
         1,
         harness.servers_by_attempt[1, 0],
         0,
-        AttemptResult(FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0.1),
+        AttemptResult(AttemptEndReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0.1),
     )
     assert len(harness.effects_of("send_attempt")) == 1 and harness.statuses() == [502]
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -110,7 +110,7 @@
     host = TracingHost("a0 b0 e0", agent_count=8)
     for number in range(1, 12):
         host.submit(number)
-    assert host.balancer.queued_requests and host.balancer.capacity_misses.read(host.now) > 2.0
+    assert host.balancer.queued_requests and host.balancer.no_capacity_events.read(host.now) > 2.0
     host.wait(0.02)
     host.end_attempt(1, Outcome.RESET)
     while host.balancer.requests[1].attempt_count < 2:  # capacity is found soon: this is no overload
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,7 +15,7 @@
 from tests.discovery_fleet import HEAD, chunk
 from tests.scene import SETTINGS, Deployment, agent_config, until
 
-KNOWN_AFTER_S = 6.0  # seconds from the start of a silence until a change counts as known to the agent
+INFORMED_AFTER_S = 6.0  # from the start of a silence until the agent counts as informed of a change
 NEVER_CONNECTED = [(1e9, None)]  # the connection is never established
 REFUSED, RESET = [(0.0, ConnectionRefusedError(111, "refused"))], [(0.0, ConnectionResetError())]
 
@@ -177,7 +177,7 @@
 def test_two_calls_fit_after_a_silent_watch_if_the_first_is_not_answered(make_agent, first, chance):
     new = [(0.0, HEAD + list_chunk(9, server("s1", state="leaving")))]
     agent = make_agent(SILENT_WATCH, first, new, chance=chance)
-    agent.play(SILENT_SINCE + KNOWN_AFTER_S)
+    agent.play(SILENT_SINCE + INFORMED_AFTER_S)
     (_, one), (_, two), (at, three) = agent.calls[:3]
     assert at - SILENT_SINCE <= 5.5 and agent.reducer.list_version == 9
     assert (
@@ -238,9 +238,9 @@
                 if now < recovery_at
                 else [(0.9, RECOVERY_LIST)],
             )
-            agent.play(recovery_at + KNOWN_AFTER_S)
+            agent.play(recovery_at + INFORMED_AFTER_S)
             assert any(
-                at <= recovery_at + KNOWN_AFTER_S and version == 9 for at, version in agent.received_lists
+                at <= recovery_at + INFORMED_AFTER_S and version == 9 for at, version in agent.received_lists
             ), (recovery_at, chance)
 
 
@@ -253,8 +253,8 @@
                 seed=f"{seed * 0x9E3779B97F4A7C15 % 2**64:x}",
                 service=lambda now, outage=outage: outage if now < 150 else [(0.9, RECOVERY_LIST)],
             )
-            agent.play(150 + KNOWN_AFTER_S)
-            assert any(at <= 150 + KNOWN_AFTER_S and version == 9 for at, version in agent.received_lists)
+            agent.play(150 + INFORMED_AFTER_S)
+            assert any(at <= 150 + INFORMED_AFTER_S and version == 9 for at, version in agent.received_lists)
             calls.append([at for at, _ in agent.calls])
         firsts = [next(at for at in each if at >= 150) for each in calls]
         assert max(sum(at <= each < at + 0.05 for each in firsts) for at in firsts) < 20
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -8,7 +8,7 @@
 from gevent.event import Event
 
 from cartdeal.agent.configuration import ServerEntry, ServerList
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress
 from tests.fleet.test_admission import MARK as ADMISSION_MARK
 from tests.fleet.test_admission import AdmissionHarness
 from tests.scene import SETTINGS, Deployment, encode_request, read_answer, until
@@ -197,7 +197,7 @@
     until(deployment.received_paths)
     client.close()
     wait_for_unread_ends(deployment, 1)
-    result = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
+    result = AttemptResult(AttemptEndReason.ANSWERED, Progress.COMPLETE, 0.1, 200)
     deployment.agent.dispatch("on_attempt_ended", 1, 0, 0, result)  # the answer is read before the close
     until(lambda: not deployment.agent.front.clients)
     deployment.servers[0].released.set()
@@ -220,14 +220,14 @@
     for request_class, is_sent in ((READ, True), (MARK, False)):
         context = ReducerHarness(tmp_path)
         context.send_request(request_class, timeout=6.0)
-        context.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
+        context.end_attempt(1, 0, AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN)
         server = context.servers_by_attempt[1, 1]
         assert context.reducer.may_send(1, 1, server)
         context.reducer.now += 4.0
         assert context.reducer.may_send(1, 1, server) is is_sent
         context.reducer.now += 2.0  # the deadline
         assert not context.reducer.may_send(1, 1, server)
-        context.end_attempt(1, 1, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+        context.end_attempt(1, 1, AttemptEndReason.NOT_SENT, Progress.NOT_CONNECTED)
         # A request that may have run is rejected (503) only if a repeat does no harm.
         assert context.lines[-1].split()[:4] == ["answer", "line", "1", "503" if is_sent else "502"]
 
@@ -236,7 +236,7 @@
     context = ReducerHarness(tmp_path)
     context.send_request(ONCE)
     assert context.reducer.may_send(1, 0, context.servers_by_attempt[1, 0])
-    context.end_attempt(1, 0, FailureReason.NOT_SENT, Progress.NOT_CONNECTED)
+    context.end_attempt(1, 0, AttemptEndReason.NOT_SENT, Progress.NOT_CONNECTED)
     assert context.servers_by_attempt[1, 1] != context.servers_by_attempt[1, 0] and context.reducer.may_send(
         1, 1, context.servers_by_attempt[1, 1]
     )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -4,7 +4,7 @@
 
 from cartdeal.agent import configuration
 from cartdeal.agent.configuration import ServerEntry, ServerList
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress, Reducer, Request
 from cartdeal.balancer_types import Outcome
 from tests.scene import agent_config, assert_matches_trace, config_file
 
@@ -64,7 +64,13 @@
         self.run_event(0.1, "on_request", f"line {self.reducer.request_count + 1}", request)
 
     def end_attempt(
-        self, number, attempt, reason=FailureReason.ANSWERED, progress=Progress.COMPLETE, status=200, **more
+        self,
+        number,
+        attempt,
+        reason=AttemptEndReason.ANSWERED,
+        progress=Progress.COMPLETE,
+        status=200,
+        **more,
     ):
         result = AttemptResult(reason, progress, 0.05, status, body=b"found", **more)
         self.run_event(
@@ -81,7 +87,7 @@
     harness.run_event(0.0, "on_client_disconnected", 1)
     harness.run_event(2.5, "on_deadline_passed", 1)
     harness.send_request(2)
-    harness.end_attempt(2, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
+    harness.end_attempt(2, 0, AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN)
     harness.send_request(2)
     harness.run_event(0.0, "on_client_disconnected", 3)
     harness.end_attempt(3, 0)
@@ -92,9 +98,9 @@
 def test_non_idempotent_variant_of_a_request_runs_at_most_once(tmp_path):
     harness = ReducerHarness(tmp_path)
     harness.send_request(0, non_idempotent=True)
-    harness.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
+    harness.end_attempt(1, 0, AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN)
     harness.send_request(0, non_idempotent=True)
-    harness.end_attempt(2, 0, FailureReason.CONNECTION_BROKEN, Progress.PARTLY_WRITTEN)
+    harness.end_attempt(2, 0, AttemptEndReason.CONNECTION_BROKEN, Progress.PARTLY_WRITTEN)
     assert_matches_trace("non_idempotent", harness.lines)
 
 
@@ -141,7 +147,7 @@
     harness.send_request(2)
     server = harness.servers_by_attempt[1, 0]
     harness.run_event(0.0, "on_server_list", ServerList(4, True, ()))
-    harness.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, Progress.WRITTEN)
+    harness.end_attempt(1, 0, AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN)
     assert not harness.reducer.pending_count and server not in harness.reducer.balancer.servers
 
 
@@ -167,7 +173,7 @@
     harness = ReducerHarness(tmp_path)
     harness.reducer.balancer.retry_or_give_up = lambda request, now: None  # the balancer forgets the request
     harness.send_request(2)
-    harness.end_attempt(1, 0, FailureReason.CONNECTION_BROKEN, progress)
+    harness.end_attempt(1, 0, AttemptEndReason.CONNECTION_BROKEN, progress)
     harness.run_event(2.0, "on_deadline_passed", 1)
     assert f"answer line 1 {status}   0.00" in harness.lines[-1] and not harness.reducer.requests
 
@@ -184,28 +190,28 @@
 @pytest.mark.parametrize(
     "reason, progress, status, not_processed, outcome",
     [
-        (FailureReason.ANSWERED, Progress.COMPLETE, 200, False, Outcome.COMPLETED),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 500, False, Outcome.ERROR),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 302, False, Outcome.ERROR),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 503, True, Outcome.FULL),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 504, True, Outcome.FULL),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 503, False, Outcome.ERROR),
-        (FailureReason.ANSWERED, Progress.COMPLETE, 500, True, Outcome.ERROR),
-        (FailureReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-        (FailureReason.CONNECTION_BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-        (FailureReason.CONNECTION_BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
-        (FailureReason.CONNECTION_BROKEN, Progress.HEAD_RECEIVED, 0, False, Outcome.RESET),
-        (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
-        (FailureReason.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
-        (FailureReason.TIMED_OUT, Progress.HEAD_RECEIVED, 0, False, Outcome.TIMED_OUT),
-        (FailureReason.CANCELLED, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
-        (FailureReason.CANCELLED, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 200, False, Outcome.COMPLETED),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 500, False, Outcome.ERROR),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 302, False, Outcome.ERROR),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 503, True, Outcome.FULL),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 504, True, Outcome.FULL),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 503, False, Outcome.ERROR),
+        (AttemptEndReason.ANSWERED, Progress.COMPLETE, 500, True, Outcome.ERROR),
+        (AttemptEndReason.CONNECTION_BROKEN, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+        (AttemptEndReason.CONNECTION_BROKEN, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+        (AttemptEndReason.CONNECTION_BROKEN, Progress.WRITTEN, 0, False, Outcome.RESET),
+        (AttemptEndReason.CONNECTION_BROKEN, Progress.HEAD_RECEIVED, 0, False, Outcome.RESET),
+        (AttemptEndReason.TIMED_OUT, Progress.NOT_CONNECTED, 0, False, Outcome.NOT_CONNECTED),
+        (AttemptEndReason.TIMED_OUT, Progress.PARTLY_WRITTEN, 0, False, Outcome.NOT_CONNECTED),
+        (AttemptEndReason.TIMED_OUT, Progress.HEAD_RECEIVED, 0, False, Outcome.TIMED_OUT),
+        (AttemptEndReason.CANCELLED, Progress.PARTLY_WRITTEN, 0, False, Outcome.NEVER_SENT),
+        (AttemptEndReason.CANCELLED, Progress.WRITTEN, 0, False, Outcome.CANCELLED),
     ],
 )
 def test_outcome_of_an_attempt_by_its_reason_and_progress(reason, progress, status, not_processed, outcome):
     result = AttemptResult(reason, progress, 0.1, status, not_processed)
     assert result.outcome() is outcome
-    if reason is not FailureReason.ANSWERED:
+    if reason is not AttemptEndReason.ANSWERED:
         assert outcome.never_ran == (progress < Progress.WRITTEN)
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,7 +8,7 @@
 from gevent import socket
 
 from cartdeal.agent.connection import MAX_BODY_BYTES, Connection, MalformedMessageError
-from cartdeal.agent.reducer import FailureReason, Progress, Request
+from cartdeal.agent.reducer import AttemptEndReason, Progress, Request
 from cartdeal.agent.upstream import Attempt, encode_request, milliseconds_left
 from examples.toy import Server
 from tests.scene import Deployment, until
@@ -143,6 +143,6 @@
         return encode_request(request, milliseconds_left(deadline))
 
     result = upstream.exchange(Attempt(), 0, address, deadline, request_bytes)
-    assert (result.reason, result.progress) == (FailureReason.TIMED_OUT, Progress.NOT_CONNECTED)
+    assert (result.reason, result.progress) == (AttemptEndReason.TIMED_OUT, Progress.NOT_CONNECTED)
     assert result.outcome().never_ran and not deployment.received_paths()
     until(lambda: not any(server.connections for server in deployment.servers))
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -17,7 +17,7 @@
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.discovery import DiscoveryClient
 from cartdeal.agent.effects import connection_capacity
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress, Reducer, Request
 from cartdeal.balancer_types import ServerState
 from cartdeal.emulator import world as worlds
 from cartdeal.emulator.world import InvalidInputError
@@ -74,7 +74,7 @@
 
 def serve_requests(reducer, requests):
     """Serves requests with different keys at once; returns their number by server address."""
-    counts, result = Counter(), AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
+    counts, result = Counter(), AttemptResult(AttemptEndReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
     for number in range(reducer.request_count + 1, reducer.request_count + 1 + requests):
         reducer.now += 0.01
         key, name = 7919 * number, b"%d" % number
--- a/tests/test_unbounded.py
+++ b/tests/test_unbounded.py
@@ -90,7 +90,7 @@
                 raise gevent.GreenletExit
             return True
 
-        def complete_texts(self):
+        def lists_and_empty_lines(self):
             return []
 
     monkeypatch.setattr(discovery, "ListStream", FloodedStream)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -11,7 +11,7 @@
 from cartdeal.agent import start_times
 from cartdeal.agent.configuration import ServerEntry, ServerList
 from cartdeal.agent.log_output import MAX_LINES_PER_SECOND, RateLimitFilter
-from cartdeal.agent.reducer import AttemptResult, FailureReason, Progress, Reducer, Request
+from cartdeal.agent.reducer import AttemptEndReason, AttemptResult, Progress, Reducer, Request
 from cartdeal.agent.start_times import LONG_AGO_S, StartTimes
 from tests.scene import agent_config
 from tests.test_discovery import EMPTY_LINE, FIRST_LIST, ScriptedAgent, list_chunk, server
@@ -21,7 +21,7 @@
 HOUR = 3600.0
 REQUESTS_PER_S = 20.0
 SLOW_START_S = 10.0  # as in the settings of tests/scene.py
-ANSWERED = AttemptResult(FailureReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
+ANSWERED = AttemptResult(AttemptEndReason.ANSWERED, Progress.COMPLETE, 0.01, 200)
 
 
 def entry(number, age, state="active"):
--- a/tests/test_watch_schedule.py
+++ b/tests/test_watch_schedule.py
@@ -6,9 +6,9 @@
     CALL_SPREAD_S,
     FIRST_PAUSE_S,
     HEARTBEAT_INTERVAL_S,
-    LIST_FRESH_S,
+    LIST_URGENT_AFTER_END_S,
     MAX_CALL_INTERVAL_S,
-    URGENT_AFTER_END_S,
+    MIN_FIRST_LINE_TO_CALL_S,
     URGENT_PAUSE_S,
     WatchSchedule,
 )
@@ -31,9 +31,9 @@
     return schedule.next_call_at - now
 
 
-def watch(schedule, since, until, fraction=0.5, silent=False, has_news=False):
+def watch(schedule, since, until, fraction=0.5, silent=False, has_changes=False):
     """Has a watch begin and end; returns the pause until the next call."""
-    schedule.answered(since, has_news)
+    schedule.answered(since, has_changes)
     return fail(schedule, until, fraction, silent)
 
 
@@ -44,14 +44,16 @@
 
 @FRACTIONS
 def test_watch_that_ends_at_once_is_not_renewed_before_its_list_is_stale(schedule, fraction):
-    assert watch(schedule, 100.0, 100.0, fraction) == pytest.approx(LIST_FRESH_S + CALL_SPREAD_S * fraction)
+    assert watch(schedule, 100.0, 100.0, fraction) == pytest.approx(
+        MIN_FIRST_LINE_TO_CALL_S + CALL_SPREAD_S * fraction
+    )
 
 
 def test_first_list_resets_the_failures_before_it(schedule):
     pauses = [fail(schedule, 100.0 + second) for second in range(4)]
     assert pauses == pytest.approx([FIRST_PAUSE_S, 2 * FIRST_PAUSE_S, 4 * FIRST_PAUSE_S, POLL_INTERVAL_S / 3])
     assert watch(schedule, 110.0, 111.6) == pytest.approx(CALL_SPREAD_S / 2)
-    later = 111.6 + URGENT_AFTER_END_S
+    later = 111.6 + LIST_URGENT_AFTER_END_S
     assert [fail(schedule, later), fail(schedule, later)] == pytest.approx([FIRST_PAUSE_S, 2 * FIRST_PAUSE_S])
 
 
@@ -59,7 +61,7 @@
     ended = 110.0
     watch(schedule, 100.0, ended)
     assert fail(schedule, ended + 0.3) == fail(schedule, ended + 1.9) == pytest.approx(URGENT_PAUSE_S)
-    assert fail(schedule, ended + URGENT_AFTER_END_S) == pytest.approx(FIRST_PAUSE_S)
+    assert fail(schedule, ended + LIST_URGENT_AFTER_END_S) == pytest.approx(FIRST_PAUSE_S)
 
 
 def test_watches_that_end_early_in_a_row_get_long_pauses_and_later_short_ones(schedule):
@@ -77,12 +79,12 @@
     watch(schedule, 100.0, 101.4)
     now = 108.0
     for _ in range(8):
-        assert watch(schedule, now, now + 0.4, has_news=True) == pytest.approx(CALL_SPREAD_S / 2)
+        assert watch(schedule, now, now + 0.4, has_changes=True) == pytest.approx(CALL_SPREAD_S / 2)
         now += 0.9
 
 
 def test_news_of_one_watch_do_not_count_for_the_next(schedule):
-    watch(schedule, 100.0, 100.1, has_news=True)
+    watch(schedule, 100.0, 100.1, has_changes=True)
     now = 100.5
     for _ in range(3):
         watch(schedule, now, now + 0.1)
