--- a/cartdeal/fleet/consensus/lease.py
+++ b/cartdeal/fleet/consensus/lease.py
@@ -1,4 +1,6 @@
-"""The lease on a ring: it is valid while a majority of the ring's members confirmed the epoch within lease_s.
+"""The lease on a ring.
+
+It is valid while a majority of the ring's members has confirmed the epoch within the last lease_s seconds.
 
 An agent must never confirm an epoch after it accepted the next one, and must never count an answer to a
 renewal that it did not send.
@@ -14,12 +16,12 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.ring.ring import Ring
 
-AGE_STEPS = 200  # units of age in lease_s
-AGES_REUSED_S = 0.05  # encoded ages are cached and sent for this long
-MAX_UNIT_MS = 10_000
+AGE_UNITS_PER_LEASE = 200  # number of units of age in lease_s
+ENCODED_AGES_TTL_S = 0.05  # encoded ages are cached and sent for this long
+MAX_AGE_UNIT_MS = 10_000  # longest unit of age that is accepted in an answer
 MAX_PENDING_RENEWALS = 1024  # renewals that wait until this agent learns their epoch
 MAX_OPEN_ROUNDS = 8  # rounds whose answers are still counted
-MAX_UNANSWERED = 2  # renewals without an answer after which another member replaces the target
+MAX_UNANSWERED_RENEWALS = 2  # renewals without an answer after which another member replaces the target
 FIRST_RETRY_S = 0.1  # between two rounds while the lease is not valid; doubled after each round
 
 
@@ -35,7 +37,7 @@
         self._state = state
         self._context = state.context
         self._acceptor = acceptor
-        self._unit_ms = ceil(state.settings.lease_s * 1000 / AGE_STEPS)
+        self._age_unit_ms = ceil(state.settings.lease_s * 1000 / AGE_UNITS_PER_LEASE)
         self._round = 0
         self._targets: dict[str, int] = {}  # member to ask -> renewals without an answer
         self.reset()
@@ -47,7 +49,9 @@
         self._round_started_at: dict[int, float] = {}
         # When each member last confirmed the epoch, in the ring's order, as far as this agent knows.
         self._heard_at: list[float] = [-inf] * len(self._state.current_ring.members)
-        self._majority_heard_at = -inf  # since when a majority has confirmed; never falls
+        # The latest time for which a majority has confirmed the epoch at that time or later. It never
+        # decreases until the next reset.
+        self._majority_heard_at = -inf
         self._majority_is_stale = False
         self._encoded_until = -inf
         self._encoded_ages = b""
@@ -83,7 +87,7 @@
         if own_index is not None:
             is_confirmed = self._state.remembers_promises and not self._acceptor.has_accepted_next
             ages[own_index] = 0 if is_confirmed else NOT_HEARD
-        self._state.send(sender, LeaseRenewalAck, message.round, self._unit_ms, bytes(ages))
+        self._state.send(sender, LeaseRenewalAck, message.round, self._age_unit_ms, bytes(ages))
 
     def on_renewal_ack(self, sender: str, message: LeaseRenewalAck) -> None:
         """Record the confirmations that a member reports; their ages count from the start of the round."""
@@ -91,7 +95,7 @@
         if (
             started_at is None
             or len(message.ages) != len(self._heard_at)
-            or not 0 < message.unit_ms <= MAX_UNIT_MS
+            or not 0 < message.unit_ms <= MAX_AGE_UNIT_MS
         ):
             self._context.increment(Metric.DROPPED_LEASE_RENEWAL)
             return
@@ -120,7 +124,8 @@
     def valid_until(self) -> float:
         """The local time (seconds) until which this agent may rely on its epoch; -inf if it may not.
 
-        It is lease_s after the time since which a majority of the members has confirmed the epoch.
+        It is lease_s after the latest time for which a majority of the members has confirmed the epoch at
+        that time or later.
         """
         state = self._state
         if state.ring is None or self._acceptor.has_accepted_next:
@@ -146,7 +151,7 @@
         responsive_targets = {
             name: unanswered
             for name, unanswered in self._targets.items()
-            if name in state.index_by_name and name in state.live and unanswered < MAX_UNANSWERED
+            if name in state.index_by_name and name in state.live and unanswered < MAX_UNANSWERED_RENEWALS
         }
         self._targets = dict(list(responsive_targets.items())[:target_count])
         # New targets are chosen from the live members first, then from all (the empty group).
@@ -168,13 +173,13 @@
     def _ages(self) -> bytes:
         """Return the encoded ages of all confirmations, a byte for each member.
 
-        They are computed as of the end of AGES_REUSED_S, so they are never too low while they are reused.
+        They are computed as of the time until which they are reused, so they are never too low.
         """
         now, settings = self._context.now, self._state.settings
         if now >= self._encoded_until:
-            self._encoded_until = expires_at = now + AGES_REUSED_S
+            self._encoded_until = expires_at = now + ENCODED_AGES_TTL_S
             oldest_heard_at = expires_at - settings.lease_s
-            units_per_s = (1 + settings.clock_drift) * 1000 / self._unit_ms
+            units_per_s = (1 + settings.clock_drift) * 1000 / self._age_unit_ms
             self._encoded_ages = bytes(
                 [
                     int((expires_at - heard_at) * units_per_s) + 1
--- a/cartdeal/fleet/events.py
+++ b/cartdeal/fleet/events.py
@@ -31,7 +31,10 @@
 
 
 class RingMajorityLost(_ErrorEvent, frozen=True):
-    """A majority of the ring's members, or of the seeds before the first ring, has been absent for long."""
+    """A majority of the members has been absent for at least MAJORITY_LOST_ALARM_S.
+
+    The members are those of the ring or, before the first ring, the seeds.
+    """
 
     MESSAGE: ClassVar[str] = "ring majority lost"
 
@@ -132,7 +135,7 @@
 
 
 class SchemaHoldRefused(LogEvent, frozen=True):
-    """The operator holds a schema version below the one that the fleet has already moved to."""
+    """The operator's limit on the schema version is below the version that the fleet already uses."""
 
     MESSAGE: ClassVar[str] = "schema hold refused"
     reason: str
--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -19,7 +19,7 @@
 
 MAX_PEER_CLOCKS = 1024  # peers observed between two checks; must hold a majority of the ring
 CHECK_INTERVAL_S = 10.0  # between two checks whether this agent's own clock is wrong
-MIN_PAUSE_S = CHECK_INTERVAL_S / 4  # a longer gap between two ticks means that the process was stopped
+MAX_TICK_GAP_S = CHECK_INTERVAL_S / 4  # a longer gap between two ticks means that the process was stopped
 
 
 class PeerClock(NamedTuple):
@@ -73,8 +73,8 @@
     def synchronize_on_joining(self) -> None:
         """Adopt the members' time when this agent adopts its first ring.
 
-        If this agent's clock is far from the members' clocks, it is the wrong one. The clocks of other agents
-        without a ring count only if no member was heard.
+        If this agent's clock is far from the members' clocks, this agent's clock is taken to be wrong.
+        The clocks of other agents without a ring count only if no member's clock was observed.
         """
         member_offsets = [peer.offset_s for peer in self.peer_clocks.values() if peer.has_ring]
         self._adopt_median(
@@ -85,8 +85,9 @@
     def tick(self, ring: Ring | None) -> None:
         """Check this agent's clock against those of the ring's members, every CHECK_INTERVAL_S."""
         now = self.context.now
-        # After a pause of the process, the messages that arrived meanwhile are old.
-        if now - self.last_tick_at > MIN_PAUSE_S:
+        # After a pause of the process, the messages that arrived meanwhile are old: the clocks
+        # observed from them are discarded.
+        if now - self.last_tick_at > MAX_TICK_GAP_S:
             self._schedule_check()
         self.last_tick_at = now
         if ring is not None and now >= self.next_check_at:
@@ -108,7 +109,8 @@
         self._schedule_check()
 
     def _adopt_median(self, offsets: Iterable[float]) -> None:
-        # For an even count the higher of the middle two: their mean would be the time of no agent.
+        # For an even count the higher of the middle two is used: their mean would not be the time of any
+        # agent.
         offset_s = median_high(offsets)
         if abs(offset_s - self.offset_s) > self.settings.clock_ahead_s:
             moved_s = round(offset_s - self.offset_s, 3)
--- a/cartdeal/fleet/membership/gossip.py
+++ b/cartdeal/fleet/membership/gossip.py
@@ -74,8 +74,8 @@
     ) -> None:
         """Send a message with as much gossip as fits.
 
-        The recipient's entry comes first if the recipient is suspect, dead or has left, so that it can refute
-        it. The entry of the peer `about` comes next, then the pending updates.
+        The recipient's entry comes first if the recipient is suspect, dead or has left, so that the recipient
+        can refute that state. The entry of the peer `about` comes next, then the pending updates.
         """
         local_peer = self.table.local_peer
         packer = ItemPacker(make_message(*fields, sender=local_peer, items=()))
@@ -100,7 +100,8 @@
             if name not in included_names:
                 if not packer.add_if_fits(self.table.gossip_item(name)):
                     continue
-            elif name != self.table.name:  # each message carries its sender's description anyway
+            # This agent's entry needs no item, as each message carries it as `sender`, but it counts as sent.
+            elif name != self.table.name:
                 continue
             times_sent = priority.times_sent + 1
             self.pending_updates[name] = GossipPriority(times_sent, priority.negated_sequence)
--- a/cartdeal/fleet/quota/granting.py
+++ b/cartdeal/fleet/quota/granting.py
@@ -17,8 +17,12 @@
 LEASED_DEMAND_SHARE = 0.75  # of a holder's demand is leased as a rate; it requests the rest as needed
 BASE_RATE_SHARE = 0.05  # of the rate, divided equally among active holders regardless of demand
 MAX_HOLDERS_SURVEYED_PER_REQUEST = 16  # with more, demand is surveyed once every eighth of a lease
-MIN_TOKENS_PER_HOLDER = 5.0  # with fewer (of burst, or per lease), tokens are granted one by one
-HYSTERESIS_FACTOR = 1.5  # the minimum is multiplied by this to return to refill rates
+# If the burst, or the tokens of one lease duration, give each holder fewer than this, tokens are granted only
+# for waiting requests.
+MIN_TOKENS_PER_HOLDER = 5.0
+# MIN_TOKENS_PER_HOLDER is multiplied by this while tokens are granted only for waiting requests, so that the
+# kind of lease does not change back at once.
+HYSTERESIS_FACTOR = 1.5
 
 
 class LeaseGrant(Struct):
@@ -60,10 +64,10 @@
         self.active_holders = 0
         self.surveyed_at = -inf
         self.fair_rate = inf  # the highest rate that max-min fairness gives to any holder
-        self.total_wanted_rate = 0.0
+        self.total_fair_rate = 0.0
         self.grants_single_tokens = False
-        self._preferred: _HolderRank | None = None  # the bucket saves fractions of a token for it
-        self._preferred_since = -inf
+        self._preferred_holder: _HolderRank | None = None  # the bucket saves fractions of a token for it
+        self._preferred_holder_since = -inf
 
     def grant(
         self,
@@ -73,9 +77,10 @@
         now: float,
         lease_number: int,
     ) -> LeaseGrant:
-        """Grants a lease to a holder. The bucket must be advanced to `now` and its ring proven.
+        """Grants a lease to a holder.
 
-        The holder's earlier leases are no longer counted, except the one that the request names.
+        The bucket must be advanced to `now`, and the lease on this agent's ring must be valid. The holder's
+        earlier leases are no longer counted, except the one that the request names.
         """
         bucket = self.bucket
         account.sequence = request.sequence
@@ -152,7 +157,7 @@
         return LEASED_DEMAND_SHARE * account.demand_rate + BASE_RATE_SHARE * rate / self.active_holders
 
     def _survey_demand(self, now: float, rate: float) -> None:
-        """Counts the active holders and computes the max-min fair rate that caps each holder's lease."""
+        """Counts the active holders, and computes the max-min fair rate that caps the rate of each lease."""
         bucket = self.bucket
         active_accounts = [
             account for account in bucket.accounts.values() if account.heard_at > now - bucket.lease_s
@@ -160,9 +165,9 @@
         self.active_holders = len(active_accounts)
         self.surveyed_at = now
         wanted_rates = [self._wanted_rate(account, rate) for account in active_accounts]
-        shares = max_min_fair_shares((1 - RESERVED_RATE_SHARE) * rate, wanted_rates)
-        self.fair_rate = max(shares)
-        self.total_wanted_rate = sum(shares)
+        fair_rates = max_min_fair_shares((1 - RESERVED_RATE_SHARE) * rate, wanted_rates)
+        self.fair_rate = max(fair_rates)
+        self.total_fair_rate = sum(fair_rates)
         min_tokens_per_holder = (
             HYSTERESIS_FACTOR if self.grants_single_tokens else 1.0
         ) * MIN_TOKENS_PER_HOLDER
@@ -199,30 +204,31 @@
         """
         bucket = self.bucket
         rank = _HolderRank(request.served_rate, name)
-        preferred = self._preferred
-        if bucket.filled_to - self._preferred_since >= bucket.lease_s / 8:
+        preferred = self._preferred_holder
+        if bucket.filled_to - self._preferred_holder_since >= bucket.lease_s / 8:
             preferred = None
         if preferred and preferred < rank and bucket.tokens - tokens < min(1.0, unleased_burst):
             return 0.0
         if tokens < min(request.waiting_tokens, 1.0):
             if not preferred or rank <= preferred:
-                self._preferred = rank
-                self._preferred_since = bucket.filled_to
+                self._preferred_holder = rank
+                self._preferred_holder_since = bucket.filled_to
         elif preferred and preferred.name == name:
-            self._preferred = None
-            self._preferred_since = -inf
+            self._preferred_holder = None
+            self._preferred_holder_since = -inf
         return tokens
 
     def _refill_rate(self, account: HolderAccount, request: LeaseRequest, headroom: _Headroom) -> LeaseGrant:
         """Grants a rate according to demand, a cap in proportion to it, and tokens to use at once."""
         bucket = self.bucket
         rate = min(self._wanted_rate(account, headroom.rate), self.fair_rate)
-        all_tokens = request.waiting_tokens >= 1 or not headroom.held_burst
-        tokens = bucket.tokens if all_tokens else bucket.tokens / 2
+        may_take_all_tokens = request.waiting_tokens >= 1 or not headroom.held_burst
+        tokens = bucket.tokens if may_take_all_tokens else bucket.tokens / 2
         useful_tokens = max(request.wanted_tokens, request.waiting_tokens)
         tokens = max(min(tokens, useful_tokens, headroom.unleased_burst - headroom.interim_cap), 0.0)
-        # The cap is taken from burst that the bucket's own tokens do not occupy, so that no token overflows.
-        cap = rate / (self.total_wanted_rate or 1.0) * headroom.burst
+        # The cap may use only the burst that the bucket's remaining tokens do not need, so that none of them
+        # is lost. Part of the burst, as large as for one more holder, stays unleased.
+        cap = rate / (self.total_fair_rate or 1.0) * headroom.burst
         cap = cap * self.active_holders / (self.active_holders + 1)
         cap = max(headroom.interim_cap + tokens, min(cap, headroom.unleased_burst - (bucket.tokens - tokens)))
         rate = max(min(rate, headroom.unleased_rate), 0.0)
--- a/cartdeal/fleet/replication/anti_entropy.py
+++ b/cartdeal/fleet/replication/anti_entropy.py
@@ -23,11 +23,15 @@
 from cartdeal.fleet.replication.ring_view import RingView
 
 MAX_KEYS_IN_MESSAGE = 400
+# Before an unanswered request is repeated, times the number of tries. Also half of the first pause between
+# two catch-up sessions with one source.
 RETRY_PAUSE_S = 0.25
-MAX_RETRY_PAUSE_S = 5.0  # seconds between two sessions with one source; multiplied in a large ring
+# Longest pause between two catch-up sessions with one source; multiplied by a 32nd of the number of sources
+# if there are more than 32.
+MAX_CATCH_UP_PAUSE_S = 5.0
 COMPARISON_INTERVAL_S = 1.0
 MAX_ATTEMPTS = 4  # times that a session sends the same request
-MAX_SESSIONS = 8
+MAX_SESSIONS = 8  # sessions open at a time
 NO_RANGE = -1  # value of range_index before the first range is compared
 
 
@@ -73,7 +77,8 @@
         self.store = store
         self.guard = guard
         self.sessions: dict[str, AntiEntropySession] = {}
-        self.next_catch_up: dict[str, tuple[float, float]] = {}  # source -> next session, next pause
+        # source -> (time of the next session, pause in seconds)
+        self.next_catch_up: dict[str, tuple[float, float]] = {}
         self.next_comparison_at = view.started_at + COMPARISON_INTERVAL_S * self.context.random.random()
         self.shutdown_peers: dict[str, None] | None = None  # None until shutdown begins
 
@@ -149,11 +154,11 @@
             retry_at, pause = self.next_catch_up.get(source, (0.0, RETRY_PAUSE_S))
             if self._has_caught_up_with(source) or now < retry_at:
                 continue
-            pause = min(2 * pause, MAX_RETRY_PAUSE_S * max(1.0, len(catch_up.sources) / 32))
+            pause = min(2 * pause, MAX_CATCH_UP_PAUSE_S * max(1.0, len(catch_up.sources) / 32))
             if catch_up.reason == CatchUpReason.RESTARTED and now < catch_up.reports_valid_at:
-                retry_at = max(
-                    catch_up.reports_valid_at, now + RETRY_PAUSE_S
-                )  # its records are fetched now; its report counts only in a session begun at that time
+                # The source's records are fetched now, but its report counts only in a session that begins at
+                # `reports_valid_at` or later.
+                retry_at = max(catch_up.reports_valid_at, now + RETRY_PAUSE_S)
             else:
                 retry_at = now + pause * self.view.jitter()
             self.next_catch_up[source] = (retry_at, pause)
@@ -165,9 +170,9 @@
         if catch_up.reason == CatchUpReason.FIRST_RING:
             return source in catch_up.fresh_start_confirmations
         if self.view.has_many_sources:
-            return (
-                source in catch_up.current_ring_reports
-            )  # the session fetches records; read repair asks key by key which sources count
+            # One report is enough: the session fetches the records, and read repair finds out for each key
+            # which sources count.
+            return source in catch_up.current_ring_reports
         if catch_up.reason == CatchUpReason.OWNERSHIP_CHANGED:
             return catch_up.former_ring_reports.get(source, 0) == ALL_RANGES
         return catch_up.current_ring_reports.get(source, 0) == ALL_RANGES
@@ -207,7 +212,8 @@
         if message.knows_other_incarnation and catch_up.reason == CatchUpReason.FIRST_RING:
             catch_up.mark_restarted()
             for each in self.sessions.values():
-                each.counts_as_catch_up = False  # it began before one lease had passed since the start
+                # It began before `reports_valid_at`: until then, no report to a restarted agent counts.
+                each.counts_as_catch_up = False
         elif catch_up.reason == CatchUpReason.FIRST_RING and sender in catch_up.other_members:
             catch_up.fresh_start_confirmations[sender] = None
         is_same_former = (
@@ -222,18 +228,22 @@
         self._continue(sender, session)
 
     def _differing_ranges(self, peer: str, session: AntiEntropySession, message: DigestResponse) -> list[int]:
-        """The ranges to compare key by key; reports the others as caught up with if the session counts."""
+        """Returns the ranges to compare key by key.
+
+        The other ranges count as caught up with the peer, if the session counts as catch-up.
+        """
         catch_up = self.view.catch_up
         assert catch_up is not None
         own_digests = self.store.range_digests(peer)
         differing_ranges = []
         for index in range(RANGE_COUNT):
             digest_slice = slice(RANGE_DIGEST_BYTES * index, RANGE_DIGEST_BYTES * (index + 1))
-            known_ranges = catch_up.former_ring_reports.get(peer, 0) | catch_up.current_ring_reports.get(
+            reported_ranges = catch_up.former_ring_reports.get(peer, 0) | catch_up.current_ring_reports.get(
                 peer, 0
             )
-            has_unowned = message.unowned_ranges & ~known_ranges & 1 << index
-            if has_unowned or (
+            # Whether the range has records that this agent owns and the peer only stores.
+            has_unowned_records = message.unowned_ranges & ~reported_ranges & 1 << index
+            if has_unowned_records or (
                 message.range_digests and message.range_digests[digest_slice] != own_digests[digest_slice]
             ):
                 differing_ranges.append(index)
@@ -317,7 +327,8 @@
                 continue
             record = self.store.decode_received(key, fetched_records[key])
             if record is None or not self.store.merge(key, record):
-                session.former_ranges = session.current_ranges = 0  # a record is missing: no catch-up
+                # A record was not merged, so the rest of the session does not count as catch-up.
+                session.former_ranges = session.current_ranges = 0
                 continue
             stored = self.store.records.get(key)
             if stored is None or self.store.key_digest(key) == session.peer_digests[key]:
@@ -328,7 +339,10 @@
         self._continue(sender, session)
 
     def _send_records(self, peer: str, keys: list[str]) -> None:
-        """Sends records that a co-owner lacks. The next comparison finds records that were lost."""
+        """Sends records that a co-owner lacks or has in another state.
+
+        The next comparison finds those that were lost on the way.
+        """
         batch: list[tuple[str, bytes]] = []
         size = 0
         for key in keys:
@@ -345,6 +359,7 @@
             self._send_unacknowledged(peer, batch)
 
     def _send_unacknowledged(self, peer: str, batch: list[tuple[str, bytes]]) -> None:
+        # With request_id 0 the peer sends no acknowledgement.
         delivery = HintDelivery(0, self.view.incarnation, self.view.epoch, tuple(batch))
         self.context.send(peer, delivery)
 
--- a/cartdeal/fleet/ring/movement.py
+++ b/cartdeal/fleet/ring/movement.py
@@ -2,8 +2,9 @@
 
 from cartdeal.fleet.ring.ring import Ring, RingMember
 
-FIRST_SHARE = 0.5  # a member rises to this share of its target capacity first, and to all of it later
-MIN_STEP_SHARE = 0.01
+# A member rises to this share of its target capacity first, and to all of it later.
+FIRST_CAPACITY_SHARE = 0.5
+MIN_STEP_SHARE = 0.01  # lower bound of the share of keys that one step may move
 SEARCH_PRECISION = 0.01  # relative precision of the fraction that a step goes toward the target
 
 
@@ -21,7 +22,9 @@
 
 
 def moved_share(old: Ring, new: Ring) -> float:
-    """Return the share of keys (0 to 1) whose first owner changes, exactly, in the limit of many keys.
+    """Return the share of keys (0 to 1) whose first owner changes.
+
+    The result is exact for an infinite number of keys.
 
     A key stays with member i if i's score is the lowest in both rings. The share of such keys is
     1 / sum over j of max(w_j / w_i, v_j / v_i), with the capacities w in the old ring and v in the new one
@@ -86,7 +89,7 @@
     for name in sorted(target):
         old_member, target_member = start.member_by_name.get(name), target[name]
         old_capacity = old_member.capacity if old_member else 0.0
-        first_goal = FIRST_SHARE * target_member.capacity
+        first_goal = FIRST_CAPACITY_SHARE * target_member.capacity
         goal = target_member.capacity if old_capacity >= first_goal else first_goal
         capacity = goal if fraction == 1 else old_capacity + fraction * (goal - old_capacity)
         if capacity > 0:
--- a/cartdeal/fleet/simulation/invariant_checker.py
+++ b/cartdeal/fleet/simulation/invariant_checker.py
@@ -59,11 +59,11 @@
         self.tenant_limits.on_request_admitted(tenant, at)
 
     def on_attempt_recorded(
-        self, agent: str, at: float, record: str, key: str, own_copy: Collection[str]
+        self, agent: str, at: float, record: str, key: str, own_attempt_ids: Collection[str]
     ) -> None:
         """Checks an admitted request that leaves an attempt record; see WriteQuorumChecker."""
         ring = self.ring_agreement.ring_of(agent)
-        self.write_quorum.on_attempt_recorded(agent, at, record, key, own_copy, ring)
+        self.write_quorum.on_attempt_recorded(agent, at, record, key, own_attempt_ids, ring)
 
     # Processes and the network
 
--- a/cartdeal/fleet/simulation/write_quorum.py
+++ b/cartdeal/fleet/simulation/write_quorum.py
@@ -20,7 +20,7 @@
 
     at: float
     agent: str
-    until_ms: int
+    expires_ms: int
 
 
 class WriteQuorumChecker:
@@ -36,13 +36,14 @@
         self.attempt_of_write: dict[tuple[str, int, int], str] = {}
         # (agent, record, idempotency key) -> attempt
         self.latest_attempt: dict[tuple[str, str, str], str] = {}
-        self.writers: dict[str | None, dict[str, None]] = defaultdict(dict)
+        # attempt -> the agents that have its record
+        self.owners_with_record: dict[str | None, dict[str, None]] = defaultdict(dict)
         self.attempt_records: dict[tuple[str, str], WrittenRecord] = {}  # by record and attempt
-        self.last_unreachable = -1.0  # when a message was last lost at a cut, or went to a stopped agent
+        self.last_unreachable_at = -1.0  # when a message was last lost at a cut, or went to a stopped agent
 
     def on_recipient_unreachable(self, at: float) -> None:
         """Records that a message was lost at a cut, or went to a stopped agent."""
-        self.last_unreachable = at
+        self.last_unreachable_at = at
 
     def on_write_request(self, agent: str, message: messages.WriteRequest) -> None:
         """Checks that a write has the attempt that it names, and that identifiers are unique."""
@@ -75,14 +76,20 @@
             return None
         return record.attempts.get(message.attempt_id)
 
-    def on_write_response(self, owner: str, writer: str, message: messages.WriteResponse) -> None:
+    def on_write_response(self, owner: str, requester: str, message: messages.WriteResponse) -> None:
         """Records that an owner wrote an attempt record."""
-        attempt_id = self.attempt_of_write.get((writer, message.incarnation, message.request_id))
+        attempt_id = self.attempt_of_write.get((requester, message.incarnation, message.request_id))
         if message.written and attempt_id is not None:
-            self.writers[attempt_id][owner] = None
+            self.owners_with_record[attempt_id][owner] = None
 
     def on_attempt_recorded(
-        self, agent: str, at: float, record: str, key: str, own_copy: Collection[str], ring: Ring | None
+        self,
+        agent: str,
+        at: float,
+        record: str,
+        key: str,
+        own_attempt_ids: Collection[str],
+        ring: Ring | None,
     ) -> None:
         """Checks that enough owners have the attempt record of an admitted request.
 
@@ -91,19 +98,20 @@
             at: When it does, in simulated seconds.
             record: The key of the session's record.
             key: The request's idempotency key.
-            own_copy: The attempts in the agent's own copy of the record, since it may be an owner.
+            own_attempt_ids: The attempts in the agent's own copy of the record, since it may be an owner.
             ring: The ring that the agent uses.
         """
         attempt_id = self.latest_attempt.get((agent, record, key))
         if attempt_id is None and ring is not None and len(ring.members) == 1:
             return  # the only member writes to no other agent
-        writers = set(self.writers[attempt_id])
-        if attempt_id in own_copy:
-            writers.add(agent)
+        agents_with_record = set(self.owners_with_record[attempt_id])
+        if attempt_id in own_attempt_ids:
+            agents_with_record.add(agent)
         needed = quorum(self.settings, ring).writes if ring else self.settings.write_by
-        if len(writers) < needed:
+        if len(agents_with_record) < needed:
             self.report(
-                f"{agent}: admitted a request though {attempt_id} was written at {len(writers)} of {needed}"
+                f"{agent}: admitted a request though {attempt_id} was written at "
+                f"{len(agents_with_record)} of {needed}"
             )
         if attempt_id:
             self.attempt_records[record, attempt_id] = WrittenRecord(at, agent, self.expires_ms[attempt_id])
@@ -114,7 +122,8 @@
         """Counts attempt records that have not expired and that no agent has.
 
         A lost record is a violation unless, since it was written, as many agents were down at once as there
-        are copies. If an owner may have been unreachable at that time, the write quorum counts instead.
+        are copies. If a message was lost at a cut or went to a stopped agent at the time of the write or
+        later, the write quorum is used instead of the number of copies.
 
         Args:
             attempt_ids: Agent -> record -> the attempts in its copy.
@@ -123,13 +132,13 @@
         """
         lost = 0
         for (record, attempt_id), written in self.attempt_records.items():
-            if written.until_ms <= wall_ms:
+            if written.expires_ms <= wall_ms:
                 continue
             if any(attempt_id in copies.get(record, ()) for copies in attempt_ids.values()):
                 continue
             lost += 1
             down = self.history.max_simultaneous_outages(written.at, now)
-            all_reachable = self.last_unreachable < written.at
+            all_reachable = self.last_unreachable_at < written.at
             copies_made = self.settings.copies if all_reachable else self.settings.write_by
             if down < min(copies_made, len(self.settings.seeds)):
                 self.report(f"{attempt_id}: lost, though no more than {down} agents were down at once")
--- a/cartdeal/fleet/transport/incoming.py
+++ b/cartdeal/fleet/transport/incoming.py
@@ -1,7 +1,7 @@
 """Receives datagrams and streams from peers, within limits, and decodes and delivers their messages.
 
-A peer must never cost more than its own connection. A connection that has brought no valid message yet times
-out soon and may be closed in favour of a newer one; a stream with a fault is closed.
+A faulty peer must never affect any connection except its own. A connection that has brought no valid
+message yet times out soon and may be closed in favour of a newer one; a stream with a fault is closed.
 """
 
 import logging
@@ -41,10 +41,10 @@
         self.reporter = reporter
         self.deliver = deliver
 
-    def receive_message(self, signed: bytes, peer: PeerAddress, max_bytes: int) -> bool:
+    def receive_message(self, signed_message: bytes, peer: PeerAddress, max_bytes: int) -> bool:
         """Decodes and delivers one signed message; returns False if its sender's stream has to be closed."""
         try:
-            received = codec.decode(self.settings, signed, max_bytes)
+            received = codec.decode(self.settings, signed_message, max_bytes)
         except UnknownMessageError as error:
             # The message is authentic, so a newer program sent it: this program may know its other messages.
             self.reporter.report_refusal(error, peer)
@@ -53,7 +53,7 @@
             self.reporter.report_refusal(error, peer)
             return False
         self.reporter.increment(Metric.RECEIVED_MESSAGES)
-        self.reporter.increment(Metric.RECEIVED_BYTES, len(signed))
+        self.reporter.increment(Metric.RECEIVED_BYTES, len(signed_message))
         self.deliver(received)
         return True
 
@@ -67,17 +67,17 @@
 
     def receive_datagrams(self) -> None:
         """Reads datagrams for as long as the transport runs."""
-        attempts = 0
+        reads = 0
         while True:
-            attempts += 1
-            if attempts % DATAGRAMS_PER_YIELD == 0:
+            reads += 1
+            if reads % DATAGRAMS_PER_YIELD == 0:
                 gevent.sleep(0)  # a peer that sends without pause must not starve other greenlets
             try:
-                signed, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
+                signed_message, peer = self.datagrams.recvfrom(codec.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 socket.wait_read(self.datagrams.fileno())
                 continue
-            self.receiver.receive_message(signed, peer, codec.MAX_DATAGRAM_BYTES)
+            self.receiver.receive_message(signed_message, peer, codec.MAX_DATAGRAM_BYTES)
 
 
 class IncomingConnection:
@@ -87,14 +87,15 @@
         self.socket = sock
         self.peer = peer
         self.is_identified = False  # whether a valid message has arrived on it
-        self.last_message_at = monotonic()  # of the last valid message, or of the accept before the first
+        # When the last valid message arrived; before the first one, when the connection was accepted.
+        self.last_message_at = monotonic()
 
 
 class IncomingConnections:
     """Accepts streams from peers and reads them.
 
-    `connections`: each connection, by the greenlet that reads it. `partial_bytes`: the size of all messages
-    that have arrived in part.
+    `connections`: each connection, by the greenlet that reads it. `partial_bytes`: the bytes received so far
+    of incomplete messages, of all connections.
     """
 
     def __init__(
@@ -181,8 +182,8 @@
             self.connections.pop(gevent.getcurrent(), None)
 
     def _receive_messages(self, connection: IncomingConnection, messages: list[bytes]) -> bool:
-        for signed in messages:
-            if not self.receiver.receive_message(signed, connection.peer, codec.MAX_FRAME_BYTES):
+        for signed_message in messages:
+            if not self.receiver.receive_message(signed_message, connection.peer, codec.MAX_FRAME_BYTES):
                 return False
             connection.is_identified = True
             connection.last_message_at = monotonic()
--- a/cartdeal/lab/fleets.py
+++ b/cartdeal/lab/fleets.py
@@ -375,7 +375,7 @@
             fleet.attempt_ids_by_agent(),
         )
         for (record, attempt_id), each in checker.attempt_records.items():
-            if each.until_ms > wall_ms and not any(
+            if each.expires_ms > wall_ms and not any(
                 attempt_id in copies.get(record, ()) for copies in ids_by_agent.values()
             ):
                 lost_ids[attempt_id] = True
--- a/tests/fleet/test_ring.py
+++ b/tests/fleet/test_ring.py
@@ -220,13 +220,13 @@
     fleet = WatchedFleet([10] * 5)
     flapping_member, newcomer = fleet.live["a0001"], fleet.peer("a9999", 64.0)
 
-    def flap(now):
+    def toggle_members(now):
         for peer, is_live in ((flapping_member, int(now) % 2), (newcomer, 1 - int(now) % 2)):
             fleet.live.pop(peer.name, None)
             if is_live:
                 fleet.live[peer.name] = peer
 
-    assert fleet.run(120, flap).change_count == 0
+    assert fleet.run(120, toggle_members).change_count == 0
 
 
 def test_frequent_restarts_keep_a_member_and_admit_no_new_agent():
--- a/tests/fleet/test_stories.py
+++ b/tests/fleet/test_stories.py
@@ -30,11 +30,11 @@
 
 
 class Story:
-    """A fleet, its clients, and a noted ring or time for comparison with a later one."""
+    """A fleet, its clients, and a reference: a ring or a time with which a later step compares."""
 
     def __init__(self):
         self.size, self.zones, self.settings, self.settings_by_agent = 3, 3, {}, {}
-        self.fleet, self.clients, self.noted = None, [], None
+        self.fleet, self.clients, self.reference = None, [], None
 
     def start_fleet(self):
         """Starts the fleet, and waits until it has settled. Agents that join later are no seeds."""
@@ -44,7 +44,8 @@
         for number in range(self.size):
             self.add(f"a{number}")
         assert fleet.run_until(fleet.has_one_ring, 20.0) < 20.0
-        fleet.run(fleet_settings.longest_mark_s + 16.0)  # until no earlier attempt can count
+        # Until attempt records from before the start would have expired, with a margin of 16 s.
+        fleet.run(fleet_settings.longest_mark_s + 16.0)
 
     def add(self, name, **changes):
         settings = {**self.settings_by_agent.get(name, {}), **changes}
@@ -54,7 +55,7 @@
         host.start()
 
     def agents_named(self, text):
-        """Agents by their names, the running agents, or the owners of the last client's session."""
+        """The agents that `text` names: running agents, the last session's owners, or agents by name."""
         if text.startswith("all owners"):
             return list(self.owners())
         return list(self.fleet.nodes()) if text == "all agents" else re.findall(r"a\d+", text)
@@ -75,8 +76,8 @@
                 **fields,
             }
         )
-        intent = self.fleet.submit(request, agents, len(agents), work_s, patience_s or work_s + 1.0)
-        self.clients.append((intent, request))
+        intent_id = self.fleet.submit(request, agents, len(agents), work_s, patience_s or work_s + 1.0)
+        self.clients.append((intent_id, request))
 
     def outcomes(self, client=-1):
         return self.fleet.outcomes[self.clients[client][0]]
@@ -132,8 +133,8 @@
     return decorate
 
 
-WHO = r"(?P<who>all agents|all owners[a-z ]*|a\d+(?:(?:, | and )a\d+)*)"
-SECONDS = r"(?P<seconds>\d+(?:\.\d+)?) seconds?"
+AGENTS_PATTERN = r"(?P<who>all agents|all owners[a-z ]*|a\d+(?:(?:, | and )a\d+)*)"
+SECONDS_PATTERN = r"(?P<seconds>\d+(?:\.\d+)?) seconds?"
 
 
 # The fleet and its settings
@@ -154,18 +155,18 @@
     story.settings[SETTING_KEYS[setting]] = int(value)
 
 
-@steps(given, rf"{WHO} runs? the old program")
+@steps(given, rf"{AGENTS_PATTERN} runs? the old program")
 def _(story, who):
     for name in [f"a{n}" for n in range(story.size)] if who == "all agents" else story.agents_named(who):
         story.settings_by_agent.setdefault(name, {})["reads"] = (1, 1)
 
 
-@steps(given, rf"{WHO} has capacity (?P<capacity>\d+)")
+@steps(given, rf"{AGENTS_PATTERN} has capacity (?P<capacity>\d+)")
 def _(story, who, capacity):
     story.settings_by_agent.setdefault(who, {})["capacity"] = float(capacity)
 
 
-@steps(given, rf"the clock of {WHO} is (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
+@steps(given, rf"the clock of {AGENTS_PATTERN} is (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
 def _(story, who, offset_s, direction):
     story.settings_by_agent.setdefault(who, {})["wall_offset_s"] = float(offset_s) * (
         1 if direction == "ahead" else -1
@@ -180,12 +181,12 @@
 # Faults and changes
 
 
-@steps(when, rf"{SECONDS} pass(?:es)?")
+@steps(when, rf"{SECONDS_PATTERN} pass(?:es)?")
 def _(story, seconds):
     story.fleet.run(float(seconds))
 
 
-@steps(when, rf"{WHO} (?:is|are) killed")
+@steps(when, rf"{AGENTS_PATTERN} (?:is|are) killed")
 def _(story, who):
     for name in story.agents_named(who):
         story.fleet.kill(name)
@@ -193,8 +194,8 @@
 
 @steps(
     when,
-    rf"{WHO} restarts? without state(?: and with the (?P<program>old|new) program)?",
-    rf"{WHO} (?:is|are) started(?: with the (?P<program>old|new) program)?",
+    rf"{AGENTS_PATTERN} restarts? without state(?: and with the (?P<program>old|new) program)?",
+    rf"{AGENTS_PATTERN} (?:is|are) started(?: with the (?P<program>old|new) program)?",
 )
 def _(story, who, program):
     reads = {} if program is None else {"reads": (1, 1) if program == "old" else (1, 2)}
@@ -203,34 +204,34 @@
         story.fleet.start(name, **reads)
 
 
-@steps(when, rf"{WHO} (?:is|are) stopped for {SECONDS}")
+@steps(when, rf"{AGENTS_PATTERN} (?:is|are) stopped for {SECONDS_PATTERN}")
 def _(story, who, seconds):
     for name in story.agents_named(who):
         story.fleet.stop(name, float(seconds))
 
 
-@steps(when, rf"{WHO} leaves")
+@steps(when, rf"{AGENTS_PATTERN} leaves")
 def _(story, who):
     story.fleet.leave(who)
 
 
-@steps(when, rf"{WHO} joins?(?: with capacity (?P<capacity>\d+))?")
+@steps(when, rf"{AGENTS_PATTERN} joins?(?: with capacity (?P<capacity>\d+))?")
 def _(story, who, capacity):
     for name in story.agents_named(who):
         story.add(name, capacity=float(capacity or 1))
 
 
-@steps(when, rf"{WHO} (?:is|are) cut off")
+@steps(when, rf"{AGENTS_PATTERN} (?:is|are) cut off")
 def _(story, who):
     story.fleet.cut(story.agents_named(who), story.other_agents(story.agents_named(who)))
 
 
-@steps(when, rf"{WHO} no longer receives? messages")
+@steps(when, rf"{AGENTS_PATTERN} no longer receives? messages")
 def _(story, who):
     story.fleet.cut_inbound(story.other_agents(story.agents_named(who)), story.agents_named(who))
 
 
-@steps(when, rf"{WHO} no longer receives? messages from (?P<sender>a\d+)")
+@steps(when, rf"{AGENTS_PATTERN} no longer receives? messages from (?P<sender>a\d+)")
 def _(story, who, sender):
     story.fleet.cut_inbound([sender], story.agents_named(who))
 
@@ -252,12 +253,12 @@
     story.fleet.conditions = NetworkConditions()
 
 
-@steps(when, rf"the clock of {WHO} is set (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
+@steps(when, rf"the clock of {AGENTS_PATTERN} is set (?P<offset_s>\d+) seconds (?P<direction>ahead|back)")
 def _(story, who, offset_s, direction):
     story.fleet.hosts[who].wall_offset_s += float(offset_s) * (1 if direction == "ahead" else -1)
 
 
-@steps(when, rf"{WHO} crashes and restarts (?P<times>\d+) times in {SECONDS}")
+@steps(when, rf"{AGENTS_PATTERN} crashes and restarts (?P<times>\d+) times in {SECONDS_PATTERN}")
 def _(story, who, times, seconds):
     for _ in range(int(times)):
         story.fleet.kill(who)
@@ -266,7 +267,10 @@
         story.fleet.run(float(seconds) / int(times) / 2)
 
 
-@steps(when, rf"the capacities? of {WHO} fluctuates? by (?P<share>\d+)% each second for {SECONDS}")
+@steps(
+    when,
+    rf"the capacities? of {AGENTS_PATTERN} fluctuates? by (?P<share>\d+)% each second for {SECONDS_PATTERN}",
+)
 def _(story, who, share, seconds):
     for turn in range(int(float(seconds))):
         for name in story.agents_named(who):
@@ -306,8 +310,8 @@
 
 @steps(
     when,
-    rf"(?P<count>\d+) clients(?: of tenant (?P<tenant>\w+))? send non-idempotent requests to {WHO}"
-    rf"(?: over {SECONDS})?",
+    rf"(?P<count>\d+) clients(?: of tenant (?P<tenant>\w+))? send non-idempotent requests to {AGENTS_PATTERN}"
+    rf"(?: over {SECONDS_PATTERN})?",
 )
 def _(story, count, tenant, who, seconds):
     agents = story.agents_named(who)
@@ -321,7 +325,7 @@
 @steps(
     when,
     r"a client sends a request that is deduplicated (?P<group>everywhere|in its zone) for "
-    rf"{SECONDS} to (?P<first>a\d+), and retries at (?P<others>a\d+(?:(?:, | and )a\d+)*) after "
+    rf"{SECONDS_PATTERN} to (?P<first>a\d+), and retries at (?P<others>a\d+(?:(?:, | and )a\d+)*) after "
     r"(?P<patience_s>\d+) seconds?",
 )
 def _(story, group, seconds, first, others, patience_s):
@@ -336,7 +340,7 @@
     story.fleet.run(0.2)
 
 
-@steps(when, rf"(?P<count>\d+) clients of one session send non-idempotent requests to {WHO}")
+@steps(when, rf"(?P<count>\d+) clients of one session send non-idempotent requests to {AGENTS_PATTERN}")
 def _(story, count, who):
     for number in range(int(count)):
         story.submit([story.agents_named(who)[number % len(story.agents_named(who))]], session="crowd")
@@ -345,14 +349,14 @@
 
 @steps(when, r"the client retries at (?P<who>a\d+)")
 def _(story, who):
-    intent, request = story.clients[-1]
-    story.fleet.submit_retry(intent, request, who)
+    intent_id, request = story.clients[-1]
+    story.fleet.submit_retry(intent_id, request, who)
     story.fleet.run(0.3)
 
 
-@steps(when, rf"shop sends (?P<rate>\d+) requests per second to {WHO} for {SECONDS}")
+@steps(when, rf"shop sends (?P<rate>\d+) requests per second to {AGENTS_PATTERN} for {SECONDS_PATTERN}")
 def _(story, rate, who, seconds):
-    story.noted = story.fleet.clock.now
+    story.reference = story.fleet.clock.now
     agents = story.agents_named(who)
     for turn in range(int(int(rate) * float(seconds))):
         story.fleet.submit(SHOP_REQUEST, [agents[turn % len(agents)]])
@@ -379,7 +383,7 @@
     assert min_share * int(count) <= run_count <= max_share * int(count), run_count
 
 
-@steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS}")
+@steps(then, rf"the last request ran in one zone, (?P<times>\d+) times within {SECONDS_PATTERN}")
 def _(story, times, seconds):
     executions = story.fleet.checker.executions[story.clients[-1][0]]
     assert len(executions) == int(times) and len({each.zone for each in executions}) == 1
@@ -391,12 +395,12 @@
 )
 def _(story, share, last_s):
     now, limit = story.fleet.clock.now, story.settings["limits"]["shop"]
-    since = now - float(last_s) if last_s else story.noted
+    since = now - float(last_s) if last_s else story.reference
     served = sum(since <= at <= now for at in story.fleet.checker.admission_times["shop"])
     assert served >= int(share) / 100 * limit.rate * (now - since), served / limit.rate / (now - since)
 
 
-@steps(then, rf"all agents use one ring of (?P<size>\d+) members within {SECONDS}")
+@steps(then, rf"all agents use one ring of (?P<size>\d+) members within {SECONDS_PATTERN}")
 def _(story, size, seconds):
     fleet = story.fleet
     duration_s = fleet.run_until(
@@ -405,7 +409,7 @@
     assert duration_s < float(seconds), [(name, node.ring) for name, node in fleet.nodes().items()]
 
 
-@steps(then, rf"the fleet writes version (?P<version>\d) within {SECONDS}")
+@steps(then, rf"the fleet writes version (?P<version>\d) within {SECONDS_PATTERN}")
 def _(story, version, seconds):
     def is_upgraded():
         nodes, ring = story.fleet.nodes(), story.ring
@@ -416,7 +420,7 @@
     assert story.fleet.run_until(is_upgraded, float(seconds)) < float(seconds), story.ring
 
 
-@steps(then, rf"all copies are equal within {SECONDS}")
+@steps(then, rf"all copies are equal within {SECONDS_PATTERN}")
 def _(story, seconds):
     fleet = story.fleet
     assert fleet.run_until(fleet.replicas_agree, float(seconds), 0.5) < float(seconds)
@@ -453,20 +457,22 @@
 @when("the current ring is noted")
 def _(story):
     assert story.fleet.has_one_ring()
-    story.noted = story.ring
+    story.reference = story.ring
 
 
 @then("the ring is the noted one")
 def _(story):
-    assert story.fleet.has_one_ring() and story.ring == story.noted
+    assert story.fleet.has_one_ring() and story.ring == story.reference
 
 
 @steps(then, r"no more keys have moved than necessary")
 def _(story):
     """Compares the first owners of 2,000 keys; the invariant checker checks each ring on the way."""
     keys = [f"s/{n}".encode() for n in range(2000)]
-    moved = sum(owners(story.noted, key, 1) != owners(story.ring, key, 1) for key in keys) / 2000
-    assert moved <= minimal_movement(story.noted, story.ring) + 0.03 and story.noted != story.ring, moved
+    moved = sum(owners(story.reference, key, 1) != owners(story.ring, key, 1) for key in keys) / 2000
+    assert moved <= minimal_movement(story.reference, story.ring) + 0.03 and story.reference != story.ring, (
+        moved
+    )
 
 
 @steps(then, r"each agent owns its share of the keys")
