--- a/cartdeal/fleet/membership/membership.py
+++ b/cartdeal/fleet/membership/membership.py
@@ -19,8 +19,8 @@
 suspects all of them and declares them dead once it receives no more gossip about them. Messages in one
 direction alone never bring a dead peer back, for two reasons. First, an unknown or dead sender has to answer
 a ping before its messages are read; until then only the items about the receiver itself are. Second, an agent
-that receives nothing does not change its self-description, because the higher version would pass for a
-refutation. In a fleet of two, each agent holds the other dead until both directions work.
+that receives nothing does not change its self-description, because the higher version would count as a
+refutation. In a fleet of two, each agent considers the other dead until both directions work.
 """
 
 from collections.abc import Callable
@@ -59,7 +59,7 @@
 
 MAX_SILENT_PROBES = 3  # after a silence of more than this many probe_s, this agent announces no change
 MAX_MISSED_TICKS = 10  # a gap of more than this many tick_s means that the process was stopped, not late
-NOTIFIED_ON_LEAVING = 2 * INDIRECT_PROBES  # the number of peers that a leaving agent notifies
+LEAVE_NOTIFICATION_COUNT = 2 * INDIRECT_PROBES  # the number of peers that a leaving agent notifies
 
 
 class Membership:
@@ -91,8 +91,8 @@
         )
         self.table.forget_callbacks += [self.suspicion.forget, self.gossip.forget, self.exchange.forget]
         self._is_active: bool = False  # from join() to leave()
-        self._last_tick: float = context.now
-        self._last_event: float = context.now
+        self._last_tick_at: float = context.now
+        self._last_event_at: float = context.now
         self._pending_changes: dict[str, float] = {}  # of the self-description, not announced yet
         self._handlers: dict[type[MembershipMessage], Callable[[str, Any], None]] = {
             Ping: self.detector.on_ping,
@@ -143,7 +143,7 @@
         self.exchange.start(self.context.now)
 
     def leave(self) -> None:
-        """Leave the fleet: notify NOTIFIED_ON_LEAVING peers, which disseminate it by gossip.
+        """Leave the fleet: notify LEAVE_NOTIFICATION_COUNT peers, which disseminate it by gossip.
 
         Afterwards this agent still answers messages, but starts no probes and suspects nobody.
         """
@@ -153,7 +153,9 @@
         self.updater.replace_self(replace(local_peer, version=local_peer.version + 1, state=PeerState.LEFT))
         self._is_active = False
         self.detector.stop()
-        for name in sample(self.context.random, self.table.others(PeerState.SUSPECT), NOTIFIED_ON_LEAVING):
+        for name in sample(
+            self.context.random, self.table.others(PeerState.SUSPECT), LEAVE_NOTIFICATION_COUNT
+        ):
             self.gossip.send(name, StatePush)
 
     def live_peers(self) -> dict[str, Peer]:
@@ -204,8 +206,8 @@
     def tick(self) -> None:
         """Run everything that is due; the node calls this every tick_s."""
         now = self.context.now
-        self._resume_after_pause(now - self._last_tick)
-        self._last_tick = self._last_event = now
+        self._resume_after_pause(now - self._last_tick_at)
+        self._last_tick_at = self._last_event_at = now
         if self.context.incarnation > self.local_peer.incarnation:
             # The node has raised its incarnation, which overrides all reports about the former one.
             self.updater.replace_self(
@@ -232,7 +234,7 @@
             return
         now = self.context.now
         self.context.increment(Metric.PAUSES)
-        self._last_tick = now
+        self._last_tick_at = now
         self.health.reset_silence(now)
         self.detector.reset_after_pause()
         self.exchange.reset_after_pause()
@@ -259,8 +261,8 @@
     def on_message(self, sender: str, message: MembershipMessage) -> None:
         """Handle a message whose signature by `sender` is valid."""
         now = self.context.now
-        self._resume_after_pause(now - max(self._last_tick, self._last_event))
-        self._last_event = now
+        self._resume_after_pause(now - max(self._last_tick_at, self._last_event_at))
+        self._last_event_at = now
         if not self._accept(sender, message):
             return
         self.health.record_contact(now)
--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -29,7 +29,7 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-MIN_WAIT_S = 0.05  # a client that comes back sooner would find no token yet
+MIN_WAIT_S = 0.05  # a client that retries sooner would find no token yet
 IDLE_TIMEOUT_LEASES = 2  # a tenant's leases are returned after this many lease durations without a request
 MIN_PERIOD_DEMAND = 4  # requests per period; with fewer, most whole tokens would expire unused
 ALL_KINDS = (GrantKind.PERIOD_TOKENS, GrantKind.REFILL_RATE, GrantKind.SINGLE_TOKEN)
@@ -183,7 +183,7 @@
             wait_s = (1 - quota.refill(now)) / rate
         else:
             wait_s = max(quota.retry_after_s, quota.exhausted_until - now)
-        # Without jitter, clients with the same wait would all come back at once.
+        # Without jitter, clients with the same wait would all retry at once.
         wait_s = max(wait_s, MIN_WAIT_S) * (1 + 0.5 * self.context.random.random())
         is_certain = may_be_certain and now - quota.certain_at < self.settings.lease_s
         self.on_token_decision(ticket, False, wait_s, is_certain)
--- a/cartdeal/fleet/quota/owner.py
+++ b/cartdeal/fleet/quota/owner.py
@@ -1,8 +1,8 @@
 """The owner's side of the lease protocol: grants leases from the token buckets of the limits it owns.
 
 The owner side keeps the buckets and the history of rings. It must never grant a part of a limit that another
-agent may still grant: so it grants only while its ring is proven, and only the least of its shares in all
-rings within the fence.
+agent may still grant: so it grants only while its lease on the ring is valid, and only the smallest of its
+shares in all rings that were in force within the last fence_s seconds.
 """
 
 from collections.abc import Callable
@@ -28,7 +28,7 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-FENCE_MARGIN_LEASES = 0.1  # of a lease, added to the fence to cover rounding
+FENCE_MARGIN_LEASES = 0.1  # lease durations added to the fence to cover rounding
 
 
 class LeaseOwner:
@@ -39,7 +39,7 @@
     ) -> None:
         self.context = context
         self.settings = settings
-        self.has_valid_lease = has_valid_lease  # whether a majority holds the ring in force now
+        self.has_valid_lease = has_valid_lease  # whether the lease on the current ring is valid
         self.incarnation = context.incarnation
         self.started_at = context.now
         # A former owner may rely on its ring for one lease, and its last grant lasts for another; its clock
@@ -72,12 +72,12 @@
             if tenant in settings.limits:
                 self.granter(tenant, now).bucket.set_limit(settings.limits[tenant])
 
-    def prove_ring(self, now: float) -> bool:
-        """Returns whether the ring in force is proven now, and if so records that in the history."""
-        is_proven = self._has_ring and self.has_valid_lease()
-        if is_proven:
-            self.history.prove(now)
-        return is_proven
+    def confirm_ring(self, now: float) -> bool:
+        """Returns whether the lease on the current ring is valid, and if so records that in the history."""
+        is_ring_confirmed = self._has_ring and self.has_valid_lease()
+        if is_ring_confirmed:
+            self.history.confirm(now)
+        return is_ring_confirmed
 
     def remove_idle_accounts(self, now: float) -> None:
         """Removes idle accounts from one bucket, in turn with each call."""
@@ -93,7 +93,7 @@
 
     def on_batch(self, sender: str, batch: LeaseRequestBatch, now: float) -> tuple[LeaseResponse, ...]:
         """Applies a holder's returns and answers its requests."""
-        is_proven = self.prove_ring(now)
+        is_ring_confirmed = self.confirm_ring(now)
         names_current_leases = batch.owner_incarnation == self.incarnation
         holder_id = HolderId(sender, batch.incarnation)
         for lease_return in batch.returns[:MAX_TENANTS_PER_MESSAGE]:
@@ -101,7 +101,7 @@
                 self.on_return(holder_id, lease_return, now)
         responses = []
         for request in batch.requests[:MAX_TENANTS_PER_MESSAGE]:
-            response = self._on_request(holder_id, names_current_leases, request, is_proven, now)
+            response = self._on_request(holder_id, names_current_leases, request, is_ring_confirmed, now)
             if response is not None:
                 responses.append(response)
         return tuple(responses)
@@ -124,14 +124,14 @@
         holder_id: HolderId,
         names_current_leases: bool,
         request: LeaseRequest,
-        is_proven: bool,
+        is_ring_confirmed: bool,
         now: float,
     ) -> LeaseResponse | None:
         lease_s = self.settings.lease_s
         if request.tenant not in self.settings.limits or not _has_valid_amounts(request):
             self.context.increment(Metric.DROPPED_LEASE_REQUEST)
             return LeaseResponse(request.tenant, request.sequence, False, wait_s=lease_s)
-        if not is_proven:
+        if not is_ring_confirmed:
             return LeaseResponse(request.tenant, request.sequence, False, wait_s=lease_s / 4)
         granter = self.granter(request.tenant, now)
         if not granter.bucket.share(now):
@@ -161,7 +161,7 @@
     # Buckets
 
     def granter(self, tenant: str, now: float) -> LeaseGranter:
-        """Returns a tenant's granter, its bucket advanced to `now` as far as the ring is proven.
+        """Returns a tenant's granter, with its bucket advanced to `now`, or to when the lease was last valid.
 
         Raises KeyError for a tenant that has neither a bucket nor a limit.
         """
--- a/cartdeal/fleet/quota/ownership.py
+++ b/cartdeal/fleet/quota/ownership.py
@@ -22,7 +22,7 @@
         self.ring = ring  # None if the ring of this time is unknown
         self.start = start
         self.end = inf
-        self.proven_until = -inf  # the last time at which a majority was known to hold this ring
+        self.confirmed_until = -inf  # last time at which the lease on this ring was valid
 
 
 class OwnershipHistory:
@@ -75,9 +75,9 @@
             del self.intervals[0]
             self.intervals[0].ring = None
 
-    def prove(self, now: float) -> None:
-        """Records that a majority holds the current ring at `now`."""
-        self.current.proven_until = now
+    def confirm(self, now: float) -> None:
+        """Records that the lease on the current ring is valid at `now`."""
+        self.current.confirmed_until = now
 
     def share(self, key: bytes, at: float) -> tuple[float, float]:
         """Returns the share (0 to 1) at a time, and until when it stays the same if no ring is learnt."""
--- a/cartdeal/fleet/quota/quota_leases.py
+++ b/cartdeal/fleet/quota/quota_leases.py
@@ -55,9 +55,9 @@
         context: clock, name, random source, counters, and sending to peers.
         settings: the operator's settings.
         on_token_decision: called once for each request_token(), as on_token_decision(ticket, ok, wait_s,
-            certain). `ok`: the request may be served; if not, the client may come back in wait_s seconds.
+            certain). `ok`: the request may be served; if not, the client may retry in wait_s seconds.
             `certain` is False if no owner could be asked: none has answered for certain within one lease.
-        has_valid_lease: whether the ring last given to on_ring_changed() is proven now.
+        has_valid_lease: whether the lease on the ring last given to on_ring_changed() is valid.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
     def tick(self) -> None:
         """Handles all that is due at the current time; called every tick_s."""
         now = self.context.now
-        self.owner.prove_ring(now)
+        self.owner.confirm_ring(now)
         self.holder.on_tick(now)
         self.owner.remove_idle_accounts(now)
         self._send_pending()
--- a/cartdeal/fleet/quota/token_bucket.py
+++ b/cartdeal/fleet/quota/token_bucket.py
@@ -58,7 +58,7 @@
 
     In schema version 2 tokens refill continuously and may be granted at once. In version 1 the tokens earned
     in one period may be granted in the next one, as whole tokens. The bucket is never filled beyond the time
-    for which the ring is proven.
+    at which the lease on the ring was last valid.
     """
 
     def __init__(
@@ -157,7 +157,7 @@
     # Refill
 
     def advance(self, now: float, period: int, period_start: float, schema_version: int) -> None:
-        """Refills the bucket up to `now`, as far as the ring is proven.
+        """Refills the bucket up to `now`, or up to when the lease on the ring was last valid.
 
         Args:
             now: the current time.
@@ -191,10 +191,10 @@
                     break
                 self._enter_interval(interval.number, interval.start)
             if interval.number == self.interval_number:
-                self._accrue(min(interval.proven_until, until))
+                self._accrue(min(interval.confirmed_until, until))
 
     def _enter_interval(self, number: int, start: float) -> None:
-        # Time for which the former ring was not proven earns no tokens.
+        # Time without a valid lease on the former ring earns no tokens.
         self.interval_number = number
         self.filled_to = max(self.filled_to, start)
         capacity = self._capacity(self.share(start))
--- a/cartdeal/fleet/replication/catch_up.py
+++ b/cartdeal/fleet/replication/catch_up.py
@@ -37,13 +37,13 @@
 
 RANGE_COUNT = 64  # ranges of hashed keys; a set of ranges is an int with one bit for each
 ALL_RANGES = (1 << RANGE_COUNT) - 1
-MAX_DEPTH = 8  # successive former rings whose catch-up is remembered
-MAX_SINGLE_KEYS = 10_000  # keys caught up with one by one, ahead of their range; the oldest is dropped
+MAX_FORMER_RINGS = 8  # successive former rings whose catch-up is remembered
+MAX_CAUGHT_UP_KEYS = 10_000  # keys caught up with one by one, ahead of their range; the oldest is dropped
 RANGES_CACHE_S = 1.0  # seconds for which the computed set of complete ranges is reused
 
 
 class CatchUpReason(StrEnum):
-    """Why an agent has to catch up, which decides whose reports count."""
+    """Why an agent has to catch up, which determines the agents whose reports count."""
 
     FIRST_RING = "first"  # the fleet's first ring: others confirm that they know no earlier incarnation
     RESTARTED = "restarted"  # the store is empty: owners in the current ring report
@@ -119,19 +119,19 @@
             previous: The progress by the former ring, if the current ring follows it directly; else None.
         """
         drift = 1 + settings.clock_drift
-        longest_s = settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
+        max_record_age_s = settings.longest_mark_s + 2 * settings.clock_ahead_s + settings.lease_s
         self.name = name
         self.copies = settings.copies
         self.ring = ring
         self.former_ring = former_ring
         self.reason = reason
-        self.previous = previous if previous and previous.depth < MAX_DEPTH else None
+        self.previous = previous if previous and previous.depth < MAX_FORMER_RINGS else None
         self.depth: int = 1 + (self.previous.depth if self.previous else 0)
         self.quorum = quorum(settings, ring)
         self.former_quorum = quorum(settings, former_ring) if former_ring else Quorum(0, 0, 0)
         self.other_members = tuple(member for member in ring.names if member != name)
         self.reports_valid_at = started_at + settings.lease_s * drift
-        self.expires_at = learned_at + drift * longest_s
+        self.expires_at = learned_at + drift * max_record_age_s
         self.former_ring_reports: dict[str, int] = {}
         self.current_ring_reports: dict[str, int] = {}
         self.fresh_start_confirmations: dict[str, None] = {}
@@ -229,7 +229,7 @@
             reported = sum(owner in current_sources for owner in current_owners if owner != self.name)
             return reported >= self.quorum.owners - self.quorum.writes + 1
         former_owners = owners(self.former_ring, key_bytes(key), self.copies)
-        is_former_source = self._had_caught_up_as_one_of(former_owners, key, now)
+        is_former_source = self._had_caught_up_as_owner(former_owners, key, now)
         if is_former_source and self.quorum.owners >= self.former_quorum.owners:
             return True
         sources = {owner for owner in former_owners if owner in former_sources}
@@ -241,9 +241,9 @@
         """Whether this agent counts as a source for writes to the key in the former ring."""
         if self.previous is None or self.former_ring is None:
             return False
-        return self._had_caught_up_as_one_of(owners(self.former_ring, key_bytes(key), self.copies), key, now)
+        return self._had_caught_up_as_owner(owners(self.former_ring, key_bytes(key), self.copies), key, now)
 
-    def _had_caught_up_as_one_of(self, former_owners: Iterable[str], key: str, now: float) -> bool:
+    def _had_caught_up_as_owner(self, former_owners: Iterable[str], key: str, now: float) -> bool:
         return (
             self.name in former_owners and self.previous is not None and self.previous.has_caught_up(key, now)
         )
@@ -255,7 +255,7 @@
     def add_key(self, key: str) -> None:
         """Records that a single key has been caught up with, ahead of its range."""
         self.caught_up_keys[key] = None
-        if len(self.caught_up_keys) > MAX_SINGLE_KEYS:
+        if len(self.caught_up_keys) > MAX_CAUGHT_UP_KEYS:
             del self.caught_up_keys[next(iter(self.caught_up_keys))]
 
 
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -330,7 +330,7 @@
     quota_leases.owner.granter = granter
 
 
-def ring_always_proven(quota_leases):
+def ring_lease_always_valid(quota_leases):
     quota_leases.owner.has_valid_lease = lambda: True
 
 
@@ -375,7 +375,7 @@
         (lease_never_expires, (20, 57)),
         (no_fence, (8, 59)),
         (owner_forgets_leases, (8, 57)),
-        (ring_always_proven, (250,)),
+        (ring_lease_always_valid, (250,)),
         (duplicates_accepted, (118, 33)),
     ],
 )
@@ -497,7 +497,7 @@
         2,
     )
     bucket.history.learn(Ring(1, ()), None, 0.0)
-    bucket.history.prove(10.0)
+    bucket.history.confirm(10.0)
     bucket.advance(10.0, 10, 10.0, 2)
     granter, holder_id, lease_number = LeaseGranter(bucket), HolderId("b", 1), 0
     account = bucket.account(holder_id)
