--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -184,7 +184,7 @@
     starts = list(product(range(3), range(MAX_AGENTS), range(play.MAX_STARTS_PER_AGENT)))
     assert len({play.agent_seed(*start) for start in starts}) == len(starts)
     for kind in ("ring", "copies", "days", "upgrade"):
-        assert fleets.made(kind, {"agents": MAX_AGENTS}, "variant[0].set").agents == MAX_AGENTS
+        assert fleets.scenario_settings(kind, {"agents": MAX_AGENTS}, "variant[0].set").agents == MAX_AGENTS
 
 
 def test_rig_starts_its_agents_a_bounded_number_at_a_time(monkeypatch):
