--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -1,8 +1,9 @@
 """One agent of a fleet: membership, ring, replicas and quota leases, combined into one reducer.
 
 Each kind of event has a method, which appends its effects (effects.py) to `effects` for a host to apply. The
-node must never do I/O, read a clock or sleep: before each event the host sets `now` (monotonic seconds) and
-`wall` (wall clock seconds). The node does not select servers; the balancer does.
+node must never do I/O, read a clock or sleep: before each event the host sets `now` (monotonic seconds).
+`wall` is the fleet's time in seconds; a value that the host sets is ignored. The node does not select
+servers; the balancer does.
 """
 
 from collections import Counter
@@ -31,8 +32,9 @@
 from cartdeal.fleet.settings import FleetSettings
 
 ADDRESSES_PER_AGENT = 4  # limit of `Node.addresses`, as a multiple of `most_agents`
-INCARNATION_RANDOM_BITS = 16  # the low bits; the bits above are the wall clock's milliseconds
-MAX_INCARNATION_LEAD_MS = 86_400_000  # over the fleet's time: one day
+INCARNATION_RANDOM_BITS = 16  # the low bits of an incarnation; the bits above are the wall clock's ms
+# One day: a known incarnation that is further ahead of the fleet's time is not adopted.
+MAX_INCARNATION_LEAD_MS = 86_400_000
 
 
 class MessageHandler(Protocol):
@@ -76,6 +78,7 @@
         }
         self.ring: Ring | None = None
         self.is_fenced = False  # the fleet writes a schema version that this program can't read
+        # Whether migration.downgrade_error was reported for the current ring and settings.
         self.is_schema_hold_refused = False
         self.is_caught_up = False
         self.is_shutting_down = False
@@ -87,7 +90,10 @@
 
     @property
     def wall(self) -> float:
-        """The fleet's time, seconds. Setting the wall clock while the agent runs has no effect on it."""
+        """The fleet's time, seconds.
+
+        A change of the host's wall clock while the agent runs has no effect on it.
+        """
         return self.fleet_clock.offset_s + self.now
 
     @wall.setter
@@ -97,7 +103,10 @@
     # Used by the parts
 
     def send(self, recipient: str, message: Struct) -> None:
-        """Send a message to a peer; count it if the peer's address is unknown."""
+        """Send a message to a peer.
+
+        Drop and count it if the address is unknown or the recipient is this agent.
+        """
         peer = self.membership.peers.get(recipient)
         address = (
             peer.address if peer else self.settings.seeds.get(recipient) or self.addresses.get(recipient)
@@ -123,7 +132,7 @@
     def is_warming_up(self) -> bool:
         """Whether attempt records from before the fleet's first ring may still concern a request.
 
-        If all agents stop at once, the fleet is founded anew, and no agent knows what ran before.
+        If all agents stop at once, the fleet is founded anew, and no agent knows which attempts ran before.
         """
         warm_up_s = self.settings.longest_mark_s + 2 * self.settings.clock_ahead_s
         return self.ring is None or self.wall < self.ring.founded_ms / 1e3 + warm_up_s
@@ -147,7 +156,8 @@
         sender_has_ring = part is self.consensus and getattr(message, "epoch", 1) > 0
         is_timely = self.fleet_clock.observe(sender, wall_ms, sender_has_ring, self.ring is not None)
         if not is_timely and part is self.replica:
-            return  # its timestamps can't be trusted; that it is live, and its ring, can
+            # The timestamps of its records can't be trusted; messages to the other parts are still handled.
+            return
         if sender in self.addresses or len(self.addresses) < ADDRESSES_PER_AGENT * self.settings.most_agents:
             self.addresses[sender] = address
         part.on_message(sender, message)
@@ -218,7 +228,8 @@
     def _raise_incarnation(self) -> None:
         """Raise the incarnation above a newer one that peers know for this agent's name.
 
-        An earlier start had it from a clock that was ahead. One that is more than a day ahead is ignored.
+        Peers know a newer incarnation if an earlier process of this agent started while its clock was ahead.
+        An incarnation that is more than MAX_INCARNATION_LEAD_MS ahead is ignored.
         """
         known_incarnation = self.membership.newer_incarnation()
         known_ms = known_incarnation >> INCARNATION_RANDOM_BITS
@@ -226,8 +237,8 @@
             known_incarnation >= self.incarnation
             and known_ms < int(self.wall * 1e3) + MAX_INCARNATION_LEAD_MS
         ):
-            # The increment is random: `known_ms + 1` could be the incarnation of an earlier start that learnt
-            # of the same incarnation and died before this agent heard of it.
+            # The increment is random: `known_ms + 1` could be the incarnation of an earlier process of this
+            # agent that had raised its own above the same incarnation.
             incarnation_ms = known_ms + 1 + self.random.getrandbits(8)
             self.incarnation = incarnation_ms << INCARNATION_RANDOM_BITS | self._random_bits()
             self.log_event(events.IncarnationRaised(self.incarnation))
