--- a/cartdeal/fleet/consensus/proposer.py
+++ b/cartdeal/fleet/consensus/proposer.py
@@ -15,10 +15,11 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.ring.steps import RingStep, step_between
 
-CATCH_UP_PATIENCE_LEASES = 5  # the next step waits for the members' catch-up for at most this many lease_s
-RANKED_PROPOSERS = 8  # members that propose one after the other, by rank; later ones start at random
-MIN_RESEND_S = 0.3
-RESEND_TICKS = 3  # the resend interval in tick_s, if that is longer than MIN_RESEND_S
+MAX_CATCH_UP_WAIT_LEASES = 5  # the next step waits for the members' catch-up for at most this many lease_s
+# Members up to this rank (from 0) propose one after the other; later ones start at random.
+LAST_RANKED_PROPOSER = 8
+MIN_RESEND_INTERVAL_S = 0.3
+RESEND_TICKS = 3  # the resend interval in ticks of tick_s, but at least MIN_RESEND_INTERVAL_S
 
 
 class Proposer:
@@ -55,12 +56,15 @@
         present_members = [name for name in state.current_ring.names if name in state.live]
         if len(present_members) < state.current_ring.majority or self._context.name not in present_members:
             return
-        rank, slot_s = present_members.index(self._context.name), self._resend_interval_s()
-        if accepted is None and now < self._target.wanted_since + slot_s * min(rank, RANKED_PROPOSERS):
+        rank, rank_delay_s = present_members.index(self._context.name), self._resend_interval_s()
+        if accepted is None and now < self._target.wanted_since + rank_delay_s * min(
+            rank, LAST_RANKED_PROPOSER
+        ):
             return
-        if rank > RANKED_PROPOSERS or accepted:  # all these members may propose; each starts at random
-            candidates = len(present_members) if accepted else len(present_members) - RANKED_PROPOSERS
-            if self._context.random.random() * candidates * slot_s > state.settings.tick_s:
+        if rank > LAST_RANKED_PROPOSER or accepted:
+            # All members that reach this line may propose; each starts at a random tick.
+            candidates = len(present_members) if accepted else len(present_members) - LAST_RANKED_PROPOSER
+            if self._context.random.random() * candidates * rank_delay_s > state.settings.tick_s:
                 return
         if accepted:  # an accepted step has to be decided whoever is live, so `removed` is empty
             self.start_proposal(accepted.step, ())
@@ -121,18 +125,19 @@
     def _is_waiting_for_catch_up(self) -> bool:
         """Return whether the next step has to wait because some members still catch up with this ring.
 
-        With an earlier step, even the former owners of some keys would not have all records yet. Requests for
-        these keys would then get no certain answer until the records expire.
+        If the next step were taken before that, even the former owners of some keys would not have all
+        records yet. Requests for these keys would then get no certain answer until the records expire.
         """
         state = self._state
-        patience_s = CATCH_UP_PATIENCE_LEASES * state.settings.lease_s
-        if state.ring is None or self._context.now >= state.ring_learned_at + patience_s:
+        max_wait_s = MAX_CATCH_UP_WAIT_LEASES * state.settings.lease_s
+        if state.ring is None or self._context.now >= state.ring_learned_at + max_wait_s:
             return False
         present_members = [state.live[name] for name in state.ring.names if name in state.live]
+        # State 0 is PeerState.ALIVE.
         return any(peer.state == 0 and peer.caught_up_epoch < state.ring.epoch for peer in present_members)
 
     def _resend_interval_s(self) -> float:
-        return max(MIN_RESEND_S, RESEND_TICKS * self._state.settings.tick_s)
+        return max(MIN_RESEND_INTERVAL_S, RESEND_TICKS * self._state.settings.tick_s)
 
     def _resend_to(self, name: str, proposal: Proposal) -> None:
         if not proposal.accepting:
