--- a/cartdeal/fleet/membership/suspicion.py
+++ b/cartdeal/fleet/membership/suspicion.py
@@ -1,7 +1,8 @@
 """Suspicion: the accusers of each suspect, and the timeout after which a suspect is declared dead.
 
-An agent must never be declared dead on one witness while a second one could exist. Suspicions that shorten
-with independent witnesses, and warnings to the suspect, follow Lifeguard (Dadgar, Phillips, Currey, DSN
+A witness is an accuser whose accusation counts (see _is_witness). An agent must not be declared dead on the
+accusation of one witness while another live agent could be a second. Suspicion timeouts that become shorter
+with more independent witnesses, and warnings to the suspect, follow Lifeguard (Dadgar, Phillips, Currey, DSN
 2018).
 """
 
@@ -17,7 +18,8 @@
 from cartdeal.fleet.metrics import Metric
 from cartdeal.fleet.settings import FleetSettings
 
-# Helpers of a probe. As many witnesses after the first shorten a suspicion to its minimum, suspect_s.
+# The number of peers that a probe asks for help. This many witnesses in addition to the first shorten a
+# suspicion to its minimum, suspect_s.
 INDIRECT_PROBES = 3
 MAX_SUSPICION_FACTOR = 3.0  # a suspicion with one witness lasts this many times suspect_s
 WITNESS_PROBATION_S = 15.0  # an agent that returned from the dead is no witness for this long
@@ -45,7 +47,7 @@
         own_probe_failed: bool = False,
         warn: bool = True,
     ) -> None:
-        """Add the accusers that are witnesses to the suspicion of a peer, or start a suspicion with them.
+        """Add those accusers that count as witnesses to a peer's suspicion; start it if there is none.
 
         `own_probe_failed` adds this agent as a witness. `warn` queues a warning to the peer if it was not
         suspect before.
@@ -70,7 +72,8 @@
         if known_peer.state == PeerState.ALIVE:
             self.table.put(replace(known_peer, state=PeerState.SUSPECT))
             self.context.increment(Metric.SUSPICIONS)
-            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))  # by own probes
+            # Counts only accusations by this agent's own probes.
+            self.context.increment(Metric.ACCUSATIONS, int(own_probe_failed))
         self.gossip.announce(name)
 
     def end(self, name: str) -> None:
@@ -104,7 +107,7 @@
             if len(suspicion.accusers) < 2 and any(other != name for other in others):
                 continue
             if self.table.name not in suspicion.accusers:
-                # This agent's own suspicion has timed out, so other agents may count it as a witness.
+                # This agent's own suspicion has timed out, so others may count this agent as a witness.
                 suspicion.accusers = [self.table.name, *suspicion.accusers][:MAX_ACCUSERS]
             self.table.mark_dead(name, now)
             self.gossip.announce(name)
