--- a/cartdeal/fleet/quota/holder.py
+++ b/cartdeal/fleet/quota/holder.py
@@ -29,11 +29,12 @@
 from cartdeal.fleet.ring.ring import Ring
 from cartdeal.fleet.settings import FleetSettings
 
-MIN_WAIT_S = 0.05  # a client that retries sooner would find no token yet
+MIN_RETRY_AFTER_S = 0.05  # a client that retries sooner would find no token yet
 IDLE_TIMEOUT_LEASES = 2  # a tenant's leases are returned after this many lease durations without a request
-MIN_PERIOD_DEMAND = 4  # requests per period; with fewer, most whole tokens would expire unused
+MIN_DEMAND_PER_PERIOD = 4  # requests per period; with fewer, most period tokens would expire unused
 ALL_KINDS = (GrantKind.PERIOD_TOKENS, GrantKind.REFILL_RATE, GrantKind.SINGLE_TOKEN)
 
+# Arguments: ticket, ok, wait_s, certain; see QuotaLeases.
 OnTokenDecision = Callable[[int, bool, float, bool], None]
 
 
@@ -153,19 +154,23 @@
     # Decisions
 
     def serve_waiting(self, quota: TenantQuota, now: float) -> None:
-        """Serves waiting requests from the available tokens; denies the rest if no response is due."""
+        """Serves waiting requests from the available tokens.
+
+        Denies the rest if no response is awaited and no owner may have more tokens.
+        """
         while quota.waiting and quota.take_token(now):
             self._serve(quota, self.queue.pop(quota), now)
         if quota.has_pending_request(now - self.settings.wait_s):
             return
         if quota.waiting:
-            # These owners granted all that was requested; more requests have been queued since then.
+            # Owners whose last response was certain and asked for no wait may have more tokens for the
+            # requests that still wait.
             names = [name for name, exchange in quota.exchanges.items() if exchange.may_have_more]
             if names:
                 self._request_leases(quota, now, names)
                 return
         if quota.waiting or quota.is_exhausted(now):
-            pause_s = min(max(quota.retry_after_s, MIN_WAIT_S), self.settings.lease_s / 3)
+            pause_s = min(max(quota.retry_after_s, MIN_RETRY_AFTER_S), self.settings.lease_s / 3)
             quota.exhausted_until = now + pause_s * (1 + 0.5 * self.context.random.random())
         while quota.waiting:
             self._deny(quota, self.queue.pop(quota), now)
@@ -177,16 +182,20 @@
         self.on_token_decision(ticket, True, 0.0, True)
 
     def _deny(self, quota: TenantQuota, ticket: int, now: float, may_be_certain: bool = True) -> None:
+        """Denies a request.
+
+        The denial is certain if `may_be_certain` and a certain response came within the last lease_s.
+        """
         self.denied[quota.tenant] += 1
         rate = sum(lease.rate for lease in quota.leases.values())
         if rate:
-            wait_s = (1 - quota.refill(now)) / rate
+            retry_after_s = (1 - quota.refill(now)) / rate
         else:
-            wait_s = max(quota.retry_after_s, quota.exhausted_until - now)
+            retry_after_s = max(quota.retry_after_s, quota.exhausted_until - now)
         # Without jitter, clients with the same wait would all retry at once.
-        wait_s = max(wait_s, MIN_WAIT_S) * (1 + 0.5 * self.context.random.random())
+        retry_after_s = max(retry_after_s, MIN_RETRY_AFTER_S) * (1 + 0.5 * self.context.random.random())
         is_certain = may_be_certain and now - quota.certain_at < self.settings.lease_s
-        self.on_token_decision(ticket, False, wait_s, is_certain)
+        self.on_token_decision(ticket, False, retry_after_s, is_certain)
 
     def _expire_waiting(self, quota: TenantQuota, now: float) -> None:
         while quota.waiting and quota.waiting[0].deadline <= now:
@@ -211,7 +220,10 @@
             self.send_pending()
 
     def _request_leases(self, quota: TenantQuota, now: float, names: Collection[str]) -> None:
-        """Requests leases from the owners whose last request was answered or is long overdue."""
+        """Requests leases from those owners in `names` that owe no response.
+
+        An owner whose response has been awaited for lease_s / 4 is asked again.
+        """
         quota.refill(now)
         if not quota.has_pending_request(now - self.settings.wait_s):
             quota.retry_after_s = 0.0
@@ -230,7 +242,10 @@
             self.outbox.add_request(name, self._lease_request(quota, name, owner_count, now))
 
     def _lease_request(self, quota: TenantQuota, owner: str, owner_count: int, now: float) -> LeaseRequest:
-        """Builds a request with the current sequence, and limits the lease in use until the response."""
+        """Builds a request with the latest sequence number.
+
+        Sets the interim cap that limits the lease in use until the response.
+        """
         demand_rate = quota.demand.rate_at(now) / owner_count
         uses_periods = quota.latest_kind == GrantKind.PERIOD_TOKENS
         horizon_s = self.settings.period_s / 4 if uses_periods else self.settings.lease_s
@@ -257,7 +272,8 @@
             returned_tokens = lease.tokens - target_tokens
             lease.tokens = target_tokens
             lease.cap = target_tokens
-        # The response's tokens must fit under the cap that the owner counts, whenever the response arrives.
+        # Until the response arrives, the lease refills only up to interim_cap, so that the response's tokens
+        # still fit under the cap that the owner counts.
         free_tokens = max(lease.cap - lease.tokens, 0.0)
         lease.interim_cap = lease.tokens + min(lease.rate * self.settings.tick_s, free_tokens / 2)
         return LeaseRequest(
@@ -339,9 +355,9 @@
         return now >= requested_at + self.settings.lease_s / 3 and is_renewable
 
     def _return_unused_tokens(self, quota: TenantQuota, now: float) -> None:
-        """Returns single tokens that no request waits for, and whole tokens that would expire unused."""
+        """Returns single tokens that no request waits for, and period tokens that would expire unused."""
         kinds: tuple[GrantKind, ...] = (GrantKind.SINGLE_TOKEN,)
-        if quota.demand.rate_at(now) * self.settings.period_s < MIN_PERIOD_DEMAND:
+        if quota.demand.rate_at(now) * self.settings.period_s < MIN_DEMAND_PER_PERIOD:
             kinds = (GrantKind.SINGLE_TOKEN, GrantKind.PERIOD_TOKENS)
         self._return_leases(quota, kinds)
 
@@ -372,7 +388,7 @@
     """Fills a new lease with the granted tokens and the tokens that remain in the owner's former lease."""
     remaining_tokens = 0.0
     if former_lease is not None and former_lease.owner_incarnation == lease.owner_incarnation:
-        # Whole tokens are valid in one period of their owner, and void in the next.
+        # Period tokens are valid in one period of their owner, and void in the next.
         is_same_period = lease.kind == GrantKind.PERIOD_TOKENS and former_lease.period == lease.period
         if former_lease.kind != GrantKind.PERIOD_TOKENS or is_same_period:
             remaining_tokens = former_lease.tokens
