--- a/cartdeal/fleet/replication/hinted_handoff.py
+++ b/cartdeal/fleet/replication/hinted_handoff.py
@@ -1,7 +1,7 @@
 """Hinted handoff: keeps this agent's writes until all owners have them, and hands records to new owners.
 
-This module owns the hints. It must never drop a hint without reporting it, or have more than one delivery in
-flight to an owner.
+This module owns the hints. It must never drop an unexpired, undelivered hint without counting it, or have
+more than one delivery in flight to an owner.
 
 Source: Dynamo (DeCandia and others, 2007), section 4.6, without its sloppy quorums.
 """
@@ -23,8 +23,8 @@
 MAX_SENT_RECORDS = MAX_RECEIVED_RECORDS // 2
 FIRST_RETRY_PAUSE_S = 0.25
 MAX_RETRY_PAUSE_S = 5.0  # seconds, for an owner that doesn't answer
-MAX_REJECTED_PAUSE_S = 1.0  # seconds, for an owner that rejects records
-MIN_CONTACT_PAUSE_S = 1.0  # seconds between two deliveries to an owner that sends messages again
+MAX_PAUSE_AFTER_REJECTION_S = 1.0  # seconds, for an owner that rejects records
+MIN_PAUSE_AFTER_CONTACT_S = 1.0  # seconds between two deliveries to an owner that sends messages again
 
 
 class Hint:
@@ -74,12 +74,12 @@
         self.hints: dict[str, Hint] = {}
         self.queues: dict[str, HintQueue] = {}
         self.handoffs: dict[str, dict[str, None]] = {}  # key of a stored record -> its new owners
-        self._reported_full = False
+        self._is_hint_limit_reported = False
 
     # Hints
 
     def publish(self, key: str, record: Record) -> None:
-        """Merges a record into the copies of all owners; those out of reach get it later."""
+        """Merges a record into the copies of all owners; owners that can't be reached now get it later."""
         self.add(key, record)
         self.enqueue(key)
         self.apply_locally(key)
@@ -124,14 +124,14 @@
         hint = self.hints.get(key)
         if self.view.ring and hint and not hint.missing:
             del self.hints[key]
-            if self._reported_full and len(self.hints) < self.view.settings.most_hints // 2:
-                self._reported_full = False
+            if self._is_hint_limit_reported and len(self.hints) < self.view.settings.most_hints // 2:
+                self._is_hint_limit_reported = False
 
     def _drop_oldest(self) -> None:
         del self.hints[next(iter(self.hints))]
         self.context.increment(Metric.HINTS_DROPPED)
-        if not self._reported_full:
-            self._reported_full = True
+        if not self._is_hint_limit_reported:
+            self._is_hint_limit_reported = True
             self.context.log_event(events.HintsFull(self.view.settings.most_hints))
 
     # Changes of the ring
@@ -139,7 +139,7 @@
     def on_ring_changed(self, former: Ring | None) -> None:
         """Marks hints as missing at owners that the former ring didn't have, and sends them.
 
-        Owners by both rings that have a hint already need no second delivery.
+        An owner in both rings that already has a hint needs no second delivery.
         """
         ring, now = self.view.ring, self.view.now
         assert ring is not None
@@ -168,7 +168,7 @@
         self.handoffs.pop(key, None)
 
     def cancel_all_handoffs(self) -> None:
-        """Cancels all handoffs: the owners of all records are recomputed, or need no handoff any more."""
+        """Cancels all handoffs, because the owners are recomputed or no handoff is needed any more."""
         self.handoffs = {}
 
     def _finish_handoff(self, key: str, owner: str) -> None:
@@ -193,10 +193,13 @@
             queue.reset_pause(self.view.now)
 
     def on_peer_contact(self, peer: str) -> None:
-        """Brings the next delivery forward when a silent owner sends a message, to once a second at most."""
+        """Brings the next delivery forward when a silent owner sends a message.
+
+        It is sent no earlier than MIN_PAUSE_AFTER_CONTACT_S after the last one.
+        """
         queue = self.queues.get(peer)
         if queue and queue.retry_pause_s > 2 * FIRST_RETRY_PAUSE_S:
-            queue.next_send_at = min(queue.next_send_at, queue.sent_at + MIN_CONTACT_PAUSE_S)
+            queue.next_send_at = min(queue.next_send_at, queue.sent_at + MIN_PAUSE_AFTER_CONTACT_S)
 
     def _queue(self, owner: str) -> HintQueue:
         queue = self.queues.get(owner)
@@ -238,7 +241,10 @@
         return batch
 
     def _record_for(self, owner: str, key: str) -> tuple[Record | None, int]:
-        """The record that an owner lacks, or None, and the version of its hint, or 0 if it has none."""
+        """The record that an owner lacks (or None), and the version of the key's hint.
+
+        The version is 0 if the owner needs no hint.
+        """
         hint = self.hints.get(key)
         record, version = None, 0
         if hint and hint.missing.get(owner, 0):
@@ -272,9 +278,10 @@
             else:
                 self._on_delivered(sender, queue, key, version)
         if rejected_keys:
-            # The owner is full, or a clock is wrong: the pause grows as for a silent owner, to a lower limit.
+            # The owner's store is full, or a clock is wrong. The pause grows as for a silent owner, but
+            # only up to MAX_PAUSE_AFTER_REJECTION_S.
             self.context.increment(Metric.HINTS_REJECTED)
-            queue.retry_pause_s = min(queue.retry_pause_s, MAX_REJECTED_PAUSE_S)
+            queue.retry_pause_s = min(queue.retry_pause_s, MAX_PAUSE_AFTER_REJECTION_S)
         else:
             queue.reset_pause(self.view.now)
             self._deliver(sender, queue)
