--- a/cartdeal/fleet/ring/placement.py
+++ b/cartdeal/fleet/ring/placement.py
@@ -15,14 +15,16 @@
 
 MAX_CACHED_KEYS = 8192  # the size of a ring's cache of owners; the oldest entry is evicted first
 HASH_MASK = (1 << 64) - 1
-LANE_BITS = 128  # a member's bits of the long integer in `scores`: 64 for its hash and 64 for carries
+# The bits of each member in the long integer in `scores`: 64 for its hash, and 64 for the high half of a
+# product.
+LANE_BITS = 128
 
 
 def owners(ring: "Ring", key: bytes, count: int) -> tuple[str, ...]:
     """Return the names of a key's owners, the first owner first.
 
-    After the first owner come the best members of the other zones by score, then the remaining members by
-    score. There are fewer than `count` owners only if the ring has fewer members.
+    After the first owner come the members with the lowest score in each other zone, then the remaining
+    members by score. There are fewer than `count` owners only if the ring has fewer members.
     """
     return ring.placement.owners(key, count)
 
@@ -35,8 +37,8 @@
 class RendezvousHash:
     """Assigns owners to keys in one ring by weighted rendezvous hashing.
 
-    A member's score for a key is -ln(u) / capacity, where u in (0, 1) is drawn from the hash of key and name.
-    The members with the lowest scores own the key (Thaler & Ravishankar 1998; with the logarithm:
+    A member's score for a key is -ln(u) / capacity, where u in (0, 1) is computed from the hash of key and
+    name. The members with the lowest scores own the key (Thaler & Ravishankar 1998; with the logarithm:
     Schindelhauer & Schomaker 2005). A member's score depends on no other member, so a change of one member
     moves keys only to it or from it.
     """
@@ -45,7 +47,7 @@
         zones = sorted({member.zone for member in ring.members})
         members = [member for zone in zones for member in ring.members if member.zone == zone]
         self.names = [member.name for member in members]
-        self._weights = [-1 / member.capacity for member in members]
+        self._score_factors = [-1 / member.capacity for member in members]
         self._lane_ones = sum(1 << LANE_BITS * lane for lane in range(len(members)))
         self._lane_masks = self._lane_ones * HASH_MASK
         self._name_hashes = sum(
@@ -65,7 +67,10 @@
         return owner_names
 
     def compute_owners(self, key: bytes, count: int) -> tuple[str, ...]:
-        """Compute the names of a key's owners: the best member of each zone, then the rest, by score."""
+        """Compute the names of a key's owners.
+
+        They are the member with the lowest score of each zone, then the rest, by score.
+        """
         scores = self.scores(key)
         best = [min(range(start, end), key=scores.__getitem__) for start, end in self._zone_bounds]
         best.sort(key=lambda index: (scores[index], self.names[index]))
@@ -87,10 +92,10 @@
         x = self._name_hashes ^ hash_number(key) * self._lane_ones
         x = ((x ^ x >> 30) & masks) * 0xBF58476D1CE4E5B9 & masks
         x = ((x ^ x >> 27) & masks) * 0x94D049BB133111EB & masks
-        hash_bytes = ((x ^ x >> 31) & masks).to_bytes(16 * len(self._weights), "little")
+        hash_bytes = ((x ^ x >> 31) & masks).to_bytes(16 * len(self._score_factors), "little")
         return [
-            log((u + 0.5) * 2.0**-64) * weight
-            for u, weight in zip(
-                unpack(f"<{len(hash_bytes) // 8}Q", hash_bytes)[::2], self._weights, strict=True
+            log((u + 0.5) * 2.0**-64) * score_factor
+            for u, score_factor in zip(
+                unpack(f"<{len(hash_bytes) // 8}Q", hash_bytes)[::2], self._score_factors, strict=True
             )
         ]
