--- a/cartdeal/fleet/simulation/clients.py
+++ b/cartdeal/fleet/simulation/clients.py
@@ -1,4 +1,6 @@
-"""Simulated clients: each wants one effect, and retries at another agent when its agent ends or rejects it.
+"""Simulated clients: each wants one operation.
+
+A client retries at another agent when its agent ends or rejects the request.
 
 It also simulates the balancer and the servers behind an agent: one attempt for each admitted request.
 """
@@ -30,9 +32,9 @@
 
 
 class Client(NamedTuple):
-    """A client that wants one effect, and sends its tries to `agents` in turn."""
+    """A client that wants one operation, and sends its tries to `agents` in turn."""
 
-    intent: str  # identifies the effect, the same for all tries
+    intent: str  # identifies the operation, the same for all tries
     request: AdmissionRequest
     max_tries: int
     agents: tuple[str, ...]
@@ -90,6 +92,7 @@
         self, intent: str, request: AdmissionRequest, agent: str, work_s: float, patience_s: float
     ) -> None:
         """Retries the request of an earlier client at another agent."""
+        # The earlier client's try counts as the first of two.
         client = Client(intent, request, 2, (agent, agent), work_s, patience_s)
         self._send_request(PendingRequest(client, 1))
 
@@ -121,7 +124,7 @@
             self._retry(pending, max(MIN_RETRY_DELAY_S, effect.retry_after_s))
 
     def disconnect(self, request: PendingRequest) -> None:
-        """Ends a client's connection; it retries if it has tries left."""
+        """Ends a client's connection; the client retries if it has tries left."""
         self.outcomes[request.client.intent].append(DISCONNECTED)
         self._retry(request, RETRY_DELAY_S)
 
@@ -206,7 +209,7 @@
 
 
 def _is_allowed(earlier: EarlierAttempt, zone: str, cell: int, wall_ms: float) -> bool:
-    """Whether an earlier attempt allows one more at the zone and cell."""
+    """Whether an earlier attempt allows another attempt in the zone and cell."""
     same_zone = zone == earlier.zone
     same_group = earlier.group == "all" or (same_zone and (earlier.group == "zone" or cell == earlier.cell))
     return same_group and wall_ms <= earlier.until_ms
