--- a/cartdeal/fleet/transport/outgoing.py
+++ b/cartdeal/fleet/transport/outgoing.py
@@ -2,6 +2,9 @@
 
 Enqueueing must never block its caller. A full queue drops its oldest messages, connecting to an unreachable
 peer is retried with exponential backoff, and messages that have waited too long are dropped.
+
+A stream is the socket's connection to a peer; an OutgoingConnection is a stream with its queue and its
+greenlet.
 """
 
 import logging
@@ -24,7 +27,7 @@
 WRITE_TIMEOUT_S = 2.0  # for one write, until the peer's buffers have accepted it
 FIRST_RECONNECT_DELAY_S = 0.1  # doubled after each failure; a random factor of 0.5 to 1.5 adds jitter
 MAX_RECONNECT_DELAY_S = 3.0
-MAX_QUEUE_AGE_S = 5.0  # older messages are dropped: the part that sent them has given up by then
+MAX_QUEUE_AGE_S = 5.0  # older messages are dropped: their sender no longer waits for an answer
 WRITER_IDLE_TIMEOUT_S = 30.0  # an idle stream is closed after this time; shorter than READER_IDLE_TIMEOUT_S
 MAX_QUEUED_MESSAGES = 1024  # per peer
 WRITE_BATCH_BYTES = 65536  # target size of one write; the last message may exceed it
