--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -16,7 +16,10 @@
 
 
 def wait_until_ready(fleet, agents=None):
-    """Waits until each agent completes a non-idempotent request: owners have caught up and hold leases."""
+    """Waits until each agent completes a non-idempotent request.
+
+    This shows that the owners have caught up and hold leases.
+    """
     for agent in agents or fleet.agents:
         eventually(
             lambda agent=agent: fleet.request(agent, "/close/probe", f"probe {monotonic()}")[0] == 200,
@@ -167,7 +170,8 @@
         last_rings = [lambda agent=agent: "".join(agent.log_lines(adopted)[-1:]) for agent in fleet.agents]
         eventually(lambda: all("written=2" in last_ring() for last_ring in last_rings), "version 2")
         wait_until_ready(fleet)
-        # In version 1 each owner counts the limit in its own periods of one second: at most two more of them.
+        # In schema version 1 each owner counts the limit in its own periods of one second, so the bound
+        # includes two more periods.
         assert served_count <= 10 + 20 * (monotonic() - started_at + 2)
         for agent in fleet.agents:
             assert fleet.request(agent, "/close/5?do=wait", "hal", retried=True)[0] == 502
