--- a/cartdeal/agent/effects.py
+++ b/cartdeal/agent/effects.py
@@ -29,8 +29,8 @@
 MAX_PEER_MESSAGE_BYTES = 256
 RESERVED_DESCRIPTORS = 32  # for the discovery service, the peers, the log and the event loop
 MAX_TIMERS = 4096  # above this, the timers of finished requests are dropped
-DATAGRAMS_PER_TURN = 16  # read before yielding to other greenlets
-MAX_RELOAD_RETRIES = 8  # of a configuration file that can't be read for want of resources
+DATAGRAMS_PER_TURN = 16  # datagrams read before yielding to other greenlets
+MAX_RELOAD_RETRIES = 8  # of reading a configuration file, if the agent lacks resources for it
 RELOAD_RETRY_DELAY_S = 0.25
 BASE_MEMORY_MB = 18.0  # of the agent before its first connection, with a margin
 CONNECTION_MEMORY_MB = 0.03  # of a connection with its request or attempt, except a long body
@@ -266,7 +266,7 @@
             self.timer_changed.clear()
             self.run_due_timers()
             # The clock of the event loop may lag, so timers are checked against the monotonic clock: the
-            # balancer takes a timer that fires early for an older one.
+            # balancer ignores a timer that fires early, as one that an earlier timer has replaced.
             self.timer_changed.wait(max(0.0, self.timers[0][0] - monotonic()) if self.timers else None)
 
     # Peer messages
--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -3,7 +3,7 @@
 Owns the listening socket and the connections of clients. It must never let a bad request reach a server or
 disturb another connection, and never decides the answer to a valid request: the reducer does.
 
-A connection ends when its client ends it, when a bad request is refused, or when the sweep finds its time up.
+A connection ends when its client ends it, when a bad request is refused, or when a time limit passes.
 An unidentified client, one without a valid request so far, gets little time and few connections; an
 identified one may stay idle for a while. A client in the middle of a request is read as long as bytes keep
 coming, and gets an answer if it is closed. The agent half-closes a connection before it closes it, and
@@ -34,9 +34,9 @@
 from cartdeal.sockets import bind_socket
 
 FIRST_BYTE_TIMEOUT_S = 1.5  # for an unidentified client, from connecting to its first byte
-READ_STALL_TIMEOUT_S = 2.0  # a pause in the middle of a request
+READ_STALL_TIMEOUT_S = 2.0  # longest pause in the middle of a request
 REQUEST_READ_TIMEOUT_S = 6.0  # for a whole request, unless its client states a longer X-Timeout
-IDLE_TIMEOUT_S = 5.0  # between requests
+IDLE_TIMEOUT_S = 5.0  # longest pause between two requests of an identified client
 LINGER_TIMEOUT_S = 0.5  # how long input is discarded after a half-close
 LINGERING_DIVISOR = 8  # one in this many connections may be lingering
 MAX_LISTEN_BACKLOG = 512  # connections that wait to be accepted
@@ -186,7 +186,7 @@
             ends_at = self.last_read_at + READ_STALL_TIMEOUT_S
         else:
             ends_at = self.last_active_at + (IDLE_TIMEOUT_S if self.is_identified else FIRST_BYTE_TIMEOUT_S)
-        # Input that has come by now but was not read yet came in time.
+        # Input that has arrived but was not read yet has arrived in time.
         return now > ends_at and not self.has_unread_input()
 
 
@@ -240,7 +240,7 @@
                     log.warning("accept failed", extra={"reason": str(error)})
                     gevent.sleep(0.05)
                 continue
-            gevent.sleep(0)  # requests that have been read go before hundreds of new clients
+            gevent.sleep(0)  # requests that have been read are handled before hundreds of new clients
 
     def on_stall(self, since: float):
         """Records that unread input and queued clients may have come at any time since `since`."""
@@ -395,7 +395,8 @@
         ):
             if client.peer_ended():
                 client.peer_has_ended = True
-                # Its end would be read only after this request, when an attempt may already have started.
+                # Without this check, the end of the connection would be read only after this request, when an
+                # attempt may already have started.
                 client.messages.clear()
                 break
             message = client.messages.pop(0)
--- a/cartdeal/agent/upstream.py
+++ b/cartdeal/agent/upstream.py
@@ -166,7 +166,8 @@
                 },
             )
         if result.reason is AttemptEndReason.CONNECTION_BROKEN:
-            # The others have broken too, or will: an attempt on one might be impossible to repeat.
+            # The other connections may be broken too, and a request that is sent on one of them may be
+            # impossible to repeat.
             self.close_idle(server)
         self.dispatch(
             "on_attempt_ended",
@@ -278,8 +279,8 @@
                 rest = rest[sock.send(rest) :]
             except OSError as error:
                 self.wait_to_write(sock, error, deadline)
-                # A server starts with the last byte of a request: after a delay beyond the repeat window it
-                # must not be sent.
+                # A server starts with the last byte of a request: after a delay beyond the
+                # deduplication window it must not be sent.
                 self.check_may_send(may_send)
                 continue
             attempt.progress = Progress.PARTLY_WRITTEN if rest else Progress.WRITTEN
