--- a/cartdeal/fleet/consensus/bootstrap.py
+++ b/cartdeal/fleet/consensus/bootstrap.py
@@ -8,8 +8,8 @@
 
 MAX_FOUNDERS = 8  # only this many live seeds, the first by name, query all seeds
 QUERIED_PEERS = 3  # random agents in each search
-FIRST_SEARCH_S = 0.2  # the interval after the first search; each later one is 1.5 times as long
-MAX_SEARCH_S = 2.0
+FIRST_SEARCH_INTERVAL_S = 0.2  # the interval after the first search; each later one is 1.5 times as long
+MAX_SEARCH_INTERVAL_S = 2.0
 
 
 class RingSearch:
@@ -27,14 +27,15 @@
         self._no_ring_at[sender] = self._context.now
 
     def search_ring(self) -> None:
-        """Query a few random agents for a ring if a search is due; intervals grow up to MAX_SEARCH_S.
+        """Query a few random agents for a ring if a search is due.
 
-        The first MAX_FOUNDERS live seeds also query all seeds, to learn whether to propose the first ring.
+        The intervals grow up to MAX_SEARCH_INTERVAL_S. The first MAX_FOUNDERS live seeds also query
+        all seeds, to learn whether to propose the first ring.
         """
         state, context = self._state, self._context
         if context.now < self._next_search_at:
             return
-        self._interval_s = min(MAX_SEARCH_S, self._interval_s * 1.5 or FIRST_SEARCH_S)
+        self._interval_s = min(MAX_SEARCH_INTERVAL_S, self._interval_s * 1.5 or FIRST_SEARCH_INTERVAL_S)
         self._next_search_at = context.now + self._interval_s * (0.5 + context.random.random())
         names = sorted((set(state.live) | set(state.settings.seeds)) - {context.name})
         recipients = context.random.sample(names, min(QUERIED_PEERS, len(names)))
--- a/cartdeal/fleet/consensus/proposer.py
+++ b/cartdeal/fleet/consensus/proposer.py
@@ -17,8 +17,8 @@
 
 CATCH_UP_PATIENCE_LEASES = 5  # the next step waits for the members' catch-up for at most this many lease_s
 RANKED_PROPOSERS = 8  # members that propose one after the other, by rank; later ones start at random
-MIN_RESEND_S = 0.3
-RESEND_TICKS = 3  # the resend interval in tick_s, if that is longer than MIN_RESEND_S
+MIN_RESEND_INTERVAL_S = 0.3
+RESEND_TICKS = 3  # the resend interval in tick_s, if that is longer than MIN_RESEND_INTERVAL_S
 
 
 class Proposer:
@@ -132,7 +132,7 @@
         return any(peer.state == 0 and peer.caught_up_epoch < state.ring.epoch for peer in present_members)
 
     def _resend_interval_s(self) -> float:
-        return max(MIN_RESEND_S, RESEND_TICKS * self._state.settings.tick_s)
+        return max(MIN_RESEND_INTERVAL_S, RESEND_TICKS * self._state.settings.tick_s)
 
     def _resend_to(self, name: str, proposal: Proposal) -> None:
         if not proposal.accepting:
--- a/cartdeal/fleet/consensus/reconfiguration.py
+++ b/cartdeal/fleet/consensus/reconfiguration.py
@@ -14,7 +14,7 @@
 from cartdeal.fleet.ring.ring import Ring
 
 MAJORITY_LOST_ALARM_S = 30.0  # the time without a majority of the ring's members before it is logged
-MAX_EVALUATION_S = 0.5  # between two evaluations of the target ring
+MAX_EVALUATION_INTERVAL_S = 0.5  # longest time between two evaluations of the target ring
 MAX_COUNTED_GAP_S = 2.0  # at most this much of a gap between two checks is counted
 
 # Called with (ring, live agents); returns (written version, phase) of the epoch after the ring.
@@ -42,7 +42,7 @@
         """Evaluate the target ring if that is due, several times in damp_s."""
         now, damp_s = self._context.now, self._state.settings.damp_s
         if now >= self._evaluate_at:
-            interval_s = min(MAX_EVALUATION_S, damp_s / 8)
+            interval_s = min(MAX_EVALUATION_INTERVAL_S, damp_s / 8)
             self._evaluate_at = now + interval_s * (0.8 + 0.2 * self._context.random.random())
             self.evaluate_target_ring(next_versions)
 
@@ -73,7 +73,7 @@
 
 
 class MajorityMonitor:
-    """Logs an error, once for each ring, if a majority of the ring's members has been absent for long."""
+    """Logs an error, once for each ring, if a majority of the ring's members has been absent for too long."""
 
     def __init__(self, state: EpochState) -> None:
         self._state = state
--- a/cartdeal/fleet/errors.py
+++ b/cartdeal/fleet/errors.py
@@ -106,7 +106,7 @@
 
 
 class RingMajorityLostError(FleetError):
-    """A majority of the ring's members has been absent for long: no new ring can be agreed."""
+    """A majority of the ring's members has been absent for too long: no new ring can be agreed."""
 
     remedy = (
         "start agents under the names that are absent, on any machine; if that can't be, stop the whole "
--- a/cartdeal/fleet/fleet_clock.py
+++ b/cartdeal/fleet/fleet_clock.py
@@ -97,7 +97,7 @@
         """Adopt the members' time if the clocks of a majority of the ring are far from this agent's clock.
 
         The clocks of a majority are assumed to be right. Without this check, an agent that adopted a wrong
-        time when it joined would be refused by all the others for good.
+        time when it joined would be rejected by all other agents permanently.
         """
         members = ring.member_by_name
         offsets = [peer.offset_s for name, peer in self.peer_clocks.items() if name in members]
--- a/cartdeal/fleet/membership/local_health.py
+++ b/cartdeal/fleet/membership/local_health.py
@@ -12,7 +12,7 @@
 
     def __init__(self, now: float):
         self.score: int = 0  # 0 is healthy
-        self.last_heard: float = now  # the time of the last message from any peer
+        self.last_message_at: float = now  # when the last message from any peer arrived
         self.has_heard_peer: bool = False  # whether any peer has ever sent a message
 
     def degrade(self) -> None:
@@ -25,13 +25,13 @@
 
     def record_contact(self, now: float) -> None:
         """Record that a message from a peer came in."""
-        self.last_heard = now
+        self.last_message_at = now
         self.has_heard_peer = True
 
     def reset_silence(self, now: float) -> None:
         """Restart the silence at `now`, because this agent's process was stopped and received nothing."""
-        self.last_heard = now
+        self.last_message_at = now
 
     def silence_s(self, now: float) -> float:
         """Return the seconds since the last message from any peer."""
-        return now - self.last_heard
+        return now - self.last_message_at
--- a/cartdeal/fleet/node.py
+++ b/cartdeal/fleet/node.py
@@ -218,7 +218,8 @@
     def _raise_incarnation(self) -> None:
         """Raise the incarnation above a newer one that peers know for this agent's name.
 
-        An earlier start had it from a clock that was ahead. One that is more than a day ahead is ignored.
+        An earlier process of this agent took it from a clock that was ahead. An incarnation that is more than
+        a day ahead is ignored.
         """
         known_incarnation = self.membership.newer_incarnation()
         known_ms = known_incarnation >> INCARNATION_RANDOM_BITS
@@ -226,8 +227,8 @@
             known_incarnation >= self.incarnation
             and known_ms < int(self.wall * 1e3) + MAX_INCARNATION_LEAD_MS
         ):
-            # The increment is random: `known_ms + 1` could be the incarnation of an earlier start that learnt
-            # of the same incarnation and died before this agent heard of it.
+            # The increment is random: `known_ms + 1` could be the incarnation of an earlier process of this
+            # agent, which learnt of the same incarnation and died without this agent's knowledge.
             incarnation_ms = known_ms + 1 + self.random.getrandbits(8)
             self.incarnation = incarnation_ms << INCARNATION_RANDOM_BITS | self._random_bits()
             self.log_event(events.IncarnationRaised(self.incarnation))
--- a/cartdeal/fleet/quota/granting.py
+++ b/cartdeal/fleet/quota/granting.py
@@ -85,7 +85,7 @@
         bucket = self.bucket
         account.sequence = request.sequence
         account.demand_rate = request.demand_rate
-        account.heard_at = now
+        account.requested_at = now
         leases_in_use = [
             lease
             for lease in account.leases
@@ -160,7 +160,7 @@
         """Counts the active holders, and computes the max-min fair rate that caps the rate of each lease."""
         bucket = self.bucket
         active_accounts = [
-            account for account in bucket.accounts.values() if account.heard_at > now - bucket.lease_s
+            account for account in bucket.accounts.values() if account.requested_at > now - bucket.lease_s
         ]
         self.active_holders = len(active_accounts)
         self.surveyed_at = now
--- a/cartdeal/fleet/quota/tenant_quota.py
+++ b/cartdeal/fleet/quota/tenant_quota.py
@@ -56,7 +56,7 @@
     """The state of the requests to one owner for one tenant."""
 
     def __init__(self) -> None:
-        self.pending_sequence = 0  # of the request that awaits a response; 0: none does
+        self.pending_sequence = 0  # sequence of the request that awaits a response; 0 if none does
         self.requested_at = -inf
         self.is_silent = False  # whether a response is later than requests may wait for it
         self.may_have_more = False  # the owner granted all that was requested
@@ -78,7 +78,7 @@
         self.requested_at = -inf  # when the last request was sent to any owner
         self.renewal_at = inf
         self.exhausted_until = -inf  # until then a request that finds no token is denied at once
-        self.retry_after_s = 0.0  # the least `wait_s` of the owners' last responses; 0: none gave one
+        self.retry_after_s = 0.0  # smallest `wait_s` of the owners' last responses; 0 if none gave one
         self.latest_kind: int = GrantKind.NONE
 
     @property
--- a/cartdeal/fleet/quota/token_bucket.py
+++ b/cartdeal/fleet/quota/token_bucket.py
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self.sequence = 0  # of the holder's last request or return
         self.demand_rate = 0.0
-        self.heard_at = -inf
+        self.requested_at = -inf  # when the holder's last request came
         self.leases: list[TokenLease] = []
         # A holder uses at most one of its leases, so the greatest rate and the greatest burst count.
         self.rate = 0.0
@@ -146,7 +146,7 @@
             holder_id
             for holder_id, account in self.accounts.items()
             if not any(lease.expires_at > self.filled_to for lease in account.leases)
-            and account.heard_at < now - 2 * self.lease_s
+            and account.requested_at < now - 2 * self.lease_s
         ]
         for holder_id in idle_holders:
             self.count_leases(self.accounts.pop(holder_id), [])
--- a/cartdeal/fleet/replication/migration.py
+++ b/cartdeal/fleet/replication/migration.py
@@ -79,8 +79,9 @@
 
     A step forward requires that every live agent reads the next version and that a majority of the members is
     live; the step to NARROW also requires that every member, live or not, has migrated its store. Before
-    NARROW, the fleet steps back as soon as a live agent can't read the next version or the operator holds the
-    version. This includes a live agent that isn't a member, as it may become one in the same epoch.
+    NARROW, the fleet steps back as soon as a live agent can't read the next version or the operator's
+    `hold_version` is lower. This includes a live agent that isn't a member, as it may become one in the same
+    epoch.
 
     Args:
         ring: The ring in force.
--- a/cartdeal/fleet/replication/record_store.py
+++ b/cartdeal/fleet/replication/record_store.py
@@ -23,7 +23,7 @@
 KEY_PREFIXES = ("s/", "u/")
 PLACED_PER_TICK = 2_000  # records whose owners are recomputed; fewer if the ring has many members
 MIGRATED_PER_TICK = 200
-EXPIRED_PER_TICK = 1_000
+MAX_EXPIRED_PER_TICK = 1_000
 CACHED_RECORDS = 4_096  # decoded records; decoding is the slowest part of an operation
 RANGE_DIGEST_BYTES = 8
 KEY_DIGEST_BYTES = 8  # leading bytes of a record's digest that a list of keys contains
@@ -221,10 +221,10 @@
     def drop_expired(self) -> None:
         """Drops attempt records that have expired by the slowest tolerated clock.
 
-        Rewrites at most EXPIRED_PER_TICK records in a call.
+        Rewrites at most MAX_EXPIRED_PER_TICK records in a call.
         """
         wall_ms = self.view.wall_ms
-        budget = EXPIRED_PER_TICK
+        budget = MAX_EXPIRED_PER_TICK
         while self.expiries and budget and self.expiries[0][0] <= wall_ms:
             expires_ms, key = heappop(self.expiries)
             stored = self.records.get(key)
--- a/cartdeal/fleet/replication/record_validation.py
+++ b/cartdeal/fleet/replication/record_validation.py
@@ -11,7 +11,7 @@
 from cartdeal.fleet.errors import InvalidRecordError
 
 MAX_RECORD_BYTES = 1 << 18
-MAX_DEPTH = 8
+MAX_VALUE_DEPTH = 8  # levels of maps and lists in a value
 MAX_TEXT_LENGTH = 512  # characters of a name or key
 MAX_NUMBER = 1 << 53
 MAX_SCHEMA_VERSION = 1000
@@ -42,10 +42,10 @@
 def check_plain(fields: dict[Any, Any]) -> None:
     """Checks that fields contain only values that every program version orders and writes in the same way.
 
-    These are maps with text keys, lists and PLAIN_TYPES other than NaN, at most MAX_DEPTH levels deep.
+    These are maps with text keys, lists and PLAIN_TYPES other than NaN, at most MAX_VALUE_DEPTH levels deep.
     """
     level: list[Any] = [fields]
-    for _ in range(MAX_DEPTH):
+    for _ in range(MAX_VALUE_DEPTH):
         next_level = []
         for container in level:
             if type(container) is dict:
@@ -62,7 +62,7 @@
         if not next_level:
             return
         level = next_level
-    raise InvalidRecordError("a value", f"more than {MAX_DEPTH} deep")
+    raise InvalidRecordError("a value", f"more than {MAX_VALUE_DEPTH} deep")
 
 
 def check_integer(value: Any, subject: str, maximum: int = MAX_NUMBER) -> int:
--- a/cartdeal/fleet/transport/limits.py
+++ b/cartdeal/fleet/transport/limits.py
@@ -8,4 +8,4 @@
 
     max_streams: int = 1024  # in each direction
     max_queued_bytes: int = 16 << 20  # of messages queued for streams
-    max_partial_bytes: int = 16 << 20  # of messages that have arrived in part
+    max_partial_bytes: int = 16 << 20  # received bytes of incomplete messages
