--- a/cartdeal/agent/admission.py
+++ b/cartdeal/agent/admission.py
@@ -1,8 +1,8 @@
 """Admission control: asks the fleet about each request and turns its decision into an event of the reducer.
 
 Owns the transport to the fleet's peers and the requests that wait for a decision. It never decides instead of
-the fleet: if no decision arrives, it applies the fleet's own rule for unknown outcomes. Without a fleet this
-module is not imported.
+the fleet. If no decision arrives, it applies the fleet's own rule for unknown outcomes, or rejects the
+request if the request leaves no record. Without a fleet this module is not imported.
 """
 
 import hashlib
@@ -24,22 +24,24 @@
 from cartdeal.settings import IDEMPOTENCY_BY_NAME, seconds
 from cartdeal.supervision import supervise
 
-IDEMPOTENCY = {
+FLEET_IDEMPOTENCY = {
     RequestIdempotency.IDEMPOTENT: Idempotency.IDEMPOTENT.value,
     RequestIdempotency.DEDUPLICATED: Idempotency.DEDUPLICATED.value,
     RequestIdempotency.NON_IDEMPOTENT: Idempotency.NON_IDEMPOTENT.value,
 }
-STATUSES = {
+STATUS_BY_DECISION = {
     AdmissionDecision.RATE_LIMITED: 429,
     AdmissionDecision.REJECT: 503,
     AdmissionDecision.FAIL: 502,
 }
-DECISION_GRACE_S = 0.3  # beyond the fleet's own bound; after it the outcome counts as unknown
+DECISION_GRACE_S = 0.3  # how long after the fleet's wait_s a decision is overdue
 OVERDUE_CHECK_INTERVAL_S = 0.1
 HANDOVER_CHECK_INTERVAL_S = 0.02
 FINAL_FLUSH_S = 0.15  # time limit for writing the last messages
-DESCRIPTORS_PER_STREAM = 8  # per outgoing stream to a peer, and per incoming stream
-MEMORY_SHARE = 0.1  # of the limit, for messages queued for peers, and as much for partly received ones
+# The agent allows one outgoing and one incoming stream for each 8 descriptors of its limit.
+DESCRIPTORS_PER_STREAM = 8
+# The share of the memory limit for messages queued for peers; partly received messages get as much again.
+MEMORY_SHARE = 0.1
 
 log = logging.getLogger("cartdeal.fleet")
 
@@ -62,12 +64,15 @@
             self.on_decision,
             TransportLimits(stream_count, int(memory_mb * 1e6), int(memory_mb * 1e6)),
         )
-        # By ticket: the time (monotonic seconds) by which a decision is due, and the request. Sorted by time.
+        # By the request's number, which is its ticket in the fleet: the time (monotonic seconds) by which a
+        # decision is due, and the request. In the order of the times.
         self.pending: dict[int, tuple[float, AdmissionRequest]] = {}
         settings = config.settings
         self.class_requirements = [
             (
-                IDEMPOTENCY[IDEMPOTENCY_BY_NAME.get(each.idempotency, RequestIdempotency.NON_IDEMPOTENT)],
+                FLEET_IDEMPOTENCY[
+                    IDEMPOTENCY_BY_NAME.get(each.idempotency, RequestIdempotency.NON_IDEMPOTENT)
+                ],
                 each.deduplication_scope or DeduplicationScope.CELL.value,
                 seconds(each.deduplication_window_us),
                 each.name,
@@ -75,9 +80,10 @@
             for each in settings.request_classes
         ]
         max_record_s = fleet.settings.longest_mark_s
+        # In seconds, by request class; the keys are values of the fleet's Idempotency.
         self.max_request_durations = tuple(
-            {"i": inf, "d": max_record_s - window, "u": max_record_s}[repeat]
-            for repeat, _, window, _ in self.class_requirements
+            {"i": inf, "d": max_record_s - window, "u": max_record_s}[fleet_idempotency]
+            for fleet_idempotency, _, window, _ in self.class_requirements
         )
         self.effect_handlers = {
             "admit": self.admit,
@@ -118,21 +124,23 @@
 
     def admission_request(self, request, remaining_s: float) -> AdmissionRequest:
         """Describe to the fleet a request that has `remaining_s` until its deadline."""
-        repeat, group, window, request_class = self.class_requirements[request.request_class]
+        fleet_idempotency, deduplication_scope, window, request_class = self.class_requirements[
+            request.request_class
+        ]
         if request.non_idempotent:
-            repeat, window = Idempotency.NON_IDEMPOTENT.value, 0.0
-        if request.idempotency_key and repeat == Idempotency.DEDUPLICATED:
+            fleet_idempotency, window = Idempotency.NON_IDEMPOTENT.value, 0.0
+        if request.idempotency_key and fleet_idempotency == Idempotency.DEDUPLICATED:
             key = request.idempotency_key.decode()
         else:
-            key = "" if repeat == Idempotency.IDEMPOTENT else request_digest(request)
+            key = "" if fleet_idempotency == Idempotency.IDEMPOTENT else request_digest(request)
         return AdmissionRequest(
             # By name and not by index: requests without a tenant have index 0, and neither they nor those of
             # an unknown tenant may use up the first tenant's limit.
             tenant=request.tenant_name.decode("latin-1"),
             session=f"{request.session_hash:016x}" if request.session_hash else "",
             key=key,
-            repeat=repeat,
-            group=group,
+            repeat=fleet_idempotency,
+            group=deduplication_scope,
             window_s=window,
             limit_s=max(0.0, remaining_s),
             workload=request_class,
@@ -158,7 +166,7 @@
                 ),
             )
         else:
-            self.queue_event("on_declined", ticket, STATUSES[effect.decision], effect.retry_after_s)
+            self.queue_event("on_declined", ticket, STATUS_BY_DECISION[effect.decision], effect.retry_after_s)
 
     def check_overdue_decisions(self):
         """Decide requests whose decision is overdue because a fault kept the fleet from deciding in time."""
@@ -215,7 +223,10 @@
 
 
 def request_digest(request) -> str:
-    """Return a hex key by method, path and body. The request's id differs in every retry."""
+    """Return a hex digest of the request's method, path and body.
+
+    The X-Request-ID is left out because it differs in every retry.
+    """
     hasher = hashlib.blake2b(digest_size=16)
     for part in (request.method, request.path, request.body):
         hasher.update(len(part).to_bytes(4, "big") + part)
