--- a/cartdeal/agent/front.py
+++ b/cartdeal/agent/front.py
@@ -3,12 +3,13 @@
 Owns the listening socket and the connections of clients. It must never let a bad request reach a server or
 disturb another connection, and never decides the answer to a valid request: the reducer does.
 
-A connection ends when its client ends it, when a bad request is refused, or when the sweep finds its time up.
+A connection ends when its client ends it, when a bad request is refused, or when one of its time
+limits has passed.
 An unidentified client, one without a valid request so far, gets little time and few connections; an
 identified one may stay idle for a while. A client in the middle of a request is read as long as bytes keep
 coming, and gets an answer if it is closed. The agent half-closes a connection before it closes it, and
-discards input for a moment: a request that crosses the end must neither be accepted nor reset the connection
-before the last answer is read.
+discards input for a moment: a request that the client sends at the same time must not be accepted, and must
+not reset the connection before the client has read the last answer.
 
 Requests may be pipelined. All requests that are read are answered in order; while many are unanswered, no
 more are read. The timeout of each runs from the arrival of its last byte.
@@ -34,7 +35,7 @@
 from cartdeal.sockets import bind_socket
 
 FIRST_BYTE_TIMEOUT_S = 1.5  # for an unidentified client, from connecting to its first byte
-READ_STALL_TIMEOUT_S = 2.0  # a pause in the middle of a request
+READ_PAUSE_TIMEOUT_S = 2.0  # the longest pause in the middle of a request
 REQUEST_READ_TIMEOUT_S = 6.0  # for a whole request, unless its client states a longer X-Timeout
 IDLE_TIMEOUT_S = 5.0  # between requests
 LINGER_TIMEOUT_S = 0.5  # how long input is discarded after a half-close
@@ -43,7 +44,8 @@
 FINAL_ACCEPT_TIMEOUT_S = 0.2  # how long failing accepts are retried when the listener closes
 SWEEP_INTERVAL_S = 0.2  # between searches for connections whose time is up
 UNIDENTIFIED_DIVISOR = 4  # one in this many connections may belong to an unidentified client
-# If clients hold more than this share, an idle or slow one is closed for a new one; servers need the rest.
+# If clients hold more than this share of the connections, an idle or slow client is closed for a new one;
+# connections to servers need the rest.
 MAX_CLIENT_SHARE = 0.6
 MAX_STATED_TIMEOUT_S = 60.0  # longer values of X-Timeout are reduced to this
 AGENT_MARGIN_S = 0.01  # part of a request's timeout that is reserved for the agent's own work
@@ -93,7 +95,7 @@
 class ClientConnection(Connection):
     """A client's connection. While it `awaits_answer`, `request_number` is the request being handled.
 
-    Spans are seconds, and times are monotonic seconds.
+    Durations are in seconds, and times are monotonic seconds.
     """
 
     def __init__(self, sock, on_close, budget, on_half_close, on_written, stalls):
@@ -108,7 +110,8 @@
         self.stalls: StallDetector = stalls
         self.request_number, self.awaits_answer, self.keep_alive, self.is_identified = 0, False, True, False
         self.refusal = None  # an error that ends the connection once all requests before it are answered
-        # When it was accepted, last began a request or got an answer, or was half-closed.
+        # The latest time at which the connection was accepted, began a request (if identified), got an
+        # answer, or began to be refused or half-closed.
         self.last_active_at = monotonic()
         self.last_read_at = self.last_active_at
         self.message_began_at = self.last_active_at  # when the first byte of the current message was read
@@ -183,10 +186,10 @@
         if self.mid_message and now > self.message_began_at + self.read_timeout:
             return True
         if self.mid_message:
-            ends_at = self.last_read_at + READ_STALL_TIMEOUT_S
+            ends_at = self.last_read_at + READ_PAUSE_TIMEOUT_S
         else:
             ends_at = self.last_active_at + (IDLE_TIMEOUT_S if self.is_identified else FIRST_BYTE_TIMEOUT_S)
-        # Input that has come by now but was not read yet came in time.
+        # Unread input counts as input that arrived in time.
         return now > ends_at and not self.has_unread_input()
 
 
@@ -214,7 +217,7 @@
         self.unidentified: dict[ClientConnection, None] = {}
         self.is_accepting, self.is_ending, self.clients_changed = True, False, Event()
         self.is_closing_idle = False  # whether clients between requests are closed at once
-        # The first one closes connections that the other two have half-closed.
+        # close_lingering closes connections that close_unidentified and close_idle have half-closed.
         budget.closers += self.close_lingering, self.close_unidentified, self.close_idle
         self.listener = bind_socket(socket.SOCK_STREAM, config.listen, MAX_LISTEN_BACKLOG)
         self.port = self.listener.getsockname()[1]
@@ -229,7 +232,7 @@
             # At the connection limit, clients wait in the listen queue.
             while not self.budget.acquire():
                 self.budget.capacity_freed.clear()
-                # With time, a connected client may become one that can be closed for capacity.
+                # A connected client may become idle or slow later, so that it can be closed for a new one.
                 self.budget.capacity_freed.wait(SWEEP_INTERVAL_S)
             if self.backlog_since is not None and not self.has_waiting_clients():
                 self.backlog_since = None
@@ -319,7 +322,7 @@
         try:
             return self.wait_for_turn(client) and client.receive(None)
         except MalformedMessageError as error:
-            self.refuse(client, error)
+            self.refuse_further_input(client, error)
             return True
 
     def wait_for_turn(self, client: ClientConnection) -> bool:
@@ -339,7 +342,7 @@
             self.dispatch("on_client_disconnected", client.request_number)
         client.close()
 
-    def refuse(self, client: ClientConnection, error: MalformedMessageError):
+    def refuse_further_input(self, client: ClientConnection, error: MalformedMessageError):
         """Discards further input; complete requests before the error are still answered."""
         log.info("refused", extra={"status": error.status, "reason": str(error)})
         client.refusal, client.discards_input = error, True
@@ -347,26 +350,31 @@
             client.end_reason = EndReason.REFUSED
 
     def end_connection(self, client: ClientConnection, reason: EndReason, error: MalformedMessageError):
-        """Ends a connection that could have gone on; used wherever the agent does so.
+        """Ends a connection at a time limit, for capacity or at the shutdown.
+
+        Its client has neither closed it nor sent an invalid request.
 
         A request that was read in part is answered with `error` first.
         """
         client.end_reason = reason
         if client.is_sending_request:
-            self.refuse(client, error)
+            self.refuse_further_input(client, error)
             self.start_next_request(client)
         else:
             client.half_close()
 
     def reject_request(self, client: ClientConnection, error: MalformedMessageError):
-        """Answers an invalid request, rejects those read after it, and ends the connection."""
+        """Answers a request that is invalid or that the reducer refuses, and ends the connection.
+
+        Requests that were read after it are rejected.
+        """
         errors = [error] + [MalformedMessageError(503, "behind a bad request")] * self.discard_requests(
             client
         )
         for each in errors[:-1]:
             log.info("request refused", extra={"status": each.status, "reason": str(each)})
             self.write_error(client, each)
-        self.refuse(client, errors[-1])
+        self.refuse_further_input(client, errors[-1])
 
     def write_error(self, client: ClientConnection, error: MalformedMessageError, is_last: bool = False):
         """Writes the answer for an error; after the last one the connection is half-closed."""
@@ -388,14 +396,15 @@
     def start_next_request(self, client: ClientConnection):
         """Starts the next complete request, once the answer to the one before it is written.
 
-        Otherwise the answers that a client does not read would fill the memory.
+        Without this wait, answers that a client does not read would fill the memory.
         """
         while client.messages and not (
             client.awaits_answer or client.writer or client.ends_after_write or client.closed
         ):
             if client.peer_ended():
                 client.peer_has_ended = True
-                # Its end would be read only after this request, when an attempt may already have started.
+                # The client's close would otherwise be noticed only after this request has been started and
+                # an attempt may have been sent.
                 client.messages.clear()
                 break
             message = client.messages.pop(0)
@@ -548,12 +557,15 @@
         return True
 
     def close_slowest(self) -> bool:
-        """Ends the client that has been sending one request for longest, if over READ_STALL_TIMEOUT_S."""
+        """Ends the client that has been sending one request for longest; false if there is none to end.
+
+        A client is chosen only if it has been sending for longer than READ_PAUSE_TIMEOUT_S.
+        """
         now = monotonic()
         slow = [
             each
             for each in self.clients
-            if each.is_sending_request and now > each.message_began_at + READ_STALL_TIMEOUT_S
+            if each.is_sending_request and now > each.message_began_at + READ_PAUSE_TIMEOUT_S
         ]
         slowest = min(slow, key=lambda each: each.message_began_at, default=None)
         if slowest is None:
@@ -629,7 +641,8 @@
     def close(self, pause_s: float):
         """Closes each connection with its next answer, and idle ones after a pause."""
         self.is_ending = True
-        gevent.sleep(pause_s)  # closing at once would cross requests that busy clients have just sent
+        # If it closed at once, requests that clients have just sent would arrive at closed connections.
+        gevent.sleep(pause_s)
         self.is_closing_idle = True
         self.close_between_requests()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -377,7 +377,7 @@
     )
     partial = deployment.connect()
     partial.sock.sendall(b"GET /read/x HT")
-    monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.READ_PAUSE_TIMEOUT_S", 0.05)
     assert all(read_answer(each) is None for each in silent)
     assert read_answer(partial)[0] == 408 and read_answer(partial) is None
     assert len(front.clients) <= 5
@@ -392,7 +392,7 @@
 
 
 def test_partial_request_and_idle_connection_time_out(deploy, monkeypatch):
-    monkeypatch.setattr("cartdeal.agent.front.READ_STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("cartdeal.agent.front.READ_PAUSE_TIMEOUT_S", 0.05)
     deployment = deploy()
     connection, idle = deployment.connect(), deployment.connect()
     for each in (connection, idle):
