--- a/cartdeal/benchlink/loop.py
+++ b/cartdeal/benchlink/loop.py
@@ -34,13 +34,14 @@
 class SimulatedHost:
     """The host of one instance's balancer: it writes the balancer's actions as records of the reply.
 
-    It numbers the servers that the instance has received, from 0, as the balancer knows servers by index.
+    It numbers the servers that the instance has received, from 0, because the balancer identifies servers by
+    index.
     """
 
-    def __init__(self, instance: int, reply: Reply, clock: int):
+    def __init__(self, instance: int, reply: Reply, clock_us: int):
         self.instance = instance
         self.reply = reply
-        self.now = clock / 1e6
+        self.now = clock_us / 1e6
         self.server_names: list[bytes] = []
         self.server_indices: dict[bytes, int] = {}
         self.report_columns: dict[str, int] = {}
@@ -63,7 +64,7 @@
         )
 
     def send_attempt(self, request: int, server: int, deadline: float):
-        """Sends the request to the server; `deadline` is in seconds."""
+        """Sends the request to the server; `deadline` is a time in seconds on the clock of the batches."""
         deadline_us = max(0, round(deadline * 1e6))
         self.reply.records += wire.DISPATCH.pack(
             16, self.instance, request, self.server_names[server], deadline_us
@@ -116,7 +117,7 @@
     """Processes batches for all instances.
 
     The handlers of events get the host of the instance, the body of the batch, and the positions of the
-    record and of the tail in it.
+    record and of the tail in the body.
     """
 
     def __init__(self):
@@ -124,35 +125,36 @@
         self.hosts: dict[int, SimulatedHost] = {}
         self.server_lists: dict[int, list[ListedServer]] = {}
 
-    def process(self, clock: int, index: int, count: int, body: bytes) -> bytes:
-        """Processes one batch and returns the frame of the reply. `clock` is in microseconds.
+    def process(self, clock_us: int, index: int, count: int, body: bytes) -> bytes:
+        """Processes one batch and returns the frame of the reply. `clock_us` is in microseconds.
 
         An exception in a balancer is reported as a fault of its instance; the other instances go on.
 
         Raises:
             MalformedMessageError: the batch does not follow the protocol.
         """
-        tail = count * wire.EVENT_SIZE
-        now = clock / 1e6
-        for position in range(0, tail, wire.EVENT_SIZE):
+        tail_start = count * wire.EVENT_SIZE
+        now = clock_us / 1e6
+        for position in range(0, tail_start, wire.EVENT_SIZE):
             code = body[position]
-            if code == 20:
+            if code == 20:  # a server list
                 list_number, offset, size = wire.TABLE.unpack_from(body, position)
-                self.server_lists[list_number] = wire.server_list(body, tail, offset, size)
+                self.server_lists[list_number] = wire.server_list(body, tail_start, offset, size)
                 continue
             handler = self.HANDLERS.get(code)
             if handler is None:
                 raise wire.MalformedMessageError(f"batch {index}: event code {code} is unknown")
+            # The instance is at the same place in each of these records as in a STOP record.
             instance = wire.STOP.unpack_from(body, position)[0]
-            if code == 16:
-                self.on_launch(instance, clock, body, position, tail)
+            if code == 16:  # a launch
+                self.on_launch(instance, clock_us, body, position, tail_start)
                 continue
             host = self.hosts.get(instance)
             if host is None:
                 raise wire.MalformedMessageError(f"batch {index}: instance {instance} was never launched")
             host.now = now
             try:
-                handler(self, host, body, position, tail)
+                handler(self, host, body, position, tail_start)
             except wire.MalformedMessageError:
                 raise
             except Exception as error:
@@ -163,14 +165,14 @@
         """Reports an exception in a balancer as a fault of its instance."""
         self.reply.add_text(25, instance, f"{type(error).__name__}: {error}")
 
-    def on_launch(self, instance: int, clock: int, body: bytes, position: int, tail: int):
-        """Starts an instance, or starts it again without what it knew."""
+    def on_launch(self, instance: int, clock_us: int, body: bytes, position: int, tail_start: int):
+        """Starts an instance; one that exists is replaced by a new one without its state."""
         _, seed, offset, size = wire.LAUNCH.unpack_from(body, position)
         try:
-            instance_settings = settings.decode(wire.tail_field(body, tail, offset, size))
+            instance_settings = settings.decode(wire.tail_field(body, tail_start, offset, size))
         except (msgspec.MsgspecError, UnicodeError) as error:
             raise wire.MalformedMessageError(f"the settings of a launch can't be read: {error}") from None
-        host = self.hosts[instance] = SimulatedHost(instance, self.reply, clock)
+        host = self.hosts[instance] = SimulatedHost(instance, self.reply, clock_us)
         host.report_columns = {
             name: column for column, name in enumerate(instance_settings.load_reports.columns)
         }
@@ -179,16 +181,19 @@
         except Exception as error:
             self.report_fault(instance, error)
 
-    def on_stop(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_stop(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Ends an instance."""
         del self.hosts[host.instance]
 
-    def on_request(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_request(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on a client's request."""
-        _, number, request_class, tenant, key, timeout_us, _, flags = wire.INBOUND.unpack_from(body, position)
-        host.balancer.on_request(number, request_class, tenant, key, timeout_us / 1e6, bool(flags & 2))
+        _, number, request_class, tenant, key, deadline_us, _, flags = wire.INBOUND.unpack_from(
+            body, position
+        )
+        # Flag 2: the client has sent the request before.
+        host.balancer.on_request(number, request_class, tenant, key, deadline_us / 1e6, bool(flags & 2))
 
-    def on_attempt_ended(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_attempt_ended(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on the outcome of an attempt."""
         _, number, name, code, duration_us, attempt, is_finished, report_size, *values = (
             wire.ENDED.unpack_from(body, position)
@@ -199,19 +204,19 @@
             number, host.server_index(name), outcome, attempt, duration_us / 1e6, bool(is_finished), report
         )
 
-    def on_head_received(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_head_received(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Checks the record of a response head; no decision depends on it."""
         wire.HEAD_RECEIVED.unpack_from(body, position)
 
-    def on_client_disconnected(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_client_disconnected(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on that the client of a request has disconnected."""
         host.balancer.on_client_disconnected(wire.ABANDONED.unpack_from(body, position)[1])
 
-    def on_timer(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_timer(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on that a timer has expired."""
         host.balancer.on_timer(wire.ELAPSED.unpack_from(body, position)[1])
 
-    def on_probe_ended(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_probe_ended(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on the outcome of a probe."""
         _, name, code, duration_us, report_size, *values = wire.PING_RESULT.unpack_from(body, position)
         outcome = wire.decode_code(wire.OUTCOMES, code, "outcome")
@@ -219,14 +224,16 @@
             host.server_index(name), outcome, duration_us / 1e6, host.load_report(report_size, values)
         )
 
-    def on_peer_message(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_peer_message(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Checks the message of another agent and drops it: agents need no messages from each other."""
         _, _, offset, size = wire.PEER.unpack_from(body, position)
-        wire.tail_field(body, tail, offset, size)
+        wire.tail_field(body, tail_start, offset, size)
 
-    def on_server_list_change(self, host: SimulatedHost, body: bytes, position: int, tail: int):
+    def on_server_list_change(self, host: SimulatedHost, body: bytes, position: int, tail_start: int):
         """Passes on a failed watch or a server list; a complete list also removes the servers not in it."""
         _, _, change_kind, list_number = wire.ROSTER_CHANGE.unpack_from(body, position)
+        # 0: a complete list. 1: a complete list that is not from the current watch. 2: the watch failed.
+        # 3: changed servers only.
         if change_kind == 2:
             host.balancer.on_watch_failed()
             return
@@ -267,6 +274,6 @@
         BrokenPipeError: the output stream is closed.
     """
     processor = BatchProcessor()
-    for clock, index, count, body in wire.frames(source):
-        sink.write(processor.process(clock, index, count, body))
+    for clock_us, index, count, body in wire.frames(source):
+        sink.write(processor.process(clock_us, index, count, body))
         sink.flush()
