--- a/cartdeal/routing_state.py
+++ b/cartdeal/routing_state.py
@@ -1,14 +1,14 @@
-"""What the balancer stores of each request and each server. This module decides nothing.
+"""The data that the balancer keeps about each request and each server. This module makes no decisions.
 
-Times are in seconds on the host's clock. The sums decay over DECAY_S.
+Times are in seconds on the host's clock. Each DecayingSum here decays over DECAY_S.
 """
 
 from math import inf
 
 from cartdeal.balancer_types import DecayingSum, ServerState
 
-DECAY_S = 6.0  # of the statistics of servers and requests
-INITIAL_BACKOFF_S = 1.0  # of an open circuit
+DECAY_S = 6.0  # over which the statistics of servers and requests decay
+INITIAL_BACKOFF_S = 1.0  # the first backoff after a server's circuit has opened
 
 
 class RoutedRequest:
@@ -20,15 +20,16 @@
         self.key = key
         self.deadline = deadline
         self.latency_target_at = min(deadline, now + request_class.latency_target)
-        self.priority_weight = priority_weight  # queued requests get capacity in this order
-        self.class_statistics = class_statistics  # of its request class, as in Balancer
+        self.priority_weight = priority_weight  # queued requests with a higher weight get capacity first
+        # The sums of its request class; see Balancer.class_statistics.
+        self.class_statistics = class_statistics
         self.attempt_count = 0
         self.in_flight = {}  # attempt -> server
         # Attempts that are in flight or may have been executed -> (server, time of sending).
         self.possible_executions = {}
         self.tried_servers = []  # servers that were sent an attempt
         self.probed_servers = []  # servers whose response to a probe the request waits for
-        self.next_attempt_at = 0.0  # when a queued request is routed again
+        self.next_attempt_at = 0.0  # when a queued request is next tried
         self.queued_until = 0.0
 
 
@@ -39,7 +40,7 @@
         self.index = index
         self.initial_limit = initial_limit
         self.state = ServerState.GONE
-        self.started_at = -inf
+        self.started_at = -inf  # when the server's current process started
         self.weight = 1.0
         self.weight_updated_at = -inf  # when a list last stated it
         self.in_flight = {}  # this agent's attempts: (request, attempt) -> time of sending
@@ -62,6 +63,7 @@
         self.last_response_at = now
         self.is_circuit_closed = True
         self.is_half_open = False
+        # Whether the circuit was opened because the server stopped responding.
         self.is_silent = False
         self.retry_at = now
         self.backoff = INITIAL_BACKOFF_S
@@ -69,5 +71,5 @@
         self.tokens_refilled_at = now
         self.probe_answered_at = 0.0
         self.abandoned_attempts = []  # times of sending of attempts that timed out or were cancelled
-        # Request class -> (failures in a row, end of the backoff, next backoff in seconds).
+        # Request class -> (failures in a row, time at which the backoff ends, seconds of the next backoff).
         self.class_backoffs = {}
