--- a/cartdeal/emulator/shrink.py
+++ b/cartdeal/emulator/shrink.py
@@ -45,13 +45,13 @@
         """Returns a sublist of `parts` for which `test` still holds."""
         size = len(parts)
         while size >= 1 and self.run_count < MAX_RUN_COUNT:
-            at = 0
-            while at < len(parts) and self.run_count < MAX_RUN_COUNT:
-                rest = parts[:at] + parts[at + size :]
+            start = 0
+            while start < len(parts) and self.run_count < MAX_RUN_COUNT:
+                rest = parts[:start] + parts[start + size :]
                 if test(rest):
                     parts = rest
                 else:
-                    at += size
+                    start += size
             size //= 2
         return parts
 
@@ -63,15 +63,17 @@
         return None
     violation = full_run.rule_checker.violations[0]
     shrinker, arrivals = Shrinker(seed, make_reducer, violation.rule), full_run.arrivals
+    # The shortened world still runs for 0.1 s after the violation.
     shortened_world = replace(world, seconds=min(world.seconds, violation.at + 0.1))
     shortened_world = replace(
         shortened_world, fault=tuple(each for each in world.fault if each.begins_s < shortened_world.seconds)
     )
     if shrinker.reproduces(shortened_world, arrivals):
         world = shortened_world
-    before = world
+    world_with_all_faults = world
     faults = shrinker.reduce_parts(
-        list(world.fault), lambda rest: shrinker.reproduces(replace(before, fault=tuple(rest)), arrivals)
+        list(world.fault),
+        lambda rest: shrinker.reproduces(replace(world_with_all_faults, fault=tuple(rest)), arrivals),
     )
     world = replace(world, fault=tuple(faults))
     arrivals = shrinker.reduce_parts(arrivals, lambda rest: shrinker.reproduces(world, rest))
