--- a/cartdeal/lab/experiment.py
+++ b/cartdeal/lab/experiment.py
@@ -1,8 +1,8 @@
 """Runs an experiment: variants of a world, or of a fleet scenario, on the same seeds, in several processes.
 
 An experiment is read from a TOML file and checked. Its table is written whole or not at all, and names the
-commit, the world or scenario, and the seeds that it was made from. It must never contain a figure that was
-not measured.
+commit, the world or scenario, and the seeds that it was made from. The table must never contain a figure that
+was not measured.
 """
 
 import csv
@@ -55,6 +55,7 @@
         content = tomllib.loads(Path(path).read_text())
         experiment = msgspec.convert(content, Experiment)
         scenarios = ", ".join(fleets.SCENARIOS)
+        # (key, value found, value wanted, whether the value found is invalid)
         checks = [
             (
                 "world",
