--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -14,9 +14,9 @@
 from tests.scene import Deployment, until
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-OPEN = HEAD + b"\r\none"
-SIZED = HEAD + b"Content-Length: 3\r\n\r\none"
-CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
+ANSWER_WITHOUT_LENGTH = HEAD + b"\r\none"
+ANSWER_WITH_LENGTH = HEAD + b"Content-Length: 3\r\n\r\none"
+CHUNKED_ANSWER = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"
 
 
 pytestmark = pytest.mark.usefixtures("bounded")
@@ -58,7 +58,7 @@
 
 
 def received_answer(text, end):
-    """A connection that has read all bytes of an answer before the server ends it."""
+    """A connection that has read all bytes of `text`; the server has then ended it with `end`."""
     connection, server_socket = connection_pair()
     server_socket.sendall(text)
     received_bytes = 0
@@ -71,7 +71,17 @@
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, reset], ids=["close", "reset"])
-@pytest.mark.parametrize("text", [OPEN[:10], OPEN[:-4], SIZED[:-1], CHUNKED[:-9], CHUNKED[:-2]], ids=repr)
+@pytest.mark.parametrize(
+    "text",
+    [
+        ANSWER_WITHOUT_LENGTH[:10],
+        ANSWER_WITHOUT_LENGTH[:-4],
+        ANSWER_WITH_LENGTH[:-1],
+        CHUNKED_ANSWER[:-9],
+        CHUNKED_ANSWER[:-2],
+    ],
+    ids=repr,
+)
 def test_answer_cut_off_by_a_close_or_a_reset_is_not_returned(text, end):
     connection = received_answer(text, end)
     try:
@@ -80,19 +90,23 @@
         assert end is reset
 
 
-@pytest.mark.parametrize("text", [HEAD + b"\r\n", OPEN, OPEN + bytes(50000)], ids=["empty", "short", "long"])
+@pytest.mark.parametrize(
+    "text",
+    [HEAD + b"\r\n", ANSWER_WITHOUT_LENGTH, ANSWER_WITHOUT_LENGTH + bytes(50000)],
+    ids=["empty", "short", "long"],
+)
 def test_answer_without_a_length_ends_only_with_an_orderly_close(text):
     connection = received_answer(text, socket.socket.close)
     assert read_body(connection) == text.partition(b"\r\n\r\n")[2] and not connection.messages[0].keep_alive
     with pytest.raises(ConnectionResetError):
         read_body(received_answer(text, reset))
-    strict, server_socket = connection_pair(allows_close_delimited=False)
+    strict_connection, server_socket = connection_pair(allows_close_delimited=False)
     server_socket.sendall(text)
     with pytest.raises(MalformedMessageError):  # this connection does not accept such answers
-        read_body(strict)
+        read_body(strict_connection)
 
 
-@pytest.mark.parametrize("text", [SIZED, CHUNKED])
+@pytest.mark.parametrize("text", [ANSWER_WITH_LENGTH, CHUNKED_ANSWER])
 def test_reset_after_a_complete_answer_leaves_it_valid(text):
     assert read_body(received_answer(text, reset)) == b"one"
 
@@ -120,7 +134,7 @@
     refusal = b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n\r\nfull"
     for behaviour in ("open", "torn"):
         monkeypatch.setitem(Server.RESPONSES, behaviour, refusal)
-        # The not-processed header counts once the answer is complete: a cut-off answer may have said more.
+        # The not-processed header counts only if the answer is complete.
         received_count = len(deployment.received_paths())
         assert deployment.ask(f"/once/x?do={behaviour}", "POST", X_Timeout="300m")[0] == (
             503 if behaviour == "open" else 502
