--- a/tests/processes.py
+++ b/tests/processes.py
@@ -228,6 +228,7 @@
         self.loss_probability = 0.0
         self.duplicate_probability = 0.0
         self.max_delay_s = 0.0
+        self.assigned_ports = set()
         self.discovery = DiscoveryService()
         self.servers = [Server(f"s{zone}") for zone in "abc"]
         for server, zone in zip(self.servers, "abc", strict=True):
@@ -246,9 +247,18 @@
             service.stop()
 
     def free_port(self) -> int:
-        with socket.socket() as sock:
-            sock.bind(("127.0.0.1", 0))
-            return sock.getsockname()[1]
+        """Returns a port that is free now and that no agent of this fleet was given before.
+
+        An agent binds its port only once its process has started, so a free port may be given to an agent
+        already.
+        """
+        while True:
+            with socket.socket() as sock:
+                sock.bind(("127.0.0.1", 0))
+                port = sock.getsockname()[1]
+            if port not in self.assigned_ports:
+                self.assigned_ports.add(port)
+                return port
 
     def operator_file(self, agent, port, **changes) -> str:
         settings = (
